--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter hosts one brain.Router for each instance and speaks the wire on
+// Command adapter hosts one scheduler.Scheduler for each instance and speaks the wire on
 // standard input and output. It decides nothing.
 package main
 
@@ -7,8 +7,8 @@
 	"io"
 	"os"
 
-	"dillroute/brain"
 	"dillroute/internal/wire"
+	"dillroute/scheduler"
 )
 
 func main() {
@@ -39,12 +39,12 @@
 }
 
 // host holds the routers by node number.
-type host map[int]*brain.Router
+type host map[int]*scheduler.Scheduler
 
 // inbox is one instance's part of a batch.
 type inbox struct {
 	node   int
-	events []brain.Event
+	events []scheduler.Event
 }
 
 // batch passes each instance its events, in order of first appearance.
@@ -63,7 +63,7 @@
 			delete(h, it.Node)
 			box.events = nil
 		case it.Launch != nil:
-			r, err := brain.New(it.Launch.Config, it.Launch.Seed)
+			r, err := scheduler.New(it.Launch.Config, it.Launch.Seed)
 			if err != nil {
 				return fmt.Errorf("node %d: %w", it.Node, err)
 			}
@@ -92,7 +92,7 @@
 }
 
 // step turns a panic of the decision code into an error.
-func step(r *brain.Router, now float64, events []brain.Event) (acts []brain.Action, err error) {
+func step(r *scheduler.Scheduler, now float64, events []scheduler.Event) (acts []scheduler.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			acts, err = nil, fmt.Errorf("decision code: %v", p)
--- a/internal/arrows_test.go
+++ b/internal/arrows_test.go
@@ -8,14 +8,14 @@
 
 // The arrows between packages run one way (docs/design/node.md). Each line: who, whom they may not import, and why.
 var arrows = []struct{ from, to, why string }{
-	{"dillroute/brain", "dillroute/", "the module is carried to other hosts: it needs nothing of this one"},
+	{"dillroute/scheduler", "dillroute/", "the module is carried to other hosts: it needs nothing of this one"},
 	{"dillroute/internal/decide/", "net", "decision modules do no I/O"},
 	{"dillroute/internal/decide/", "os", "decision modules do no I/O"},
 	{"dillroute/internal/decide/", "time", "decision modules read no clock; durations are seconds"},
 	{"dillroute/internal/decide/", "math/rand", "decision modules have no global source of chance"},
-	{"dillroute/brain", "net", "decision modules do no I/O"},
-	{"dillroute/brain", "os", "decision modules do no I/O"},
-	{"dillroute/brain", "time", "decision modules read no clock; durations are seconds"},
+	{"dillroute/scheduler", "net", "decision modules do no I/O"},
+	{"dillroute/scheduler", "os", "decision modules do no I/O"},
+	{"dillroute/scheduler", "time", "decision modules read no clock; durations are seconds"},
 	{"dillroute/internal/decide/", "dillroute/internal/node", "decisions do not know their host"},
 	{"dillroute/internal/http1", "dillroute/", "HTTP knows nothing of routing"},
 	{"dillroute/internal/front", "dillroute/internal/node", "shapes do not know the host"},
--- a/internal/clock_test.go
+++ b/internal/clock_test.go
@@ -15,7 +15,7 @@
 // Spans are measured by the monotonic clock: the product turns the time of day into a number in one place alone.
 func TestSpansAreNotMeasuredByTheWallClock(t *testing.T) {
 	looked := 0
-	for _, root := range []string{"../brain", "../internal", "../cmd"} {
+	for _, root := range []string{"../scheduler", "../internal", "../cmd"} {
 		err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -7,7 +7,7 @@
 	"reflect"
 
 	"dillroute/api"
-	"dillroute/brain"
+	"dillroute/scheduler"
 )
 
 // Config is a node's configuration; api/config.schema.json describes each field. Times are in seconds.
@@ -282,32 +282,32 @@
 }
 
 var (
-	effects = map[string]brain.Effect{"repeatable": brain.Repeatable, "by_key": brain.ByKey, "once": brain.Once}
-	groups  = map[string]brain.Group{"all": brain.GroupAll, "zone": brain.GroupZone, "cell": brain.GroupCell}
-	roles   = map[string]brain.Role{"prefill": brain.Read, "decode": brain.Write, "mixed": brain.Mixed}
-	reports = map[string]brain.ReportStyle{"off": brain.ReportOff, "inline": brain.ReportInline}
+	effects = map[string]scheduler.Effect{"repeatable": scheduler.Repeatable, "by_key": scheduler.ByKey, "once": scheduler.Once}
+	groups  = map[string]scheduler.Group{"all": scheduler.GroupAll, "zone": scheduler.GroupZone, "cell": scheduler.GroupCell}
+	roles   = map[string]scheduler.Role{"prefill": scheduler.Read, "decode": scheduler.Write, "mixed": scheduler.Mixed}
+	reports = map[string]scheduler.ReportStyle{"off": scheduler.ReportOff, "inline": scheduler.ReportInline}
 )
 
 // Brain returns the settings of the routing module.
-func (c *Config) Brain() brain.Config {
+func (c *Config) Brain() scheduler.Config {
 	zone, _ := indexOf(c.Zones, c.Node.Zone)
-	b := brain.Config{Rank: c.Node.Rank, Balancers: c.Node.Nodes, Zone: zone, Zones: len(c.Zones),
+	b := scheduler.Config{Rank: c.Node.Rank, Balancers: c.Node.Nodes, Zone: zone, Zones: len(c.Zones),
 		Report: reports[c.Reports], LocalRead: c.LocalRead, Tick: c.Tick,
-		Limits: brain.Limits{MaxAttempts: c.Limits.MaxAttempts, Cancel: true, ParallelTries: c.Limits.ParallelTries,
+		Limits: scheduler.Limits{MaxAttempts: c.Limits.MaxAttempts, Cancel: true, ParallelTries: c.Limits.ParallelTries,
 			RetryAfter: true, MaxRetryAfter: c.Limits.MaxRetryAfter},
-		Rules: brain.Rules{AnswerSlack: c.Rules.AnswerSlack, ColdShare: c.Rules.ColdShare, ColdFor: c.Rules.Cold,
+		Rules: scheduler.Rules{AnswerSlack: c.Rules.AnswerSlack, ColdShare: c.Rules.ColdShare, ColdFor: c.Rules.Cold,
 			DrainGrace: c.Rules.DrainGrace, FallMultiple: c.Rules.FallMultiple, TipAfter: c.Rules.TipAfter,
 			LetGoBy: c.Rules.LetGoBy}}
 	for _, k := range c.Classes {
-		b.Classes = append(b.Classes, brain.Class{Effect: effects[k.Effect], Group: groups[k.Group], KeyTTL: k.KeyWindow,
+		b.Classes = append(b.Classes, scheduler.Class{Effect: effects[k.Effect], Group: groups[k.Group], KeyTTL: k.KeyWindow,
 			Aim: k.Aim, AimPerK: k.AimPerK, HardLimit: k.Patience, TokenAim: k.TokenAim, Worth: k.Worth,
 			LateValue: k.LateValue})
 	}
 	for _, k := range c.Kinds {
-		b.Kinds = append(b.Kinds, brain.Kind{Role: roles[k.Role], Memory: k.Memory})
+		b.Kinds = append(b.Kinds, scheduler.Kind{Role: roles[k.Role], Memory: k.Memory})
 	}
 	for _, t := range c.Tenants {
-		b.Tenants = append(b.Tenants, brain.Tenant{Quota: t.Quota})
+		b.Tenants = append(b.Tenants, scheduler.Tenant{Quota: t.Quota})
 	}
 	return b
 }
--- a/internal/decide/ending/ending.go
+++ b/internal/decide/ending/ending.go
@@ -3,7 +3,7 @@
 // facts as they were on the socket. docs/design/node.md holds the same table.
 package ending
 
-import "dillroute/brain"
+import "dillroute/scheduler"
 
 // Stage is what an attempt asked of its engine.
 type Stage int
@@ -72,7 +72,7 @@
 
 // Verdict is what they prove.
 type Verdict struct {
-	Status brain.Status
+	Status scheduler.Status
 	Info   int
 	Ran    bool // an effect is possible
 	Holds  bool // the engine may hold a state that nobody will take
@@ -92,7 +92,7 @@
 	}
 	if f.Stage == Prefill {
 		v.Ran = false // reading has no effect
-		v.Holds = f.Progress >= Written && v.Status != brain.Parsed && v.Status != brain.TurnedAway && !v.Final
+		v.Holds = f.Progress >= Written && v.Status != scheduler.Parsed && v.Status != scheduler.TurnedAway && !v.Final
 		return v
 	}
 	v.Ran = v.Ran || !v.Final && !provesNot(v.Status)
@@ -122,27 +122,27 @@
 }
 
 // provesNot tells whether a status proves that the request never ran.
-func provesNot(s brain.Status) bool {
-	return s == brain.TurnedAway || s == brain.NoConnection || s == brain.NotSent || s == brain.Parsed
+func provesNot(s scheduler.Status) bool {
+	return s == scheduler.TurnedAway || s == scheduler.NoConnection || s == scheduler.NotSent || s == scheduler.Parsed
 }
 
 // unanswered covers the ends without a whole answer.
-func unanswered(f Facts) brain.Status {
+func unanswered(f Facts) scheduler.Status {
 	if f.Progress < Written { // the engine cannot have had the whole request
 		if f.Cause == ClientLeft || f.Cause == Overtaken || f.Progress == Unsent {
-			return brain.NotSent
+			return scheduler.NotSent
 		}
-		return brain.NoConnection
+		return scheduler.NoConnection
 	}
 	switch f.Cause {
 	case Expired, Stalled:
-		return brain.NoAnswer
+		return scheduler.NoAnswer
 	case Stopped, ClientLeft, Overtaken:
-		return brain.CalledOff
+		return scheduler.CalledOff
 	case Unreadable:
-		return brain.ServerError
+		return scheduler.ServerError
 	}
-	return brain.ConnectionLost
+	return scheduler.ConnectionLost
 }
 
 // answered covers whole answers.
@@ -150,25 +150,25 @@
 	switch f.Meaning {
 	case Done:
 		if f.Stage == Decode {
-			return Verdict{Status: brain.Served, Ran: true, Info: f.Kept}
+			return Verdict{Status: scheduler.Served, Ran: true, Info: f.Kept}
 		}
 	case Read:
 		if f.Stage == Prefill {
-			return Verdict{Status: brain.Parsed, Info: f.Kept}
+			return Verdict{Status: scheduler.Parsed, Info: f.Kept}
 		}
 	case NoState:
-		return Verdict{Status: brain.TurnedAway, Info: 1}
+		return Verdict{Status: scheduler.TurnedAway, Info: 1}
 	case Turned:
-		return Verdict{Status: brain.TurnedAway}
+		return Verdict{Status: scheduler.TurnedAway}
 	case Judged:
 		// One engine may be wrong in it (a model that it lacks, a key that it does not take), and would then fail every
 		// request as fast as it is asked; so a second one has to agree, unless no attempt is left.
 		if f.Agreed || f.Last {
-			return Verdict{Status: brain.Served, Final: true}
+			return Verdict{Status: scheduler.Served, Final: true}
 		}
-		return Verdict{Status: brain.TurnedAway}
+		return Verdict{Status: scheduler.TurnedAway}
 	}
-	return Verdict{Status: brain.ServerError, Ran: f.Stage == Decode}
+	return Verdict{Status: scheduler.ServerError, Ran: f.Stage == Decode}
 }
 
 // Answer is how a final answer that the node itself gives presents itself to the client.
@@ -186,18 +186,18 @@
 func Failed() Answer { return Answer{HTTP: 500, Code: "may_have_run"} }
 
 // Broke is the answer where a stream ended early: repeating is harmless only where the class says so.
-func Broke(effect brain.Effect, group brain.Group) Answer {
+func Broke(effect scheduler.Effect, group scheduler.Group) Answer {
 	a := Answer{HTTP: 502, Code: "stream_broken", Retry: Repeats(effect, group, true)}
 	return a
 }
 
 // TooSlow is the answer where a whole answer is not ready when its client gives up.
-func TooSlow(effect brain.Effect, group brain.Group) Answer {
+func TooSlow(effect scheduler.Effect, group scheduler.Group) Answer {
 	return Answer{HTTP: 504, Code: "answer_too_slow", Retry: Repeats(effect, group, true)}
 }
 
 // Repeats tells whether the client may be told that a further try is harmless (rule 2): always where nothing
 // can have run, and else where every engine takes or discards a repeat.
-func Repeats(effect brain.Effect, group brain.Group, mayHaveRun bool) bool {
-	return !mayHaveRun || effect == brain.Repeatable || effect == brain.ByKey && group == brain.GroupAll
+func Repeats(effect scheduler.Effect, group scheduler.Group, mayHaveRun bool) bool {
+	return !mayHaveRun || effect == scheduler.Repeatable || effect == scheduler.ByKey && group == scheduler.GroupAll
 }
--- a/internal/decide/ending/ending_test.go
+++ b/internal/decide/ending/ending_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"dillroute/brain"
+	"dillroute/scheduler"
 )
 
 // The table of docs/design/node.md, row by row.
@@ -11,44 +11,44 @@
 	for _, c := range []struct {
 		name   string
 		f      Facts
-		status brain.Status
+		status scheduler.Status
 		info   int
 		ran    bool
 		holds  bool
 		final  bool
 	}{
-		{"never tried", Facts{Stage: Decode, Progress: Unsent, Cause: Overtaken}, brain.NotSent, 0, false, false, false},
-		{"ended while dialling", Facts{Stage: Decode, Progress: Dialling, Cause: Overtaken}, brain.NotSent, 0, false, false, false},
-		{"client left while dialling", Facts{Stage: Decode, Progress: Dialling, Cause: ClientLeft}, brain.NotSent, 0, false, false, false},
-		{"dial refused", Facts{Stage: Decode, Progress: Dialling, Cause: Broken}, brain.NoConnection, 0, false, false, false},
-		{"dial too slow", Facts{Stage: Decode, Progress: Dialling, Cause: Expired}, brain.NoConnection, 0, false, false, false},
-		{"called off while dialling", Facts{Stage: Decode, Progress: Dialling, Cause: Stopped}, brain.NoConnection, 0, false, false, false},
-		{"broke within the request", Facts{Stage: Decode, Progress: Connected, Cause: Broken}, brain.NoConnection, 0, false, false, false},
-		{"broke after the request", Facts{Stage: Decode, Progress: Written, Cause: Broken}, brain.ConnectionLost, 0, true, false, false},
-		{"broke within the answer", Facts{Stage: Decode, Progress: Headed, Cause: Broken}, brain.ConnectionLost, 0, true, false, false},
-		{"broke in mid-stream", Facts{Stage: Decode, Progress: Streaming, Cause: Broken}, brain.ConnectionLost, 0, true, false, false},
-		{"no answer in time", Facts{Stage: Decode, Progress: Written, Cause: Expired}, brain.NoAnswer, 0, true, false, false},
-		{"stalled", Facts{Stage: Decode, Progress: Streaming, Cause: Stalled}, brain.NoAnswer, 0, true, false, false},
-		{"called off", Facts{Stage: Decode, Progress: Written, Cause: Stopped}, brain.CalledOff, 0, true, false, false},
-		{"ended by another answer", Facts{Stage: Decode, Progress: Written, Cause: Overtaken}, brain.CalledOff, 0, true, false, false},
-		{"client left", Facts{Stage: Decode, Progress: Streaming, Cause: ClientLeft}, brain.CalledOff, 0, true, false, false},
-		{"garbage", Facts{Stage: Decode, Progress: Headed, Cause: Unreadable}, brain.ServerError, 0, true, false, false},
-		{"served", Facts{Stage: Decode, Progress: Streaming, Cause: Answered, Meaning: Done}, brain.Served, 0, true, false, false},
-		{"full", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Turned}, brain.TurnedAway, 0, false, false, false},
-		{"full too", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Turned}, brain.TurnedAway, 0, false, false, false},
-		{"state gone", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: NoState}, brain.TurnedAway, 1, false, false, false},
-		{"error", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Error}, brain.ServerError, 0, true, false, false},
-		{"read by a writer", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Read}, brain.ServerError, 0, true, false, false},
-		{"answered by a reader", Facts{Stage: Prefill, Progress: Headed, Cause: Answered, Meaning: Done}, brain.ServerError, 0, false, true, false},
-		{"judged once", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Judged, Code: 400}, brain.TurnedAway, 0, false, false, false},
-		{"judged twice", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Judged, Code: 400, Agreed: true}, brain.Served, 0, false, false, true},
-		{"judged at the last try", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Judged, Code: 422, Last: true}, brain.Served, 0, false, false, true},
-		{"read", Facts{Stage: Prefill, Progress: Headed, Cause: Answered, Meaning: Read, Kept: 7}, brain.Parsed, 7, false, false, false},
-		{"read without a state", Facts{Stage: Prefill, Progress: Headed, Cause: Answered}, brain.ServerError, 0, false, true, false},
-		{"read broke", Facts{Stage: Prefill, Progress: Written, Cause: Broken}, brain.ConnectionLost, 0, false, true, false},
-		{"read never written", Facts{Stage: Prefill, Progress: Connected, Cause: Broken}, brain.NoConnection, 0, false, false, false},
-		{"read called off", Facts{Stage: Prefill, Progress: Written, Cause: Stopped}, brain.CalledOff, 0, false, true, false},
-		{"reader full", Facts{Stage: Prefill, Progress: Headed, Cause: Answered, Meaning: Turned}, brain.TurnedAway, 0, false, false, false},
+		{"never tried", Facts{Stage: Decode, Progress: Unsent, Cause: Overtaken}, scheduler.NotSent, 0, false, false, false},
+		{"ended while dialling", Facts{Stage: Decode, Progress: Dialling, Cause: Overtaken}, scheduler.NotSent, 0, false, false, false},
+		{"client left while dialling", Facts{Stage: Decode, Progress: Dialling, Cause: ClientLeft}, scheduler.NotSent, 0, false, false, false},
+		{"dial refused", Facts{Stage: Decode, Progress: Dialling, Cause: Broken}, scheduler.NoConnection, 0, false, false, false},
+		{"dial too slow", Facts{Stage: Decode, Progress: Dialling, Cause: Expired}, scheduler.NoConnection, 0, false, false, false},
+		{"called off while dialling", Facts{Stage: Decode, Progress: Dialling, Cause: Stopped}, scheduler.NoConnection, 0, false, false, false},
+		{"broke within the request", Facts{Stage: Decode, Progress: Connected, Cause: Broken}, scheduler.NoConnection, 0, false, false, false},
+		{"broke after the request", Facts{Stage: Decode, Progress: Written, Cause: Broken}, scheduler.ConnectionLost, 0, true, false, false},
+		{"broke within the answer", Facts{Stage: Decode, Progress: Headed, Cause: Broken}, scheduler.ConnectionLost, 0, true, false, false},
+		{"broke in mid-stream", Facts{Stage: Decode, Progress: Streaming, Cause: Broken}, scheduler.ConnectionLost, 0, true, false, false},
+		{"no answer in time", Facts{Stage: Decode, Progress: Written, Cause: Expired}, scheduler.NoAnswer, 0, true, false, false},
+		{"stalled", Facts{Stage: Decode, Progress: Streaming, Cause: Stalled}, scheduler.NoAnswer, 0, true, false, false},
+		{"called off", Facts{Stage: Decode, Progress: Written, Cause: Stopped}, scheduler.CalledOff, 0, true, false, false},
+		{"ended by another answer", Facts{Stage: Decode, Progress: Written, Cause: Overtaken}, scheduler.CalledOff, 0, true, false, false},
+		{"client left", Facts{Stage: Decode, Progress: Streaming, Cause: ClientLeft}, scheduler.CalledOff, 0, true, false, false},
+		{"garbage", Facts{Stage: Decode, Progress: Headed, Cause: Unreadable}, scheduler.ServerError, 0, true, false, false},
+		{"served", Facts{Stage: Decode, Progress: Streaming, Cause: Answered, Meaning: Done}, scheduler.Served, 0, true, false, false},
+		{"full", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Turned}, scheduler.TurnedAway, 0, false, false, false},
+		{"full too", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Turned}, scheduler.TurnedAway, 0, false, false, false},
+		{"state gone", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: NoState}, scheduler.TurnedAway, 1, false, false, false},
+		{"error", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Error}, scheduler.ServerError, 0, true, false, false},
+		{"read by a writer", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Read}, scheduler.ServerError, 0, true, false, false},
+		{"answered by a reader", Facts{Stage: Prefill, Progress: Headed, Cause: Answered, Meaning: Done}, scheduler.ServerError, 0, false, true, false},
+		{"judged once", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Judged, Code: 400}, scheduler.TurnedAway, 0, false, false, false},
+		{"judged twice", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Judged, Code: 400, Agreed: true}, scheduler.Served, 0, false, false, true},
+		{"judged at the last try", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Judged, Code: 422, Last: true}, scheduler.Served, 0, false, false, true},
+		{"read", Facts{Stage: Prefill, Progress: Headed, Cause: Answered, Meaning: Read, Kept: 7}, scheduler.Parsed, 7, false, false, false},
+		{"read without a state", Facts{Stage: Prefill, Progress: Headed, Cause: Answered}, scheduler.ServerError, 0, false, true, false},
+		{"read broke", Facts{Stage: Prefill, Progress: Written, Cause: Broken}, scheduler.ConnectionLost, 0, false, true, false},
+		{"read never written", Facts{Stage: Prefill, Progress: Connected, Cause: Broken}, scheduler.NoConnection, 0, false, false, false},
+		{"read called off", Facts{Stage: Prefill, Progress: Written, Cause: Stopped}, scheduler.CalledOff, 0, false, true, false},
+		{"reader full", Facts{Stage: Prefill, Progress: Headed, Cause: Answered, Meaning: Turned}, scheduler.TurnedAway, 0, false, false, false},
 	} {
 		v := Judge(c.f)
 		if v.Status != c.status || v.Info != c.info || v.Ran != c.ran || v.Holds != c.holds || v.Final != c.final {
--- a/internal/decide/ledger/attempts.go
+++ b/internal/decide/ledger/attempts.go
@@ -1,9 +1,9 @@
 package ledger
 
 import (
-	"dillroute/brain"
 	"dillroute/internal/decide/ending"
 	"dillroute/internal/decide/permit"
+	"dillroute/scheduler"
 )
 
 // attempt is one attempt of a request.
@@ -33,7 +33,7 @@
 func (t *attempt) took(e *entry) bool { return t.withState && t.stateN == e.stateN }
 
 // send checks an attempt against the rules and starts it. One that may not be made ends at once as not sent.
-func (l *Ledger) send(now float64, a brain.Send) {
+func (l *Ledger) send(now float64, a scheduler.Send) {
 	e := l.open[a.ID]
 	if e == nil {
 		l.fault("send for %s, which is not open", a.ID)
@@ -42,7 +42,7 @@
 	n, s := e.sent, l.engines[a.Engine]
 	e.sent++
 	t := attempt{n: n, engine: a.Engine, sentAt: now, stage: ending.Decode}
-	if s != nil && s.role == brain.Read {
+	if s != nil && s.role == scheduler.Read {
 		t.stage = ending.Prefill
 	}
 	t.withState, t.stateN = t.stage == ending.Decode && e.state != "", e.stateN
@@ -50,7 +50,7 @@
 		if why != permit.Ended { // else its client left, or its answer began, while the module was deciding
 			l.fault("send of %s to %s: %s", a.ID, a.Engine, why)
 		}
-		l.emit(brain.Outcome{ID: a.ID, Attempt: n, Engine: a.Engine, Status: brain.NotSent, Closed: e.concluded})
+		l.emit(scheduler.Outcome{ID: a.ID, Attempt: n, Engine: a.Engine, Status: scheduler.NotSent, Closed: e.concluded})
 		return
 	}
 	writeBy := l.repeatBy(e) // of the attempts before this one
@@ -74,7 +74,7 @@
 	ask := permit.Send{Ended: e.concluded || e.answering, AttemptsLeft: l.left(e), EngineKnown: s != nil, Grace: l.cfg.DrainGrace,
 		Repeat: l.repeat(now, e, t.engine)}
 	if s != nil {
-		ask.Leaving, ask.LeavingFor = s.state != brain.Ready, now-s.since
+		ask.Leaving, ask.LeavingFor = s.state != scheduler.Ready, now-s.since
 	}
 	return ask.Reason()
 }
@@ -104,14 +104,14 @@
 
 // repeatBy is when the time ends in which a repeat of a keyed request is known as one; 0 = there is no such time.
 func (l *Ledger) repeatBy(e *entry) float64 {
-	if _, at, ran := e.mayRun(); ran && e.class.Effect == brain.ByKey {
+	if _, at, ran := e.mayRun(); ran && e.class.Effect == scheduler.ByKey {
 		return at + e.class.KeyTTL
 	}
 	return 0
 }
 
 // cancel ends an attempt that has not begun to stream.
-func (l *Ledger) cancel(a brain.Cancel) {
+func (l *Ledger) cancel(a scheduler.Cancel) {
 	e := l.open[a.ID]
 	if e == nil {
 		return // it had ended
@@ -126,7 +126,7 @@
 // take. Such an attempt does not stop that time: it is called off, so that the state can be released.
 func (l *Ledger) NotArrived(id string, n int) {
 	if e := l.open[id]; e != nil && e.state != "" {
-		l.cancel(brain.Cancel{ID: id, Attempt: n})
+		l.cancel(scheduler.Cancel{ID: id, Attempt: n})
 	}
 }
 
@@ -148,7 +148,7 @@
 	}
 	e.state = "" // else the fetch has ended: the reader let its memory go
 	l.do(Grant{id, n, true})
-	l.emit(brain.First{ID: id, Attempt: n, Engine: t.engine, Spent: now - t.sentAt})
+	l.emit(scheduler.First{ID: id, Attempt: n, Engine: t.engine, Spent: now - t.sentAt})
 	for i := range e.attempts { // a second copy has lost
 		if o := &e.attempts[i]; o != t && !o.over && !o.aborting {
 			o.aborting = true
@@ -158,7 +158,7 @@
 }
 
 // Ended is told, once, when an attempt has ended. The report may be nil.
-func (l *Ledger) Ended(now float64, id string, n int, f ending.Facts, rep *brain.Report) {
+func (l *Ledger) Ended(now float64, id string, n int, f ending.Facts, rep *scheduler.Report) {
 	e := l.open[id]
 	if e == nil || e.attempt(n) == nil || e.attempt(n).over {
 		l.fault("end of attempt %d of %s, which is not out", n, id)
@@ -181,7 +181,7 @@
 	if f.Cause == ending.Answered && f.Meaning == ending.Judged && !v.Final {
 		e.rejected = f.Code
 	}
-	if v.Ran && e.ran && e.class.Effect == brain.Once {
+	if v.Ran && e.ran && e.class.Effect == scheduler.Once {
 		l.fault("%s may have run at %s and at %s", id, e.ranOn, t.engine)
 	}
 	if v.Ran && !e.ran {
@@ -191,10 +191,10 @@
 	e.outcome(now, f)
 	l.flush(e)
 	closed := l.closes(id, e, n, v)
-	l.emit(brain.Outcome{ID: id, Attempt: n, Engine: t.engine, Status: v.Status, Info: v.Info,
+	l.emit(scheduler.Outcome{ID: id, Attempt: n, Engine: t.engine, Status: v.Status, Info: v.Info,
 		Spent: now - t.sentAt, Closed: closed || e.concluded, Report: rep})
 	if t.streaming && e.farewell != nil {
-		if v.Status != brain.Served { // else the answer was whole before it could be stopped
+		if v.Status != scheduler.Served { // else the answer was whole before it could be stopped
 			l.do(*e.farewell)
 		}
 		e.farewell = nil
@@ -220,16 +220,16 @@
 func (l *Ledger) states(now float64, id string, e *entry, n int, v ending.Verdict) {
 	t := e.attempt(n)
 	switch {
-	case v.Status == brain.Parsed:
+	case v.Status == scheduler.Parsed:
 		if e.state != "" { // read twice: one of the two will not be taken
 			l.letGo(id, e, Release{Engine: e.state, N: e.stateN})
 		}
 		e.state, e.stateN = t.engine, n
-	case v.Holds, l.cfg.ReleaseAll && !t.withState && v.Ran && v.Status != brain.Served:
+	case v.Holds, l.cfg.ReleaseAll && !t.withState && v.Ran && v.Status != scheduler.Served:
 		// Cut reads may have ended well, and an engine that read for itself keeps what it has read.
 		l.letGo(id, e, Release{Engine: t.engine, N: n, CutAt: now})
-	case t.took(e) && (v.Status == brain.TurnedAway && v.Info == 1 || v.Status == brain.Served && !v.Final):
-		if l.cfg.ReleaseAll && v.Status == brain.TurnedAway { // gone for the writer; the reader may know better
+	case t.took(e) && (v.Status == scheduler.TurnedAway && v.Info == 1 || v.Status == scheduler.Served && !v.Final):
+		if l.cfg.ReleaseAll && v.Status == scheduler.TurnedAway { // gone for the writer; the reader may know better
 			l.letGo(id, e, Release{Engine: e.state, N: e.stateN})
 		}
 		e.state = ""
@@ -246,7 +246,7 @@
 	case v.Final:
 		l.do(Pass{id, n})
 		return true
-	case t.streaming && v.Status == brain.Served:
+	case t.streaming && v.Status == scheduler.Served:
 		return true
 	case t.streaming:
 		a := ending.Broke(e.class.Effect, e.class.Group)
--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/ledger/ledger.go
@@ -14,14 +14,14 @@
 import (
 	"fmt"
 
-	"dillroute/brain"
 	"dillroute/internal/decide/ending"
 	"dillroute/internal/decide/permit"
+	"dillroute/scheduler"
 )
 
 // Config is what the book needs of the node's settings.
 type Config struct {
-	Classes     []brain.Class
+	Classes     []scheduler.Class
 	MaxOpen     int     // requests held at once
 	MaxAttempts int     // for one request
 	UnsentFree  bool    // those that ended before their request was written do not count, up to as many again
@@ -34,7 +34,7 @@
 
 // entry is one request, until it has ended and no attempt is out and no state is held.
 type entry struct {
-	class     *brain.Class
+	class     *scheduler.Class
 	deadline  float64
 	wholeBy   float64   // when an answer that is gathered must have ended; 0 = it is streamed
 	attempts  []attempt // those that were begun
@@ -63,17 +63,17 @@
 // Ledger is the book. It is not safe for concurrent use.
 type Ledger struct {
 	cfg     Config
-	kinds   []brain.Kind
+	kinds   []scheduler.Kind
 	open    map[string]*entry
 	engines map[string]*seen
 	live    int // entries not concluded
-	events  []brain.Event
+	events  []scheduler.Event
 	cmds    []Command
 	closing bool
 }
 
 // New returns an empty book.
-func New(cfg Config, kinds []brain.Kind) *Ledger {
+func New(cfg Config, kinds []scheduler.Kind) *Ledger {
 	return &Ledger{cfg: cfg, kinds: kinds, open: map[string]*entry{}, engines: map[string]*seen{}}
 }
 
@@ -81,7 +81,7 @@
 func (l *Ledger) Reconfigure(cfg Config) { l.cfg = cfg }
 
 // Take drains the events and commands that have gathered, in order.
-func (l *Ledger) Take() ([]brain.Event, []Command) {
+func (l *Ledger) Take() ([]scheduler.Event, []Command) {
 	ev, cmd := l.events, l.cmds
 	l.events, l.cmds = nil, nil
 	return ev, cmd
@@ -115,8 +115,8 @@
 	return e.deadline + l.cfg.Slack, true
 }
 
-func (l *Ledger) emit(ev brain.Event) { l.events = append(l.events, ev) }
-func (l *Ledger) do(c Command)        { l.cmds = append(l.cmds, c) }
+func (l *Ledger) emit(ev scheduler.Event) { l.events = append(l.events, ev) }
+func (l *Ledger) do(c Command)            { l.cmds = append(l.cmds, c) }
 
 func (l *Ledger) fault(format string, args ...any) {
 	l.do(Fault{fmt.Sprintf(format, args...)})
@@ -126,7 +126,7 @@
 //
 // whole is how long the client waits for the whole of an answer that is not streamed (s); 0 = it is streamed, and
 // nothing bounds it once it has begun.
-func (l *Ledger) Request(now float64, q brain.Request, whole float64) (ending.Answer, bool) {
+func (l *Ledger) Request(now float64, q scheduler.Request, whole float64) (ending.Answer, bool) {
 	switch why := (permit.Take{Stopping: l.closing, Open: l.live, MaxOpen: l.cfg.MaxOpen, IDInUse: l.open[q.ID] != nil}).Reason(); {
 	case why != permit.Allowed:
 		return notTaken[why], false
@@ -157,19 +157,19 @@
 
 // Apply carries out one action of the module. It returns false for those that are the host's alone (timers,
 // logs, probes, calls to the list's source).
-func (l *Ledger) Apply(now float64, a brain.Action) bool {
+func (l *Ledger) Apply(now float64, a scheduler.Action) bool {
 	switch a := a.(type) {
-	case brain.Send:
+	case scheduler.Send:
 		l.send(now, a)
-	case brain.Cancel:
+	case scheduler.Cancel:
 		l.cancel(a)
-	case brain.Release:
+	case scheduler.Release:
 		l.release(a.ID)
-	case brain.Refuse:
+	case scheduler.Refuse:
 		l.answer(now, a.ID, ending.Refused(), a.RetryAfter, because("no engine could serve this in time", a.Why))
-	case brain.Fail:
+	case scheduler.Fail:
 		l.answer(now, a.ID, ending.Failed(), 0, because("an engine may have run this; it was not tried again", a.Why))
-	case brain.Reserve: // offered only where the protocol has it
+	case scheduler.Reserve: // offered only where the protocol has it
 		l.fault("request %s: a place cannot be reserved by this protocol", a.ID)
 	default:
 		return false
@@ -178,7 +178,7 @@
 }
 
 // because adds the module's reason to what a client is told.
-func because(text string, why brain.GiveUp) string {
+func because(text string, why scheduler.GiveUp) string {
 	if why == "" {
 		return text
 	}
@@ -204,4 +204,4 @@
 func (l *Ledger) Close() { l.closing = true }
 
 // Heard files what an engine told of its load outside the end of an attempt.
-func (l *Ledger) Heard(p brain.Probed) { l.emit(p) }
+func (l *Ledger) Heard(p scheduler.Probed) { l.emit(p) }
--- a/internal/decide/ledger/ledger_test.go
+++ b/internal/decide/ledger/ledger_test.go
@@ -4,21 +4,21 @@
 	"fmt"
 	"testing"
 
-	"dillroute/brain"
 	"dillroute/internal/decide/ending"
+	"dillroute/scheduler"
 
 	"pgregory.net/rapid"
 )
 
-func classes() []brain.Class {
-	return []brain.Class{{Effect: brain.Repeatable}, {Effect: brain.Once},
-		{Effect: brain.ByKey, Group: brain.GroupCell, KeyTTL: 2}, {Effect: brain.ByKey, Group: brain.GroupAll, KeyTTL: 2}}
+func classes() []scheduler.Class {
+	return []scheduler.Class{{Effect: scheduler.Repeatable}, {Effect: scheduler.Once},
+		{Effect: scheduler.ByKey, Group: scheduler.GroupCell, KeyTTL: 2}, {Effect: scheduler.ByKey, Group: scheduler.GroupAll, KeyTTL: 2}}
 }
 
 func newBook() *Ledger {
 	l := New(Config{Classes: classes(), MaxOpen: 8, MaxAttempts: 4, Slack: 0.05, DrainGrace: 0.25},
-		[]brain.Kind{{Role: brain.Read}, {Role: brain.Write}})
-	l.Members(0, brain.Members{Form: brain.ListFull, Engines: []brain.Engine{
+		[]scheduler.Kind{{Role: scheduler.Read}, {Role: scheduler.Write}})
+	l.Members(0, scheduler.Members{Form: scheduler.ListFull, Engines: []scheduler.Engine{
 		{ID: "r0", Kind: 0}, {ID: "r1", Kind: 0, Cell: 1}, {ID: "w0", Kind: 1}, {ID: "w1", Kind: 1, Cell: 1}}})
 	l.Take()
 	return l
@@ -34,14 +34,14 @@
 	return out
 }
 
-func request(id string, class int) brain.Request {
-	return brain.Request{ID: id, Class: class, TimeLeft: 5}
+func request(id string, class int) scheduler.Request {
+	return scheduler.Request{ID: id, Class: class, TimeLeft: 5}
 }
 
 // decode starts an attempt at a writer and returns its number.
 func decode(t *testing.T, l *Ledger, now float64, id, engine string) int {
 	t.Helper()
-	l.Apply(now, brain.Send{ID: id, Engine: engine})
+	l.Apply(now, scheduler.Send{ID: id, Engine: engine})
 	xs := find[Start](l)
 	if len(xs) != 1 {
 		t.Fatalf("%d attempts started", len(xs))
@@ -66,7 +66,7 @@
 		n := decode(t, l, 1, "a", "w0")
 		l.Ended(1.1, "a", n, ending.Facts{Progress: ending.Written, Cause: ending.Broken}, nil)
 		l.Take()
-		l.Apply(c.now, brain.Send{ID: "a", Engine: c.engine})
+		l.Apply(c.now, scheduler.Send{ID: "a", Engine: c.engine})
 		starts := find[Start](l)
 		if (len(starts) == 1) != c.starts {
 			t.Errorf("%s: got %v, want it sent %v", c.name, starts, c.starts)
@@ -77,7 +77,7 @@
 	}
 	l := newBook()
 	l.Request(1, request("a", 2), 0)
-	l.Apply(1, brain.Send{ID: "a", Engine: "r0"})
+	l.Apply(1, scheduler.Send{ID: "a", Engine: "r0"})
 	if starts := find[Start](l); len(starts) != 1 || starts[0].WriteBy != 0 {
 		t.Errorf("got %v, want a first attempt that may be written at any time", starts)
 	}
@@ -88,7 +88,7 @@
 	l.Request(1, request("a", 1), 0)
 	n := decode(t, l, 1, "a", "w0")
 	l.Ended(1.1, "a", n, ending.Facts{Progress: ending.Written, Cause: ending.Broken}, nil)
-	l.Apply(1.2, brain.Send{ID: "a", Engine: "w1"})
+	l.Apply(1.2, scheduler.Send{ID: "a", Engine: "w1"})
 	cmds := l.TakeCommands()
 	if len(cmds) != 1 {
 		t.Fatalf("%v", cmds)
@@ -96,7 +96,7 @@
 	if _, ok := cmds[0].(Fault); !ok {
 		t.Fatalf("the attempt was made: %v", cmds)
 	}
-	l.Apply(1.3, brain.Refuse{ID: "a"}) // a lie: it may have run
+	l.Apply(1.3, scheduler.Refuse{ID: "a"}) // a lie: it may have run
 	for _, c := range l.TakeCommands() {
 		if a, ok := c.(Answer); ok && a.Answer.Retry {
 			t.Fatalf("the client is told that a retry is harmless: %+v", a)
@@ -116,7 +116,7 @@
 		n := decode(t, l, 1, "a", "w0")
 		l.Ended(1.2, "a", n, ending.Facts{Progress: ending.Written, Cause: ending.Expired}, nil)
 		l.TakeCommands()
-		l.Apply(c.at, brain.Send{ID: "a", Engine: c.engine})
+		l.Apply(c.at, scheduler.Send{ID: "a", Engine: c.engine})
 		if got := len(find[Start](l)) == 1; got != c.may {
 			t.Errorf("class %d to %s at %g: %v", c.class, c.engine, c.at, got)
 		}
@@ -125,7 +125,7 @@
 
 func TestNothingToDrainingOrGoneAfterTheGrace(t *testing.T) {
 	l := newBook()
-	l.Members(10, brain.Members{Form: brain.ListFull, Engines: []brain.Engine{{ID: "w0", Kind: 1, State: brain.Draining}}})
+	l.Members(10, scheduler.Members{Form: scheduler.ListFull, Engines: []scheduler.Engine{{ID: "w0", Kind: 1, State: scheduler.Draining}}})
 	for i, c := range []struct {
 		engine string
 		at     float64
@@ -134,7 +134,7 @@
 		id := fmt.Sprint("q", i)
 		l.Request(c.at, request(id, 0), 0)
 		l.Take()
-		l.Apply(c.at, brain.Send{ID: id, Engine: c.engine})
+		l.Apply(c.at, scheduler.Send{ID: id, Engine: c.engine})
 		if got := len(find[Start](l)) == 1; got != c.may {
 			t.Errorf("to %s at %g: %v", c.engine, c.at, got)
 		}
@@ -230,7 +230,7 @@
 func (w *world) drain() {
 	events, cmds := w.l.Take()
 	for _, ev := range events {
-		if o, ok := ev.(brain.Outcome); ok {
+		if o, ok := ev.(scheduler.Outcome); ok {
 			if !w.owed[o.ID][o.Attempt] {
 				w.t.Fatalf("outcome of attempt %d of %s comes twice or from nowhere", o.Attempt, o.ID)
 			}
@@ -244,7 +244,7 @@
 				w.t.Fatalf("%s is sent to %s after its end", c.ID, c.Engine)
 			}
 			k := classes()[w.class[c.ID]]
-			if c.Stage == ending.Decode && k.Effect == brain.Once && w.effect[c.ID] > 0 {
+			if c.Stage == ending.Decode && k.Effect == scheduler.Once && w.effect[c.ID] > 0 {
 				w.t.Fatalf("%s may run twice", c.ID)
 			}
 			if c.Stage == ending.Decode {
@@ -261,7 +261,7 @@
 		case Answer:
 			w.answers[c.ID]++
 			k := classes()[w.class[c.ID]]
-			if c.Answer.Retry && k.Effect == brain.Once && w.effect[c.ID] > 0 {
+			if c.Answer.Retry && k.Effect == scheduler.Once && w.effect[c.ID] > 0 {
 				w.t.Fatalf("%s may have run and is refused: %+v", c.ID, c)
 			}
 		case Pass:
@@ -301,17 +301,17 @@
 	}
 	f.Stage = s.Stage
 	v := ending.Judge(f)
-	if s.Stage == ending.Decode && !v.Ran && v.Status != brain.Served {
+	if s.Stage == ending.Decode && !v.Ran && v.Status != scheduler.Served {
 		w.effect[id]--
 	}
-	if s.Stage == ending.Prefill && (v.Status == brain.Parsed || v.Holds) {
+	if s.Stage == ending.Prefill && (v.Status == scheduler.Parsed || v.Holds) {
 		w.states[id][s.N] = true
 	}
-	if s.Stage == ending.Decode && s.State && (v.Info == 1 || v.Status == brain.Served && !v.Final) {
+	if s.Stage == ending.Decode && s.State && (v.Info == 1 || v.Status == scheduler.Served && !v.Final) {
 		delete(w.states[id], s.StateN)
 	}
 	delete(w.out[id], s.N)
-	if s.Stage == ending.Decode && v.Status == brain.Served && !v.Final {
+	if s.Stage == ending.Decode && v.Status == scheduler.Served && !v.Final {
 		w.answers[id]++ // it was passed on as it came
 	}
 	if f.Cause == ending.ClientLeft {
@@ -356,7 +356,7 @@
 					w.owed[id][sends[id]] = true
 					sends[id]++
 				}
-				w.l.Apply(w.now, brain.Send{ID: id, Engine: engine})
+				w.l.Apply(w.now, scheduler.Send{ID: id, Engine: engine})
 			case 4, 5, 6:
 				if len(running) > 0 {
 					w.end(id, rapid.SampledFrom(running).Draw(t, "attempt"))
@@ -373,16 +373,16 @@
 					}
 				}
 			case 8:
-				w.l.Apply(w.now, rapid.SampledFrom([]brain.Action{brain.Refuse{ID: id}, brain.Fail{ID: id}, brain.Release{ID: id},
-					brain.Cancel{ID: id, Attempt: 0}, brain.Cancel{ID: id, Attempt: 1}}).Draw(t, "action"))
+				w.l.Apply(w.now, rapid.SampledFrom([]scheduler.Action{scheduler.Refuse{ID: id}, scheduler.Fail{ID: id}, scheduler.Release{ID: id},
+					scheduler.Cancel{ID: id, Attempt: 0}, scheduler.Cancel{ID: id, Attempt: 1}}).Draw(t, "action"))
 			case 9:
 				w.gone[id] = w.gone[id] || w.answers[id] == 0
 				w.l.Hangup(w.now, id, rapid.Bool().Draw(t, "half"))
 			case 10:
 				w.l.Overdue(w.now, id)
 			case 11:
-				state := rapid.SampledFrom([]brain.EngineState{brain.Ready, brain.Draining}).Draw(t, "state")
-				w.l.Members(w.now, brain.Members{Form: brain.ListChanges, Engines: []brain.Engine{{ID: "w0", Kind: 1, State: state}}})
+				state := rapid.SampledFrom([]scheduler.EngineState{scheduler.Ready, scheduler.Draining}).Draw(t, "state")
+				w.l.Members(w.now, scheduler.Members{Form: scheduler.ListChanges, Engines: []scheduler.Engine{{ID: "w0", Kind: 1, State: state}}})
 			}
 			w.drain()
 		}
@@ -421,7 +421,7 @@
 		l.Take()
 		n := 0
 		for range 20 {
-			l.Apply(1, brain.Send{ID: "a", Engine: "w0"})
+			l.Apply(1, scheduler.Send{ID: "a", Engine: "w0"})
 			starts := find[Start](l)
 			if len(starts) == 0 {
 				break
--- a/internal/decide/ledger/members.go
+++ b/internal/decide/ledger/members.go
@@ -1,22 +1,22 @@
 package ledger
 
 import (
-	"dillroute/brain"
+	"dillroute/scheduler"
 )
 
 // seen is what the book knows of an engine.
 type seen struct {
 	listed bool
-	state  brain.EngineState
+	state  scheduler.EngineState
 	since  float64 // when this state was told
 	cell   int
 	zone   int
-	role   brain.Role
+	role   scheduler.Role
 }
 
 // Members files a list before the module sees it, so that both know the same. since is when it was learned.
-func (l *Ledger) Members(now float64, m brain.Members) {
-	if m.Form == brain.ListLost {
+func (l *Ledger) Members(now float64, m scheduler.Members) {
+	if m.Form == scheduler.ListLost {
 		l.emit(m)
 		return
 	}
@@ -31,15 +31,15 @@
 		if s.state != n.State {
 			s.state, s.since = n.State, now
 		}
-		s.listed, s.cell, s.zone = n.State != brain.Removed, n.Cell, n.Zone
+		s.listed, s.cell, s.zone = n.State != scheduler.Removed, n.Cell, n.Zone
 		if n.Kind >= 0 && n.Kind < len(l.kinds) {
 			s.role = l.kinds[n.Kind].Role
 		}
 	}
-	if m.Form != brain.ListChanges {
+	if m.Form != scheduler.ListChanges {
 		for id, s := range l.engines {
-			if !named[id] && s.state != brain.Removed {
-				s.state, s.since, s.listed = brain.Removed, now, false
+			if !named[id] && s.state != scheduler.Removed {
+				s.state, s.since, s.listed = scheduler.Removed, now, false
 			}
 		}
 	}
@@ -54,7 +54,7 @@
 // prune forgets engines that were removed long ago: where they are replaced all day, there is no end of them.
 func (l *Ledger) prune(now float64) {
 	for id, s := range l.engines {
-		if s.state == brain.Removed && now > s.since+keepRemoved {
+		if s.state == scheduler.Removed && now > s.since+keepRemoved {
 			delete(l.engines, id)
 		}
 	}
@@ -63,12 +63,12 @@
 // Listed tells whether an engine may be sent something new.
 func (l *Ledger) Listed(id string) bool {
 	s := l.engines[id]
-	return s != nil && s.state == brain.Ready
+	return s != nil && s.state == scheduler.Ready
 }
 
 // LeavingSince is since when an engine is known to drain or be gone (s); 0 = it is ready, or not remembered.
 func (l *Ledger) LeavingSince(id string) float64 {
-	if s := l.engines[id]; s != nil && s.state != brain.Ready {
+	if s := l.engines[id]; s != nil && s.state != scheduler.Ready {
 		return s.since
 	}
 	return 0
@@ -83,7 +83,7 @@
 		return false
 	}
 	for _, s := range l.engines {
-		if s.state == brain.Ready {
+		if s.state == scheduler.Ready {
 			return true
 		}
 	}
--- a/internal/decide/ledger/releases_test.go
+++ b/internal/decide/ledger/releases_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"dillroute/brain"
 	"dillroute/internal/decide/ending"
+	"dillroute/scheduler"
 
 	"pgregory.net/rapid"
 )
@@ -21,8 +21,8 @@
 func TestReleaseForAllWaitsForWhatIsOut(t *testing.T) {
 	l := allBook()
 	l.Request(1, request("a", 0), 0)
-	l.Apply(1, brain.Send{ID: "a", Engine: "r0"})
-	l.Apply(1, brain.Send{ID: "a", Engine: "r1"})
+	l.Apply(1, scheduler.Send{ID: "a", Engine: "r0"})
+	l.Apply(1, scheduler.Send{ID: "a", Engine: "r1"})
 	l.Take()
 	l.Ended(1.1, "a", 0, ending.Facts{Progress: ending.Written, Cause: ending.Broken}, nil)
 	if rs := find[Release](l); len(rs) != 0 {
@@ -44,19 +44,19 @@
 func TestReleaseIsNotRepeatedOverANewRead(t *testing.T) {
 	l := allBook()
 	l.Request(1, request("a", 0), 0)
-	l.Apply(1, brain.Send{ID: "a", Engine: "r0"})
+	l.Apply(1, scheduler.Send{ID: "a", Engine: "r0"})
 	l.Take()
 	l.Ended(1.1, "a", 0, ending.Facts{Progress: ending.Written, Cause: ending.Expired}, nil)
 	rs := find[Release](l)
 	if len(rs) != 1 || !l.Wanted(rs[0]) {
 		t.Fatalf("%v", rs)
 	}
-	l.Apply(1.2, brain.Send{ID: "a", Engine: "r1"})
+	l.Apply(1.2, scheduler.Send{ID: "a", Engine: "r1"})
 	l.Take()
 	if l.Wanted(rs[0]) {
 		t.Fatal("the new read would be lost")
 	}
-	l.Apply(1.3, brain.Refuse{ID: "a"})
+	l.Apply(1.3, scheduler.Refuse{ID: "a"})
 	l.Ended(1.4, "a", 1, ending.Facts{Progress: ending.Written, Cause: ending.Overtaken}, nil)
 	if again := find[Release](l); len(again) != 1 {
 		t.Fatalf("%v", again)
@@ -119,11 +119,11 @@
 			now += 0.01
 			switch k := rapid.IntRange(0, 4).Draw(t, "what"); {
 			case k == 0:
-				l.Apply(now, brain.Send{ID: "a", Engine: rapid.SampledFrom([]string{"r0", "r1", "w0"}).Draw(t, "engine")})
+				l.Apply(now, scheduler.Send{ID: "a", Engine: rapid.SampledFrom([]string{"r0", "r1", "w0"}).Draw(t, "engine")})
 			case k == 1:
-				l.Apply(now, brain.Release{ID: "a"})
+				l.Apply(now, scheduler.Release{ID: "a"})
 			case k == 2 && rapid.Bool().Draw(t, "refuse"):
-				l.Apply(now, brain.Refuse{ID: "a"})
+				l.Apply(now, scheduler.Refuse{ID: "a"})
 			default:
 				for n, s := range out {
 					f := ending.Facts{Progress: ending.Written, Cause: rapid.SampledFrom([]ending.Cause{ending.Broken, ending.Expired, ending.Stopped}).Draw(t, "cause")}
@@ -140,7 +140,7 @@
 			}
 			see()
 		}
-		l.Apply(now, brain.Refuse{ID: "a"})
+		l.Apply(now, scheduler.Refuse{ID: "a"})
 		see()
 		for n := range out {
 			delete(out, n)
@@ -159,14 +159,14 @@
 func TestStateIsReleasedBeforeTheNextAttempt(t *testing.T) {
 	l := allBook()
 	l.Request(1, request("a", 0), 0)
-	l.Apply(1, brain.Send{ID: "a", Engine: "r0"})
+	l.Apply(1, scheduler.Send{ID: "a", Engine: "r0"})
 	l.Take()
 	l.Ended(1.1, "a", 0, ending.Facts{Progress: ending.Written, Cause: ending.Stopped}, nil)
 	cut := find[Release](l)
 	if len(cut) != 1 || cut[0].CutAt != 1.1 {
 		t.Fatalf("got %v, want the release of what was broken off at 1.1", cut)
 	}
-	l.Apply(1.1, brain.Send{ID: "a", Engine: "r1"})
+	l.Apply(1.1, scheduler.Send{ID: "a", Engine: "r1"})
 	l.Take()
 	if l.Wanted(cut[0]) {
 		t.Fatal("released over a read that is out")
@@ -175,8 +175,8 @@
 	n := decode(t, l, 1.2, "a", "w0")
 	l.Ended(1.45, "a", n, ending.Facts{Progress: ending.Dialling, Cause: ending.Broken}, nil)
 	l.Take()
-	l.Apply(1.45, brain.Release{ID: "a"})
-	l.Apply(1.45, brain.Send{ID: "a", Engine: "w0"})
+	l.Apply(1.45, scheduler.Release{ID: "a"})
+	l.Apply(1.45, scheduler.Send{ID: "a", Engine: "w0"})
 	rs := find[Release](l)
 	if len(rs) == 0 || rs[0].CutAt != 0 || rs[0].Engine != "r1" {
 		t.Fatalf("got %v, want the state at r1 released at once", rs)
@@ -193,7 +193,7 @@
 	stateAt := func(now float64) (int, float64) {
 		t.Helper()
 		l.Take()
-		l.Apply(now, brain.Send{ID: "a", Engine: "w0"})
+		l.Apply(now, scheduler.Send{ID: "a", Engine: "w0"})
 		starts := find[Start](l)
 		if len(starts) != 1 || !starts[0].State {
 			t.Fatalf("got %v, want one attempt with a state", starts)
@@ -241,7 +241,7 @@
 	} {
 		l := allBook()
 		l.Request(1, request("a", c.class), 0)
-		l.Apply(1, brain.Send{ID: "a", Engine: "r0"})
+		l.Apply(1, scheduler.Send{ID: "a", Engine: "r0"})
 		l.Ended(1.1, "a", 0, ending.Facts{Progress: ending.Headed, Cause: ending.Answered, Meaning: ending.Read}, nil)
 		l.Take()
 		n := decode(t, l, 1.2, "a", "w0")
@@ -271,13 +271,13 @@
 func TestStateOfTwoSilentAttemptsIsReleased(t *testing.T) {
 	l := allBook()
 	l.Request(1, request("a", 0), 0)
-	l.Apply(1, brain.Send{ID: "a", Engine: "r0"})
+	l.Apply(1, scheduler.Send{ID: "a", Engine: "r0"})
 	l.Ended(1.1, "a", 0, ending.Facts{Progress: ending.Headed, Cause: ending.Answered, Meaning: ending.Read}, nil)
 	l.Take()
 	n := decode(t, l, 1.2, "a", "w0")
 	l.Ended(1.6, "a", n, ending.Facts{Progress: ending.Written, Cause: ending.Stopped}, nil)
 	l.Take()
-	l.Apply(1.7, brain.Send{ID: "a", Engine: "w0"})
+	l.Apply(1.7, scheduler.Send{ID: "a", Engine: "w0"})
 	starts := find[Start](l)
 	if len(starts) != 1 || starts[0].HeldAt != 1.1 || starts[0].StateAt != 1.6 {
 		t.Fatalf("%+v, want one whose state is held since 1.1, and since 1.6 if the first attempt had arrived", starts)
--- a/internal/decide/ledger/responses.go
+++ b/internal/decide/ledger/responses.go
@@ -1,9 +1,9 @@
 package ledger
 
 import (
-	"dillroute/brain"
 	"dillroute/internal/decide/ending"
 	"dillroute/internal/decide/permit"
+	"dillroute/scheduler"
 )
 
 // answer concludes a request by the node's own word. A refusal after an effect is possible would be a lie: it
@@ -72,7 +72,7 @@
 		l.say(e, Answer{id, ending.Answer{HTTP: 400, Code: "client_closed", Retry: retry}, 0,
 			"the client closed its side before the answer; keep it open until then"})
 	}
-	l.emit(brain.Gone{ID: id})
+	l.emit(scheduler.Gone{ID: id})
 	l.conclude(id, e, ending.ClientLeft)
 }
 
@@ -98,7 +98,7 @@
 		a = ending.Failed()
 	}
 	l.say(e, Answer{id, a, 0, reason})
-	l.emit(brain.Gone{ID: id})
+	l.emit(scheduler.Gone{ID: id})
 	l.conclude(id, e, ending.Overtaken)
 }
 
--- a/internal/decide/ledger/responses_test.go
+++ b/internal/decide/ledger/responses_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"dillroute/brain"
 	"dillroute/internal/decide/ending"
+	"dillroute/scheduler"
 )
 
 // A refusal says that a retry is harmless, and needs proof for every attempt from its bytes alone: that a read has no effect is
@@ -36,7 +36,7 @@
 			n := decode(t, l, 1, "a", "r0") // r0 reads: an attempt there has no effect by the protocol
 			l.Ended(2, "a", n, c.facts, nil)
 			if how == "by the module" {
-				l.Apply(c.at, brain.Refuse{ID: "a"})
+				l.Apply(c.at, scheduler.Refuse{ID: "a"})
 			} else {
 				l.EndAll(c.at)
 			}
--- a/internal/decide/permit/permit.go
+++ b/internal/decide/permit/permit.go
@@ -4,7 +4,7 @@
 // The package does no I/O and reads no clock; times are in seconds.
 package permit
 
-import "dillroute/brain"
+import "dillroute/scheduler"
 
 // Reason says why something may not be done.
 type Reason string
@@ -83,8 +83,8 @@
 // Repeat is a further attempt of a request (rule 2). It holds for prefills as well, for though they have no effect, whatever is sent
 // after an attempt that may have run counts as sent again.
 type Repeat struct {
-	Effect   brain.Effect
-	Group    brain.Group
+	Effect   scheduler.Effect
+	Group    scheduler.Group
 	MayRun   bool    // an earlier attempt may have run, or may yet
 	Since    float64 // when that was sent
 	Window   float64 // in which engines know a repeat of a keyed request
@@ -96,13 +96,13 @@
 // Reason says why the request may not be sent again.
 func (r Repeat) Reason() Reason {
 	switch {
-	case r.Effect == brain.Repeatable || !r.MayRun:
+	case r.Effect == scheduler.Repeatable || !r.MayRun:
 		return Allowed
-	case r.Effect == brain.Once || r.Since > r.Window:
+	case r.Effect == scheduler.Once || r.Since > r.Window:
 		return MayRunTwice
-	case r.Group == brain.GroupAll:
+	case r.Group == scheduler.GroupAll:
 		return Allowed
-	case !r.BothSeen || r.Group == brain.GroupZone && !r.SameZone || r.Group == brain.GroupCell && !r.SameCell:
+	case !r.BothSeen || r.Group == scheduler.GroupZone && !r.SameZone || r.Group == scheduler.GroupCell && !r.SameCell:
 		return MayRunTwice
 	}
 	return Allowed
@@ -134,8 +134,8 @@
 
 // Refuse is the promise to a client that a retry is harmless (rule 2).
 type Refuse struct {
-	Effect   brain.Effect
-	Group    brain.Group
+	Effect   scheduler.Effect
+	Group    scheduler.Group
 	Proven   bool    // the bytes of every attempt prove that it has not run
 	Unheard  bool    // one was written whole and ended without an answer
 	TimeLeft float64 // of the client
@@ -148,9 +148,9 @@
 // Reason says why the promise may not be made.
 func (r Refuse) Reason() Reason {
 	switch {
-	case r.Effect == brain.Repeatable:
+	case r.Effect == scheduler.Repeatable:
 		return Allowed
-	case !r.Proven && !(r.Effect == brain.ByKey && r.Group == brain.GroupAll):
+	case !r.Proven && !(r.Effect == scheduler.ByKey && r.Group == scheduler.GroupAll):
 		return Unproven
 	case r.Unheard && r.TimeLeft < lastMoment:
 		return NotHeardOf
@@ -182,16 +182,16 @@
 	// has reached its engine is not known then. If it has, the call costs a read at that engine; if not, the state must go, for
 	// such an attempt does not stop its time.
 	Due         bool
-	EngineHeard bool         // its engine was heard of since the attempt began (lease.Heard): it runs, and the request has likely reached it
-	Effect      brain.Effect // of the class: what may be repeated anywhere is called off by the module when it is silent,
-	SilentTwice bool         // and but for an attempt that was to take the state before, and ended in silence too, in time
-	ReadsOut    int          // of the attempts, those that read a prompt: the call could take what one brings just then
+	EngineHeard bool             // its engine was heard of since the attempt began (lease.Heard): it runs, and the request has likely reached it
+	Effect      scheduler.Effect // of the class: what may be repeated anywhere is called off by the module when it is silent,
+	SilentTwice bool             // and but for an attempt that was to take the state before, and ended in silence too, in time
+	ReadsOut    int              // of the attempts, those that read a prompt: the call could take what one brings just then
 }
 
 // Reason says why the call may not be made yet.
 func (r Release) Reason() Reason {
 	switch {
-	case r.Due && !r.EngineHeard && r.ReadsOut == 0 && (r.Effect != brain.Repeatable || r.SilentTwice):
+	case r.Due && !r.EngineHeard && r.ReadsOut == 0 && (r.Effect != scheduler.Repeatable || r.SilentTwice):
 		return Allowed
 	case r.AttemptsOut > 0:
 		return AttemptOut
--- a/internal/decide/reuse/reuse_test.go
+++ b/internal/decide/reuse/reuse_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"dillroute/brain"
+	"dillroute/scheduler"
 
 	"pgregory.net/rapid"
 )
@@ -50,7 +50,7 @@
 }
 
 func TestWhatMustNotRunTwiceGetsANewConnection(t *testing.T) {
-	if Kept(brain.Once, false) || Kept(brain.ByKey, false) || !Kept(brain.Once, true) || !Kept(brain.Repeatable, false) {
+	if Kept(scheduler.Once, false) || Kept(scheduler.ByKey, false) || !Kept(scheduler.Once, true) || !Kept(scheduler.Repeatable, false) {
 		t.Fatal("only what may be repeated, and reads, go out on kept connections")
 	}
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -12,12 +12,12 @@
 	"strings"
 	"time"
 
-	"dillroute/brain"
 	"dillroute/internal/decide/ending"
 	"dillroute/internal/decide/permit"
 	"dillroute/internal/front"
 	"dillroute/internal/http1"
 	"dillroute/internal/protocol"
+	"dillroute/scheduler"
 )
 
 // Client sends attempts to engines. It is safe for concurrent use.
@@ -59,7 +59,7 @@
 // Sink takes the stream of a decode attempt.
 type Sink interface {
 	// Load is told the engine's load, when its answer begins.
-	Load(*brain.Report)
+	Load(*scheduler.Report)
 	// First waits for leave to answer the client.
 	First() bool
 	// Event passes an event on; more tells that another follows at once, so that the two may leave together. An
--- a/internal/engine/load.go
+++ b/internal/engine/load.go
@@ -6,14 +6,14 @@
 	"strconv"
 	"strings"
 
-	"dillroute/brain"
+	"dillroute/scheduler"
 )
 
 // loadHeader carries an engine's load with its answers, by ORCA (Open Request Cost Aggregation).
 const loadHeader = "Endpoint-Load-Metrics"
 
 // parseLoad reads a load header in ORCA's JSON or TEXT form; nil where there is none that can be read.
-func parseLoad(h textproto.MIMEHeader) *brain.Report {
+func parseLoad(h textproto.MIMEHeader) *scheduler.Report {
 	v := h.Get(loadHeader)
 	if v == "" || len(v) > 4096 {
 		return nil
@@ -32,7 +32,7 @@
 		r := named(func(name string) (float64, bool) { x, ok := orca.Named[name]; return x, ok })
 		for _, util := range []*float64{orca.CPU, orca.Application} {
 			if util != nil {
-				r.Util, r.Has = *util, r.Has|brain.HasUtil
+				r.Util, r.Has = *util, r.Has|scheduler.HasUtil
 			}
 		}
 		return known(r)
@@ -47,7 +47,7 @@
 		r := named(func(name string) (float64, bool) { x, ok := values[name]; return x, ok })
 		for _, name := range []string{"cpu_utilization", "application_utilization"} {
 			if x, ok := values[name]; ok {
-				r.Util, r.Has = x, r.Has|brain.HasUtil
+				r.Util, r.Has = x, r.Has|scheduler.HasUtil
 			}
 		}
 		return known(r)
@@ -56,23 +56,23 @@
 }
 
 // named maps the metrics that engines publish. Active counts waiting requests too, as the module has it.
-func named(get func(string) (float64, bool)) *brain.Report {
-	r := &brain.Report{}
+func named(get func(string) (float64, bool)) *scheduler.Report {
+	r := &scheduler.Report{}
 	if x, ok := get("kv_cache_usage_perc"); ok {
-		r.MemShare, r.Has = x, r.Has|brain.HasMemShare
+		r.MemShare, r.Has = x, r.Has|scheduler.HasMemShare
 	}
 	waiting, hasWaiting := get("num_requests_waiting")
 	if hasWaiting {
-		r.Waiting, r.Has = waiting, r.Has|brain.HasWaiting
+		r.Waiting, r.Has = waiting, r.Has|scheduler.HasWaiting
 	}
 	if running, ok := get("num_requests_running"); ok {
-		r.Active, r.Has = running+waiting, r.Has|brain.HasActive
+		r.Active, r.Has = running+waiting, r.Has|scheduler.HasActive
 	}
 	return r
 }
 
 // known drops a report that tells nothing, or what cannot be.
-func known(r *brain.Report) *brain.Report {
+func known(r *scheduler.Report) *scheduler.Report {
 	for _, x := range []float64{r.Active, r.Waiting, r.Util, r.MemShare} {
 		if !(x >= 0 && x < 1e9) {
 			return nil
--- a/internal/members/source.go
+++ b/internal/members/source.go
@@ -10,12 +10,12 @@
 	"sync/atomic"
 	"time"
 
-	"dillroute/brain"
 	"dillroute/internal/clock"
 	"dillroute/internal/config"
 	"dillroute/internal/decide/endpoints"
 	"dillroute/internal/protocol"
 	"dillroute/internal/service"
+	"dillroute/scheduler"
 )
 
 // answer is what a source gave, or why it gave nothing.
@@ -165,11 +165,11 @@
 // tell hands the belief on, and saves it.
 func (f *Follower) tell(now float64) {
 	b := f.believer.Believed(now)
-	l := protocol.List{Form: brain.ListFull, Addresses: map[string]string{}, Saved: b.Saved}
+	l := protocol.List{Form: scheduler.ListFull, Addresses: map[string]string{}, Saved: b.Saved}
 	for _, e := range b.Entries {
-		n := brain.Engine{ID: e.ID, Kind: e.Kind, Cell: e.Cell, Zone: e.Zone, Weight: e.Weight, BootTime: f.starts.Own(e.ID, e.Boot, now, f.clock.Wall(), f.heard)}
+		n := scheduler.Engine{ID: e.ID, Kind: e.Kind, Cell: e.Cell, Zone: e.Zone, Weight: e.Weight, BootTime: f.starts.Own(e.ID, e.Boot, now, f.clock.Wall(), f.heard)}
 		if e.State == endpoints.Draining {
-			n.State = brain.Draining
+			n.State = scheduler.Draining
 		}
 		l.Engines = append(l.Engines, n)
 		l.Addresses[e.ID] = e.Address
--- a/internal/node/carry.go
+++ b/internal/node/carry.go
@@ -5,13 +5,13 @@
 	"log/slog"
 	"time"
 
-	"dillroute/brain"
 	"dillroute/internal/decide/ending"
 	"dillroute/internal/decide/lease"
 	"dillroute/internal/decide/ledger"
 	"dillroute/internal/decide/permit"
 	"dillroute/internal/http1"
 	"dillroute/internal/protocol"
+	"dillroute/scheduler"
 )
 
 // carry begins one command of the book. It runs on the owner's goroutine and never waits for a socket.
@@ -300,12 +300,12 @@
 }
 
 // Load tells the module the engine's load when its answer begins, as the result of a probe would.
-func (s *stream) Load(r *brain.Report) {
+func (s *stream) Load(r *scheduler.Report) {
 	if r == nil {
 		return
 	}
 	s.node.core.post(func(now float64) {
-		s.node.core.book.Heard(brain.Probed{Engine: s.engine, Status: brain.Served, Report: r})
+		s.node.core.book.Heard(scheduler.Probed{Engine: s.engine, Status: scheduler.Served, Report: r})
 	})
 }
 
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -6,11 +6,11 @@
 	"sync"
 	"time"
 
-	"dillroute/brain"
 	"dillroute/internal/clock"
 	"dillroute/internal/decide/ledger"
 	"dillroute/internal/decide/rhythm"
 	"dillroute/internal/wheel"
+	"dillroute/scheduler"
 )
 
 // core is the one owner of the routing module and the book. Everything in it belongs to the goroutine of run;
@@ -18,14 +18,14 @@
 type core struct {
 	clock  clock.Clock
 	beat   rhythm.Beat
-	router *brain.Router
+	router *scheduler.Scheduler
 	book   *ledger.Ledger
 	wheel  *wheel.Wheel[func(now float64)]
-	carry  func(now float64, c ledger.Command) // begins a command; it does not block
-	side   func(now float64, a brain.Action)   // an action that is the host's alone
-	decide func(seconds float64)               // is told how long each decision took
-	broken func(error)                         // is told that the module has failed
-	late   func(now, lag float64)              // is told how late the owner heard of a turn's facts
+	carry  func(now float64, c ledger.Command)   // begins a command; it does not block
+	side   func(now float64, a scheduler.Action) // an action that is the host's alone
+	decide func(seconds float64)                 // is told how long each decision took
+	broken func(error)                           // is told that the module has failed
+	late   func(now, lag float64)                // is told how late the owner heard of a turn's facts
 
 	mu     sync.Mutex
 	inbox  []func(now float64)
@@ -35,7 +35,7 @@
 	closed bool
 	done   chan struct{} // closed when the owner has ended
 
-	wakes []brain.Event
+	wakes []scheduler.Event
 	quit  bool
 }
 
@@ -148,9 +148,9 @@
 	}
 	for _, a := range acts {
 		if !c.book.Apply(now, a) {
-			if t, ok := a.(brain.Timer); ok {
+			if t, ok := a.(scheduler.Timer); ok {
 				token := t.Token
-				c.wheel.Add(t.At, func(float64) { c.wakes = append(c.wakes, brain.Wake{Token: token}) })
+				c.wheel.Add(t.At, func(float64) { c.wakes = append(c.wakes, scheduler.Wake{Token: token}) })
 				continue
 			}
 			c.side(now, a)
@@ -160,7 +160,7 @@
 }
 
 // ask turns a panic of the module into an error.
-func (c *core) ask(now float64, events []brain.Event) (acts []brain.Action, err error) {
+func (c *core) ask(now float64, events []scheduler.Event) (acts []scheduler.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("decision code: %v\n%s", p, debug.Stack())
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,7 +11,6 @@
 	"sync/atomic"
 	"time"
 
-	"dillroute/brain"
 	"dillroute/internal/clock"
 	"dillroute/internal/decide/ending"
 	"dillroute/internal/decide/handover"
@@ -21,6 +20,7 @@
 	"dillroute/internal/http1"
 	"dillroute/internal/protocol"
 	"dillroute/internal/wheel"
+	"dillroute/scheduler"
 )
 
 // Node is a running router.
@@ -56,17 +56,17 @@
 
 // plan is what the host needs of the settings of whatever protocol it speaks. Times are in seconds.
 type plan struct {
-	brain   brain.Config
-	book    ledger.Config
-	tick    float64
-	letGoBy float64 // within which a state must be let go of
-	strain  overload.Limits
-	times   http1.Times
-	limits  http1.Limits
-	lobby   int   // connections that are refused at a time; 0 = as the server has it
-	held    int64 // bytes of request bodies held at once; 0 = no bound
-	anyone  bool  // any engine lets go of what any holds
-	resume  bool  // clients come again for the rest of a stream that was ended
+	scheduler scheduler.Config
+	book      ledger.Config
+	tick      float64
+	letGoBy   float64 // within which a state must be let go of
+	strain    overload.Limits
+	times     http1.Times
+	limits    http1.Limits
+	lobby     int   // connections that are refused at a time; 0 = as the server has it
+	held      int64 // bytes of request bodies held at once; 0 = no bound
+	anyone    bool  // any engine lets go of what any holds
+	resume    bool  // clients come again for the rest of a stream that was ended
 }
 
 // Option changes a node from its default.
@@ -105,8 +105,8 @@
 
 // newNode makes a node that has no sockets yet.
 func newNode(p plan, o options) (*Node, error) {
-	p.brain.Limits.HoldRunsOn = true // on sockets (PROTOCOL, the rules)
-	router, err := brain.New(p.brain, o.seed)
+	p.scheduler.Limits.HoldRunsOn = true // on sockets (PROTOCOL, the rules)
+	router, err := scheduler.New(p.scheduler, o.seed)
 	if err != nil {
 		return nil, err
 	}
@@ -114,7 +114,7 @@
 		failed: make(chan error, 1), metrics: newMetrics()}
 	clk := clock.New()
 	n.strain = newKeeping(p.strain, clk)
-	n.core = &core{clock: clk, beat: rhythm.Beat{Tick: p.tick}, router: router, book: ledger.New(p.book, p.brain.Kinds),
+	n.core = &core{clock: clk, beat: rhythm.Beat{Tick: p.tick}, router: router, book: ledger.New(p.book, p.scheduler.Kinds),
 		wheel: wheel.New[func(float64)](clk.Now(), 0.001), wake: make(chan struct{}, 1), done: make(chan struct{}),
 		carry: n.carry, side: n.side, decide: n.metrics.decided, broken: n.moduleFailed, late: n.strain.late}
 	return n, nil
@@ -171,7 +171,7 @@
 		for id, a := range l.Addresses {
 			n.addresses[id] = a
 		}
-		n.core.book.Members(now, brain.Members{Form: l.Form, Engines: l.Engines})
+		n.core.book.Members(now, scheduler.Members{Form: l.Form, Engines: l.Engines})
 		for id := range n.addresses {
 			if !n.core.book.Known(id) {
 				delete(n.addresses, id)
@@ -249,7 +249,7 @@
 	for i := range ids {
 		streams[i] = handover.Stream{ID: ids[i], Since: since[i]}
 	}
-	for _, m := range handover.Plan(now, n.endBy, n.plan.brain.Balancers, streams) {
+	for _, m := range handover.Plan(now, n.endBy, n.plan.scheduler.Balancers, streams) {
 		n.core.wheel.Add(m.At, func(now float64) { n.core.book.Move(now, m.ID) })
 	}
 }
@@ -359,11 +359,11 @@
 }
 
 // side carries out the actions that concern neither requests nor time.
-func (n *Node) side(now float64, a brain.Action) {
+func (n *Node) side(now float64, a scheduler.Action) {
 	switch a := a.(type) {
-	case brain.Log:
+	case scheduler.Log:
 		n.log.Info("module", "text", a.Text)
-	case brain.Probe: // not offered: the module is told so in its settings
+	case scheduler.Probe: // not offered: the module is told so in its settings
 		n.log.Error("the module asks for a probe that is not offered", "engine", a.Engine)
 	}
 }
--- a/internal/node/openai.go
+++ b/internal/node/openai.go
@@ -57,7 +57,7 @@
 
 // chatPlan is the host's part of the configuration.
 func chatPlan(cfg *config.Config) plan {
-	p := plan{brain: cfg.Brain(), book: bookConfig(cfg), tick: cfg.Tick, letGoBy: cfg.Rules.LetGoBy, held: cfg.Limits.MaxHeld,
+	p := plan{scheduler: cfg.Brain(), book: bookConfig(cfg), tick: cfg.Tick, letGoBy: cfg.Rules.LetGoBy, held: cfg.Limits.MaxHeld,
 		limits: http1.DefaultLimits, strain: overload.Limits{Files: cfg.Limits.Files, Connections: cfg.Limits.MaxConnections,
 			Bytes: cfg.Limits.MaxHeld, Slack: cfg.Rules.AnswerSlack},
 		times: http1.Times{Head: seconds(cfg.Limits.Head), Body: seconds(cfg.Limits.Body), Idle: seconds(cfg.Limits.Idle),
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -11,13 +11,13 @@
 	"strings"
 	"sync/atomic"
 
-	"dillroute/brain"
 	"dillroute/internal/config"
 	"dillroute/internal/decide/intake"
 	"dillroute/internal/engine"
 	"dillroute/internal/front"
 	"dillroute/internal/http1"
 	"dillroute/internal/protocol"
+	"dillroute/scheduler"
 )
 
 // Front is the public listener's side. It is safe for concurrent use.
@@ -204,7 +204,7 @@
 		states: map[int]json.RawMessage{}, replies: map[int]protocol.Word{}}
 	most := v.table.MaxTokens(class, chat.MaxTokens)
 	wait := v.table.Patience(class, chat.PromptTokens, most, stated, !chat.Stream)
-	q := brain.Request{ID: j.id, Class: class, Tenant: tenant, Session: chat.Session, Prefix: chat.Prefix,
+	q := scheduler.Request{ID: j.id, Class: class, Tenant: tenant, Session: chat.Session, Prefix: chat.Prefix,
 		TimeLeft: wait.First, PromptLen: float64(chat.PromptTokens), PrefixLen: float64(chat.PrefixTokens),
 		MaxOut: float64(most), Retry: retried(x)}
 	if chosen := x.Header.Get("X-Request-Id"); chosen != "" {
--- a/internal/protocol/hold_test.go
+++ b/internal/protocol/hold_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"dillroute/brain"
 	"dillroute/internal/decide/ending"
 	"dillroute/internal/decide/permit"
 	"dillroute/internal/http1"
+	"dillroute/scheduler"
 )
 
 func TestWithdrawSparesWhatIsWritten(t *testing.T) {
@@ -73,7 +73,7 @@
 	if h.Attach(nil) {
 		t.Error("it may be written all the same")
 	}
-	if v := ending.Judge(r.Facts); v.Status != brain.NotSent || v.Ran {
+	if v := ending.Judge(r.Facts); v.Status != scheduler.NotSent || v.Ran {
 		t.Errorf("got %+v, want that it was never sent", v)
 	}
 }
@@ -112,7 +112,7 @@
 	if r.Facts.Cause != ending.ClientLeft {
 		t.Errorf("got cause %d, want that the client left", r.Facts.Cause)
 	}
-	if v := ending.Judge(r.Facts); v.Status != brain.NotSent || v.Ran {
+	if v := ending.Judge(r.Facts); v.Status != scheduler.NotSent || v.Ran {
 		t.Errorf("got %+v, want that it was never sent", v)
 	}
 }
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -5,9 +5,9 @@
 import (
 	"time"
 
-	"dillroute/brain"
 	"dillroute/internal/decide/ending"
 	"dillroute/internal/http1"
+	"dillroute/scheduler"
 )
 
 // Front is the client side of a protocol.
@@ -22,7 +22,7 @@
 
 // Asked is a request that is to be routed.
 type Asked struct {
-	Request brain.Request
+	Request scheduler.Request
 	Whole   float64 // s until the client gives up an answer that is not streamed; 0 = it is streamed
 	Job     Job
 }
@@ -77,7 +77,7 @@
 // Host is what an attempt tells while it runs.
 type Host interface {
 	// Load is told the engine's load, when its answer begins; nil = none was told.
-	Load(*brain.Report)
+	Load(*scheduler.Report)
 	// First waits for leave to answer the client.
 	First() bool
 }
@@ -85,7 +85,7 @@
 // Result is what was seen of an attempt.
 type Result struct {
 	Facts  ending.Facts
-	Report *brain.Report
+	Report *scheduler.Report
 	Err    error     // why it ended early; for the log alone
 	Wrote  time.Time // when its first byte was about to be written; zero = none was
 	Extra  any       // of the protocol
@@ -102,8 +102,8 @@
 
 // List is a list of engines, or of changes to it.
 type List struct {
-	Form      brain.ListForm
-	Engines   []brain.Engine
+	Form      scheduler.ListForm
+	Engines   []scheduler.Engine
 	Addresses map[string]string // by id
 	Saved     bool              // known from an earlier run alone
 }
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -13,12 +13,12 @@
 	"sync"
 	"time"
 
-	"dillroute/brain"
 	"dillroute/internal/clock"
 	"dillroute/internal/decide/endpoints"
 	"dillroute/internal/http1"
 	"dillroute/internal/protocol"
 	"dillroute/internal/settings"
+	"dillroute/scheduler"
 )
 
 // answer is discovery's form of a list.
@@ -51,7 +51,7 @@
 	times endpoints.Pace
 	kinds map[string]int
 	zones map[string]int
-	roles []brain.Kind
+	roles []scheduler.Kind
 	take  func(protocol.List)
 	wg    sync.WaitGroup
 
@@ -427,23 +427,23 @@
 // list turns changes into what the host takes. The lock is held.
 func (d *Discovery) list(changes []endpoints.Word, known bool) protocol.List {
 	now, wall := d.clock.Now(), d.clock.Wall()
-	l := protocol.List{Form: brain.ListChanges, Addresses: map[string]string{}, Saved: known}
+	l := protocol.List{Form: scheduler.ListChanges, Addresses: map[string]string{}, Saved: known}
 	for _, w := range changes {
-		e := brain.Engine{ID: w.ID, Kind: w.Kind, Cell: w.Cell, Zone: w.Zone, Weight: w.Weight,
+		e := scheduler.Engine{ID: w.ID, Kind: w.Kind, Cell: w.Cell, Zone: w.Zone, Weight: w.Weight,
 			BootTime: d.starts.Own(w.ID, w.Boot, now, wall, d.heard)}
 		switch {
 		case w.Gone:
-			e.State = brain.Removed
+			e.State = scheduler.Removed
 			d.starts.Gone(w.ID, now)
 		case w.State == endpoints.Draining:
-			e.State = brain.Draining
+			e.State = scheduler.Draining
 		}
 		l.Engines = append(l.Engines, e)
 		if w.Address != "" {
 			l.Addresses[w.ID] = w.Address
 		}
 	}
-	slices.SortFunc(l.Engines, func(a, b brain.Engine) int {
+	slices.SortFunc(l.Engines, func(a, b scheduler.Engine) int {
 		if a.ID < b.ID {
 			return -1
 		}
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -16,11 +16,11 @@
 	"testing"
 	"time"
 
-	"dillroute/brain"
 	"dillroute/internal/clock"
 	"dillroute/internal/decide/endpoints"
 	"dillroute/internal/http1"
 	"dillroute/internal/protocol"
+	"dillroute/scheduler"
 )
 
 // source is a discovery whose calls are answered as a test says. Its list holds one engine, e0, that is up until drain.
@@ -138,9 +138,9 @@
 func (h *heard) take(l protocol.List) {
 	for _, e := range l.Engines {
 		switch now := time.Now().UnixNano(); e.State {
-		case brain.Draining:
+		case scheduler.Draining:
 			h.drained.CompareAndSwap(0, now)
-		case brain.Ready:
+		case scheduler.Ready:
 			h.up.CompareAndSwap(0, now)
 		}
 	}
--- a/internal/relay/engines.go
+++ b/internal/relay/engines.go
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
-	"dillroute/brain"
 	"dillroute/internal/decide/reuse"
 	"dillroute/internal/http1"
 	"dillroute/internal/settings"
+	"dillroute/scheduler"
 )
 
 // Engines is the engines' side. It is safe for concurrent use.
@@ -110,11 +110,11 @@
 }
 
 // parseLoad reads a load report; nil where there is none that can be read.
-func parseLoad(text string) *brain.Report {
+func parseLoad(text string) *scheduler.Report {
 	if text == "" || len(text) > 512 {
 		return nil
 	}
-	rep := &brain.Report{}
+	rep := &scheduler.Report{}
 	for _, part := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		x, err := strconv.ParseFloat(value, 64)
--- a/internal/relay/front.go
+++ b/internal/relay/front.go
@@ -11,11 +11,11 @@
 	"sync"
 	"time"
 
-	"dillroute/brain"
 	"dillroute/internal/decide/intake"
 	"dillroute/internal/http1"
 	"dillroute/internal/protocol"
 	"dillroute/internal/settings"
+	"dillroute/scheduler"
 )
 
 // Header fields of the protocol, in canonical form.
@@ -56,7 +56,7 @@
 	ready   func() bool
 	classes map[string]int
 	tenants map[string]int
-	effects []brain.Effect // by class
+	effects []scheduler.Effect // by class
 
 	mu     sync.Mutex
 	recent *intake.Recent
@@ -149,7 +149,7 @@
 }
 
 // request reads what the module is told of a request. The error says what is wrong with it.
-func (f *Front) request(r *http1.Request) (q brain.Request, err error) {
+func (f *Front) request(r *http1.Request) (q scheduler.Request, err error) {
 	get := func(name string, must bool) string {
 		values := r.Header[name]
 		switch {
@@ -218,7 +218,7 @@
 }
 
 // readInfo reads the fields of X-Call-Info; those that are not known are passed over.
-func readInfo(info string, q *brain.Request) error {
+func readInfo(info string, q *scheduler.Request) error {
 	if info == "" {
 		return nil
 	}
@@ -254,7 +254,7 @@
 }
 
 // readBody looks at a body and takes from it what the header does not say.
-func readBody(body []byte, q *brain.Request) error {
+func readBody(body []byte, q *scheduler.Request) error {
 	if !json.Valid(body) {
 		return fmt.Errorf("the body is no JSON")
 	}
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -9,12 +9,12 @@
 	"strings"
 	"time"
 
-	"dillroute/brain"
 	"dillroute/internal/decide/ending"
 	"dillroute/internal/decide/permit"
 	"dillroute/internal/decide/reuse"
 	"dillroute/internal/http1"
 	"dillroute/internal/protocol"
+	"dillroute/scheduler"
 )
 
 // job is one request: what engines get of it, unchanged, and the exchange that its answer goes to. The owner has it, but
@@ -25,7 +25,7 @@
 	x              *http1.Exchange
 	method, target string
 	fields         []http1.Field // end-to-end fields of the request: the key of a keyed class is among them
-	effect         brain.Effect
+	effect         scheduler.Effect
 	body           []byte
 }
 
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -9,7 +9,6 @@
 	"strings"
 	"testing"
 
-	"dillroute/brain"
 	"dillroute/internal/clock"
 	"dillroute/internal/decide/ending"
 	"dillroute/internal/decide/endpoints"
@@ -17,6 +16,7 @@
 	"dillroute/internal/protocol"
 	"dillroute/internal/settings"
 	"dillroute/lab/platform"
+	"dillroute/scheduler"
 )
 
 func given(t testing.TB) *settings.Settings {
@@ -76,7 +76,7 @@
 
 func TestReportsThatCannotBeReadArePassedOver(t *testing.T) {
 	if r := parseLoad("util=0.61,queue=2,x0=0.25,other=7"); r == nil || r.Util != 0.61 || r.Waiting != 2 || r.MemShare != 0.25 ||
-		r.Has != brain.HasUtil|brain.HasWaiting|brain.HasMemShare {
+		r.Has != scheduler.HasUtil|scheduler.HasWaiting|scheduler.HasMemShare {
 		t.Errorf("%+v", r)
 	}
 	for _, bad := range []string{"", "util", "util=", "util=often", "util=-1", "util=NaN", "util=1e300", "=", "other=1", strings.Repeat("x", 1000)} {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -6,12 +6,12 @@
 	"encoding/json"
 	"fmt"
 
-	"dillroute/brain"
+	"dillroute/scheduler"
 )
 
 // Settings are the object as far as it is used. Times are in seconds.
 type Settings struct {
-	Brain    brain.Config
+	Brain    scheduler.Config
 	Classes  []string // names, in the order of Brain's
 	Tenants  []string
 	Zones    []string
@@ -130,71 +130,71 @@
 }
 
 // config makes the module's part.
-func (f *facts) config() (c brain.Config, err error) {
-	c = brain.Config{Rank: f.Rank, Balancers: f.Balancers, Zone: f.Zone, Zones: len(f.Localities),
+func (f *facts) config() (c scheduler.Config, err error) {
+	c = scheduler.Config{Rank: f.Rank, Balancers: f.Balancers, Zone: f.Zone, Zones: len(f.Localities),
 		OnRequest: f.RegistryMode == "on_request", Ahead: f.Family.Ahead, LocalRead: f.Family.LocalRead,
 		Tick: f.Tick,
-		Limits: brain.Limits{MaxAttempts: f.Limits.MaxAttempts, Cancel: f.Limits.Cancel, Probe: f.Limits.MayProbe,
+		Limits: scheduler.Limits{MaxAttempts: f.Limits.MaxAttempts, Cancel: f.Limits.Cancel, Probe: f.Limits.MayProbe,
 			ParallelTries: f.Limits.ParallelTries, RetryAfter: f.Limits.RetryAfter,
 			MaxRetryAfter: f.Limits.MaxRetryAfter},
-		Rules: brain.Rules{AnswerSlack: f.Guarantees.AnswerSlack, AskEvery: f.Guarantees.AskEvery,
+		Rules: scheduler.Rules{AnswerSlack: f.Guarantees.AnswerSlack, AskEvery: f.Guarantees.AskEvery,
 			ColdShare: f.Guarantees.ColdShare, ColdFor: f.Guarantees.Cold, DrainGrace: f.Guarantees.DrainGrace,
 			FallMultiple: f.Guarantees.FallMultiple, TipAfter: f.Guarantees.TipAfter, LetGoBy: f.Family.LetGoBy},
-		Prices: brain.Prices{Probe: f.Tariffs.Probe, Waste: f.Tariffs.Waste, CrossZone: f.Tariffs.CrossZone,
+		Prices: scheduler.Prices{Probe: f.Tariffs.Probe, Waste: f.Tariffs.Waste, CrossZone: f.Tariffs.CrossZone,
 			LateFail: f.Tariffs.LateFail, Transfer: f.Family.Transfer}}
 	for i, k := range f.Classes {
-		cl := brain.Class{KeyTTL: k.KeyTTL, Aim: k.Target, AimStretch: k.AimStretch, HardLimit: k.HardLimit,
+		cl := scheduler.Class{KeyTTL: k.KeyTTL, Aim: k.Target, AimStretch: k.AimStretch, HardLimit: k.HardLimit,
 			Worth: k.Worth, LateValue: k.LateValue,
 			AimPerK: at(f.Family.AimPerK, i) / 1e6, TokenAim: at(f.Family.TokenAim, i)}
 		cl.Effect, err = word(fmt.Sprintf("classes[%d].effect", i), k.Effect,
-			map[string]brain.Effect{"repeatable": brain.Repeatable, "by_key": brain.ByKey, "once": brain.Once})
+			map[string]scheduler.Effect{"repeatable": scheduler.Repeatable, "by_key": scheduler.ByKey, "once": scheduler.Once})
 		if err != nil {
 			return c, err
 		}
 		cl.Group, err = word(fmt.Sprintf("classes[%d].group", i), k.Group,
-			map[string]brain.Group{"": brain.GroupAll, "all": brain.GroupAll, "zone": brain.GroupZone, "cell": brain.GroupCell})
+			map[string]scheduler.Group{"": scheduler.GroupAll, "all": scheduler.GroupAll, "zone": scheduler.GroupZone, "cell": scheduler.GroupCell})
 		if err != nil {
 			return c, err
 		}
 		c.Classes = append(c.Classes, cl)
 	}
 	for i := range f.MachineTypes {
-		k := brain.Kind{Memory: at(f.Family.Tokens, i)}
+		k := scheduler.Kind{Memory: at(f.Family.Tokens, i)}
 		stage := "both"
 		if i < len(f.Family.Stage) {
 			stage = f.Family.Stage[i]
 		}
 		k.Role, err = word(fmt.Sprintf("family_info.stage_of_kind[%d]", i), stage,
-			map[string]brain.Role{"read": brain.Read, "write": brain.Write, "both": brain.Mixed})
+			map[string]scheduler.Role{"read": scheduler.Read, "write": scheduler.Write, "both": scheduler.Mixed})
 		if err != nil {
 			return c, err
 		}
 		c.Kinds = append(c.Kinds, k)
 	}
 	for _, a := range f.Accounts {
-		c.Tenants = append(c.Tenants, brain.Tenant{Quota: a.Quota})
+		c.Tenants = append(c.Tenants, scheduler.Tenant{Quota: a.Quota})
 	}
-	c.Report, err = word("report.how", f.Report.How, map[string]brain.ReportStyle{"": brain.ReportOff,
-		"off": brain.ReportOff, "inline": brain.ReportInline, "on_probe": brain.ReportOnProbe})
+	c.Report, err = word("report.how", f.Report.How, map[string]scheduler.ReportStyle{"": scheduler.ReportOff,
+		"off": scheduler.ReportOff, "inline": scheduler.ReportInline, "on_probe": scheduler.ReportOnProbe})
 	return c, err
 }
 
 // File puts a figure of a load report where its name belongs, by the settings' names and by those of the users' pages;
 // a name that is not known is passed over.
-func File(rep *brain.Report, name string, x float64) {
+func File(rep *scheduler.Report, name string, x float64) {
 	switch name {
 	case "active", "inflight":
-		rep.Active, rep.Has = x, rep.Has|brain.HasActive
+		rep.Active, rep.Has = x, rep.Has|scheduler.HasActive
 	case "waiting", "queue":
-		rep.Waiting, rep.Has = x, rep.Has|brain.HasWaiting
+		rep.Waiting, rep.Has = x, rep.Has|scheduler.HasWaiting
 	case "cpu", "util":
-		rep.Util, rep.Has = x, rep.Has|brain.HasUtil
+		rep.Util, rep.Has = x, rep.Has|scheduler.HasUtil
 	case "avg_ms", "latency_ms":
-		rep.LatencyMS, rep.Has = x, rep.Has|brain.HasLatency
+		rep.LatencyMS, rep.Has = x, rep.Has|scheduler.HasLatency
 	case "x0":
-		rep.MemShare, rep.Has = x, rep.Has|brain.HasMemShare
+		rep.MemShare, rep.Has = x, rep.Has|scheduler.HasMemShare
 	case "x1":
-		rep.TokensWaiting, rep.Has = x*1000, rep.Has|brain.HasTokensWaiting
+		rep.TokensWaiting, rep.Has = x*1000, rep.Has|scheduler.HasTokensWaiting
 	}
 }
 
--- a/internal/wire/facts.go
+++ b/internal/wire/facts.go
@@ -4,17 +4,17 @@
 	"strconv"
 	"strings"
 
-	"dillroute/brain"
 	"dillroute/internal/settings"
+	"dillroute/scheduler"
 )
 
 // report reads the load report of a line; keys that are not known are passed over.
-func (r *record) report() *brain.Report {
+func (r *record) report() *scheduler.Report {
 	s := r.kv["report"]
 	if s == "" || s == "-" {
 		return nil
 	}
-	rep := &brain.Report{}
+	rep := &scheduler.Report{}
 	for _, part := range strings.Split(s, ",") {
 		k, v, _ := strings.Cut(part, ":")
 		x, err := strconv.ParseFloat(v, 64)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire turns the line protocol of orchid-7119 into events of package brain and
+// Package wire turns the line protocol of orchid-7119 into events of package scheduler and
 // actions into lines. It decides nothing.
 package wire
 
@@ -11,8 +11,8 @@
 	"strconv"
 	"strings"
 
-	"dillroute/brain"
 	"dillroute/internal/settings"
+	"dillroute/scheduler"
 )
 
 // Item is one line of a batch. Exactly one of Launch, Kill and Event is set.
@@ -20,12 +20,12 @@
 	Node   int
 	Launch *Launch
 	Kill   bool
-	Event  brain.Event
+	Event  scheduler.Event
 }
 
 // Launch starts an instance.
 type Launch struct {
-	Config brain.Config
+	Config scheduler.Config
 	Seed   uint64
 }
 
@@ -40,12 +40,12 @@
 type Decoder struct {
 	in   *bufio.Reader
 	line int
-	cfg  map[int]*brain.Config
+	cfg  map[int]*scheduler.Config
 }
 
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{in: bufio.NewReaderSize(r, 1<<20), cfg: map[int]*brain.Config{}}
+	return &Decoder{in: bufio.NewReaderSize(r, 1<<20), cfg: map[int]*scheduler.Config{}}
 }
 
 // record is one line, split. The first error met while reading its fields is kept.
@@ -181,18 +181,18 @@
 	return v
 }
 
-var statuses = map[string]brain.Status{
-	"served": brain.Served, "server_error": brain.ServerError, "turned_away": brain.TurnedAway,
-	"no_answer": brain.NoAnswer, "no_connection": brain.NoConnection, "connection_lost": brain.ConnectionLost,
-	"called_off": brain.CalledOff, "not_sent": brain.NotSent, "parsed": brain.Parsed,
+var statuses = map[string]scheduler.Status{
+	"served": scheduler.Served, "server_error": scheduler.ServerError, "turned_away": scheduler.TurnedAway,
+	"no_answer": scheduler.NoAnswer, "no_connection": scheduler.NoConnection, "connection_lost": scheduler.ConnectionLost,
+	"called_off": scheduler.CalledOff, "not_sent": scheduler.NotSent, "parsed": scheduler.Parsed,
 }
 
-var forms = map[string]brain.ListForm{
-	"incr": brain.ListChanges, "total": brain.ListFull, "warm_copy": brain.ListWarm, "lost": brain.ListLost,
+var forms = map[string]scheduler.ListForm{
+	"incr": scheduler.ListChanges, "total": scheduler.ListFull, "warm_copy": scheduler.ListWarm, "lost": scheduler.ListLost,
 }
 
-var states = map[string]brain.EngineState{
-	"ready": brain.Ready, "draining": brain.Draining, "gone": brain.Removed,
+var states = map[string]scheduler.EngineState{
+	"ready": scheduler.Ready, "draining": scheduler.Draining, "gone": scheduler.Removed,
 }
 
 // Next returns the next batch, or io.EOF at the end of the input.
@@ -263,26 +263,26 @@
 	case "KILL":
 		it.Kill = true
 	case "WAKEUP":
-		it.Event = brain.Wake{Token: int64(r.integer("ctx", true))}
+		it.Event = scheduler.Wake{Token: int64(r.integer("ctx", true))}
 	case "DEMAND":
-		it.Event = brain.Request{ID: r.text("op_id"), Class: r.index("tier_class", len(cfg.Classes)),
+		it.Event = scheduler.Request{ID: r.text("op_id"), Class: r.index("tier_class", len(cfg.Classes)),
 			Tenant: r.index("project", max(1, len(cfg.Tenants))), Session: r.kv["session_id"],
 			Prefix: r.kv["system_prompt"], TimeLeft: r.number("time_left_s", true), Hint: r.amount("work_s"),
 			PromptLen: r.amount("prompt_tokens"), PrefixLen: r.amount("prefix_tokens"),
 			MaxOut: r.amount("output_cap"), Retry: r.flag("is_retry"), Returned: r.flag("returned")}
 	case "FLOWING":
-		it.Event = brain.First{ID: r.text("op_id"), Attempt: r.integer("n", false), Engine: r.text("engine"),
+		it.Event = scheduler.First{ID: r.text("op_id"), Attempt: r.integer("n", false), Engine: r.text("engine"),
 			Spent: r.amount("spent_s")}
 	case "GONE":
-		it.Event = brain.Gone{ID: r.text("op_id")}
+		it.Event = scheduler.Gone{ID: r.text("op_id")}
 	case "HELD_NOTE":
-		it.Event = brain.Held{ID: r.text("op_id"), Attempt: r.integer("n", false), Engine: r.kv["engine"],
+		it.Event = scheduler.Held{ID: r.text("op_id"), Attempt: r.integer("n", false), Engine: r.kv["engine"],
 			OK: r.integer("sort", true) == 1}
 	case "CHECKED":
-		it.Event = brain.Probed{Engine: r.text("engine"), Status: lookup(r, "disposition", statuses),
+		it.Event = scheduler.Probed{Engine: r.text("engine"), Status: lookup(r, "disposition", statuses),
 			Spent: r.amount("spent_s"), Report: r.report()}
 	case "CLOSED_ATTEMPT":
-		it.Event = brain.Outcome{ID: r.text("op_id"), Attempt: r.integer("n", false), Engine: r.text("engine"),
+		it.Event = scheduler.Outcome{ID: r.text("op_id"), Attempt: r.integer("n", false), Engine: r.text("engine"),
 			Status: lookup(r, "disposition", statuses), Info: int(r.number("info", false)),
 			Spent: r.amount("spent_s"), Closed: r.flag("finished"), Report: r.report()}
 	case "WHISPER":
@@ -292,7 +292,7 @@
 				r.fail("payload", "not hex digits")
 			}
 		}
-		it.Event = brain.Peer{From: r.integer("neighbour", false), Data: data}
+		it.Event = scheduler.Peer{From: r.integer("neighbour", false), Data: data}
 	case "PEERS_KNOWN":
 		m, merr := d.members(r, cfg)
 		if merr != nil {
@@ -305,9 +305,9 @@
 	return it, true, r.err
 }
 
-func (d *Decoder) members(r *record, cfg *brain.Config) (brain.Members, error) {
-	m := brain.Members{Form: lookup(r, "form", forms)}
-	n := r.integer("members", m.Form != brain.ListLost)
+func (d *Decoder) members(r *record, cfg *scheduler.Config) (scheduler.Members, error) {
+	m := scheduler.Members{Form: lookup(r, "form", forms)}
+	n := r.integer("members", m.Form != scheduler.ListLost)
 	if r.err != nil {
 		return m, r.err
 	}
@@ -322,7 +322,7 @@
 		if e.name != "ITEM" {
 			return m, fmt.Errorf("line %d: %s where ITEM %d of %d should be", e.line, clip(e.name), i+1, n)
 		}
-		m.Engines = append(m.Engines, brain.Engine{ID: e.text("engine"), Cell: e.integer("cohort", false),
+		m.Engines = append(m.Engines, scheduler.Engine{ID: e.text("engine"), Cell: e.integer("cohort", false),
 			Zone: e.index("hall", max(1, cfg.Zones)), Kind: e.index("generation_hw", len(cfg.Kinds)),
 			State: lookup(e, "state", states), Weight: e.number("capacity_hint", false),
 			BootTime: e.number("boot_time_s", false)})
@@ -343,7 +343,7 @@
 func NewEncoder(w io.Writer) *Encoder { return &Encoder{out: bufio.NewWriterSize(w, 1<<18), node: -1} }
 
 // Actions writes the actions of one instance.
-func (e *Encoder) Actions(node int, acts []brain.Action) error {
+func (e *Encoder) Actions(node int, acts []scheduler.Action) error {
 	if len(acts) == 0 {
 		return nil
 	}
@@ -390,39 +390,39 @@
 }
 
 // FormatAction returns the line of an action, without its line end.
-func FormatAction(a brain.Action) (string, error) {
+func FormatAction(a scheduler.Action) (string, error) {
 	switch a := a.(type) {
-	case brain.Send:
+	case scheduler.Send:
 		if a.Timeout == 0 {
 			return "DELIVER\top_id=" + a.ID + "\tengine=" + a.Engine, nil
 		}
 		return "DELIVER\top_id=" + a.ID + "\tengine=" + a.Engine + "\tcap_s=" + seconds(a.Timeout), nil
-	case brain.Cancel:
+	case scheduler.Cancel:
 		return fmt.Sprintf("ABORT_ATTEMPT\top_id=%s\tn=%d", a.ID, a.Attempt), nil
-	case brain.Reserve:
+	case scheduler.Reserve:
 		return "RESERVE\top_id=" + a.ID + "\tengine=" + a.Engine, nil
-	case brain.Release:
+	case scheduler.Release:
 		return "UNHOLD\top_id=" + a.ID, nil
-	case brain.Refuse:
+	case scheduler.Refuse:
 		if a.RetryAfter <= 0 {
 			return "REFUSE\top_id=" + a.ID, nil
 		}
 		return "REFUSE\top_id=" + a.ID + "\tbackoff_s=" + seconds(a.RetryAfter), nil
-	case brain.Fail:
+	case scheduler.Fail:
 		return "FAIL\top_id=" + a.ID, nil
-	case brain.Timer:
+	case scheduler.Timer:
 		return fmt.Sprintf("SCHEDULE\ttime_s=%s\tctx=%d", seconds(a.At), a.Token), nil
-	case brain.Probe:
+	case scheduler.Probe:
 		return "HEALTH_CHECK\tengine=" + a.Engine, nil
-	case brain.Watch:
+	case scheduler.Watch:
 		on := 0
 		if a.On {
 			on = 1
 		}
 		return fmt.Sprintf("STREAM_CHANGES\tenable=%d", on), nil
-	case brain.Fetch:
+	case scheduler.Fetch:
 		return "REFRESH", nil
-	case brain.Log:
+	case scheduler.Log:
 		return "SAY_LOG\tbody_text=" + oneLine(a.Text), nil
 	}
 	return "", fmt.Errorf("wire: no line for action %T", a)
--- a/brain/api.go
+++ b/scheduler/api.go
@@ -1,10 +1,10 @@
-// Package brain decides, for one router, where each request of a language-model
+// Package scheduler decides, for one router, where each request of a language-model
 // service with separate prefill and decode engines goes, and when. It does no I/O
-// and reads no clock: the host passes events to [Router.Step] and carries out the
-// actions that it returns. This file is the whole interface; brain.go decides.
+// and reads no clock: the host passes events to [Scheduler.Step] and carries out the
+// actions that it returns. This file is the whole interface; scheduler.go decides.
 //
 // All times are in seconds on the host's clock; token counts are numbers of tokens.
-package brain
+package scheduler
 
 import "fmt"
 
@@ -345,37 +345,37 @@
 func (c *Config) check() error {
 	switch {
 	case c.Balancers < 1:
-		return fmt.Errorf("brain: Balancers is %d", c.Balancers)
+		return fmt.Errorf("scheduler: Balancers is %d", c.Balancers)
 	case c.Rank < 0 || c.Rank >= c.Balancers:
-		return fmt.Errorf("brain: Rank %d is not under Balancers %d", c.Rank, c.Balancers)
+		return fmt.Errorf("scheduler: Rank %d is not under Balancers %d", c.Rank, c.Balancers)
 	case len(c.Classes) == 0:
-		return fmt.Errorf("brain: Classes is empty")
+		return fmt.Errorf("scheduler: Classes is empty")
 	case len(c.Kinds) == 0:
-		return fmt.Errorf("brain: Kinds is empty")
+		return fmt.Errorf("scheduler: Kinds is empty")
 	case c.Limits.MaxAttempts < 1:
-		return fmt.Errorf("brain: Limits.MaxAttempts is %d", c.Limits.MaxAttempts)
+		return fmt.Errorf("scheduler: Limits.MaxAttempts is %d", c.Limits.MaxAttempts)
 	case c.Zone < 0 || c.Zones > 0 && c.Zone >= c.Zones:
-		return fmt.Errorf("brain: Zone %d is not under Zones %d", c.Zone, c.Zones)
+		return fmt.Errorf("scheduler: Zone %d is not under Zones %d", c.Zone, c.Zones)
 	case !(c.Tick >= 0):
-		return fmt.Errorf("brain: Tick is %g", c.Tick)
+		return fmt.Errorf("scheduler: Tick is %g", c.Tick)
 	}
 	for i, k := range c.Classes {
 		if !(k.Aim >= 0 && k.AimPerK >= 0 && k.AimStretch >= 0 && k.TokenAim >= 0 && k.HardLimit >= 0 && k.KeyTTL >= 0) {
-			return fmt.Errorf("brain: Classes[%d] has a negative time", i)
+			return fmt.Errorf("scheduler: Classes[%d] has a negative time", i)
 		}
 		if k.Effect < Repeatable || k.Effect > Once {
-			return fmt.Errorf("brain: Classes[%d].Effect is %d", i, k.Effect)
+			return fmt.Errorf("scheduler: Classes[%d].Effect is %d", i, k.Effect)
 		}
 	}
 	for i, k := range c.Kinds {
 		if k.Role < Read || k.Role > Mixed || !(k.Memory >= 0) {
-			return fmt.Errorf("brain: Kinds[%d] has an unknown Role or negative Memory", i)
+			return fmt.Errorf("scheduler: Kinds[%d] has an unknown Role or negative Memory", i)
 		}
 	}
 	u := c.Rules
 	if !(u.ColdFor >= 0 && u.ColdShare >= 0 && u.FallMultiple >= 0 && u.TipAfter >= 0 && u.LetGoBy >= 0 &&
 		u.AskEvery >= 0 && u.DrainGrace >= 0 && u.AnswerSlack >= 0) {
-		return fmt.Errorf("brain: Rules has a negative figure")
+		return fmt.Errorf("scheduler: Rules has a negative figure")
 	}
 	return nil
 }
--- a/brain/cold_test.go
+++ b/scheduler/cold_test.go
@@ -1,4 +1,4 @@
-package brain
+package scheduler
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 // can bring.
 type coldFleet struct {
 	cfg     Config
-	routers []*Router
+	routers []*Scheduler
 	boot    float64
 	cold    string
 	n       float64 // N: mean requests that the engine bears in a window just after its start
--- a/brain/collapse_test.go
+++ b/scheduler/collapse_test.go
@@ -1,4 +1,4 @@
-package brain
+package scheduler
 
 import (
 	"fmt"
@@ -42,20 +42,20 @@
 // What was learned in bad times kept all work away for ever, for nothing was sent that could have taught otherwise: waits of
 // reads, lags of writers, speeds, the errors of predictions. When nothing of ours has come for a while, one request is tried, and one alone.
 func TestOneRequestIsTriedWhereWhatWasLearnedKeepsAllAway(t *testing.T) {
-	for name, spoil := range map[string]func(r *Router){
-		"errors of predictions": func(r *Router) { r.spread[Read].add(r.now, 30, 1) },
-		"lags of writers": func(r *Router) {
+	for name, spoil := range map[string]func(r *Scheduler){
+		"errors of predictions": func(r *Scheduler) { r.spread[Read].add(r.now, 30, 1) },
+		"lags of writers": func(r *Scheduler) {
 			r.kinds[1].lag.add(r.now, 30, 1)
 			for _, e := range r.list {
 				e.lag.add(r.now, 30, 1)
 			}
 		},
-		"speed of reads": func(r *Router) {
+		"speed of reads": func(r *Scheduler) {
 			for i := range 100 {
 				r.kinds[0].read.add(float64(1000+100*(i%20)), float64(10+i%20), 1)
 			}
 		},
-		"memory of writers": func(r *Router) { r.kinds[1].mem.add(r.now, 1, 1); r.kinds[1].load.add(r.now, 1e4, 1) },
+		"memory of writers": func(r *Scheduler) { r.kinds[1].mem.add(r.now, 1, 1); r.kinds[1].load.add(r.now, 1e4, 1) },
 	} {
 		for _, routers := range []int{1, 3, 300} {
 			cfg := testConfig()
--- a/brain/expiry.go
+++ b/scheduler/expiry.go
@@ -1,4 +1,4 @@
-package brain
+package scheduler
 
 import "math"
 
@@ -6,7 +6,7 @@
 
 // expire answers a request whose time is nearly up, or that can have no further attempt, and drops to the
 // low tier one that can no longer start in time.
-func (r *Router) expire(q *request) bool {
+func (r *Scheduler) expire(q *request) bool {
 	best, until := r.bestCase(q), q.deadline
 	if q.class.LateValue <= 0 {
 		until = q.aim // a late answer is worth nothing
@@ -31,7 +31,7 @@
 }
 
 // bestCase is the least time in which a first token could still come.
-func (r *Router) bestCase(q *request) float64 {
+func (r *Scheduler) bestCase(q *request) float64 {
 	t, lag := math.Inf(1), math.Inf(1)
 	for _, e := range r.list {
 		if e.State == Ready && e.role != Write {
@@ -50,11 +50,11 @@
 }
 
 // margin is how long before the deadline a final answer is given.
-func (r *Router) margin() float64 { return max(0.01, 4*r.cfg.Tick) }
+func (r *Scheduler) margin() float64 { return max(0.01, 4*r.cfg.Tick) }
 
 // answer is the best final answer that the ledger allows: a refusal tells the client that a further try is
 // harmless (rule 2).
-func (r *Router) answer(q *request, why GiveUp) Action {
+func (r *Scheduler) answer(q *request, why GiveUp) Action {
 	may := q.mayRun || q.out >= 0
 	if q.class.Effect == Repeatable || !may || q.class.Effect == ByKey && q.class.Group == GroupAll {
 		return Refuse{q.ID, r.comeBack(), why}
@@ -64,7 +64,7 @@
 
 // comeBack is when a refused client may ask again: after the shortest wait that we expect at a reader, spread
 // so that those refused together do not return together. 0 = it is not told.
-func (r *Router) comeBack() float64 {
+func (r *Scheduler) comeBack() float64 {
 	if !r.cfg.Limits.RetryAfter {
 		return 0
 	}
--- a/brain/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -1,4 +1,4 @@
-package brain
+package scheduler
 
 import (
 	"fmt"
@@ -101,7 +101,7 @@
 // world makes random legal events: engines that answer, fail, drain, leave and return, clients that go.
 type world struct {
 	*checker
-	r      *Router
+	r      *Scheduler
 	rnd    *rand.Rand
 	timers []Timer
 	ids    []string
--- a/brain/brain.go
+++ b/scheduler/scheduler.go
@@ -4,7 +4,7 @@
 // is admitted to a writer only if the online curve f of speed against concurrency says that it
 // and every stream there keep their token pace, and if its first token can come in time.
 
-package brain
+package scheduler
 
 import (
 	"cmp"
@@ -82,7 +82,7 @@
 )
 
 // Step takes what has happened up to now, in order, and returns what is to be done.
-func (r *Router) Step(now float64, events []Event) []Action {
+func (r *Scheduler) Step(now float64, events []Event) []Action {
 	if !r.begun {
 		r.begun, r.started = true, now
 		for i := range r.kinds {
@@ -99,7 +99,7 @@
 }
 
 // members applies a list of engines. A new start of an engine voids what we knew of it.
-func (r *Router) members(ev Members) {
+func (r *Scheduler) members(ev Members) {
 	if r.watching = ev.Form != ListLost; !r.watching {
 		return
 	}
@@ -126,7 +126,7 @@
 
 // weighHomes gives readers with few writers in their cell fewer shared beginnings (the root of the ratio), so
 // that states seldom leave their cell. Routers with the same list agree on it.
-func (r *Router) weighHomes() {
+func (r *Scheduler) weighHomes() {
 	cells, all, ready := census(r.list)
 	for role, n := range ready {
 		r.most[role] = max(r.most[role], n)
@@ -142,7 +142,7 @@
 }
 
 // arrive takes a request into the high tier.
-func (r *Router) arrive(ev Request) {
+func (r *Scheduler) arrive(ev Request) {
 	if r.byID[ev.ID] != nil || ev.Class < 0 || ev.Class >= len(r.cfg.Classes) {
 		return
 	}
@@ -167,7 +167,7 @@
 
 // answerTokens guesses an answer's length: the hint, else the class's mean part of the most allowed (see
 // learnStream). Where no stream runs into that most, the guess is too long: admission errs to the open side.
-func (r *Router) answerTokens(q *request) float64 {
+func (r *Scheduler) answerTokens(q *request) float64 {
 	tokens := q.Hint / max(q.class.TokenAim, 1e-3)
 	if q.Hint <= 0 {
 		tokens = q.MaxOut * cmp.Or(r.classes[q.Class].share, firstShare)
@@ -175,7 +175,7 @@
 	return max(4, min(tokens, q.MaxOut))
 }
 
-func (r *Router) first(ev First) {
+func (r *Scheduler) first(ev First) {
 	q := r.byID[ev.ID]
 	if q == nil || q.out != ev.Attempt || q.stage != writing {
 		return
@@ -201,7 +201,7 @@
 }
 
 // outcome ends an attempt and files what it tells.
-func (r *Router) outcome(ev Outcome) {
+func (r *Scheduler) outcome(ev Outcome) {
 	r.reported(r.engines[ev.Engine], ev.Report)
 	q := r.byID[ev.ID]
 	if q == nil || q.out != ev.Attempt {
@@ -284,7 +284,7 @@
 
 // letGo releases whatever is held for a request of which no attempt is out (rule 5) and frees its place in
 // our own count.
-func (r *Router) letGo(q *request) {
+func (r *Scheduler) letGo(q *request) {
 	if q.hasHold {
 		r.do(Release{q.ID})
 		q.hasHold = false
@@ -297,7 +297,7 @@
 
 // finish gives the final answer (none where the client has it or has left), calls off what is out and lets
 // go of the rest. The books on an attempt still out stay open until its outcome.
-func (r *Router) finish(q *request, answer Action) {
+func (r *Scheduler) finish(q *request, answer Action) {
 	if answer != nil {
 		r.do(answer)
 	}
@@ -317,7 +317,7 @@
 }
 
 // maySend tells whether the ledger allows an attempt that could have an effect at e (rule 2).
-func (r *Router) maySend(q *request, e *engine) bool {
+func (r *Scheduler) maySend(q *request, e *engine) bool {
 	if !q.mayRun || q.class.Effect == Repeatable {
 		return true
 	}
@@ -331,7 +331,7 @@
 
 // judge moves an engine's failure score. Two failures in a row eject it, whatever their cause: fast errors,
 // a dead process, a cut link or silence. It comes back by single trials.
-func (r *Router) judge(e *engine, bad float64) {
+func (r *Scheduler) judge(e *engine, bad float64) {
 	e.err += errGain * (bad - e.err)
 	if bad == 0 {
 		e.lastGood, r.good[e.role] = r.now, r.now
@@ -343,7 +343,7 @@
 	}
 }
 
-func (r *Router) eject(e *engine) {
+func (r *Scheduler) eject(e *engine) {
 	e.err = max(e.err, errEject)
 	e.backoff = min(maxEject, max(0.5, 2*e.backoff))
 	e.ejectedTill = r.now + e.backoff
@@ -352,7 +352,7 @@
 	}
 }
 
-func (r *Router) probed(ev Probed) {
+func (r *Scheduler) probed(ev Probed) {
 	e := r.engines[ev.Engine]
 	if e == nil {
 		return
@@ -365,7 +365,7 @@
 }
 
 // learnRead takes the time of a read of a load.
-func (r *Router) learnRead(q *request, e *engine, load, spent float64) {
+func (r *Scheduler) learnRead(q *request, e *engine, load, spent float64) {
 	k := &r.kinds[e.Kind]
 	k.read.add(load, spent, memoryOf)
 	wait := spent - load*r.spt(e)
@@ -376,7 +376,7 @@
 	}
 }
 
-func (r *Router) learnStream(q *request, e *engine) {
+func (r *Scheduler) learnStream(q *request, e *engine) {
 	r.judge(e, 0)
 	tokens := r.answerTokens(q)
 	if q.flowAt == 0 || tokens <= 1 || r.now <= q.flowAt { // within one step: no time to learn from
@@ -398,7 +398,7 @@
 
 // trusted tells whether an engine is fit for new work: not ejected, one trial at a time while its failure
 // score is high, and not silent (a dead machine, a cut zone, a stuck process), before a time-out tells.
-func (r *Router) trusted(e *engine) bool {
+func (r *Scheduler) trusted(e *engine) bool {
 	if r.now < e.ejectedTill {
 		return false
 	}
@@ -418,13 +418,13 @@
 
 // stuck: an attempt is overdue, and its engine has done nothing else for us since, or has answered later ones
 // before it: engines take what waits in order, so that one was lost, however loaded the engine is.
-func (r *Router) stuck(q *request, e *engine) bool {
+func (r *Scheduler) stuck(q *request, e *engine) bool {
 	return r.now > r.overdue(q, e) && (e.lastGood < q.sentAt || q.passed >= lostAfter)
 }
 
 // overdue is when an attempt has taken longer than our predictions, as wrong as they have lately been, allow.
 // Where all engines are late, none is.
-func (r *Router) overdue(q *request, e *engine) float64 {
+func (r *Scheduler) overdue(q *request, e *engine) float64 {
 	t := q.sentAt + patience*q.expect + grace
 	if q.passed < lostAfter {
 		t += spreadOver * r.spread[e.role].get(r.now, 0, 0)
@@ -434,7 +434,7 @@
 
 // rescue calls off a stuck attempt, so that the request goes elsewhere while there is time. Attempts at an
 // engine that still answers others are left alone: under load a retry would only add to it.
-func (r *Router) rescue(q *request) {
+func (r *Scheduler) rescue(q *request) {
 	if q.out >= 0 && !q.calledOff && r.cfg.Limits.Cancel && r.left(q) >= 2 &&
 		(q.stage == reading || q.class.Effect == Repeatable) && r.stuck(q, q.at()) {
 		q.calledOff = true
@@ -444,7 +444,7 @@
 
 // pool returns the engines that may be sent something new and that fit: those listed ready (rule 3) and
 // trusted; where none is trusted, the one that failed least.
-func (r *Router) pool(fit func(e *engine) bool) []*engine {
+func (r *Scheduler) pool(fit func(e *engine) bool) []*engine {
 	var good []*engine
 	var last *engine
 	for _, e := range r.list {
@@ -464,10 +464,10 @@
 }
 
 // left is how many attempts a request may still have.
-func (r *Router) left(q *request) int { return r.cfg.Limits.MaxAttempts - q.sent + q.unsent }
+func (r *Scheduler) left(q *request) int { return r.cfg.Limits.MaxAttempts - q.sent + q.unsent }
 
 // uncount takes off an attempt that was never written, where such do not count: as many as may be made.
-func (r *Router) uncount(ev Outcome) {
+func (r *Scheduler) uncount(ev Outcome) {
 	q := r.byID[ev.ID]
 	if r.cfg.Limits.UnsentFree && q != nil && q.out == ev.Attempt && q.unsent < r.cfg.Limits.MaxAttempts &&
 		(ev.Status == NoConnection || ev.Status == NotSent) {
@@ -477,7 +477,7 @@
 
 // others returns engines less the one that failed the request last, unless it is the only one. A request that
 // has met refused connections waits for an ejected engine, if its time allows: engines die together.
-func (r *Router) others(q *request, xs []*engine) []*engine {
+func (r *Scheduler) others(q *request, xs []*engine) []*engine {
 	if q.unsent > 0 {
 		xs = slices.DeleteFunc(xs, func(e *engine) bool {
 			return r.now < e.ejectedTill && e.ejectedTill < q.deadline-r.margin()
@@ -491,7 +491,7 @@
 
 // spt is the time that one more token of ours takes at a reader: the slope of its kind's read times. With few
 // routers it holds others' reads too, which come and go with ours; with many those are in the wait.
-func (r *Router) spt(e *engine) float64 {
+func (r *Scheduler) spt(e *engine) float64 {
 	base := max(sptFloor, r.kinds[e.Kind].read.slope(firstSpt, linePrior))
 	if e.wait.n == 0 && r.cold(e) {
 		return base / max(0.1, r.cfg.Rules.ColdShare)
@@ -500,16 +500,16 @@
 }
 
 // wait is how much longer a reader takes than its load of ours explains.
-func (r *Router) wait(e *engine) float64 {
+func (r *Scheduler) wait(e *engine) float64 {
 	return e.wait.get(r.now, r.kinds[e.Kind].wait.get(r.now, 0, forget), waitForget)
 }
 
-func (r *Router) lag(e *engine) float64 {
+func (r *Scheduler) lag(e *engine) float64 {
 	return e.lag.get(r.now, r.kinds[e.Kind].lag.get(r.now, firstLag, 0), forget)
 }
 
 // curve is the writer's own fit, or its kind's until a stream of ours has ended there.
-func (r *Router) curve(e *engine) *curve {
+func (r *Scheduler) curve(e *engine) *curve {
 	if e.pace.c[0] == 0 {
 		return &r.kinds[e.Kind].pace
 	}
@@ -517,7 +517,7 @@
 }
 
 // weight is the mean work of a request's class at an engine's role, the unit of the cold budget.
-func (r *Router) weight(q *request, role Role) float64 {
+func (r *Scheduler) weight(q *request, role Role) float64 {
 	if role == Read {
 		return r.classes[q.Class].prompt.v + overhead
 	}
@@ -528,7 +528,7 @@
 // warm ones of its role get done for us or, as those may be gone, by an even share of what its kind should
 // bear. A fraction of a send is a turn: spread over routers' numbers, as many have one as parts add up to,
 // none in the window in which it was heard of. After our own start we wait one: sends of ours may be in it.
-func (r *Router) coldRoom(q *request, e *engine) bool {
+func (r *Scheduler) coldRoom(q *request, e *engine) bool {
 	if cold := r.cold(e); !cold || r.now < r.started+r.cfg.Rules.TipAfter {
 		return !cold
 	}
@@ -555,7 +555,7 @@
 
 // cost is how long a request of mean work keeps an engine busy, guessed from its kind's curve and reads, and
 // no shorter than by what is taken before any were seen.
-func (r *Router) cost(e *engine) (s float64) {
+func (r *Scheduler) cost(e *engine) (s float64) {
 	k, prompt, answer := &r.kinds[e.Kind], r.meanPrompt.v+overhead, r.meanAnswer.v
 	if e.role != Write {
 		s = prompt * max(firstSpt, k.read.slope(firstSpt, linePrior))
@@ -568,7 +568,7 @@
 }
 
 // keptAt guesses how much of a prompt a reader has kept.
-func (r *Router) keptAt(q *request, e *engine) float64 {
+func (r *Scheduler) keptAt(q *request, e *engine) float64 {
 	if s, ok := r.sessions[q.Session]; ok && s.reader == e && s.at > e.BootTime {
 		return min(s.prompt, q.PromptLen)
 	}
@@ -577,18 +577,18 @@
 }
 
 // readTime predicts a read: others' reads ahead show in the wait learned, our own count as they are.
-func (r *Router) readTime(q *request, e *engine) (t, tokens, load float64) {
+func (r *Scheduler) readTime(q *request, e *engine) (t, tokens, load float64) {
 	tokens = max(32, q.PromptLen-r.keptAt(q, e))
 	load = tokens + overhead + ahead(e)
 	return max(0, r.wait(e)+load*r.spt(e)), tokens, load
 }
 
 // backlog is how long a newcomer waits at an engine.
-func (r *Router) backlog(e *engine) float64 { return max(0, r.wait(e)+ahead(e)*r.spt(e)) }
+func (r *Scheduler) backlog(e *engine) float64 { return max(0, r.wait(e)+ahead(e)*r.spt(e)) }
 
 // moveTime predicts the move of a state beyond what a writer's lag holds: only the link of the reader's
 // cell counts, with what we have on it.
-func (r *Router) moveTime(q *request, from, to *engine) float64 {
+func (r *Scheduler) moveTime(q *request, from, to *engine) float64 {
 	if from == nil || from.Cell == to.Cell {
 		return 0
 	}
@@ -597,7 +597,7 @@
 }
 
 // freshness is the trust left in an engine's last report against its kind's mean.
-func (r *Router) freshness(e *engine) float64 {
+func (r *Scheduler) freshness(e *engine) float64 {
 	if !e.hasReport {
 		return 0
 	}
@@ -605,13 +605,13 @@
 }
 
 // streams estimates L, all routers' streams at a writer: as reported, and ours since; unreported, ours alone.
-func (r *Router) streams(e *engine) float64 {
+func (r *Scheduler) streams(e *engine) float64 {
 	own, _, fresh, _ := r.sinceReport(e)
 	return max(own, r.kinds[e.Kind].load.toward(reportedLoad(&e.report, perUtil), r.freshness(e))+fresh)
 }
 
 // memUsed is the share of a writer's memory taken once it has q, estimated as streams are.
-func (r *Router) memUsed(e *engine, q *request) float64 {
+func (r *Scheduler) memUsed(e *engine, q *request) float64 {
 	if e.mem <= 0 {
 		return 0
 	}
@@ -622,7 +622,7 @@
 
 // paceRoom applies the curve: what f(L+1) leaves above the bound set by the pace aims of the newcomer and
 // of every stream of ours there. Negative means that one of them would fall behind.
-func (r *Router) paceRoom(e *engine, q *request) float64 {
+func (r *Scheduler) paceRoom(e *engine, q *request) float64 {
 	l, aim := r.streams(e), q.class.TokenAim
 	if q.writer != e {
 		l++
@@ -644,7 +644,7 @@
 }
 
 // room is the room that a writer has for q, and whether the curve and its memory and queue let q in.
-func (r *Router) room(e *engine, q *request) (room float64, pace, fits bool) {
+func (r *Scheduler) room(e *engine, q *request) (room float64, pace, fits bool) {
 	left, used := r.paceRoom(e, q), r.memUsed(e, q)
 	full := r.now < e.fullTill || e.report.Waiting >= 1 && r.now-e.reportAt < 1
 	return left + 1 - used - e.err, left >= 0, used <= memLimit && !full
@@ -652,7 +652,7 @@
 
 // bestWriter returns the writer with most room: of the reader's cell, else of another. With untested set,
 // the curve and the first-token time are not asked.
-func (r *Router) bestWriter(q *request, from *engine, left float64, untested bool) *engine {
+func (r *Scheduler) bestWriter(q *request, from *engine, left float64, untested bool) *engine {
 	var best *engine
 	most := math.Inf(-1)
 	for _, e := range r.others(q, r.pool(func(e *engine) bool {
@@ -687,14 +687,14 @@
 // report is fresh the tests tell a full cell, and another is for when none passes in this. A router of many
 // hears of a writer seldom and sees room in a cell that others fill: there the move's price and part of the
 // time left decide.
-func (r *Router) farCost(q *request, from, e *engine, left float64) float64 {
+func (r *Scheduler) farCost(q *request, from, e *engine, left float64) float64 {
 	cost := farPrice*r.cfg.Prices.Transfer + r.moveTime(q, from, e)/max(left, r.cfg.Tick)
 	return cost + farKnown*math.Pow(r.freshness(e), farPower)
 }
 
 // readers returns the usable readers in weighted rendezvous order of the shared beginning, else the session,
 // the same at all routers. A hot beginning has homes by its part of our arrivals; sessions share them.
-func (r *Router) readers(q *request) []*engine {
+func (r *Scheduler) readers(q *request) []*engine {
 	xs := r.others(q, r.pool(func(e *engine) bool {
 		return e.role != Write && r.maySend(q, e) && r.coldRoom(q, e)
 	}))
@@ -712,7 +712,7 @@
 }
 
 // send makes an attempt and writes it into the ledger and the budgets.
-func (r *Router) send(q *request, e *engine, expect, timeout float64) {
+func (r *Scheduler) send(q *request, e *engine, expect, timeout float64) {
 	r.do(Send{q.ID, e.ID, timeout})
 	w := r.weight(q, e.role)
 	if r.cold(e) {
@@ -726,12 +726,12 @@
 // blind tells that no first token of ours is to come and that none has for as long as all routers, in turn,
 // take for a request each. What keeps all away (waits, lags, speeds, loads, memory as learned) is then put to
 // the test by one request: what is not tried is not learned anew.
-func (r *Router) blind() bool {
+func (r *Scheduler) blind() bool {
 	return r.out == 0 && r.heardAt > 0 && r.now > r.heardAt+min(forget, r.best*float64(r.cfg.Balancers))
 }
 
 // sendRead starts the read at rd of a request admitted to w.
-func (r *Router) sendRead(q *request, rd, w *engine) {
+func (r *Scheduler) sendRead(q *request, rd, w *engine) {
 	t, tokens, load := r.readTime(q, rd)
 	q.kept = r.keptAt(q, rd)
 	q.tokens, q.load, q.stage, q.reader = tokens, load, reading, rd
@@ -746,14 +746,14 @@
 }
 
 // sendUnread has an engine read and answer.
-func (r *Router) sendUnread(q *request, e *engine) {
+func (r *Scheduler) sendUnread(q *request, e *engine) {
 	var t float64
 	t, q.tokens, q.load = r.readTime(q, e)
 	r.sendWrite(q, e, t)
 }
 
 // sendWrite sends a read request (or an unread one, as a fallback) to a writer.
-func (r *Router) sendWrite(q *request, w *engine, extra float64) {
+func (r *Scheduler) sendWrite(q *request, w *engine, extra float64) {
 	r.admitTo(q, w)
 	move := extra
 	if q.stage == parsed {
@@ -768,7 +768,7 @@
 }
 
 // decide is the one decision pass of a step.
-func (r *Router) decide() {
+func (r *Scheduler) decide() {
 	r.housekeeping()
 	var tiers [2][]*request
 	for _, q := range append([]*request(nil), r.open...) {
@@ -808,7 +808,7 @@
 
 // draw draws the first few in order, then as many of the others: where those at the head are just too late to
 // pass, all behind them would be tried only once they are as late.
-func (r *Router) draw(n int) []int {
+func (r *Scheduler) draw(n int) []int {
 	drawn := r.rng.Perm(min(window, n))
 	for range min(window, n-window) {
 		drawn = append(drawn, window+r.rng.IntN(n-window))
@@ -818,7 +818,7 @@
 
 // admitHigh tests one drawn at random from the first few of the high tier, until none passes. It returns
 // those that wait.
-func (r *Router) admitHigh(high []*request) []*request {
+func (r *Scheduler) admitHigh(high []*request) []*request {
 	for again := true; again; {
 		again = false
 		for _, i := range r.draw(len(high)) {
@@ -833,7 +833,7 @@
 
 // answerer returns who would answer what e reads in t: a mixed engine itself, if it passes, so that no state
 // moves; else the best writer that passes. The low tier has no first-token time to keep.
-func (r *Router) answerer(q *request, e *engine, t float64, low bool) *engine {
+func (r *Scheduler) answerer(q *request, e *engine, t float64, low bool) *engine {
 	left := r.timeFor(q, e, t, low)
 	if e.role != Mixed {
 		return r.bestWriter(q, e, left, r.blind())
@@ -847,7 +847,7 @@
 // timeFor is what a read that takes e so long leaves of the time to q's aim. An aim too short for our slack
 // where nobody is ahead gets what slack it leaves: its class would never be sent. The low tier and a probe
 // (see blind) keep no aim.
-func (r *Router) timeFor(q *request, e *engine, t float64, low bool) float64 {
+func (r *Scheduler) timeFor(q *request, e *engine, t float64, low bool) float64 {
 	if low || r.blind() {
 		return math.Inf(1)
 	}
@@ -862,7 +862,7 @@
 // spare tells whether e can read, in t, what comes too late anyway and make nobody else late: a newcomer of
 // any class right behind it would still start in time, by what all reads have lately shown and four times its
 // mean error. Where many routers have a request or two each, our empty high tier tells nothing of theirs.
-func (r *Router) spare(e *engine, t float64) bool {
+func (r *Scheduler) spare(e *engine, t float64) bool {
 	t += spreadOver * r.spread[e.role].get(r.now, 0, 0)
 	for i, c := range r.cfg.Classes {
 		p := r.classes[i].prompt.v
@@ -876,7 +876,7 @@
 
 // admit finds a reader and a writer for a held request and starts the read. The home passes to the next in
 // order only when that has the first token in half the time and less.
-func (r *Router) admit(q *request, low bool) bool {
+func (r *Scheduler) admit(q *request, low bool) bool {
 	rds := r.readers(q)
 	if r.left(q) >= 2 {
 		var rd, w *engine
@@ -911,7 +911,7 @@
 // admitUnread: when no reader is in sight or one attempt is left, any mixed engine (or a writer, under
 // local_read) reads the prompt. While readers are merely late only homes do: writers that read fall behind,
 // and the fleet with them (i263144, iaa9861).
-func (r *Router) admitUnread(q *request) bool {
+func (r *Scheduler) admitUnread(q *request) bool {
 	var best *engine
 	bestRoom := math.Inf(-1)
 	for _, e := range r.pool(func(e *engine) bool {
@@ -931,7 +931,7 @@
 
 // placeParsed sends a waiting state to the admitted writer, or to another that passes, or lets go of it in
 // good time (rule 5).
-func (r *Router) placeParsed(q *request) {
+func (r *Scheduler) placeParsed(q *request) {
 	w := q.writer
 	if w == nil || w.State != Ready || !r.trusted(w) || !r.maySend(q, w) || !r.coldRoom(q, w) ||
 		r.now < w.fullTill {
@@ -946,7 +946,7 @@
 
 // probe asks the writers in turn for their load where reports come in no other way, as often as the price
 // of a probe allows.
-func (r *Router) probe() {
+func (r *Scheduler) probe() {
 	if r.cfg.Report != ReportOnProbe || !r.cfg.Limits.Probe || r.now < r.probeAt {
 		return
 	}
@@ -964,7 +964,7 @@
 }
 
 // housekeeping keeps the subscription to the list and forgets idle sessions.
-func (r *Router) housekeeping() {
+func (r *Scheduler) housekeeping() {
 	if r.cfg.OnRequest && r.now >= r.watchAt {
 		if !r.watching || r.watchAt == 0 {
 			r.do(Watch{true})
@@ -979,7 +979,7 @@
 }
 
 // arm sets one timer, for the earliest moment at which something is to be looked at.
-func (r *Router) arm() {
+func (r *Scheduler) arm() {
 	at := math.Inf(1)
 	for _, q := range r.open {
 		if q.stage == held || q.stage == parsed {
--- a/brain/brain_test.go
+++ b/scheduler/scheduler_test.go
@@ -1,4 +1,4 @@
-package brain
+package scheduler
 
 import (
 	"bufio"
@@ -34,7 +34,7 @@
 	return Members{Form: ListFull, Engines: []Engine{eng("r0", 0, 0), eng("w0", 1, 0), eng("r1", 0, 1), eng("w1", 1, 1)}}
 }
 
-func start(t *testing.T, cfg Config, m Members) *Router {
+func start(t *testing.T, cfg Config, m Members) *Scheduler {
 	t.Helper()
 	r, err := New(cfg, 1)
 	if err != nil {
@@ -75,7 +75,7 @@
 }
 
 // read takes a request to the point where its state waits and is sent to a writer.
-func read(t *testing.T, r *Router, now float64, q Request) (reader, writer string) {
+func read(t *testing.T, r *Scheduler, now float64, q Request) (reader, writer string) {
 	t.Helper()
 	s := one[Send](t, r.Step(now, []Event{q}))
 	w := one[Send](t, r.Step(now+0.05, []Event{Outcome{ID: q.ID, Engine: s.Engine, Status: Parsed, Spent: 0.05}}))
@@ -619,7 +619,7 @@
 	for i := 0; i < 6; i++ {
 		m.Engines = append(m.Engines, eng(fmt.Sprint("r", i), 0, i), eng(fmt.Sprint("w", i), 1, i))
 	}
-	home := func(r *Router, prefix string) string {
+	home := func(r *Scheduler, prefix string) string {
 		q := ask("x", 0)
 		q.Prefix = prefix
 		s := one[Send](t, r.Step(r.now+1, []Event{q}))
@@ -978,9 +978,9 @@
 	}
 }
 
-// TestModuleSize holds brain.go to 1,000 lines that are not blank and 110 columns.
+// TestModuleSize holds scheduler.go to 1,000 lines that are not blank and 110 columns.
 func TestModuleSize(t *testing.T) {
-	f, err := os.Open("brain.go")
+	f, err := os.Open("scheduler.go")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -996,7 +996,7 @@
 		}
 	}
 	if lines > 1000 {
-		t.Errorf("brain.go has %d lines", lines)
+		t.Errorf("scheduler.go has %d lines", lines)
 	}
 }
 
--- a/brain/state.go
+++ b/scheduler/state.go
@@ -1,4 +1,4 @@
-package brain
+package scheduler
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// This file holds the types of a router's state. Nothing is decided here; brain.go decides.
+// This file holds the types of a router's state. Nothing is decided here; scheduler.go decides.
 
 // stage is where a request stands.
 type stage int
@@ -120,8 +120,8 @@
 
 type bucket struct{ level, at float64 }
 
-// Router decides for one node. It is not safe for concurrent use.
-type Router struct {
+// Scheduler decides for one node. It is not safe for concurrent use.
+type Scheduler struct {
 	cfg             Config
 	rng             *rand.Rand
 	now, started    float64
@@ -281,11 +281,11 @@
 }
 
 // New returns a router, or an error that names the field of an impossible Config.
-func New(cfg Config, seed uint64) (*Router, error) {
+func New(cfg Config, seed uint64) (*Scheduler, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	r := &Router{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+	r := &Scheduler{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
 		prefixes: map[string]rate{}, engines: map[string]*engine{}, byID: map[string]*request{}, sessions: map[string]session{},
 		links: map[linkKey]*link{}, kinds: make([]kindStats, len(cfg.Kinds)),
 		classes: make([]classStats, len(cfg.Classes)), buckets: make([]bucket, len(cfg.Tenants))}
@@ -338,7 +338,7 @@
 }
 
 // apply hands an event to what files it.
-func (r *Router) apply(ev Event) {
+func (r *Scheduler) apply(ev Event) {
 	switch ev := ev.(type) {
 	case Members:
 		r.members(ev)
@@ -362,10 +362,10 @@
 	}
 }
 
-func (r *Router) do(a Action) { r.acts = append(r.acts, a) }
+func (r *Scheduler) do(a Action) { r.acts = append(r.acts, a) }
 
 // setTimer asks for a wake at a time, unless an earlier one is due.
-func (r *Router) setTimer(at float64) {
+func (r *Scheduler) setTimer(at float64) {
 	if !math.IsInf(at, 1) && (r.timerAt <= r.now || r.timerAt > at) {
 		r.timers++
 		r.timerAt = at
@@ -375,7 +375,7 @@
 
 // prune marks the engines that a complete list lacks as removed, and drops the removed ones at which nothing of
 // ours is out.
-func (r *Router) prune(complete bool, listed map[string]bool) {
+func (r *Scheduler) prune(complete bool, listed map[string]bool) {
 	keep := r.list[:0]
 	for _, e := range r.list {
 		if complete && !listed[e.ID] {
@@ -393,7 +393,7 @@
 
 // sinceReport counts our streams and their tokens at a writer, all and those that its last report has not
 // seen.
-func (r *Router) sinceReport(e *engine) (streams, tokens, newStreams, newTokens float64) {
+func (r *Scheduler) sinceReport(e *engine) (streams, tokens, newStreams, newTokens float64) {
 	for _, x := range e.jobs {
 		t := x.PromptLen + r.answerTokens(x)
 		streams, tokens = streams+1, tokens+t
@@ -447,7 +447,7 @@
 }
 
 // admitTo moves a request to a writer's books; nil takes it off.
-func (r *Router) admitTo(q *request, w *engine) {
+func (r *Scheduler) admitTo(q *request, w *engine) {
 	if q.writer != nil {
 		q.writer.jobs = without(q.writer.jobs, q)
 	}
@@ -457,11 +457,11 @@
 }
 
 // cold tells whether an engine may still be warming up; warm counts those of a role that are not.
-func (r *Router) cold(e *engine) bool {
+func (r *Scheduler) cold(e *engine) bool {
 	return e.BootTime > 0 && r.now < e.BootTime+r.cfg.Rules.ColdFor
 }
 
-func (r *Router) warm(role Role) (n int) {
+func (r *Scheduler) warm(role Role) (n int) {
 	for _, e := range r.list {
 		if e.role == role && e.State == Ready && !r.cold(e) {
 			n++
@@ -471,7 +471,7 @@
 }
 
 // link returns what we know of a way. Moves out of one cell to one zone share a fate.
-func (r *Router) link(from, to *engine) *link {
+func (r *Scheduler) link(from, to *engine) *link {
 	k := linkKey{from.Cell, to.Zone}
 	if r.links[k] == nil {
 		r.links[k] = &link{}
@@ -502,7 +502,7 @@
 }
 
 // heard notes that an attempt has begun to stream or, before that, has ended.
-func (r *Router) heard(was stage) {
+func (r *Scheduler) heard(was stage) {
 	if was != flowing {
 		r.out, r.heardAt = r.out-1, r.now
 	}
@@ -510,7 +510,7 @@
 
 // reported files an engine's load report, and pools it: a router that hears of each engine only now and then
 // still knows what its kind bears.
-func (r *Router) reported(e *engine, rep *Report) {
+func (r *Scheduler) reported(e *engine, rep *Report) {
 	if e == nil || rep == nil {
 		return
 	}
@@ -520,7 +520,7 @@
 }
 
 // learnHit takes the part of a beginning that was found kept: those not found are expected to be read anew.
-func (r *Router) learnHit(q *request, e *engine, kept float64) {
+func (r *Scheduler) learnHit(q *request, e *engine, kept float64) {
 	if q.PrefixLen > 0 {
 		e.hit.add(r.now, min(1, kept/q.PrefixLen), waitGain)
 		r.kinds[e.Kind].hit.add(r.now, min(1, kept/q.PrefixLen), poolGain)
