--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -7,7 +7,7 @@
 	"io"
 	"os"
 
-	"dillroute/internal/wire"
+	"dillroute/internal/benchwire"
 	"dillroute/scheduler"
 )
 
@@ -19,7 +19,7 @@
 }
 
 func run(in io.Reader, out io.Writer) error {
-	dec, enc := wire.NewDecoder(in), wire.NewEncoder(out)
+	dec, enc := benchwire.NewDecoder(in), benchwire.NewEncoder(out)
 	h := host{}
 	for {
 		b, err := dec.Next()
@@ -48,7 +48,7 @@
 }
 
 // batch passes each instance its events, in order of first appearance.
-func (h host) batch(b *wire.Batch, enc *wire.Encoder) error {
+func (h host) batch(b *benchwire.Batch, enc *benchwire.Encoder) error {
 	var boxes []*inbox
 	byNode := map[int]*inbox{}
 	for _, it := range b.Items {
--- a/internal/arrows_test.go
+++ b/internal/arrows_test.go
@@ -44,9 +44,9 @@
 	{"dillroute/internal/config", "dillroute/lab/", "the product does not need its laboratory"},
 	{"dillroute/lab/rules", "dillroute/internal/", "the checker shares no code with what it judges"},
 	{"dillroute/lab/record", "dillroute/internal/", "the checker shares no code with what it judges"},
-	{"dillroute/lab/standin", "dillroute/internal/", "stand-ins meet the product on sockets alone"},
+	{"dillroute/lab/emulator", "dillroute/internal/", "stand-ins meet the product on sockets alone"},
 	{"dillroute/lab/client", "dillroute/internal/", "clients meet the product on sockets alone"},
-	{"dillroute/lab/badday", "dillroute/internal/node", "the day starts nodes through what it is given"},
+	{"dillroute/lab/scenario", "dillroute/internal/node", "the day starts nodes through what it is given"},
 }
 
 func TestArrowsRunOneWay(t *testing.T) {
--- a/internal/wire/wire.go
+++ b/internal/benchwire/benchwire.go
@@ -1,6 +1,6 @@
-// Package wire turns the line protocol of orchid-7119 into events of package scheduler and
+// Package benchwire turns the line protocol of orchid-7119 into events of package scheduler and
 // actions into lines. It decides nothing.
-package wire
+package benchwire
 
 import (
 	"bufio"
--- a/internal/wire/facts.go
+++ b/internal/benchwire/facts.go
@@ -1,4 +1,4 @@
-package wire
+package benchwire
 
 import (
 	"strconv"
--- a/internal/cli/convert.go
+++ b/internal/cli/convert.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"os"
 
-	"dillroute/lab/badday"
+	"dillroute/lab/scenario"
 
 	"github.com/spf13/cobra"
 )
@@ -24,7 +24,7 @@
 			if err != nil {
 				return withCode(ExitConfig, err)
 			}
-			s, err := badday.Convert(text, rate, length)
+			s, err := scenario.Convert(text, rate, length)
 			if err != nil {
 				return withCode(ExitConfig, fmt.Errorf("%s: %w", args[0], err))
 			}
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -18,8 +18,8 @@
 
 	"dillroute/internal/config"
 	"dillroute/internal/node"
+	"dillroute/lab/emulator"
 	"dillroute/lab/fleet"
-	"dillroute/lab/standin"
 
 	"github.com/spf13/cobra"
 )
@@ -52,7 +52,7 @@
 	var ms []fleet.Member
 	for i, e := range []struct{ role, cell string }{
 		{"prefill", "a"}, {"decode", "a"}, {"mixed", "a"}, {"prefill", "b"}, {"decode", "b"}} {
-		ms = append(ms, fleet.Member{Kind: e.role, Cell: e.cell, Settings: standin.Settings{
+		ms = append(ms, fleet.Member{Kind: e.role, Cell: e.cell, Settings: emulator.Settings{
 			ID: e.role + "-" + e.cell, Role: e.role, LocalRead: true, StepMS: 30, Seed: uint64(i)}})
 	}
 	return ms
--- a/internal/cli/engine.go
+++ b/internal/cli/engine.go
@@ -8,7 +8,7 @@
 
 	"dillroute/api"
 	"dillroute/internal/config"
-	"dillroute/lab/standin"
+	"dillroute/lab/emulator"
 
 	"github.com/spf13/cobra"
 )
@@ -27,11 +27,11 @@
 			if file == "" {
 				return withCode(ExitUsage, fmt.Errorf("engine needs --config FILE"))
 			}
-			var s standin.Settings
+			var s emulator.Settings
 			if err := config.MustSchema(api.EngineSchema).DecodeFile(file, &s); err != nil {
 				return withCode(ExitConfig, fmt.Errorf("%s:\n%w", file, err))
 			}
-			e := standin.New(s, nil)
+			e := emulator.New(s, nil)
 			signals := make(chan os.Signal, 2)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 			defer signal.Stop(signals)
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -16,14 +16,14 @@
 	"time"
 
 	"dillroute/internal/service"
-	"dillroute/lab/badday"
 	"dillroute/lab/chart"
+	"dillroute/lab/scenario"
 
 	"github.com/spf13/cobra"
 )
 
 func fleetCommand() *cobra.Command {
-	p := badday.FleetPlan{Nodes: 60, Engines: 24, PerS: 100, Length: 60, Restarts: 1, Churn: 0.1, Notice: 0.5, Roll: true, Seed: 1}
+	p := scenario.FleetPlan{Nodes: 60, Engines: 24, PerS: 100, Length: 60, Restarts: 1, Churn: 0.1, Notice: 0.5, Roll: true, Seed: 1}
 	var processes bool
 	var report, picture, trouble string
 	var release bool
@@ -67,21 +67,21 @@
 }
 
 // fleetScript makes the day of a fleet, with the troubles of a script or a release added.
-func fleetScript(p badday.FleetPlan, trouble string, release bool) (*badday.Script, error) {
+func fleetScript(p scenario.FleetPlan, trouble string, release bool) (*scenario.Script, error) {
 	if p.Nodes < 1 || p.Engines < 3 || p.Length < 5 || p.Load < 0 {
 		return nil, withCode(ExitUsage, fmt.Errorf("a fleet has 1 node, 3 engines and 5 seconds at least, and a load above 0"))
 	}
 	if release {
 		readers := p.Script().Readers()
 		third := (len(readers) + 2) / 3
-		p.Troubles = badday.CrowdTroubles(readers, third, 0.25*p.Length, 0.15*p.Length, min(2, 0.1*p.Length))
+		p.Troubles = scenario.CrowdTroubles(readers, third, 0.25*p.Length, 0.15*p.Length, min(2, 0.1*p.Length))
 	}
 	if trouble != "" {
 		text, err := os.ReadFile(trouble)
 		if err != nil {
 			return nil, withCode(ExitConfig, err)
 		}
-		day, err := badday.Parse(text)
+		day, err := scenario.Parse(text)
 		if err != nil {
 			return nil, withCode(ExitConfig, fmt.Errorf("%s:\n%w", trouble, err))
 		}
@@ -94,10 +94,10 @@
 	return s, nil
 }
 
-func runFleet(s *badday.Script, processes bool, report, picture string, out io.Writer) error {
+func runFleet(s *scenario.Script, processes bool, report, picture string, out io.Writer) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	o := badday.Options{Launch: launcher(io.Discard), Skew: 0.5, Progress: func(q badday.Progress) {
+	o := scenario.Options{Launch: launcher(io.Discard), Skew: 0.5, Progress: func(q scenario.Progress) {
 		fmt.Fprintf(out, "\r%5.0f of %.0f s  %d nodes up, %d starts  %d served in time of %d  cold budget %.0f%%  %d breaches   ",
 			q.T, q.Length, q.Up, q.Starts, q.InTime, q.Ended, 100*q.Cold, q.Broken)
 	}}
@@ -111,7 +111,7 @@
 		defer os.RemoveAll(dir)
 		o.Launch = processLauncher(dir)
 	}
-	r, err := badday.Run(ctx, s, o)
+	r, err := scenario.Run(ctx, s, o)
 	fmt.Fprintln(out)
 	if err != nil {
 		return withCode(ExitRun, err)
@@ -160,8 +160,8 @@
 }
 
 // processLauncher starts nodes as processes of this program.
-func processLauncher(dir string) badday.Launch {
-	return func(name string, text []byte) (badday.Node, error) {
+func processLauncher(dir string) scenario.Launch {
+	return func(name string, text []byte) (scenario.Node, error) {
 		var m map[string]any
 		if err := json.Unmarshal(text, &m); err != nil {
 			return nil, err
--- a/internal/cli/badday.go
+++ b/internal/cli/scenario.go
@@ -14,7 +14,7 @@
 	"dillroute/internal/config"
 	"dillroute/internal/node"
 	"dillroute/internal/service"
-	"dillroute/lab/badday"
+	"dillroute/lab/scenario"
 
 	"github.com/spf13/cobra"
 )
@@ -37,7 +37,7 @@
 			if err != nil {
 				return withCode(ExitConfig, err)
 			}
-			s, err := badday.Parse(text)
+			s, err := scenario.Parse(text)
 			if err != nil {
 				return withCode(ExitConfig, fmt.Errorf("%s:\n%w", args[0], err))
 			}
@@ -55,8 +55,8 @@
 }
 
 // launcher starts nodes of this program within this process.
-func launcher(log io.Writer) badday.Launch {
-	return func(name string, text []byte) (badday.Node, error) {
+func launcher(log io.Writer) scenario.Launch {
+	return func(name string, text []byte) (scenario.Node, error) {
 		cfg, err := config.Parse(text)
 		if err != nil {
 			return nil, err
@@ -69,7 +69,7 @@
 	}
 }
 
-func playDay(s *badday.Script, report, logTo string, out io.Writer) error {
+func playDay(s *scenario.Script, report, logTo string, out io.Writer) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	var log io.Writer = io.Discard
@@ -82,7 +82,7 @@
 		log = f
 	}
 	start := time.Now()
-	r, err := badday.Run(ctx, s, badday.Options{Launch: launcher(log), Out: out, Files: service.Files()})
+	r, err := scenario.Run(ctx, s, scenario.Options{Launch: launcher(log), Out: out, Files: service.Files()})
 	if err != nil {
 		return withCode(ExitRun, err)
 	}
@@ -101,7 +101,7 @@
 }
 
 // verdict turns what a day came to into the command's end.
-func verdict(r *badday.Report) error {
+func verdict(r *scenario.Report) error {
 	switch {
 	case r.Broken > 0:
 		return withCode(ExitRules, fmt.Errorf("%d breaches of the rules", r.Broken))
--- a/internal/decide/rhythm/rhythm.go
+++ b/internal/decide/batching/batching.go
@@ -1,7 +1,7 @@
-// Package rhythm decides how often the routing module is asked. Asking at every event would let a burst spend all of
+// Package batching decides how often the routing module is asked. Asking at every event would let a burst spend all of
 // the owner's time on passes that each see one event; asking seldom adds its wait to every request twice. It does no
 // I/O and reads no clock.
-package rhythm
+package batching
 
 // Share of the owner's time that decision passes may take.
 const share = 0.25
--- a/internal/decide/rhythm/rhythm_test.go
+++ b/internal/decide/batching/batching_test.go
@@ -1,4 +1,4 @@
-package rhythm
+package batching
 
 import (
 	"testing"
--- a/internal/decide/intake/intake.go
+++ b/internal/decide/classify/classify.go
@@ -1,6 +1,6 @@
-// Package intake decides what a request is before it is routed: whose it is, of which class, and how long its
+// Package classify decides what a request is before it is routed: whose it is, of which class, and how long its
 // client waits. It does no I/O. The same request always gets the same answer.
-package intake
+package classify
 
 import (
 	"crypto/sha256"
--- a/internal/decide/intake/recent.go
+++ b/internal/decide/classify/recent.go
@@ -1,4 +1,4 @@
-package intake
+package classify
 
 // Recent remembers ids that clients chose, so that one is not taken twice: a second request under the id of a first would
 // be taken for it by whoever knows requests by their ids. An id is remembered for a stated time at least, and longer while few
--- a/internal/decide/intake/recent_test.go
+++ b/internal/decide/classify/recent_test.go
@@ -1,4 +1,4 @@
-package intake
+package classify
 
 import (
 	"fmt"
--- a/internal/decide/reuse/reuse.go
+++ b/internal/decide/connreuse/connreuse.go
@@ -1,8 +1,8 @@
-// Package reuse decides which connections to engines may carry another request. A kept connection saves a handshake; one
+// Package connreuse decides which connections to engines may carry another request. A kept connection saves a handshake; one
 // that the engine has closed meanwhile, or that something between has dropped, costs an attempt that may have run, for the
 // request was written to it. How long a connection lives is told at the most; how long it really does, only by losing some.
 // It does no I/O and reads no clock; times are in seconds.
-package reuse
+package connreuse
 
 import "dillroute/scheduler"
 
--- a/internal/decide/reuse/reuse_test.go
+++ b/internal/decide/connreuse/connreuse_test.go
@@ -1,4 +1,4 @@
-package reuse
+package connreuse
 
 import (
 	"testing"
--- a/internal/decide/ending/ending.go
+++ b/internal/decide/outcome/outcome.go
@@ -1,7 +1,7 @@
-// Package ending decides what the end of an attempt proves: which status the routing module is told, whether the
+// Package outcome decides what the end of an attempt proves: which status the routing module is told, whether the
 // request may have run, and whether the engine may still hold something for it. It does no I/O; the caller states
 // facts as they were on the socket. docs/design/node.md holds the same table.
-package ending
+package outcome
 
 import "dillroute/scheduler"
 
--- a/internal/decide/ending/ending_test.go
+++ b/internal/decide/outcome/outcome_test.go
@@ -1,4 +1,4 @@
-package ending
+package outcome
 
 import (
 	"testing"
--- a/internal/decide/ledger/attempts.go
+++ b/internal/decide/requesttable/attempts.go
@@ -1,7 +1,7 @@
-package ledger
+package requesttable
 
 import (
-	"dillroute/internal/decide/ending"
+	"dillroute/internal/decide/outcome"
 	"dillroute/internal/decide/permit"
 	"dillroute/scheduler"
 )
@@ -10,7 +10,7 @@
 type attempt struct {
 	n         int // its number among the module's
 	engine    string
-	stage     ending.Stage
+	stage     outcome.Stage
 	sentAt    float64
 	over      bool
 	aborting  bool
@@ -41,11 +41,11 @@
 	}
 	n, s := e.sent, l.engines[a.Engine]
 	e.sent++
-	t := attempt{n: n, engine: a.Engine, sentAt: now, stage: ending.Decode}
+	t := attempt{n: n, engine: a.Engine, sentAt: now, stage: outcome.Decode}
 	if s != nil && s.role == scheduler.Read {
-		t.stage = ending.Prefill
+		t.stage = outcome.Prefill
 	}
-	t.withState, t.stateN = t.stage == ending.Decode && e.state != "", e.stateN
+	t.withState, t.stateN = t.stage == outcome.Decode && e.state != "", e.stateN
 	if why := l.maySend(now, e, s, &t); why != permit.Allowed {
 		if why != permit.Ended { // else its client left, or its answer began, while the module was deciding
 			l.fault("send of %s to %s: %s", a.ID, a.Engine, why)
@@ -95,7 +95,7 @@
 		return e.ranOn, e.ranAt, true
 	}
 	for i := range e.attempts {
-		if x := &e.attempts[i]; !x.over && x.stage == ending.Decode {
+		if x := &e.attempts[i]; !x.over && x.stage == outcome.Decode {
 			return x.engine, x.sentAt, true
 		}
 	}
@@ -118,7 +118,7 @@
 	}
 	if t := e.attempt(a.Attempt); t != nil && !t.over && !t.streaming && !t.aborting {
 		t.aborting = true
-		l.do(Abort{a.ID, a.Attempt, ending.Stopped})
+		l.do(Abort{a.ID, a.Attempt, outcome.Stopped})
 	}
 }
 
@@ -152,13 +152,13 @@
 	for i := range e.attempts { // a second copy has lost
 		if o := &e.attempts[i]; o != t && !o.over && !o.aborting {
 			o.aborting = true
-			l.do(Abort{id, o.n, ending.Stopped})
+			l.do(Abort{id, o.n, outcome.Stopped})
 		}
 	}
 }
 
 // Ended is told, once, when an attempt has ended. The report may be nil.
-func (l *Ledger) Ended(now float64, id string, n int, f ending.Facts, rep *scheduler.Report) {
+func (l *Ledger) Ended(now float64, id string, n int, f outcome.Facts, rep *scheduler.Report) {
 	e := l.open[id]
 	if e == nil || e.attempt(n) == nil || e.attempt(n).over {
 		l.fault("end of attempt %d of %s, which is not out", n, id)
@@ -170,15 +170,15 @@
 	f.Stage, f.Agreed = t.stage, e.rejected != 0 && e.rejected == f.Code
 	f.Last = l.left(e) <= 0
 	if t.streaming {
-		f.Progress = ending.Streaming
+		f.Progress = outcome.Streaming
 	}
-	v := ending.Judge(f)
-	e.unheard = e.unheard || f.Cause != ending.Answered && f.Progress >= ending.Written
-	if f.Progress < ending.Written && f.Cause != ending.Answered {
+	v := outcome.Judge(f)
+	e.unheard = e.unheard || f.Cause != outcome.Answered && f.Progress >= outcome.Written
+	if f.Progress < outcome.Written && f.Cause != outcome.Answered {
 		e.unsent++
 	}
-	e.unproven = e.unproven || !ending.ProvesNotRun(f)
-	if f.Cause == ending.Answered && f.Meaning == ending.Judged && !v.Final {
+	e.unproven = e.unproven || !outcome.ProvesNotRun(f)
+	if f.Cause == outcome.Answered && f.Meaning == outcome.Judged && !v.Final {
 		e.rejected = f.Code
 	}
 	if v.Ran && e.ran && e.class.Effect == scheduler.Once {
@@ -200,24 +200,24 @@
 		e.farewell = nil
 	}
 	if closed {
-		l.conclude(id, e, ending.Overtaken)
+		l.conclude(id, e, outcome.Overtaken)
 	}
 	l.settle(id, e)
 }
 
 // outcome notes that the time of what is held runs from the latest outcome of an attempt that was out.
-func (e *entry) outcome(now float64, f ending.Facts) {
-	if f.Progress < ending.Written {
+func (e *entry) outcome(now float64, f outcome.Facts) {
+	if f.Progress < outcome.Written {
 		return
 	}
 	e.stateAt = now
-	if e.silent = ending.Silent(f); !e.silent {
+	if e.silent = outcome.Silent(f); !e.silent {
 		e.heldAt = now
 	}
 }
 
 // states keeps the book of the state that waits at a reader.
-func (l *Ledger) states(now float64, id string, e *entry, n int, v ending.Verdict) {
+func (l *Ledger) states(now float64, id string, e *entry, n int, v outcome.Verdict) {
 	t := e.attempt(n)
 	switch {
 	case v.Status == scheduler.Parsed:
@@ -238,7 +238,7 @@
 
 // closes settles what the end of an attempt means for the client. An answer that began and broke
 // ends the request: the client has part of it, and the module is told so.
-func (l *Ledger) closes(id string, e *entry, n int, v ending.Verdict) bool {
+func (l *Ledger) closes(id string, e *entry, n int, v outcome.Verdict) bool {
 	t := e.attempt(n)
 	switch {
 	case e.concluded:
@@ -249,7 +249,7 @@
 	case t.streaming && v.Status == scheduler.Served:
 		return true
 	case t.streaming:
-		a := ending.Broke(e.class.Effect, e.class.Group)
+		a := outcome.Broke(e.class.Effect, e.class.Group)
 		l.do(Answer{id, a, 0, "the engine stopped before the answer was complete"})
 		return true
 	}
--- a/internal/decide/ledger/commands.go
+++ b/internal/decide/requesttable/commands.go
@@ -1,7 +1,7 @@
-package ledger
+package requesttable
 
 import (
-	"dillroute/internal/decide/ending"
+	"dillroute/internal/decide/outcome"
 )
 
 // Command is something that the host is to carry out.
@@ -12,7 +12,7 @@
 type Start struct {
 	ID, Engine string
 	N          int
-	Stage      ending.Stage
+	Stage      outcome.Stage
 	State      bool    // a state waits and is to be fetched
 	StateN     int     // from this attempt
 	StateAt    float64 // since when its time runs (s)
@@ -25,7 +25,7 @@
 type Abort struct {
 	ID    string
 	N     int
-	Cause ending.Cause
+	Cause outcome.Cause
 }
 
 // Grant gives the client's answer to an attempt: from now on it alone writes there. Denied tells it to stop.
@@ -49,7 +49,7 @@
 // Answer is the node's own final answer to a client.
 type Answer struct {
 	ID         string
-	Answer     ending.Answer
+	Answer     outcome.Answer
 	RetryAfter float64 // s; 0 = no advice
 	Reason     string
 }
--- a/internal/decide/ledger/members.go
+++ b/internal/decide/requesttable/endpoints.go
@@ -1,4 +1,4 @@
-package ledger
+package requesttable
 
 import (
 	"dillroute/scheduler"
--- a/internal/decide/ledger/releases.go
+++ b/internal/decide/requesttable/releases.go
@@ -1,7 +1,7 @@
-package ledger
+package requesttable
 
 import (
-	"dillroute/internal/decide/ending"
+	"dillroute/internal/decide/outcome"
 	"dillroute/internal/decide/permit"
 )
 
@@ -60,7 +60,7 @@
 // readsOut counts the attempts that are out and read a prompt.
 func (e *entry) readsOut() (n int) {
 	for i := range e.attempts {
-		if t := &e.attempts[i]; !t.over && t.stage == ending.Prefill {
+		if t := &e.attempts[i]; !t.over && t.stage == outcome.Prefill {
 			n++
 		}
 	}
--- a/internal/decide/ledger/responses.go
+++ b/internal/decide/requesttable/responses.go
@@ -1,14 +1,14 @@
-package ledger
+package requesttable
 
 import (
-	"dillroute/internal/decide/ending"
+	"dillroute/internal/decide/outcome"
 	"dillroute/internal/decide/permit"
 	"dillroute/scheduler"
 )
 
 // answer concludes a request by the node's own word. A refusal after an effect is possible would be a lie: it
 // becomes a failure.
-func (l *Ledger) answer(now float64, id string, a ending.Answer, after float64, reason string) {
+func (l *Ledger) answer(now float64, id string, a outcome.Answer, after float64, reason string) {
 	e := l.open[id]
 	if e == nil || e.concluded || e.answering {
 		return
@@ -17,10 +17,10 @@
 		if _, _, ran := e.mayRun(); ran && why == permit.Unproven {
 			l.fault("refusal of %s, which may have run", id)
 		}
-		a, after = ending.Failed(), 0
+		a, after = outcome.Failed(), 0
 	}
 	l.say(e, Answer{id, a, after, reason})
-	l.conclude(id, e, ending.Overtaken)
+	l.conclude(id, e, outcome.Overtaken)
 }
 
 // mayRefuse says why a client may not be told that a retry is harmless.
@@ -46,7 +46,7 @@
 func (e *entry) provenNotRun() bool { return !e.ran && !e.unproven && e.out == 0 }
 
 // conclude ends what the client is owed and stops what is still out: nothing is done for it after.
-func (l *Ledger) conclude(id string, e *entry, cause ending.Cause) {
+func (l *Ledger) conclude(id string, e *entry, cause outcome.Cause) {
 	if e.concluded {
 		return
 	}
@@ -69,11 +69,11 @@
 	}
 	if half {
 		retry := e.mayRefuse(now) == permit.Allowed
-		l.say(e, Answer{id, ending.Answer{HTTP: 400, Code: "client_closed", Retry: retry}, 0,
+		l.say(e, Answer{id, outcome.Answer{HTTP: 400, Code: "client_closed", Retry: retry}, 0,
 			"the client closed its side before the answer; keep it open until then"})
 	}
 	l.emit(scheduler.Gone{ID: id})
-	l.conclude(id, e, ending.ClientLeft)
+	l.conclude(id, e, outcome.ClientLeft)
 }
 
 // Overdue is told when the time of Deadline has come. The module answers before it; this is the net under it.
@@ -84,22 +84,22 @@
 		return
 	case e.answering:
 		if e.wholeBy > 0 && now >= e.wholeBy {
-			l.giveUp(now, id, e, ending.TooSlow(e.class.Effect, e.class.Group), "the answer was not whole in time")
+			l.giveUp(now, id, e, outcome.TooSlow(e.class.Effect, e.class.Group), "the answer was not whole in time")
 		}
 		return
 	}
 	l.fault("request %s was not answered in time by the module", id)
-	l.giveUp(now, id, e, ending.Answer{HTTP: 503, Code: "no_capacity", Retry: true}, "no answer in time")
+	l.giveUp(now, id, e, outcome.Answer{HTTP: 503, Code: "no_capacity", Retry: true}, "no answer in time")
 }
 
 // giveUp answers in the module's place and tells it so.
-func (l *Ledger) giveUp(now float64, id string, e *entry, a ending.Answer, reason string) {
+func (l *Ledger) giveUp(now float64, id string, e *entry, a outcome.Answer, reason string) {
 	if a.Retry && e.mayRefuse(now) != permit.Allowed {
-		a = ending.Failed()
+		a = outcome.Failed()
 	}
 	l.say(e, Answer{id, a, 0, reason})
 	l.emit(scheduler.Gone{ID: id})
-	l.conclude(id, e, ending.Overtaken)
+	l.conclude(id, e, outcome.Overtaken)
 }
 
 // EndAll answers every request that is still open, as refused where that is true and else as failed. Streams
@@ -122,7 +122,7 @@
 // Move ends a stream whose client comes again for the rest. It does nothing to what does not stream.
 func (l *Ledger) Move(now float64, id string) {
 	if e := l.open[id]; e != nil && e.answering && !e.concluded {
-		l.giveUp(now, id, e, ending.Answer{HTTP: 503, Code: "node_stopping", Retry: true}, "the node is stopping")
+		l.giveUp(now, id, e, outcome.Answer{HTTP: 503, Code: "node_stopping", Retry: true}, "the node is stopping")
 	}
 }
 
@@ -135,7 +135,7 @@
 		if e.concluded || e.answering && !streams {
 			continue
 		}
-		a := ending.Answer{HTTP: 503, Code: "node_stopping", Retry: true}
+		a := outcome.Answer{HTTP: 503, Code: "node_stopping", Retry: true}
 		l.giveUp(now, id, e, a, "the node is stopping")
 	}
 }
--- a/internal/decide/ledger/responses_test.go
+++ b/internal/decide/requesttable/responses_test.go
@@ -1,9 +1,9 @@
-package ledger
+package requesttable
 
 import (
 	"testing"
 
-	"dillroute/internal/decide/ending"
+	"dillroute/internal/decide/outcome"
 	"dillroute/scheduler"
 )
 
@@ -11,24 +11,24 @@
 // none, for an engine that did not answer as one that reads may be another. Where every engine discards repeats a refusal is true
 // all the same, but of no use when the client's time is up.
 func TestRefusalsNeedProofOfEveryAttempt(t *testing.T) {
-	unheard := ending.Facts{Progress: ending.Written, Cause: ending.Expired}
-	failed := ending.Facts{Progress: ending.Headed, Cause: ending.Answered, Meaning: ending.Error}
+	unheard := outcome.Facts{Progress: outcome.Written, Cause: outcome.Expired}
+	failed := outcome.Facts{Progress: outcome.Headed, Cause: outcome.Answered, Meaning: outcome.Error}
 	for _, c := range []struct {
 		name  string
 		class int
-		facts ending.Facts
+		facts outcome.Facts
 		at    float64 // of 6
 		retry bool
 	}{
 		{"once, not heard of, time left", 1, unheard, 3, false}, {"once, not heard of, none left", 1, unheard, 5.98, false},
 		{"once, an error, time left", 1, failed, 3, false},
-		{"once, spoilt, time left", 1, ending.Facts{Progress: ending.Written, Cause: ending.Unreadable}, 3, false},
+		{"once, spoilt, time left", 1, outcome.Facts{Progress: outcome.Written, Cause: outcome.Unreadable}, 3, false},
 		{"keyed in a cell, not heard of, time left", 2, unheard, 3, false},
 		{"keyed everywhere, not heard of, time left", 3, unheard, 3, true},
 		{"keyed everywhere, not heard of, none left", 3, unheard, 5.98, false}, {"repeatable, none left", 0, unheard, 5.98, true},
-		{"once, never written", 1, ending.Facts{Progress: ending.Connected, Cause: ending.Broken}, 5.98, true},
-		{"once, turned away", 1, ending.Facts{Progress: ending.Headed, Cause: ending.Answered, Meaning: ending.Turned}, 5.98, true},
-		{"once, read", 1, ending.Facts{Progress: ending.Headed, Cause: ending.Answered, Meaning: ending.Read}, 3, true},
+		{"once, never written", 1, outcome.Facts{Progress: outcome.Connected, Cause: outcome.Broken}, 5.98, true},
+		{"once, turned away", 1, outcome.Facts{Progress: outcome.Headed, Cause: outcome.Answered, Meaning: outcome.Turned}, 5.98, true},
+		{"once, read", 1, outcome.Facts{Progress: outcome.Headed, Cause: outcome.Answered, Meaning: outcome.Read}, 3, true},
 	} {
 		for _, how := range []string{"by the module", "by the book"} {
 			l := newBook()
--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/requesttable/table.go
@@ -1,4 +1,4 @@
-// Package ledger is the node's book of requests and attempts: a state machine between the sockets and the routing
+// Package requesttable is the node's table of requests and attempts: a state machine between the sockets and the routing
 // module. It is told facts of sockets and actions of the module, and says which events the module is owed and
 // which commands the host is to carry out. It does no I/O, reads no clock and starts no goroutine.
 //
@@ -9,12 +9,12 @@
 //
 // Order of carrying out: commands are returned in the order in which they must begin. Release comes after the
 // attempt that it follows has ended.
-package ledger
+package requesttable
 
 import (
 	"fmt"
 
-	"dillroute/internal/decide/ending"
+	"dillroute/internal/decide/outcome"
 	"dillroute/internal/decide/permit"
 	"dillroute/scheduler"
 )
@@ -126,13 +126,13 @@
 //
 // whole is how long the client waits for the whole of an answer that is not streamed (s); 0 = it is streamed, and
 // nothing bounds it once it has begun.
-func (l *Ledger) Request(now float64, q scheduler.Request, whole float64) (ending.Answer, bool) {
+func (l *Ledger) Request(now float64, q scheduler.Request, whole float64) (outcome.Answer, bool) {
 	switch why := (permit.Take{Stopping: l.closing, Open: l.live, MaxOpen: l.cfg.MaxOpen, IDInUse: l.open[q.ID] != nil}).Reason(); {
 	case why != permit.Allowed:
 		return notTaken[why], false
 	case q.Class < 0 || q.Class >= len(l.cfg.Classes):
 		l.fault("request %s: its class %d is not known", q.ID, q.Class)
-		return ending.Answer{HTTP: 500, Code: "internal", Retry: true}, false
+		return outcome.Answer{HTTP: 500, Code: "internal", Retry: true}, false
 	}
 	e := &entry{class: &l.cfg.Classes[q.Class], deadline: now + q.TimeLeft}
 	if whole > 0 {
@@ -141,11 +141,11 @@
 	l.open[q.ID] = e
 	l.live++
 	l.emit(q)
-	return ending.Answer{}, true
+	return outcome.Answer{}, true
 }
 
 // notTaken are the answers to requests that may not be taken.
-var notTaken = map[permit.Reason]ending.Answer{
+var notTaken = map[permit.Reason]outcome.Answer{
 	permit.Stopping: {HTTP: 503, Code: "node_draining", Retry: true},
 	permit.Full:     {HTTP: 429, Code: "node_full", Retry: true},
 	permit.IDInUse:  {HTTP: 409, Code: "id_in_use"},
@@ -166,9 +166,9 @@
 	case scheduler.Release:
 		l.release(a.ID)
 	case scheduler.Refuse:
-		l.answer(now, a.ID, ending.Refused(), a.RetryAfter, because("no engine could serve this in time", a.Why))
+		l.answer(now, a.ID, outcome.Refused(), a.RetryAfter, because("no engine could serve this in time", a.Why))
 	case scheduler.Fail:
-		l.answer(now, a.ID, ending.Failed(), 0, because("an engine may have run this; it was not tried again", a.Why))
+		l.answer(now, a.ID, outcome.Failed(), 0, because("an engine may have run this; it was not tried again", a.Why))
 	case scheduler.Reserve: // offered only where the protocol has it
 		l.fault("request %s: a place cannot be reserved by this protocol", a.ID)
 	default:
--- a/internal/decide/ledger/ledger_test.go
+++ b/internal/decide/requesttable/table_test.go
@@ -1,10 +1,10 @@
-package ledger
+package requesttable
 
 import (
 	"fmt"
 	"testing"
 
-	"dillroute/internal/decide/ending"
+	"dillroute/internal/decide/outcome"
 	"dillroute/scheduler"
 
 	"pgregory.net/rapid"
@@ -64,7 +64,7 @@
 		l := newBook()
 		l.Request(1, request("a", c.class), 0)
 		n := decode(t, l, 1, "a", "w0")
-		l.Ended(1.1, "a", n, ending.Facts{Progress: ending.Written, Cause: ending.Broken}, nil)
+		l.Ended(1.1, "a", n, outcome.Facts{Progress: outcome.Written, Cause: outcome.Broken}, nil)
 		l.Take()
 		l.Apply(c.now, scheduler.Send{ID: "a", Engine: c.engine})
 		starts := find[Start](l)
@@ -87,7 +87,7 @@
 	l := newBook()
 	l.Request(1, request("a", 1), 0)
 	n := decode(t, l, 1, "a", "w0")
-	l.Ended(1.1, "a", n, ending.Facts{Progress: ending.Written, Cause: ending.Broken}, nil)
+	l.Ended(1.1, "a", n, outcome.Facts{Progress: outcome.Written, Cause: outcome.Broken}, nil)
 	l.Apply(1.2, scheduler.Send{ID: "a", Engine: "w1"})
 	cmds := l.TakeCommands()
 	if len(cmds) != 1 {
@@ -114,7 +114,7 @@
 		l := newBook()
 		l.Request(1, request("a", c.class), 0)
 		n := decode(t, l, 1, "a", "w0")
-		l.Ended(1.2, "a", n, ending.Facts{Progress: ending.Written, Cause: ending.Expired}, nil)
+		l.Ended(1.2, "a", n, outcome.Facts{Progress: outcome.Written, Cause: outcome.Expired}, nil)
 		l.TakeCommands()
 		l.Apply(c.at, scheduler.Send{ID: "a", Engine: c.engine})
 		if got := len(find[Start](l)) == 1; got != c.may {
@@ -170,7 +170,7 @@
 			t.Fatal("two would write to the client at once")
 		}
 	}
-	l.Ended(2.1, "a", n, ending.Facts{Cause: ending.Overtaken}, nil)
+	l.Ended(2.1, "a", n, outcome.Facts{Cause: outcome.Overtaken}, nil)
 	if as := find[Answer](l); len(as) != 1 || as[0].Answer.Retry {
 		t.Fatalf("%+v", as)
 	}
@@ -190,7 +190,7 @@
 	if as := find[Abort](l); len(as) != 1 {
 		t.Fatalf("%v", as)
 	}
-	l.Ended(at+0.01, "a", n, ending.Facts{Cause: ending.Overtaken}, nil)
+	l.Ended(at+0.01, "a", n, outcome.Facts{Cause: outcome.Overtaken}, nil)
 	if as := find[Answer](l); len(as) != 1 || as[0].Answer.Retry || as[0].Answer.Code != "answer_too_slow" {
 		t.Fatalf("%+v", as)
 	}
@@ -201,7 +201,7 @@
 	l.Request(1, request("a", 0), 0)
 	n := decode(t, l, 1, "a", "r0")
 	l.Hangup(1.1, "a", false)
-	l.Ended(1.2, "a", n, ending.Facts{Cause: ending.Answered, Progress: ending.Headed, Meaning: ending.Read}, nil)
+	l.Ended(1.2, "a", n, outcome.Facts{Cause: outcome.Answered, Progress: outcome.Headed, Meaning: outcome.Read}, nil)
 	if rs := find[Release](l); len(rs) != 1 || rs[0].Engine != "r0" {
 		t.Fatalf("%v", rs)
 	}
@@ -244,10 +244,10 @@
 				w.t.Fatalf("%s is sent to %s after its end", c.ID, c.Engine)
 			}
 			k := classes()[w.class[c.ID]]
-			if c.Stage == ending.Decode && k.Effect == scheduler.Once && w.effect[c.ID] > 0 {
+			if c.Stage == outcome.Decode && k.Effect == scheduler.Once && w.effect[c.ID] > 0 {
 				w.t.Fatalf("%s may run twice", c.ID)
 			}
-			if c.Stage == ending.Decode {
+			if c.Stage == outcome.Decode {
 				w.effect[c.ID]++ // until it proves otherwise
 			}
 			w.out[c.ID][c.N] = c
@@ -290,31 +290,31 @@
 
 // end ends a running attempt in some way that its progress allows.
 func (w *world) end(id string, s Start) {
-	f := ending.Facts{Cause: ending.Cause(rapid.IntRange(0, int(ending.ClientLeft)).Draw(w.t, "cause")),
-		Progress: ending.Progress(rapid.IntRange(int(ending.Dialling), int(ending.Headed)).Draw(w.t, "progress"))}
-	if f.Cause == ending.Answered {
-		f.Progress = ending.Headed
-		f.Meaning = ending.Meaning(rapid.IntRange(int(ending.Error), int(ending.Judged)).Draw(w.t, "meaning"))
-		if (w.granted[id] == 0 || w.grantee[id] != s.N) && f.Meaning == ending.Done && s.Stage == ending.Decode {
-			f.Meaning = ending.Turned // a stream is never whole before its first token
+	f := outcome.Facts{Cause: outcome.Cause(rapid.IntRange(0, int(outcome.ClientLeft)).Draw(w.t, "cause")),
+		Progress: outcome.Progress(rapid.IntRange(int(outcome.Dialling), int(outcome.Headed)).Draw(w.t, "progress"))}
+	if f.Cause == outcome.Answered {
+		f.Progress = outcome.Headed
+		f.Meaning = outcome.Meaning(rapid.IntRange(int(outcome.Error), int(outcome.Judged)).Draw(w.t, "meaning"))
+		if (w.granted[id] == 0 || w.grantee[id] != s.N) && f.Meaning == outcome.Done && s.Stage == outcome.Decode {
+			f.Meaning = outcome.Turned // a stream is never whole before its first token
 		}
 	}
 	f.Stage = s.Stage
-	v := ending.Judge(f)
-	if s.Stage == ending.Decode && !v.Ran && v.Status != scheduler.Served {
+	v := outcome.Judge(f)
+	if s.Stage == outcome.Decode && !v.Ran && v.Status != scheduler.Served {
 		w.effect[id]--
 	}
-	if s.Stage == ending.Prefill && (v.Status == scheduler.Parsed || v.Holds) {
+	if s.Stage == outcome.Prefill && (v.Status == scheduler.Parsed || v.Holds) {
 		w.states[id][s.N] = true
 	}
-	if s.Stage == ending.Decode && s.State && (v.Info == 1 || v.Status == scheduler.Served && !v.Final) {
+	if s.Stage == outcome.Decode && s.State && (v.Info == 1 || v.Status == scheduler.Served && !v.Final) {
 		delete(w.states[id], s.StateN)
 	}
 	delete(w.out[id], s.N)
-	if s.Stage == ending.Decode && v.Status == scheduler.Served && !v.Final {
+	if s.Stage == outcome.Decode && v.Status == scheduler.Served && !v.Final {
 		w.answers[id]++ // it was passed on as it came
 	}
-	if f.Cause == ending.ClientLeft {
+	if f.Cause == outcome.ClientLeft {
 		w.gone[id] = true
 		w.l.Hangup(w.now, id, false)
 	}
@@ -363,7 +363,7 @@
 				}
 			case 7:
 				if len(running) > 0 {
-					if s := rapid.SampledFrom(running).Draw(t, "attempt"); s.Stage == ending.Decode {
+					if s := rapid.SampledFrom(running).Draw(t, "attempt"); s.Stage == outcome.Decode {
 						had := w.granted[id]
 						w.l.First(w.now, id, s.N)
 						w.drain()
@@ -394,7 +394,7 @@
 			for n := range 200 {
 				if s, ok := w.out[id][n]; ok {
 					delete(w.out[id], n)
-					w.l.Ended(w.now, id, s.N, ending.Facts{Progress: ending.Connected, Cause: ending.Overtaken}, nil)
+					w.l.Ended(w.now, id, s.N, outcome.Facts{Progress: outcome.Connected, Cause: outcome.Overtaken}, nil)
 					w.drain()
 				}
 			}
@@ -427,7 +427,7 @@
 				break
 			}
 			n++
-			l.Ended(1, "a", starts[0].N, ending.Facts{Progress: ending.Dialling, Cause: ending.Broken}, nil)
+			l.Ended(1, "a", starts[0].N, outcome.Facts{Progress: outcome.Dialling, Cause: outcome.Broken}, nil)
 			if err := l.Audit(); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/decide/handover/handover.go
+++ b/internal/decide/shutdown/shutdown.go
@@ -1,8 +1,8 @@
-// Package handover decides when a node that stops ends the streams that it still passes on, where clients come again for
+// Package shutdown decides when a node that stops ends the streams that it still passes on, where clients come again for
 // the rest of a stream. A node that is killed cuts all of them at one moment, perhaps one at which the other nodes are
 // restarting too: whoever finds nobody then has lost its answer. Ended one by one over the time that is left, most find
 // somebody. It does no I/O and reads no clock; times are in seconds.
-package handover
+package shutdown
 
 import (
 	"cmp"
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/staterelease/staterelease.go
@@ -1,7 +1,7 @@
-// Package lease decides when a call that releases the state held for a request is made again. A state must be released
+// Package staterelease decides when a call that releases the state held for a request is made again. A state must be released
 // within a stated time (rule 5); a call may be lost, and an engine that answered, or that cannot be there any more, needs no
 // second one. It does no I/O and reads no clock.
-package lease
+package staterelease
 
 import (
 	"math"
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/staterelease/staterelease_test.go
@@ -1,4 +1,4 @@
-package lease
+package staterelease
 
 import (
 	"math"
--- a/internal/members/consul_test.go
+++ b/internal/discovery/consul_test.go
@@ -1,4 +1,4 @@
-package members
+package discovery
 
 import (
 	"dillroute/internal/protocol"
@@ -7,21 +7,21 @@
 	"time"
 
 	"dillroute/internal/config"
-	"dillroute/lab/standin"
+	"dillroute/lab/emulator"
 )
 
-func instances(ids ...string) []standin.Instance {
-	var xs []standin.Instance
+func instances(ids ...string) []emulator.Instance {
+	var xs []emulator.Instance
 	for _, id := range ids {
-		xs = append(xs, standin.Instance{ID: id, Address: "127.0.0.1:9", Meta: map[string]string{"kind": "p", "cell": "y", "zone": "zb"}})
+		xs = append(xs, emulator.Instance{ID: id, Address: "127.0.0.1:9", Meta: map[string]string{"kind": "p", "cell": "y", "zone": "zb"}})
 	}
 	return xs
 }
 
 // listed starts a list server and follows it.
-func listed(t *testing.T, ids ...string) (*standin.ListServer, chan protocol.List, chan string) {
+func listed(t *testing.T, ids ...string) (*emulator.ListServer, chan protocol.List, chan string) {
 	t.Helper()
-	s := standin.NewListServer(100)
+	s := emulator.NewListServer(100)
 	if err := s.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 }
 
 func TestSickListServerLeavesTheLastList(t *testing.T) {
-	for name, f := range map[string]standin.ListFaults{"truncated": {Truncate: true}, "errors": {Errors: true},
+	for name, f := range map[string]emulator.ListFaults{"truncated": {Truncate: true}, "errors": {Errors: true},
 		"no index": {NoIndex: true}, "malformed": {Malformed: true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -87,7 +87,7 @@
 				t.Fatalf("believed %+v", l)
 			default:
 			}
-			s.SetFaults(standin.ListFaults{})
+			s.SetFaults(emulator.ListFaults{})
 			s.Set(instances("a", "b", "d"))
 			until(t, lists, "a b d")
 		})
@@ -96,11 +96,11 @@
 
 func TestServerThatHangsIsLeftByItsTime(t *testing.T) {
 	s, lists, words := listed(t, "a")
-	s.SetFaults(standin.ListFaults{Hang: true})
+	s.SetFaults(emulator.ListFaults{Hang: true})
 	if text := next(t, words); !strings.Contains(text, "timeout") {
 		t.Fatal(text)
 	}
-	s.SetFaults(standin.ListFaults{})
+	s.SetFaults(emulator.ListFaults{})
 	s.Set(instances("a", "b"))
 	until(t, lists, "a b")
 }
@@ -117,11 +117,11 @@
 
 func TestOldAndEmptyAnswersAreNotBelieved(t *testing.T) {
 	s, lists, _ := listed(t, "a", "b", "c", "d")
-	s.SetFaults(standin.ListFaults{Empty: true})
+	s.SetFaults(emulator.ListFaults{Empty: true})
 	start := time.Now()
 	s.Set(instances("a", "b", "c", "d", "e"))
 	// The empty answer stands until its confirmation is due; the full one before that wins.
-	s.SetFaults(standin.ListFaults{})
+	s.SetFaults(emulator.ListFaults{})
 	if l := until(t, lists, "a b c d e"); len(l.Engines) == 0 || time.Since(start) > 15*time.Second {
 		t.Fatal("late")
 	}
--- a/internal/members/list.go
+++ b/internal/discovery/list.go
@@ -1,5 +1,5 @@
-// Package members brings the engine list from its source to the node.
-package members
+// Package discovery brings the engine list from its source to the node.
+package discovery
 
 import (
 	"fmt"
--- a/internal/members/list_test.go
+++ b/internal/discovery/list_test.go
@@ -1,4 +1,4 @@
-package members
+package discovery
 
 import (
 	"dillroute/internal/protocol"
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -1,5 +1,5 @@
 // Package engine speaks to prefill and decode engines: OpenAI-style endpoints with the transfer parameters of
-// vLLM's disaggregated serving. It states what it saw; what that proves is for internal/decide/ending.
+// vLLM's disaggregated serving. It states what it saw; what that proves is for internal/decide/outcome.
 package engine
 
 import (
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"dillroute/internal/decide/ending"
+	"dillroute/internal/decide/outcome"
 	"dillroute/internal/decide/permit"
 	"dillroute/internal/front"
 	"dillroute/internal/http1"
@@ -77,12 +77,12 @@
 // open connects, writes the request and reads the head of the answer. r holds how far it came.
 func (a *Attempt) open(accept string, r *Result) (*http1.ClientConn, *http1.Response) {
 	start := time.Now()
-	r.Facts.Progress = ending.Dialling
+	r.Facts.Progress = outcome.Dialling
 	c, err := a.Dial(func(ctx context.Context) (*http1.ClientConn, error) {
 		return a.Client.Pool.Get(ctx, a.Address, min(a.Client.Connect, a.Timeout))
 	})
 	if err != nil {
-		r.Err, r.Facts.Cause = err, a.Failed(err, ending.Broken)
+		r.Err, r.Facts.Cause = err, a.Failed(err, outcome.Broken)
 		return nil, nil
 	}
 	window, keyed := protocol.Window(a.WriteBy)
@@ -126,12 +126,12 @@
 		} `json:"usage"`
 	}
 	if err := json.Unmarshal(body, &reply); err != nil {
-		r.Err, r.Facts.Cause = err, ending.Unreadable
+		r.Err, r.Facts.Cause = err, outcome.Unreadable
 		return r
 	}
 	r.State, r.Facts.Kept = reply.State, max(0, reply.Usage.Details.Cached)
 	if len(reply.State) > 0 && string(reply.State) != "null" { // one that names no state is of no use
-		r.Facts.Meaning = ending.Read
+		r.Facts.Meaning = outcome.Read
 	}
 	return r
 }
@@ -144,17 +144,17 @@
 
 // meaning says what an answer that is no success means. The statuses by which a server judges the request rather than
 // itself are those of RFC 9110, section 15.5.
-func meaning(status int, code string) ending.Meaning {
+func meaning(status int, code string) outcome.Meaning {
 	if code == codeStateGone || code == codeNoState {
-		return ending.NoState
+		return outcome.NoState
 	}
 	switch status {
 	case 429, 503:
-		return ending.Turned
+		return outcome.Turned
 	case 400, 404, 405, 411, 413, 414, 415, 422, 431:
-		return ending.Judged
+		return outcome.Judged
 	}
-	return ending.Error
+	return outcome.Error
 }
 
 // whole reads a whole answer and files what it says of an error.
@@ -163,7 +163,7 @@
 	a.Detach()
 	if err != nil {
 		c.Close()
-		r.Err, r.Facts.Cause = err, a.Failed(err, ending.Expired)
+		r.Err, r.Facts.Cause = err, a.Failed(err, outcome.Expired)
 		return nil, false
 	}
 	a.Client.Pool.Done(c, resp)
@@ -194,7 +194,7 @@
 	if !strings.HasPrefix(strings.ToLower(resp.Header.Get("Content-Type")), "text/event-stream") {
 		a.Detach()
 		c.Close()
-		r.Facts.Cause = ending.Unreadable
+		r.Facts.Cause = outcome.Unreadable
 		return r
 	}
 	sink.Load(r.Report)
@@ -202,8 +202,8 @@
 	cause, err := a.stream(c, resp, sink, &r)
 	r.Facts.Cause, r.Err = cause, err
 	a.Detach()
-	if cause == ending.Answered {
-		r.Facts.Meaning = ending.Done
+	if cause == outcome.Answered {
+		r.Facts.Meaning = outcome.Done
 		a.Client.Pool.Done(c, resp)
 	} else {
 		c.Close()
@@ -212,21 +212,21 @@
 }
 
 // stream passes events until the mark of the end.
-func (a *Attempt) stream(c *http1.ClientConn, resp *http1.Response, sink Sink, r *Result) (ending.Cause, error) {
+func (a *Attempt) stream(c *http1.ClientConn, resp *http1.Response, sink Sink, r *Result) (outcome.Cause, error) {
 	events := http1.NewEventReader(resp.Body, a.Client.MaxEvent)
 	defer events.Close()
-	if cause, err := a.begin(events, sink, r); err != nil || r.Facts.Progress != ending.Streaming {
+	if cause, err := a.begin(events, sink, r); err != nil || r.Facts.Progress != outcome.Streaming {
 		return cause, err
 	}
 	cause, err := a.pass(c, events, sink)
-	if cause != ending.Answered && cause != ending.ClientLeft {
+	if cause != outcome.Answered && cause != outcome.ClientLeft {
 		sink.Flush() // an error: the client is gone, and the stream is over in any case
 	}
 	return cause, err
 }
 
 // pass passes the events of a running stream on.
-func (a *Attempt) pass(c *http1.ClientConn, events *http1.EventReader, sink Sink) (ending.Cause, error) {
+func (a *Attempt) pass(c *http1.ClientConn, events *http1.EventReader, sink Sink) (outcome.Cause, error) {
 	var looked time.Time // when the bound on a stall was last moved on; doing so for each event costs more than it
 	for {
 		stall := a.Client.Stall()
@@ -236,23 +236,23 @@
 		}
 		data, raw, err := events.Next()
 		if err != nil {
-			return a.Failed(whole(err), ending.Stalled), err
+			return a.Failed(whole(err), outcome.Stalled), err
 		}
 		end, read := front.PassChunk(data)
 		if read {
 			chunk, err := front.ReadChunk(data)
 			if err != nil {
-				return a.Failed(&http1.Error{Status: 502, Reason: err.Error()}, ending.Unreadable), err
+				return a.Failed(&http1.Error{Status: 502, Reason: err.Error()}, outcome.Unreadable), err
 			}
 			if chunk.Err != nil {
-				return a.Failed(nil, ending.Broken), errors.New("engine: error event: " + chunk.Err.Message)
+				return a.Failed(nil, outcome.Broken), errors.New("engine: error event: " + chunk.Err.Message)
 			}
 		}
 		if end {
 			if err := sink.Finish(); err != nil {
 				return sinkCause(err), err
 			}
-			return ending.Answered, nil
+			return outcome.Answered, nil
 		}
 		if err := sink.Event(data, raw, events.More()); err != nil {
 			return sinkCause(err), err
@@ -270,48 +270,48 @@
 
 // begin reads up to the first token and passes it on, once the client's answer is granted. Events before it are kept
 // back, for the answer may yet fail and be made elsewhere.
-func (a *Attempt) begin(events *http1.EventReader, sink Sink, r *Result) (ending.Cause, error) {
+func (a *Attempt) begin(events *http1.EventReader, sink Sink, r *Result) (outcome.Cause, error) {
 	var early [][2][]byte
 	for held := 0; ; {
 		data, raw, err := events.Next()
 		if err != nil {
-			return a.Failed(whole(err), ending.Expired), err
+			return a.Failed(whole(err), outcome.Expired), err
 		}
 		chunk, err := front.ReadChunk(data)
 		switch {
 		case err != nil:
-			return a.Failed(&http1.Error{Status: 502, Reason: err.Error()}, ending.Unreadable), err
+			return a.Failed(&http1.Error{Status: 502, Reason: err.Error()}, outcome.Unreadable), err
 		case chunk.Err != nil:
-			return a.Failed(nil, ending.Broken), errors.New("engine: error event: " + chunk.Err.Message)
+			return a.Failed(nil, outcome.Broken), errors.New("engine: error event: " + chunk.Err.Message)
 		case chunk.Done:
-			return ending.Unreadable, errors.New("engine: a stream without a token")
+			return outcome.Unreadable, errors.New("engine: a stream without a token")
 		}
 		if held += len(raw); held > a.Client.MaxEvent {
-			return ending.Unreadable, http1.ErrEventTooLong
+			return outcome.Unreadable, http1.ErrEventTooLong
 		}
 		early = append(early, [2][]byte{bytes.Clone(data), bytes.Clone(raw)})
 		if !chunk.Token {
 			continue
 		}
 		if !sink.First() {
-			return a.Failed(nil, ending.Broken), nil
+			return a.Failed(nil, outcome.Broken), nil
 		}
-		r.Facts.Progress = ending.Streaming
+		r.Facts.Progress = outcome.Streaming
 		for i, e := range early {
 			if err := sink.Event(e[0], e[1], i+1 < len(early)); err != nil {
 				return sinkCause(err), err
 			}
 		}
-		return ending.Answered, nil
+		return outcome.Answered, nil
 	}
 }
 
 // sinkCause names the cause of a Sink's error.
-func sinkCause(err error) ending.Cause {
+func sinkCause(err error) outcome.Cause {
 	if errors.Is(err, ErrUnfit) {
-		return ending.Unreadable
+		return outcome.Unreadable
 	}
-	return ending.ClientLeft
+	return outcome.ClientLeft
 }
 
 // Sweep closes connections that have rested for too long, CloseIdle all that rest, Close for good.
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"dillroute/internal/decide/ending"
+	"dillroute/internal/decide/outcome"
 	"dillroute/internal/http1"
 	"dillroute/scheduler"
 )
@@ -53,7 +53,7 @@
 			Stall: func() time.Duration { return 5 * time.Second }}
 		a := &Attempt{Client: cl, Address: l.Addr().String(), Body: []byte("{}"), Timeout: 5 * time.Second}
 		s := &sink{}
-		if r := a.Decode(s); s.sent != 3 || r.Facts.Cause == ending.Answered || r.Facts.Progress != ending.Streaming {
+		if r := a.Decode(s); s.sent != 3 || r.Facts.Cause == outcome.Answered || r.Facts.Progress != outcome.Streaming {
 			t.Errorf("%q: %d events of 3, %+v", end, s.sent, r.Facts)
 		}
 		l.Close()
--- a/internal/node/take.go
+++ b/internal/node/accept.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"dillroute/internal/decide/ending"
+	"dillroute/internal/decide/outcome"
 	"dillroute/internal/decide/overload"
 	"dillroute/internal/http1"
 	"dillroute/internal/protocol"
@@ -23,7 +23,7 @@
 		n.metrics.strained.WithLabelValues(v.Why).Inc()
 		n.metrics.answered("turned_away")
 		n.log.Debug("not taken", "request", q.ID, "why", v.Why, "after", v.RetryAfter)
-		n.turnAway(job, ending.Answer{HTTP: 503, Code: "node_overloaded", Retry: true}, v.RetryAfter, "the node does not keep up now")
+		n.turnAway(job, outcome.Answer{HTTP: 503, Code: "node_overloaded", Retry: true}, v.RetryAfter, "the node does not keep up now")
 		return
 	}
 	q.TimeLeft = v.TimeLeft
@@ -58,7 +58,7 @@
 }
 
 // turnAway answers a request that is not taken.
-func (n *Node) turnAway(job protocol.Job, a ending.Answer, after float64, reason string) {
+func (n *Node) turnAway(job protocol.Job, a outcome.Answer, after float64, reason string) {
 	w := job.Word(a, after, reason)
 	n.running.start(func() { job.Say(w) })
 }
--- a/internal/node/collapse_test.go
+++ b/internal/node/collapse_test.go
@@ -15,7 +15,7 @@
 
 	"dillroute/internal/node"
 	"dillroute/internal/relay"
-	"dillroute/lab/virtualfleet"
+	"dillroute/lab/simulation"
 )
 
 // relayProcess is a node as the laboratory sees it.
@@ -31,7 +31,7 @@
 func (p relayProcess) Kill() { p.Stop() }
 
 // startRelayNode starts a node of the product on sockets in memory.
-func startRelayNode(config []byte, l net.Listener, dial func(ctx context.Context, network, address string) (net.Conn, error)) (virtualfleet.Node, error) {
+func startRelayNode(config []byte, l net.Listener, dial func(ctx context.Context, network, address string) (net.Conn, error)) (simulation.Node, error) {
 	cfg, err := relay.Parse(config, func(string) string { return "" })
 	if err != nil {
 		return nil, err
@@ -48,19 +48,19 @@
 }
 
 // playBoth plays a day on the product and by the plain policy, each on a clock of its own.
-func playBoth(t *testing.T, d virtualfleet.Day) (got, plain *virtualfleet.Report) {
+func playBoth(t *testing.T, d simulation.Day) (got, plain *simulation.Report) {
 	t.Helper()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // what happens in one instant happens in one order
-	synctest.Test(t, func(t *testing.T) { plain = d.PlayPlain(virtualfleet.Policy{}) })
+	synctest.Test(t, func(t *testing.T) { plain = d.PlayPlain(simulation.Policy{}) })
 	synctest.Test(t, func(t *testing.T) { got = d.Play(startRelayNode) })
 	return got, plain
 }
 
 // judge fails a test whose day breaks a rule or serves too little beside the plain policy.
-func judge(t *testing.T, d virtualfleet.Day) {
+func judge(t *testing.T, d simulation.Day) {
 	t.Helper()
 	got, plain := playBoth(t, d)
-	red := append(got.Breaches[:min(maxBreaches, len(got.Breaches))], virtualfleet.Red(got, plain)...)
+	red := append(got.Breaches[:min(maxBreaches, len(got.Breaches))], simulation.Red(got, plain)...)
 	if len(red) > 0 || testing.Verbose() {
 		t.Log("\n" + got.Summary(plain))
 	}
@@ -74,7 +74,7 @@
 const maxBreaches = 8
 
 // traceRecords logs what COLLAPSE_TRACE names: a request's id, or a node and an engine.
-func traceRecords(t *testing.T, r *virtualfleet.Report) {
+func traceRecords(t *testing.T, r *simulation.Report) {
 	name := os.Getenv("COLLAPSE_TRACE")
 	if name == "" {
 		return
@@ -108,7 +108,7 @@
 				t.Skip("played without the race detector (.ci/run)")
 			}
 			t.Log(x.what)
-			judge(t, virtualfleet.DrawDay(x.seed, x.nodes, drawnRate))
+			judge(t, simulation.DrawDay(x.seed, x.nodes, drawnRate))
 		})
 	}
 }
@@ -139,7 +139,7 @@
 			n = []int{1, 3, 24}[seed%3]
 		}
 		t.Run(fmt.Sprintf("seed %d with %d nodes", seed, n), func(t *testing.T) {
-			judge(t, virtualfleet.DrawDay(uint64(seed), n, drawnRate))
+			judge(t, simulation.DrawDay(uint64(seed), n, drawnRate))
 		})
 	}
 }
--- a/internal/node/carry.go
+++ b/internal/node/commands.go
@@ -5,26 +5,26 @@
 	"log/slog"
 	"time"
 
-	"dillroute/internal/decide/ending"
-	"dillroute/internal/decide/lease"
-	"dillroute/internal/decide/ledger"
+	"dillroute/internal/decide/outcome"
 	"dillroute/internal/decide/permit"
+	"dillroute/internal/decide/requesttable"
+	"dillroute/internal/decide/staterelease"
 	"dillroute/internal/http1"
 	"dillroute/internal/protocol"
 	"dillroute/scheduler"
 )
 
 // carry begins one command of the book. It runs on the owner's goroutine and never waits for a socket.
-func (n *Node) carry(now float64, cmd ledger.Command) {
+func (n *Node) carry(now float64, cmd requesttable.Command) {
 	switch cmd := cmd.(type) {
-	case ledger.Start:
+	case requesttable.Start:
 		n.start(now, cmd)
-	case ledger.Abort:
+	case requesttable.Abort:
 		n.log.Debug("attempt called off", "request", cmd.ID, "attempt", cmd.N, "cause", cmd.Cause)
 		if c := n.calls[cmd.ID]; c != nil && c.attempts[cmd.N].Attempt != nil {
 			c.attempts[cmd.N].Abort(cmd.Cause)
 		}
-	case ledger.Grant:
+	case requesttable.Grant:
 		n.log.Debug("answer begins", "request", cmd.ID, "attempt", cmd.N, "granted", cmd.OK)
 		if c := n.calls[cmd.ID]; c != nil && c.grants[cmd.N] != nil {
 			if cmd.OK {
@@ -35,29 +35,29 @@
 			}
 			c.grants[cmd.N] <- cmd.OK
 		}
-	case ledger.Release:
+	case requesttable.Release:
 		n.release(now, cmd)
-	case ledger.Answer:
+	case requesttable.Answer:
 		n.answer(cmd)
-	case ledger.Pass:
+	case requesttable.Pass:
 		if c := n.calls[cmd.ID]; c != nil {
 			n.respond(c, c.job.Judged(cmd.N))
 			n.metrics.answered("judged")
 		}
-	case ledger.Forget:
+	case requesttable.Forget:
 		n.forget(cmd.ID)
-	case ledger.Fault:
+	case requesttable.Fault:
 		n.log.Error("not allowed", "text", cmd.Text)
 		n.metrics.faults.Inc()
 	}
 }
 
 // start begins an attempt on a goroutine of its own.
-func (n *Node) start(now float64, cmd ledger.Start) {
+func (n *Node) start(now float64, cmd requesttable.Start) {
 	c := n.calls[cmd.ID]
 	if c == nil { // the book and the node disagree: say it, and end the attempt as never sent
 		n.log.Error("attempt for an unknown request", "request", cmd.ID)
-		n.core.book.Ended(now, cmd.ID, cmd.N, ending.Facts{Cause: ending.Overtaken}, nil)
+		n.core.book.Ended(now, cmd.ID, cmd.N, outcome.Facts{Cause: outcome.Overtaken}, nil)
 		return
 	}
 	limit, until := cmd.Timeout, now+cmd.Timeout
@@ -71,10 +71,10 @@
 	}
 	a := c.job.Attempt(call)
 	c.attempts[cmd.N] = try{Attempt: a, engine: cmd.Engine, writeBy: cmd.WriteBy, endsAt: until}
-	n.log.Debug("attempt", "request", cmd.ID, "attempt", cmd.N, "engine", cmd.Engine, "prefill", cmd.Stage == ending.Prefill,
+	n.log.Debug("attempt", "request", cmd.ID, "attempt", cmd.N, "engine", cmd.Engine, "prefill", cmd.Stage == outcome.Prefill,
 		"state", cmd.State, "limit", limit)
 	s := &stream{node: n, call: c, n: cmd.N, engine: cmd.Engine}
-	if cmd.Stage == ending.Decode {
+	if cmd.Stage == outcome.Decode {
 		s.grant = make(chan bool, 1)
 		c.grants[cmd.N] = s.grant
 	}
@@ -86,7 +86,7 @@
 		if freed != nil {
 			select {
 			case <-freed:
-			case <-time.After(seconds(lease.Ahead)):
+			case <-time.After(seconds(staterelease.Ahead)):
 			}
 		}
 		n.ended(cmd, a.Run(s))
@@ -95,20 +95,20 @@
 
 // watchArrival looks at an attempt when the state that it is to take must be released. One whose request has not reached its engine is
 // called off. Where that cannot be told, and nothing has come of the attempt, the state may be released beside it.
-func (n *Node) watchArrival(begun float64, cmd ledger.Start, a protocol.Attempt) {
+func (n *Node) watchArrival(begun float64, cmd requesttable.Start, a protocol.Attempt) {
 	waits := func() bool {
 		c := n.calls[cmd.ID]
 		return c != nil && !c.granted && c.attempts[cmd.N].Attempt == a
 	}
-	n.core.wheel.Add(lease.ReleaseAt(cmd.StateAt, n.plan.letGoBy), func(float64) {
+	n.core.wheel.Add(staterelease.ReleaseAt(cmd.StateAt, n.plan.letGoBy), func(float64) {
 		if waits() && !a.Arrived() {
 			n.log.Debug("attempt has not arrived", "request", cmd.ID, "attempt", cmd.N, "engine", cmd.Engine)
 			n.core.book.NotArrived(cmd.ID, cmd.N)
 		}
 	})
-	n.core.wheel.Add(lease.BesideAt(begun, cmd.HeldAt, n.plan.letGoBy), func(float64) {
+	n.core.wheel.Add(staterelease.BesideAt(begun, cmd.HeldAt, n.plan.letGoBy), func(float64) {
 		if waits() {
-			heard := lease.Heard(n.contacts[cmd.Engine].good, begun)
+			heard := staterelease.Heard(n.contacts[cmd.Engine].good, begun)
 			n.log.Debug("attempt has not been heard of", "request", cmd.ID, "attempt", cmd.N, "engine", cmd.Engine, "engine_heard", heard)
 			n.core.book.Unheard(cmd.ID, cmd.N, heard)
 		}
@@ -124,7 +124,7 @@
 }
 
 // ended reports the end of an attempt to the owner.
-func (n *Node) ended(cmd ledger.Start, r protocol.Result) {
+func (n *Node) ended(cmd requesttable.Start, r protocol.Result) {
 	n.core.post(func(now float64) {
 		n.noteContact(now, cmd.Engine, r.Facts)
 		c := n.calls[cmd.ID]
@@ -146,11 +146,11 @@
 		n.auditAttempt(c, c.attempts[cmd.N], r)
 		delete(c.attempts, cmd.N)
 		delete(c.grants, cmd.N)
-		if r.Facts.Cause == ending.ClientLeft {
+		if r.Facts.Cause == outcome.ClientLeft {
 			halfAtLeast := r.Wrote.IsZero() // its socket tells of the end of its sending, behind which it may wait for an answer
 			n.core.book.Hangup(now, cmd.ID, halfAtLeast)
 		}
-		if r.Facts.Cause == ending.Answered && r.Facts.Meaning == ending.Done && cmd.Stage == ending.Decode {
+		if r.Facts.Cause == outcome.Answered && r.Facts.Meaning == outcome.Done && cmd.Stage == outcome.Decode {
 			n.metrics.answered("served")
 		}
 		n.core.book.Ended(now, cmd.ID, cmd.N, r.Facts, r.Report)
@@ -158,15 +158,15 @@
 }
 
 // noteContact files whether an engine answered.
-func (n *Node) noteContact(now float64, engine string, f ending.Facts) {
+func (n *Node) noteContact(now float64, engine string, f outcome.Facts) {
 	if !n.plan.anyone || n.addresses[engine] == "" {
 		return
 	}
 	k := n.contacts[engine]
 	switch f.Cause {
-	case ending.Answered:
+	case outcome.Answered:
 		k.good = now
-	case ending.Broken, ending.Expired, ending.Stalled:
+	case outcome.Broken, outcome.Expired, outcome.Stalled:
 		k.bad = now
 	}
 	n.contacts[engine] = k
@@ -175,10 +175,10 @@
 // release has a state let go of, by the engine that may hold it, or where any engine can, by whichever answers. It begins at
 // once, in the order of the book's commands: an attempt that was begun in the same pass may take long to connect, and the time of
 // what is held runs on meanwhile. After an attempt that was broken off it waits a moment, and is then asked for again.
-func (n *Node) release(now float64, cmd ledger.Release) {
-	plan := lease.Plan{By: now + n.plan.letGoBy, Any: n.plan.anyone}
+func (n *Node) release(now float64, cmd requesttable.Release) {
+	plan := staterelease.Plan{By: now + n.plan.letGoBy, Any: n.plan.anyone}
 	n.releasing++
-	if at := lease.Ready(now, cmd.CutAt); at > now {
+	if at := staterelease.Ready(now, cmd.CutAt); at > now {
 		n.core.wheel.Add(at, func(now float64) { n.releaseAgain(now, cmd, plan) })
 		return
 	}
@@ -190,7 +190,7 @@
 }
 
 // releaseAgain makes a call later than it was due, unless it would take what has come since.
-func (n *Node) releaseAgain(now float64, cmd ledger.Release, plan lease.Plan) {
+func (n *Node) releaseAgain(now float64, cmd requesttable.Release, plan staterelease.Plan) {
 	if !n.core.book.Wanted(cmd) {
 		n.releasing--
 		return
@@ -199,7 +199,7 @@
 }
 
 // releaseBy makes one call that releases, and closes done when it has ended.
-func (n *Node) releaseBy(now float64, cmd ledger.Release, plan lease.Plan, done chan struct{}) {
+func (n *Node) releaseBy(now float64, cmd requesttable.Release, plan staterelease.Plan, done chan struct{}) {
 	engine := cmd.Engine
 	if n.plan.anyone {
 		engine = n.releaser(cmd.Engine, plan.Tries)
@@ -209,9 +209,9 @@
 		err := n.caller.Release(address, cmd.ID, cmd.N, within)
 		close(done)
 		n.core.post(func(now float64) {
-			o, k := lease.Answered, n.contacts[engine]
+			o, k := staterelease.Answered, n.contacts[engine]
 			if err != nil {
-				o, k.bad = lease.Lost, now
+				o, k.bad = staterelease.Lost, now
 				if http1.OwnFilesSpent(err) {
 					n.noteShortage(n.server.Conns())
 				}
@@ -239,19 +239,19 @@
 
 // releaser is the engine that is asked to let go in the try given.
 func (n *Node) releaser(holder string, try int) string {
-	var all []lease.Engine
+	var all []staterelease.Engine
 	for _, id := range sortedKeys(n.addresses) {
 		k := n.contacts[id]
-		all = append(all, lease.Engine{ID: id, Listed: n.core.book.Listed(id), Holder: id == holder, Good: k.good, Bad: k.bad})
+		all = append(all, staterelease.Engine{ID: id, Listed: n.core.book.Listed(id), Holder: id == holder, Good: k.good, Bad: k.bad})
 	}
 	if len(all) == 0 {
 		return holder
 	}
-	return lease.Order(all)[try%len(all)].ID
+	return staterelease.Order(all)[try%len(all)].ID
 }
 
 // answer gives the node's own final answer: a whole one, or the end of a stream that had begun.
-func (n *Node) answer(cmd ledger.Answer) {
+func (n *Node) answer(cmd requesttable.Answer) {
 	c := n.calls[cmd.ID]
 	if c == nil {
 		return
@@ -312,7 +312,7 @@
 // First asks the owner for the client's answer, which only one attempt gets.
 func (s *stream) First() bool {
 	ok := s.node.core.post(func(now float64) {
-		s.node.noteContact(now, s.engine, ending.Facts{Cause: ending.Answered})
+		s.node.noteContact(now, s.engine, outcome.Facts{Cause: outcome.Answered})
 		if s.node.calls[s.call.id] != s.call {
 			s.grant <- false
 			return
--- a/internal/node/loop.go
+++ b/internal/node/eventloop.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"dillroute/internal/clock"
-	"dillroute/internal/decide/ledger"
-	"dillroute/internal/decide/rhythm"
-	"dillroute/internal/wheel"
+	"dillroute/internal/decide/batching"
+	"dillroute/internal/decide/requesttable"
+	"dillroute/internal/timerwheel"
 	"dillroute/scheduler"
 )
 
@@ -17,15 +17,15 @@
 // others reach it through post alone.
 type core struct {
 	clock  clock.Clock
-	beat   rhythm.Beat
+	beat   batching.Beat
 	router *scheduler.Scheduler
-	book   *ledger.Ledger
-	wheel  *wheel.Wheel[func(now float64)]
-	carry  func(now float64, c ledger.Command)   // begins a command; it does not block
-	side   func(now float64, a scheduler.Action) // an action that is the host's alone
-	decide func(seconds float64)                 // is told how long each decision took
-	broken func(error)                           // is told that the module has failed
-	late   func(now, lag float64)                // is told how late the owner heard of a turn's facts
+	book   *requesttable.Ledger
+	wheel  *timerwheel.Wheel[func(now float64)]
+	carry  func(now float64, c requesttable.Command) // begins a command; it does not block
+	side   func(now float64, a scheduler.Action)     // an action that is the host's alone
+	decide func(seconds float64)                     // is told how long each decision took
+	broken func(error)                               // is told that the module has failed
+	late   func(now, lag float64)                    // is told how late the owner heard of a turn's facts
 
 	mu     sync.Mutex
 	inbox  []func(now float64)
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -13,10 +13,10 @@
 	"dillroute/internal/config"
 	"dillroute/internal/node"
 	"dillroute/lab/client"
+	"dillroute/lab/emulator"
 	"dillroute/lab/fleet"
 	"dillroute/lab/record"
 	"dillroute/lab/rules"
-	"dillroute/lab/standin"
 
 	"go.uber.org/goleak"
 )
@@ -35,14 +35,14 @@
 }
 
 // engines makes stand-ins named by role and number.
-func engines(prefill, decode, mixed int, change func(*standin.Settings)) []fleet.Member {
+func engines(prefill, decode, mixed int, change func(*emulator.Settings)) []fleet.Member {
 	var ms []fleet.Member
 	for _, g := range []struct {
 		role string
 		n    int
 	}{{"prefill", prefill}, {"decode", decode}, {"mixed", mixed}} {
 		for i := range g.n {
-			s := standin.Settings{ID: fmt.Sprintf("%s-%d", g.role, i+1), Role: g.role, StepMS: 1, ReadPerS: 200_000,
+			s := emulator.Settings{ID: fmt.Sprintf("%s-%d", g.role, i+1), Role: g.role, StepMS: 1, ReadPerS: 200_000,
 				MovePerS: 1e7, LocalRead: true, Seed: uint64(i)}
 			if change != nil {
 				change(&s)
@@ -119,9 +119,9 @@
 func (r *rig) ask(class string, tokens int) client.Ask {
 	r.ops++
 	return client.Ask{Model: class, Patience: 4 * time.Second, MaxTokens: 200,
-		Messages: []standin.Message{{Role: "system", Content: "You help with rosters."},
+		Messages: []emulator.Message{{Role: "system", Content: "You help with rosters."},
 			{Role: "user", Content: fmt.Sprintf("Question %d: who can cover a sick call?", r.ops)}},
-		Mark: standin.Mark{Op: fmt.Sprintf("op%d", r.ops), Class: class, Answer: tokens}}
+		Mark: emulator.Mark{Op: fmt.Sprintf("op%d", r.ops), Class: class, Answer: tokens}}
 }
 
 func (r *rig) do(a client.Ask) client.Result {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -12,14 +12,14 @@
 	"time"
 
 	"dillroute/internal/clock"
-	"dillroute/internal/decide/ending"
-	"dillroute/internal/decide/handover"
-	"dillroute/internal/decide/ledger"
+	"dillroute/internal/decide/batching"
+	"dillroute/internal/decide/outcome"
 	"dillroute/internal/decide/overload"
-	"dillroute/internal/decide/rhythm"
+	"dillroute/internal/decide/requesttable"
+	"dillroute/internal/decide/shutdown"
 	"dillroute/internal/http1"
 	"dillroute/internal/protocol"
-	"dillroute/internal/wheel"
+	"dillroute/internal/timerwheel"
 	"dillroute/scheduler"
 )
 
@@ -57,7 +57,7 @@
 // plan is what the host needs of the settings of whatever protocol it speaks. Times are in seconds.
 type plan struct {
 	scheduler scheduler.Config
-	book      ledger.Config
+	book      requesttable.Config
 	tick      float64
 	letGoBy   float64 // within which a state must be let go of
 	strain    overload.Limits
@@ -114,8 +114,8 @@
 		failed: make(chan error, 1), metrics: newMetrics()}
 	clk := clock.New()
 	n.strain = newKeeping(p.strain, clk)
-	n.core = &core{clock: clk, beat: rhythm.Beat{Tick: p.tick}, router: router, book: ledger.New(p.book, p.scheduler.Kinds),
-		wheel: wheel.New[func(float64)](clk.Now(), 0.001), wake: make(chan struct{}, 1), done: make(chan struct{}),
+	n.core = &core{clock: clk, beat: batching.Beat{Tick: p.tick}, router: router, book: requesttable.New(p.book, p.scheduler.Kinds),
+		wheel: timerwheel.New[func(float64)](clk.Now(), 0.001), wake: make(chan struct{}, 1), done: make(chan struct{}),
 		carry: n.carry, side: n.side, decide: n.metrics.decided, broken: n.moduleFailed, late: n.strain.late}
 	return n, nil
 }
@@ -245,11 +245,11 @@
 // handOver ends the streams that run one by one, where clients come again for the rest.
 func (n *Node) handOver(now float64) {
 	ids, since := n.core.book.Streaming()
-	streams := make([]handover.Stream, len(ids))
+	streams := make([]shutdown.Stream, len(ids))
 	for i := range ids {
-		streams[i] = handover.Stream{ID: ids[i], Since: since[i]}
+		streams[i] = shutdown.Stream{ID: ids[i], Since: since[i]}
 	}
-	for _, m := range handover.Plan(now, n.endBy, n.plan.scheduler.Balancers, streams) {
+	for _, m := range shutdown.Plan(now, n.endBy, n.plan.scheduler.Balancers, streams) {
 		n.core.wheel.Add(m.At, func(now float64) { n.core.book.Move(now, m.ID) })
 	}
 }
@@ -329,7 +329,7 @@
 	n.core.post(func(now float64) {
 		for _, c := range n.calls {
 			for _, a := range c.attempts {
-				a.Abort(ending.Overtaken)
+				a.Abort(outcome.Overtaken)
 			}
 			c.x.Cut()
 		}
@@ -376,7 +376,7 @@
 	job      protocol.Job
 	attempts map[int]try
 	grants   map[int]chan bool
-	guard    *wheel.Timer[func(float64)]
+	guard    *timerwheel.Timer[func(float64)]
 	freed    chan struct{} // closed when the latest release that began ahead of attempts has been made; nil = none has
 	granted  bool          // the answer belongs to an attempt
 	answered bool          // the answer has been given to a goroutine of its own
--- a/internal/node/openai.go
+++ b/internal/node/openai.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"dillroute/internal/config"
-	"dillroute/internal/decide/ledger"
 	"dillroute/internal/decide/overload"
+	"dillroute/internal/decide/requesttable"
+	"dillroute/internal/discovery"
 	"dillroute/internal/engine"
 	"dillroute/internal/http1"
-	"dillroute/internal/members"
 	"dillroute/internal/openai"
 	"dillroute/internal/service"
 )
@@ -42,7 +42,7 @@
 	if err := n.listen(cfg, o.listener, o.admin); err != nil {
 		return nil, err
 	}
-	n.lists, err = members.Follow(members.FollowOptions{Config: cfg, Clock: n.core.clock, Saved: savedList(cfg), Take: n.takeList,
+	n.lists, err = discovery.Follow(discovery.FollowOptions{Config: cfg, Clock: n.core.clock, Saved: savedList(cfg), Take: n.takeList,
 		Complain: func(text string) { n.log.Error("engine list", "text", text) }})
 	if err != nil {
 		n.server.Close()
@@ -69,8 +69,8 @@
 	return p
 }
 
-func bookConfig(cfg *config.Config) ledger.Config {
-	return ledger.Config{Classes: cfg.Brain().Classes, MaxOpen: cfg.Limits.MaxOpen, MaxAttempts: cfg.Limits.MaxAttempts,
+func bookConfig(cfg *config.Config) requesttable.Config {
+	return requesttable.Config{Classes: cfg.Brain().Classes, MaxOpen: cfg.Limits.MaxOpen, MaxAttempts: cfg.Limits.MaxAttempts,
 		Slack: cfg.Rules.AnswerSlack, DrainGrace: cfg.Rules.DrainGrace}
 }
 
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -5,8 +5,8 @@
 	"net"
 	"time"
 
-	"dillroute/internal/decide/ledger"
 	"dillroute/internal/decide/overload"
+	"dillroute/internal/decide/requesttable"
 	"dillroute/internal/protocol"
 	"dillroute/internal/relay"
 )
@@ -50,7 +50,7 @@
 	rules, decisions := s.Brain.Rules, s.Brain
 	decisions.Limits.UnsentFree = true // an attempt counts once its last byte has come (PROTOCOL, nodes to engines)
 	return plan{scheduler: decisions, tick: s.Brain.Tick, letGoBy: rules.LetGoBy, held: parts.Bytes, anyone: true, resume: s.Resume,
-		book: ledger.Config{Classes: s.Brain.Classes, MaxOpen: parts.Clients, MaxAttempts: s.Brain.Limits.MaxAttempts, UnsentFree: true,
+		book: requesttable.Config{Classes: s.Brain.Classes, MaxOpen: parts.Clients, MaxAttempts: s.Brain.Limits.MaxAttempts, UnsentFree: true,
 			Slack: rules.AnswerSlack + relay.Slack.Seconds()/2, DrainGrace: rules.DrainGrace, ReleaseAll: true},
 		strain: overload.Limits{Files: cfg.Limits.Sockets, Connections: parts.Clients, Bytes: parts.Bytes,
 			Slack: rules.AnswerSlack + relay.Slack.Seconds()/2},
--- a/internal/node/release_test.go
+++ b/internal/node/release_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"dillroute/internal/decide/ending"
-	"dillroute/internal/decide/ledger"
+	"dillroute/internal/decide/outcome"
 	"dillroute/internal/decide/overload"
+	"dillroute/internal/decide/requesttable"
 	"dillroute/internal/protocol"
 	"dillroute/scheduler"
 )
@@ -34,7 +34,7 @@
 func (s *slowDials) Granted()                                 {}
 func (s *slowDials) Judged(int) protocol.Word                 { return protocol.Word{} }
 func (s *slowDials) Say(protocol.Word)                        { close(s.said) }
-func (s *slowDials) Word(ending.Answer, float64, string) protocol.Word {
+func (s *slowDials) Word(outcome.Answer, float64, string) protocol.Word {
 	return protocol.Word{}
 }
 func (s *slowDials) Sweep()     {}
@@ -63,20 +63,20 @@
 		a.s.began = time.Now()
 	}
 	a.s.mu.Unlock()
-	if a.call.Stage == ending.Prefill {
+	if a.call.Stage == outcome.Prefill {
 		a.s.mu.Lock()
 		defer a.s.mu.Unlock()
 		if a.s.cut {
 			a.s.cut = false
-			return protocol.Result{Facts: ending.Facts{Progress: ending.Written, Cause: ending.Broken}}
+			return protocol.Result{Facts: outcome.Facts{Progress: outcome.Written, Cause: outcome.Broken}}
 		}
 		if a.s.read.IsZero() {
 			a.s.read = time.Now()
 		}
-		return protocol.Result{Facts: ending.Facts{Progress: ending.Headed, Cause: ending.Answered, Meaning: ending.Read}}
+		return protocol.Result{Facts: outcome.Facts{Progress: outcome.Headed, Cause: outcome.Answered, Meaning: outcome.Read}}
 	}
 	time.Sleep(connect)
-	return protocol.Result{Facts: ending.Facts{Progress: ending.Dialling, Cause: ending.Broken}}
+	return protocol.Result{Facts: outcome.Facts{Progress: outcome.Dialling, Cause: outcome.Broken}}
 }
 
 // A state is released as soon as it is let go of, though the next attempt goes out in the same pass and takes long to fail: while
@@ -95,7 +95,7 @@
 		Rules:  scheduler.Rules{ColdShare: 0.25, ColdFor: 1, FallMultiple: 4, TipAfter: 1, LetGoBy: letGoBy, AskEvery: 10, DrainGrace: 0.25}}
 	s.said = make(chan struct{})
 	n, err := newNode(plan{scheduler: cfg, tick: cfg.Tick, letGoBy: letGoBy, anyone: true, strain: overload.Limits{Connections: 10},
-		book: ledger.Config{Classes: classes, MaxOpen: 8, MaxAttempts: 6, Slack: 0.05, DrainGrace: 0.25, ReleaseAll: true}},
+		book: requesttable.Config{Classes: classes, MaxOpen: 8, MaxAttempts: 6, Slack: 0.05, DrainGrace: 0.25, ReleaseAll: true}},
 		options{log: slog.New(slog.NewTextHandler(io.Discard, nil)), seed: 1})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 
 	"dillroute/internal/config"
-	"dillroute/internal/decide/intake"
+	"dillroute/internal/decide/classify"
 	"dillroute/internal/engine"
 	"dillroute/internal/front"
 	"dillroute/internal/http1"
@@ -32,7 +32,7 @@
 // view is what connections need of the settings; it is replaced whole.
 type view struct {
 	cfg   *config.Config
-	table *intake.Table
+	table *classify.Table
 	body  []byte // of /v1/models
 }
 
@@ -45,7 +45,7 @@
 
 // Configure takes settings; requests that were taken keep theirs.
 func (f *Front) Configure(cfg *config.Config) {
-	models, rules := map[string]int{}, []intake.Rule{}
+	models, rules := map[string]int{}, []classify.Rule{}
 	list := front.ModelList{}
 	for _, m := range cfg.Models {
 		models[m.Name], _ = cfg.ClassIndex(m.Class)
@@ -53,22 +53,22 @@
 	}
 	for _, m := range cfg.Match {
 		class, _ := cfg.ClassIndex(m.Class)
-		r := intake.Rule{Model: m.Model, Header: m.Header, Class: class, AnyValue: m.Value == nil}
+		r := classify.Rule{Model: m.Model, Header: m.Header, Class: class, AnyValue: m.Value == nil}
 		if m.Value != nil {
 			r.Value = *m.Value
 		}
 		rules = append(rules, r)
 	}
-	var classes []intake.Class
+	var classes []classify.Class
 	for _, c := range cfg.Classes {
-		classes = append(classes, intake.Class{Patience: c.Patience, PatiencePerK: c.PatiencePerK, MaxTokens: c.MaxTokens,
+		classes = append(classes, classify.Class{Patience: c.Patience, PatiencePerK: c.PatiencePerK, MaxTokens: c.MaxTokens,
 			TokenAim: c.TokenAim})
 	}
 	var keys, hashes [][]string
 	for _, t := range cfg.Tenants {
 		keys, hashes = append(keys, t.Keys), append(hashes, t.KeysSHA256)
 	}
-	f.view.Store(&view{cfg, intake.NewTable(classes, models, rules, keys, hashes), list.Bytes()})
+	f.view.Store(&view{cfg, classify.NewTable(classes, models, rules, keys, hashes), list.Bytes()})
 }
 
 // Fault words the answer to a request that could not be parsed, or for which there is no place.
--- a/internal/openai/job.go
+++ b/internal/openai/job.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"fmt"
 
-	"dillroute/internal/decide/ending"
+	"dillroute/internal/decide/outcome"
 	"dillroute/internal/engine"
 	"dillroute/internal/front"
 	"dillroute/internal/http1"
@@ -27,7 +27,7 @@
 type attempt struct {
 	engine.Attempt
 	job   *job
-	stage ending.Stage
+	stage outcome.Stage
 	whole bool
 }
 
@@ -37,7 +37,7 @@
 	a.Client, a.RequestID, a.Address = j.front.engines, engine.StateID(j.id, c.N), c.Address
 	a.Extra, a.Timeout, a.WriteBy = j.extra, c.Timeout, c.WriteBy
 	switch {
-	case c.Stage == ending.Prefill:
+	case c.Stage == outcome.Prefill:
 		a.Body = j.chat.PrefillBody()
 	case c.State:
 		a.RequestID = engine.StateID(j.id, c.StateN)
@@ -51,7 +51,7 @@
 // Run makes the attempt.
 func (a *attempt) Run(h protocol.Host) protocol.Result {
 	var r engine.Result
-	if a.stage == ending.Prefill {
+	if a.stage == outcome.Prefill {
 		r = a.Prefill()
 	} else {
 		s := &stream{Host: h, x: a.job.x, id: a.job.id}
@@ -69,7 +69,7 @@
 	r, ok := res.Extra.(engine.Result)
 	switch {
 	case !ok:
-	case r.Facts.Meaning == ending.Read:
+	case r.Facts.Meaning == outcome.Read:
 		j.states[n] = r.State
 	case r.HTTP >= 400:
 		j.replies[n] = protocol.Word{Status: r.HTTP, Fields: append(front.RetryFields(false, 0), front.JSONType), Body: r.Reply}
@@ -83,7 +83,7 @@
 func (j *job) Judged(n int) protocol.Word { return j.replies[n] }
 
 // Word words the node's own answer.
-func (j *job) Word(a ending.Answer, after float64, reason string) protocol.Word {
+func (j *job) Word(a outcome.Answer, after float64, reason string) protocol.Word {
 	return protocol.Word{Status: a.HTTP, Fields: append(front.RetryFields(a.Retry, after), front.JSONType),
 		Body: front.ErrorJSON(a.HTTP, a.Code, "", reason)}
 }
--- a/internal/protocol/hold.go
+++ b/internal/protocol/hold.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"dillroute/internal/decide/ending"
+	"dillroute/internal/decide/outcome"
 	"dillroute/internal/decide/permit"
 	"dillroute/internal/http1"
 )
@@ -21,7 +21,7 @@
 	aborted   bool
 	written   bool // the request is being written, or was
 	streaming bool // the client gets what comes
-	cause     ending.Cause
+	cause     outcome.Cause
 }
 
 // finishWithin is for how long a stream that is called off for the node's own reasons passes on what its engine has sent
@@ -55,7 +55,7 @@
 
 // Abort ends the attempt, for the cause given, by closing its connection; one without a connection ends at once. A stream
 // that is ended by the node passes on what has come already.
-func (h *Hold) Abort(cause ending.Cause) {
+func (h *Hold) Abort(cause outcome.Cause) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.aborted {
@@ -67,7 +67,7 @@
 	}
 	switch {
 	case h.conn == nil:
-	case h.streaming && cause == ending.Overtaken:
+	case h.streaming && cause == outcome.Overtaken:
 		h.conn.Finish(finishWithin)
 	default:
 		h.conn.Discard()
@@ -89,7 +89,7 @@
 	if h.written || h.aborted {
 		return
 	}
-	h.aborted, h.cause = true, ending.Overtaken
+	h.aborted, h.cause = true, outcome.Overtaken
 	if h.dialing != nil {
 		h.dialing()
 	}
@@ -111,7 +111,7 @@
 }
 
 // Stopped tells whether the attempt was ended, and why.
-func (h *Hold) Stopped() (ending.Cause, bool) {
+func (h *Hold) Stopped() (outcome.Cause, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.cause, h.aborted
@@ -119,7 +119,7 @@
 
 // Failed names the cause of an error: the abort that made it, the time (as timeout says), what could not be read, or the
 // peer.
-func (h *Hold) Failed(err error, timeout ending.Cause) ending.Cause {
+func (h *Hold) Failed(err error, timeout outcome.Cause) outcome.Cause {
 	if cause, ok := h.Stopped(); ok {
 		return cause
 	}
@@ -128,9 +128,9 @@
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, context.DeadlineExceeded): // not ETIMEDOUT, which is the peer's
 		return timeout
 	case errors.As(err, &malformed), errors.Is(err, http1.ErrEventTooLong):
-		return ending.Unreadable
+		return outcome.Unreadable
 	}
-	return ending.Broken
+	return outcome.Broken
 }
 
 // Objects asks, in the last moment before a byte of an attempt is written, whether it may be. Where it may not, the attempt ends as one
@@ -144,7 +144,7 @@
 	h.Withdraw()
 	r.Facts.Cause, _ = h.Stopped()
 	if why == permit.ClientGone {
-		r.Facts.Cause = ending.ClientLeft
+		r.Facts.Cause = outcome.ClientLeft
 	}
 	r.Err = errors.New(string(why))
 	return true
@@ -161,7 +161,7 @@
 // Exchange writes a request on a connection and reads the head of its answer, all by the time given. nil = it ended before
 // that: r says how far it came and why, and the connection is closed.
 func (h *Hold) Exchange(c *http1.ClientConn, until time.Time, method, target string, fields []http1.Field, body []byte, r *Result) *http1.Response {
-	r.Facts.Progress = ending.Connected
+	r.Facts.Progress = outcome.Connected
 	if !h.Attach(c) {
 		c.Close()
 		r.Facts.Cause, _ = h.Stopped()
@@ -171,18 +171,18 @@
 	r.Wrote = time.Now()
 	sent, all, err := c.Send(method, target, fields, body)
 	if sent == all {
-		r.Facts.Progress = ending.Written
+		r.Facts.Progress = outcome.Written
 	}
 	var resp *http1.Response
 	if err == nil {
 		resp, err = c.ReadResponse()
 	}
 	if err != nil {
-		r.Err, r.Facts.Cause = err, h.Failed(err, ending.Expired)
+		r.Err, r.Facts.Cause = err, h.Failed(err, outcome.Expired)
 		h.Detach()
 		c.Discard()
 		return nil
 	}
-	r.Facts.Progress = ending.Headed
+	r.Facts.Progress = outcome.Headed
 	return resp
 }
--- a/internal/protocol/hold_test.go
+++ b/internal/protocol/hold_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"dillroute/internal/decide/ending"
+	"dillroute/internal/decide/outcome"
 	"dillroute/internal/decide/permit"
 	"dillroute/internal/http1"
 	"dillroute/scheduler"
@@ -19,7 +19,7 @@
 func TestWithdrawSparesWhatIsWritten(t *testing.T) {
 	var h Hold
 	h.Withdraw()
-	if cause, ok := h.Stopped(); !ok || cause != ending.Overtaken || h.Attach(nil) {
+	if cause, ok := h.Stopped(); !ok || cause != outcome.Overtaken || h.Attach(nil) {
 		t.Error("one without a connection was not withdrawn")
 	}
 	var w Hold
@@ -30,9 +30,9 @@
 	if _, ok := w.Stopped(); ok {
 		t.Error("one that is being written was withdrawn")
 	}
-	w.Abort(ending.ClientLeft)
-	w.Abort(ending.Stopped)
-	if cause, _ := w.Stopped(); cause != ending.ClientLeft {
+	w.Abort(outcome.ClientLeft)
+	w.Abort(outcome.Stopped)
+	if cause, _ := w.Stopped(); cause != outcome.ClientLeft {
 		t.Errorf("the first cause stands, not %v", cause)
 	}
 }
@@ -40,17 +40,17 @@
 func TestCausesOfErrors(t *testing.T) {
 	for _, c := range []struct {
 		err  error
-		want ending.Cause
+		want outcome.Cause
 	}{
-		{os.ErrDeadlineExceeded, ending.Expired}, {&http1.Error{Status: 502}, ending.Unreadable}, {http1.ErrEventTooLong, ending.Unreadable},
-		{fmt.Errorf("so: %w", http1.ErrEventTooLong), ending.Unreadable}, {io.ErrUnexpectedEOF, ending.Broken}, {nil, ending.Broken},
+		{os.ErrDeadlineExceeded, outcome.Expired}, {&http1.Error{Status: 502}, outcome.Unreadable}, {http1.ErrEventTooLong, outcome.Unreadable},
+		{fmt.Errorf("so: %w", http1.ErrEventTooLong), outcome.Unreadable}, {io.ErrUnexpectedEOF, outcome.Broken}, {nil, outcome.Broken},
 	} {
 		var h Hold
-		if got := h.Failed(c.err, ending.Expired); got != c.want {
+		if got := h.Failed(c.err, outcome.Expired); got != c.want {
 			t.Errorf("%v: %v, wanted %v", c.err, got, c.want)
 		}
-		h.Abort(ending.Stopped)
-		if got := h.Failed(c.err, ending.Expired); got != ending.Stopped {
+		h.Abort(outcome.Stopped)
+		if got := h.Failed(c.err, outcome.Expired); got != outcome.Stopped {
 			t.Errorf("%v after an abort: %v", c.err, got)
 		}
 	}
@@ -59,7 +59,7 @@
 // An attempt whose time to be written is over is not written, and is known as never sent.
 func TestLateAttemptsAreNotWritten(t *testing.T) {
 	var h Hold
-	r := Result{Facts: ending.Facts{Progress: ending.Dialling}}
+	r := Result{Facts: outcome.Facts{Progress: outcome.Dialling}}
 	write := func(by time.Time) permit.Write {
 		left, bound := Window(by)
 		return permit.Write{TimeLeft: 1, Keyed: bound, WindowLeft: left}
@@ -73,7 +73,7 @@
 	if h.Attach(nil) {
 		t.Error("it may be written all the same")
 	}
-	if v := ending.Judge(r.Facts); v.Status != scheduler.NotSent || v.Ran {
+	if v := outcome.Judge(r.Facts); v.Status != scheduler.NotSent || v.Ran {
 		t.Errorf("got %+v, want that it was never sent", v)
 	}
 }
@@ -83,11 +83,11 @@
 	for _, early := range []bool{true, false} {
 		var h Hold
 		if early {
-			h.Abort(ending.ClientLeft)
+			h.Abort(outcome.ClientLeft)
 		}
 		_, err := h.Dial(func(ctx context.Context) (*http1.ClientConn, error) {
 			if !early {
-				go h.Abort(ending.ClientLeft)
+				go h.Abort(outcome.ClientLeft)
 			}
 			select {
 			case <-ctx.Done():
@@ -105,14 +105,14 @@
 // An attempt whose client has gone is not written, and its request is known to have lost its client.
 func TestAttemptsOfClientsThatLeftAreNotWritten(t *testing.T) {
 	var h Hold
-	r := Result{Facts: ending.Facts{Progress: ending.Dialling}}
+	r := Result{Facts: outcome.Facts{Progress: outcome.Dialling}}
 	if !h.Objects(permit.Write{ClientGone: true, TimeLeft: 1}, &r) || h.Attach(nil) {
 		t.Error("it may be written all the same")
 	}
-	if r.Facts.Cause != ending.ClientLeft {
+	if r.Facts.Cause != outcome.ClientLeft {
 		t.Errorf("got cause %d, want that the client left", r.Facts.Cause)
 	}
-	if v := ending.Judge(r.Facts); v.Status != scheduler.NotSent || v.Ran {
+	if v := outcome.Judge(r.Facts); v.Status != scheduler.NotSent || v.Ran {
 		t.Errorf("got %+v, want that it was never sent", v)
 	}
 }
@@ -125,16 +125,16 @@
 	}
 	for _, c := range []struct {
 		err  error
-		want ending.Cause
+		want outcome.Cause
 	}{
-		{read(syscall.ETIMEDOUT), ending.Broken},
-		{read(syscall.EHOSTUNREACH), ending.Broken},
-		{read(syscall.ECONNRESET), ending.Broken},
-		{&net.OpError{Op: "read", Net: "tcp", Err: os.ErrDeadlineExceeded}, ending.Expired},
-		{context.DeadlineExceeded, ending.Expired},
+		{read(syscall.ETIMEDOUT), outcome.Broken},
+		{read(syscall.EHOSTUNREACH), outcome.Broken},
+		{read(syscall.ECONNRESET), outcome.Broken},
+		{&net.OpError{Op: "read", Net: "tcp", Err: os.ErrDeadlineExceeded}, outcome.Expired},
+		{context.DeadlineExceeded, outcome.Expired},
 	} {
 		var h Hold
-		if got := h.Failed(c.err, ending.Expired); got != c.want {
+		if got := h.Failed(c.err, outcome.Expired); got != c.want {
 			t.Errorf("%v: got cause %d, want %d", c.err, got, c.want)
 		}
 	}
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"dillroute/internal/decide/ending"
+	"dillroute/internal/decide/outcome"
 	"dillroute/internal/http1"
 	"dillroute/scheduler"
 )
@@ -38,7 +38,7 @@
 	// Judged is an engine's own judgement of the request, to be passed on by Say.
 	Judged(n int) Word
 	// Word words the node's own last word.
-	Word(a ending.Answer, after float64, reason string) Word
+	Word(a outcome.Answer, after float64, reason string) Word
 	// Say writes a last word, or ends an answer that has begun so that its client sees that it is not whole.
 	Say(w Word)
 }
@@ -54,7 +54,7 @@
 type Call struct {
 	N       int
 	Address string
-	Stage   ending.Stage
+	Stage   outcome.Stage
 	State   bool // a state waits and is to be fetched
 	StateN  int  // from this attempt
 	Timeout time.Duration
@@ -67,7 +67,7 @@
 	// Run makes it, on a goroutine of its own.
 	Run(h Host) Result
 	// Abort ends it, for the cause given, at whatever point it is.
-	Abort(cause ending.Cause)
+	Abort(cause outcome.Cause)
 	// Withdraw ends it if no byte of it has been written yet.
 	Withdraw()
 	// Arrived tells whether its request has reached the engine, as far as can be seen.
@@ -84,7 +84,7 @@
 
 // Result is what was seen of an attempt.
 type Result struct {
-	Facts  ending.Facts
+	Facts  outcome.Facts
 	Report *scheduler.Report
 	Err    error     // why it ended early; for the log alone
 	Wrote  time.Time // when its first byte was about to be written; zero = none was
--- a/internal/relay/engines.go
+++ b/internal/relay/engines.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"dillroute/internal/decide/reuse"
+	"dillroute/internal/decide/connreuse"
 	"dillroute/internal/http1"
 	"dillroute/internal/settings"
 	"dillroute/scheduler"
@@ -24,13 +24,13 @@
 	connect time.Duration // most time for a connection
 
 	mu    sync.Mutex
-	reuse *reuse.State
+	reuse *connreuse.State
 	start time.Time // of its clock
 }
 
 // NewEngines returns a client of engines that holds at most so many connections, made by connect (nil = on the network).
 func NewEngines(s *settings.Settings, most int, connect http1.DialFunc) *Engines {
-	e := &Engines{connect: 250 * time.Millisecond, reuse: reuse.New(s.Idle), start: time.Now(),
+	e := &Engines{connect: 250 * time.Millisecond, reuse: connreuse.New(s.Idle), start: time.Now(),
 		pool: &http1.Pool{MaxIdle: 16, MaxOpen: most, Idle: 10 * time.Second, Settle: settle, Limits: answerLimits, Chunk: maxChunk,
 			Connect: connect}}
 	if s.Connect > 0 {
--- a/internal/relay/front.go
+++ b/internal/relay/front.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"dillroute/internal/decide/intake"
+	"dillroute/internal/decide/classify"
 	"dillroute/internal/http1"
 	"dillroute/internal/protocol"
 	"dillroute/internal/settings"
@@ -59,14 +59,14 @@
 	effects []scheduler.Effect // by class
 
 	mu     sync.Mutex
-	recent *intake.Recent
+	recent *classify.Recent
 	start  time.Time // of the clock of recent
 }
 
 // NewFront returns a front that makes its attempts by the engines' client given.
 func NewFront(s *settings.Settings, engines *Engines, ready func() bool, log *slog.Logger) *Front {
 	f := &Front{log: log, engines: engines, ready: ready, classes: index(s.Classes), tenants: index(s.Tenants),
-		recent: intake.NewRecent(recentIDs, repeatWindow(s)), start: time.Now()}
+		recent: classify.NewRecent(recentIDs, repeatWindow(s)), start: time.Now()}
 	for _, c := range s.Brain.Classes {
 		f.effects = append(f.effects, c.Effect)
 	}
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"dillroute/internal/decide/ending"
+	"dillroute/internal/decide/connreuse"
+	"dillroute/internal/decide/outcome"
 	"dillroute/internal/decide/permit"
-	"dillroute/internal/decide/reuse"
 	"dillroute/internal/http1"
 	"dillroute/internal/protocol"
 	"dillroute/scheduler"
@@ -32,7 +32,7 @@
 // Attempt prepares an attempt.
 func (j *job) Attempt(c protocol.Call) protocol.Attempt {
 	return &attempt{engines: j.front.engines, call: c, id: j.id, method: j.method, target: j.target, fields: j.fields, body: j.body,
-		x: j.x, fresh: !reuse.Kept(j.effect, c.Stage == ending.Prefill)}
+		x: j.x, fresh: !connreuse.Kept(j.effect, c.Stage == outcome.Prefill)}
 }
 
 // Ended, Granted and Judged: nothing of an engine's is kept, and no engine judges requests in this protocol.
@@ -45,7 +45,7 @@
 func (j *job) Judged(int) protocol.Word { return protocol.Word{Status: 500, Fields: retryFields(0)} }
 
 // Word words the node's own answer: 429 and 503 say that a retry is harmless, whoever worded them.
-func (j *job) Word(a ending.Answer, after float64, reason string) protocol.Word {
+func (j *job) Word(a outcome.Answer, after float64, reason string) protocol.Word {
 	status := a.HTTP
 	refusal := status == 429 || status == 503
 	switch {
@@ -101,7 +101,7 @@
 func (a *attempt) open(r *protocol.Result) (*http1.ClientConn, *http1.Response) {
 	start := time.Now()
 	until := start.Add(a.call.Timeout)
-	r.Facts.Progress = ending.Dialling
+	r.Facts.Progress = outcome.Dialling
 	connect := a.call.Timeout
 	if !a.call.WriteBy.IsZero() {
 		connect = max(time.Millisecond, min(connect, time.Until(a.call.WriteBy)))
@@ -110,9 +110,9 @@
 		return a.engines.get(ctx, a.call.Address, connect, a.fresh)
 	})
 	if err != nil {
-		r.Err, r.Facts.Cause = err, a.Failed(err, ending.Broken)
+		r.Err, r.Facts.Cause = err, a.Failed(err, outcome.Broken)
 		if errors.Is(err, http1.ErrNoRoom) {
-			r.Facts.Progress = ending.Unsent
+			r.Facts.Progress = outcome.Unsent
 		}
 		return nil, nil
 	}
@@ -126,7 +126,7 @@
 	resp := a.Exchange(c, until, a.method, a.target, append(fields, a.fields...), a.body, r)
 	a.body, a.fields = nil, nil // a long stream need not hold them
 	if resp == nil {
-		if r.Facts.Cause == ending.Broken {
+		if r.Facts.Cause == outcome.Broken {
 			a.engines.lost(c)
 		}
 		return nil, nil
@@ -143,13 +143,13 @@
 	rejected := resp.Header.Get(headNotRun) == "1"
 	switch {
 	case resp.Status == 202:
-		r.Facts.Meaning = ending.Read
+		r.Facts.Meaning = outcome.Read
 	case resp.Status == 410 && rejected:
-		r.Facts.Meaning = ending.NoState
+		r.Facts.Meaning = outcome.NoState
 	case (resp.Status == 503 || resp.Status == 504) && rejected:
-		r.Facts.Meaning = ending.Turned
+		r.Facts.Meaning = outcome.Turned
 	default:
-		r.Facts.Meaning = ending.Error
+		r.Facts.Meaning = outcome.Error
 	}
 	c.Within(a.engines.pool.Head) // the head has said what matters; its body is not to use up the request's time
 	body, err := resp.ReadAll(maxReply)
@@ -157,15 +157,15 @@
 	if err != nil {
 		c.Close()
 		r.Err = err
-		if r.Facts.Meaning == ending.Error {
-			r.Facts.Cause = a.Failed(err, ending.Expired)
+		if r.Facts.Meaning == outcome.Error {
+			r.Facts.Cause = a.Failed(err, outcome.Expired)
 		}
 		return
 	}
 	a.engines.pool.Done(c, resp)
-	if r.Facts.Meaning == ending.Read {
+	if r.Facts.Meaning == outcome.Read {
 		r.Facts.Kept = readCached(body)
-	} else if r.Facts.Meaning == ending.Error {
+	} else if r.Facts.Meaning == outcome.Error {
 		r.Err = fmt.Errorf("status %d: %s", resp.Status, clip(strings.TrimSpace(string(body))))
 	}
 }
@@ -187,11 +187,11 @@
 func (a *attempt) stream(c *http1.ClientConn, resp *http1.Response, h protocol.Host, r *protocol.Result) {
 	r.Facts.Cause, r.Err = a.pass(c, resp, h, r)
 	a.Detach()
-	if r.Facts.Cause != ending.Answered {
+	if r.Facts.Cause != outcome.Answered {
 		c.Close()
 		return
 	}
-	r.Facts.Meaning = ending.Done
+	r.Facts.Meaning = outcome.Done
 	if rep := parseLoad(a.load); rep != nil {
 		r.Report = rep
 	}
@@ -199,9 +199,9 @@
 }
 
 // pass passes events until the last chunk.
-func (a *attempt) pass(c *http1.ClientConn, resp *http1.Response, h protocol.Host, r *protocol.Result) (ending.Cause, error) {
-	if a.call.Stage != ending.Decode || !resp.Chunked || !strings.HasPrefix(strings.ToLower(resp.Header.Get("Content-Type")), "text/event-stream") {
-		return ending.Unreadable, errors.New("relay: status 200 without a stream")
+func (a *attempt) pass(c *http1.ClientConn, resp *http1.Response, h protocol.Host, r *protocol.Result) (outcome.Cause, error) {
+	if a.call.Stage != outcome.Decode || !resp.Chunked || !strings.HasPrefix(strings.ToLower(resp.Header.Get("Content-Type")), "text/event-stream") {
+		return outcome.Unreadable, errors.New("relay: status 200 without a stream")
 	}
 	events := http1.NewEventReader(resp.Body, maxEvent)
 	defer events.Close()
@@ -219,15 +219,15 @@
 		final = string(data) == finalEvent
 		if !begun {
 			if !isEvent(data) {
-				return ending.Unreadable, errNoEvent
+				return outcome.Unreadable, errNoEvent
 			}
 			if !h.First() {
-				return a.Failed(nil, ending.Broken), nil
+				return a.Failed(nil, outcome.Broken), nil
 			}
-			r.Facts.Progress = ending.Streaming
+			r.Facts.Progress = outcome.Streaming
 			a.Stream()
 			if err := a.x.Begin(200, []http1.Field{{Name: "Content-Type", Value: "text/event-stream"}}); err != nil {
-				return ending.ClientLeft, err
+				return outcome.ClientLeft, err
 			}
 		}
 		c.SetDeadline(time.Now().Add(silence))
@@ -238,7 +238,7 @@
 			continue
 		}
 		if _, err := a.x.Write(pending); err != nil {
-			return ending.ClientLeft, err
+			return outcome.ClientLeft, err
 		}
 		pending = pending[:0]
 	}
@@ -251,26 +251,26 @@
 )
 
 // over ends a stream: well, at its last chunk, or as what broke it says.
-func (a *attempt) over(err error, begun bool, pending []byte) (ending.Cause, error) {
+func (a *attempt) over(err error, begun bool, pending []byte) (outcome.Cause, error) {
 	if begun && len(pending) > 0 {
 		if _, werr := a.x.Write(pending); werr != nil {
-			return ending.ClientLeft, werr
+			return outcome.ClientLeft, werr
 		}
 	}
 	if err != io.EOF {
-		timeout := ending.Expired
+		timeout := outcome.Expired
 		if begun {
-			timeout = ending.Stalled
+			timeout = outcome.Stalled
 		}
 		return a.Failed(err, timeout), err
 	}
 	if !begun {
-		return ending.Unreadable, errNoEvent
+		return outcome.Unreadable, errNoEvent
 	}
 	if err := a.x.End(); err != nil {
-		return ending.ClientLeft, err
+		return outcome.ClientLeft, err
 	}
-	return ending.Answered, nil
+	return outcome.Answered, nil
 }
 
 // comment keeps a load report that a stream carries.
--- a/internal/relay/job_test.go
+++ b/internal/relay/job_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"dillroute/internal/decide/ending"
+	"dillroute/internal/decide/outcome"
 	"dillroute/internal/protocol"
 	"dillroute/internal/settings"
 	"dillroute/lab/memnet"
@@ -39,10 +39,10 @@
 	}
 	engines := NewEngines(&settings.Settings{Connect: 1}, 8, dial)
 	a := &attempt{engines: engines, id: "1eff", method: "POST", target: pathChat, fresh: true, body: []byte("{}"),
-		call: protocol.Call{Address: "e0:5000", Stage: ending.Prefill, Timeout: 2 * time.Second, Until: time.Now().Add(until)}}
+		call: protocol.Call{Address: "e0:5000", Stage: outcome.Prefill, Timeout: 2 * time.Second, Until: time.Now().Add(until)}}
 	r := a.Run(nil)
 	l.Close()
-	if told = <-asked; told == "" && r.Facts.Progress >= ending.Written {
+	if told = <-asked; told == "" && r.Facts.Progress >= outcome.Written {
 		t.Errorf("the attempt counts as written, its engine got nothing")
 	}
 	engines.Close()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -10,8 +10,8 @@
 	"testing"
 
 	"dillroute/internal/clock"
-	"dillroute/internal/decide/ending"
 	"dillroute/internal/decide/endpoints"
+	"dillroute/internal/decide/outcome"
 	"dillroute/internal/http1"
 	"dillroute/internal/protocol"
 	"dillroute/internal/settings"
@@ -54,14 +54,14 @@
 func TestWordsSayWhatTheyMay(t *testing.T) {
 	j := &job{}
 	for _, c := range []struct {
-		a      ending.Answer
+		a      outcome.Answer
 		after  float64
 		status int
 		header bool
 	}{
-		{ending.Refused(), 0.25, 503, true}, {ending.Refused(), 0, 503, false}, {ending.Failed(), 0.25, 500, false},
-		{ending.Answer{HTTP: 409}, 0, 409, false}, {ending.Answer{HTTP: 429, Retry: true}, 1, 429, true},
-		{ending.Answer{HTTP: 503}, 0, 500, false}, {ending.Answer{HTTP: 400, Retry: true}, 0, 503, false},
+		{outcome.Refused(), 0.25, 503, true}, {outcome.Refused(), 0, 503, false}, {outcome.Failed(), 0.25, 500, false},
+		{outcome.Answer{HTTP: 409}, 0, 409, false}, {outcome.Answer{HTTP: 429, Retry: true}, 1, 429, true},
+		{outcome.Answer{HTTP: 503}, 0, 500, false}, {outcome.Answer{HTTP: 400, Retry: true}, 0, 503, false},
 	} {
 		w := j.Word(c.a, c.after, "x")
 		has := false
--- a/internal/wheel/wheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -1,9 +1,9 @@
-// Package wheel keeps many timers in one hierarchical timing wheel (Varghese and Lauck, "Hashed and
+// Package timerwheel keeps many timers in one hierarchical timing wheel (Varghese and Lauck, "Hashed and
 // Hierarchical Timing Wheels", 1987). It reads no clock and starts no goroutine: the owner passes the time.
 //
 // Adding and cancelling take constant time. A timer fires in the first Advance at or after its time, never
 // before it, and at most one resolution later than a sorted list would have it.
-package wheel
+package timerwheel
 
 import (
 	"math"
--- a/internal/wheel/wheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timerwheel
 
 import (
 	"container/heap"
--- a/lab/chart/chart.go
+++ b/lab/chart/chart.go
@@ -7,7 +7,7 @@
 	"os"
 	"slices"
 
-	"dillroute/lab/badday"
+	"dillroute/lab/scenario"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
@@ -22,11 +22,11 @@
 // line is one curve of a panel.
 type line struct {
 	name string
-	of   func(badday.Point) float64
+	of   func(scenario.Point) float64
 }
 
 // Draw writes service, nodes up, fairness and the use of cold budgets over time to a file.
-func Draw(r *badday.Report, path string) error {
+func Draw(r *scenario.Report, path string) error {
 	if len(r.Series) < 2 {
 		return fmt.Errorf("chart: a run of %d points is too short to draw", len(r.Series))
 	}
@@ -37,17 +37,17 @@
 	slices.Sort(kinds)
 	var fair []line
 	for _, kind := range kinds {
-		fair = append(fair, line{kind, func(p badday.Point) float64 { return p.Fairness[kind] }})
+		fair = append(fair, line{kind, func(p scenario.Point) float64 { return p.Fairness[kind] }})
 	}
 	panels := []struct {
 		title, axis string
 		lines       []line
 	}{
-		{r.Name, "requests", []line{{"asked", func(p badday.Point) float64 { return float64(p.Asked) }},
-			{"served", func(p badday.Point) float64 { return float64(p.Served) }}}},
-		{"", "nodes up", []line{{"up", func(p badday.Point) float64 { return float64(p.Up) }}}},
+		{r.Name, "requests", []line{{"asked", func(p scenario.Point) float64 { return float64(p.Asked) }},
+			{"served", func(p scenario.Point) float64 { return float64(p.Served) }}}},
+		{"", "nodes up", []line{{"up", func(p scenario.Point) float64 { return float64(p.Up) }}}},
 		{"", "Jain's index over engines", fair},
-		{"", "cold budget used, at most so far", []line{{"share", func(p badday.Point) float64 { return p.Cold }}}},
+		{"", "cold budget used, at most so far", []line{{"share", func(p scenario.Point) float64 { return p.Cold }}}},
 	}
 	img := vgimg.New(24*vg.Centimeter, 26*vg.Centimeter)
 	tiles := draw.Tiles{Rows: len(panels), Cols: 1, PadTop: vg.Points(4), PadBottom: vg.Points(4), PadLeft: vg.Points(4),
@@ -74,7 +74,7 @@
 	return f.Close()
 }
 
-func panelPlot(r *badday.Report, title, axis string, lines []line) (*plot.Plot, error) {
+func panelPlot(r *scenario.Report, title, axis string, lines []line) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text, p.X.Label.Text = title, axis, "s"
 	p.Y.Min = 0
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -18,15 +18,15 @@
 	"sync"
 	"time"
 
+	"dillroute/lab/emulator"
 	"dillroute/lab/record"
-	"dillroute/lab/standin"
 )
 
 // Ask is one request of a client.
 type Ask struct {
 	Model     string
-	Messages  []standin.Message
-	Mark      standin.Mark
+	Messages  []emulator.Message
+	Mark      emulator.Mark
 	MaxTokens int
 	Whole     bool          // no stream
 	Session   string        // prompt_cache_key
@@ -167,7 +167,7 @@
 	if ms, err := strconv.Atoi(resp.Header.Get("Retry-After-Ms")); err == nil {
 		res.After = time.Duration(ms) * time.Millisecond
 	}
-	want, _ := standin.Expected(a.Messages, a.Mark, a.MaxTokens)
+	want, _ := emulator.Expected(a.Messages, a.Mark, a.MaxTokens)
 	switch {
 	case resp.StatusCode != 200:
 		body, err := io.ReadAll(resp.Body)
--- a/lab/standin/engine.go
+++ b/lab/emulator/engine.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"context"
--- a/lab/standin/text.go
+++ b/lab/emulator/text.go
@@ -1,7 +1,7 @@
-// Package standin plays the systems around a node: prefill, decode and mixed engines that speak the protocol of
+// Package emulator plays the systems around a node: prefill, decode and mixed engines that speak the protocol of
 // vLLM's disaggregated serving, and clients. They are written for the project, from public specifications; nothing
 // here is a measurement of a real engine.
-package standin
+package emulator
 
 import (
 	"encoding/json"
--- a/lab/wrong/wrong.go
+++ b/lab/faultyrouter/faultyrouter.go
@@ -1,6 +1,6 @@
-// Package wrong holds small routers that each break one rule on purpose. They prove that the rule checker can
+// Package faultyrouter holds small routers that each break one rule on purpose. They prove that the rule checker can
 // fail: a checker that passes one of them is no checker. The one without a sin breaks none.
-package wrong
+package faultyrouter
 
 import (
 	"bytes"
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -10,13 +10,13 @@
 	"strconv"
 	"sync"
 
+	"dillroute/lab/emulator"
 	"dillroute/lab/record"
-	"dillroute/lab/standin"
 )
 
 // Member is one engine and its place.
 type Member struct {
-	standin.Settings
+	emulator.Settings
 	Kind, Cell, Zone string
 }
 
@@ -24,7 +24,7 @@
 type Fleet struct {
 	log     *record.Log
 	members []Member
-	engines map[string]*standin.Engine
+	engines map[string]*emulator.Engine
 
 	mu     sync.Mutex
 	states map[string]string // by engine: "", draining, gone
@@ -33,9 +33,9 @@
 
 // New makes a fleet that does not run yet. The log may be nil.
 func New(members []Member, l *record.Log) *Fleet {
-	f := &Fleet{log: l, members: members, engines: map[string]*standin.Engine{}, states: map[string]string{}, kinds: map[string]string{}}
+	f := &Fleet{log: l, members: members, engines: map[string]*emulator.Engine{}, states: map[string]string{}, kinds: map[string]string{}}
 	for _, m := range members {
-		f.engines[m.ID] = standin.New(m.Settings, l)
+		f.engines[m.ID] = emulator.New(m.Settings, l)
 	}
 	return f
 }
@@ -57,11 +57,11 @@
 		go func() { defer wg.Done(); e.Kill() }()
 	}
 	wg.Wait()
-	standin.CloseIdle()
+	emulator.CloseIdle()
 }
 
 // Engine returns an engine by its id, or nil.
-func (f *Fleet) Engine(id string) *standin.Engine { return f.engines[id] }
+func (f *Fleet) Engine(id string) *emulator.Engine { return f.engines[id] }
 
 // Members returns the members, in their order.
 func (f *Fleet) Members() []Member { return f.members }
@@ -145,14 +145,14 @@
 }
 
 // Serve gives a snapshot to a list server, which tells all nodes at once; what each was told is recorded.
-func (f *Fleet) Serve(s Snapshot, server *standin.ListServer, nodes []string) {
-	var list []standin.Instance
+func (f *Fleet) Serve(s Snapshot, server *emulator.ListServer, nodes []string) {
+	var list []emulator.Instance
 	for _, e := range s.entries {
 		meta := map[string]string{"kind": e.Kind, "cell": e.Cell, "zone": e.Zone, "state": e.State}
 		if e.Boot > 0 {
 			meta["boot_time"] = strconv.FormatFloat(e.Boot, 'f', 6, 64)
 		}
-		list = append(list, standin.Instance{ID: e.ID, Address: e.Address, Meta: meta})
+		list = append(list, emulator.Instance{ID: e.ID, Address: e.Address, Meta: meta})
 	}
 	before := record.Now()
 	server.Set(list)
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -8,16 +8,16 @@
 	"time"
 
 	"dillroute/lab/client"
+	"dillroute/lab/emulator"
+	"dillroute/lab/faultyrouter"
 	"dillroute/lab/fleet"
 	"dillroute/lab/record"
 	"dillroute/lab/rules"
-	"dillroute/lab/standin"
-	"dillroute/lab/wrong"
 )
 
 // scene is a fleet with a wrong node before it.
 type scene struct {
-	sin   wrong.Sin
+	sin   faultyrouter.Sin
 	rule  int // that must be found broken; -1 = none may be
 	ask   func(*client.Ask)
 	fault func(f *fleet.Fleet)
@@ -29,7 +29,7 @@
 	var ms []fleet.Member
 	for _, id := range []string{"prefill-1", "decode-1", "decode-2"} {
 		role := id[:len(id)-2]
-		ms = append(ms, fleet.Member{Kind: role, Settings: standin.Settings{ID: id, Role: role, StepMS: 2, ReadPerS: 1e5, LocalRead: true, ColdS: 30,
+		ms = append(ms, fleet.Member{Kind: role, Settings: emulator.Settings{ID: id, Role: role, StepMS: 2, ReadPerS: 1e5, LocalRead: true, ColdS: 30,
 			ColdShare: 0.3, Slots: 4, Queue: 200}})
 	}
 	f := fleet.New(ms, log)
@@ -38,10 +38,10 @@
 	}
 	defer f.Stop()
 	drained, cold := map[string]bool{}, map[string]bool{}
-	n, err := wrong.Start(s.sin, "node-0", func() []wrong.Engine {
-		var es []wrong.Engine
+	n, err := faultyrouter.Start(s.sin, "node-0", func() []faultyrouter.Engine {
+		var es []faultyrouter.Engine
 		for _, m := range ms {
-			es = append(es, wrong.Engine{ID: m.ID, Address: f.Engine(m.ID).Address(), Role: m.Role, Draining: drained[m.ID], Cold: cold[m.ID]})
+			es = append(es, faultyrouter.Engine{ID: m.ID, Address: f.Engine(m.ID).Address(), Role: m.Role, Draining: drained[m.ID], Cold: cold[m.ID]})
 		}
 		return es
 	})
@@ -55,11 +55,11 @@
 		tell(m.ID, "ready")
 	}
 	switch s.sin {
-	case wrong.Drain:
+	case faultyrouter.Drain:
 		drained["decode-1"] = true
 		tell("decode-1", "draining")
 		time.Sleep(1100 * time.Millisecond) // the grace must have passed
-	case wrong.Flood:
+	case faultyrouter.Flood:
 		f.Engine("decode-1").Kill()
 		if err := f.Engine("decode-1").Start(true); err != nil {
 			t.Fatal(err)
@@ -73,14 +73,14 @@
 	c := client.New("k", log)
 	defer c.Close()
 	asks := 4
-	if s.sin == wrong.Flood {
+	if s.sin == faultyrouter.Flood {
 		asks = 60
 	}
 	var wg sync.WaitGroup
 	for i := range asks {
-		a := client.Ask{Model: "m", Patience: 1500 * time.Millisecond, MaxTokens: 100, Messages: []standin.Message{{Role: "user", Content: fmt.Sprint("q", i)}},
-			Mark: standin.Mark{Op: fmt.Sprint("op", i), Class: "commit", Answer: 12}}
-		if s.sin == wrong.Flood {
+		a := client.Ask{Model: "m", Patience: 1500 * time.Millisecond, MaxTokens: 100, Messages: []emulator.Message{{Role: "user", Content: fmt.Sprint("q", i)}},
+			Mark: emulator.Mark{Op: fmt.Sprint("op", i), Class: "commit", Answer: 12}}
+		if s.sin == faultyrouter.Flood {
 			a.Mark.Answer = 40
 			a.Patience = 10 * time.Second
 		}
@@ -91,7 +91,7 @@
 		go func() { defer wg.Done(); c.Do(context.Background(), "node-0", n.Addr().String(), a) }()
 	}
 	wg.Wait()
-	if s.sin == wrong.After || s.sin == wrong.KeepFailed {
+	if s.sin == faultyrouter.After || s.sin == faultyrouter.KeepFailed {
 		time.Sleep(1800 * time.Millisecond) // what comes after the answer, or does not, has to be seen
 	}
 	n.Stop()
@@ -113,24 +113,24 @@
 	cut := func(k int) func(f *fleet.Fleet) {
 		return func(f *fleet.Fleet) {
 			for _, id := range []string{"decode-1", "decode-2"} {
-				f.Engine(id).SetFaults(standin.Faults{CutAfter: &k})
+				f.Engine(id).SetFaults(emulator.Faults{CutAfter: &k})
 			}
 		}
 	}
 	errors := func(f *fleet.Fleet) {
-		f.Engine("decode-1").SetFaults(standin.Faults{CutBody: true})
-		f.Engine("decode-2").SetFaults(standin.Faults{CutBody: true})
+		f.Engine("decode-1").SetFaults(emulator.Faults{CutBody: true})
+		f.Engine("decode-2").SetFaults(emulator.Faults{CutBody: true})
 	}
 	rejects := func(f *fleet.Fleet) {
-		f.Engine("decode-1").SetFaults(standin.Faults{Reject: 500})
-		f.Engine("decode-2").SetFaults(standin.Faults{Reject: 500})
+		f.Engine("decode-1").SetFaults(emulator.Faults{Reject: 500})
+		f.Engine("decode-2").SetFaults(emulator.Faults{Reject: 500})
 	}
 	for _, s := range []scene{
-		{sin: wrong.None, rule: -1}, {sin: wrong.None, rule: -1, fault: cut(3)}, {sin: wrong.None, rule: -1, fault: rejects},
-		{sin: wrong.Mute, rule: 1}, {sin: wrong.Late, rule: 1}, {sin: wrong.Drop, rule: 1}, {sin: wrong.Twice, rule: 1},
-		{sin: wrong.After, rule: 1}, {sin: wrong.Skip, rule: 0}, {sin: wrong.Repeat, rule: 2, fault: cut(0)},
-		{sin: wrong.RefuseRan, rule: 2, fault: errors}, {sin: wrong.Drain, rule: 3}, {sin: wrong.Flood, rule: 4},
-		{sin: wrong.Pin, rule: 5, ask: func(a *client.Ask) { a.Patience = 6 * time.Second }}, {sin: wrong.KeepFailed, rule: 5, fault: rejects},
+		{sin: faultyrouter.None, rule: -1}, {sin: faultyrouter.None, rule: -1, fault: cut(3)}, {sin: faultyrouter.None, rule: -1, fault: rejects},
+		{sin: faultyrouter.Mute, rule: 1}, {sin: faultyrouter.Late, rule: 1}, {sin: faultyrouter.Drop, rule: 1}, {sin: faultyrouter.Twice, rule: 1},
+		{sin: faultyrouter.After, rule: 1}, {sin: faultyrouter.Skip, rule: 0}, {sin: faultyrouter.Repeat, rule: 2, fault: cut(0)},
+		{sin: faultyrouter.RefuseRan, rule: 2, fault: errors}, {sin: faultyrouter.Drain, rule: 3}, {sin: faultyrouter.Flood, rule: 4},
+		{sin: faultyrouter.Pin, rule: 5, ask: func(a *client.Ask) { a.Patience = 6 * time.Second }}, {sin: faultyrouter.KeepFailed, rule: 5, fault: rejects},
 	} {
 		t.Run(fmt.Sprintf("%s rule %d", s.sin, s.rule), func(t *testing.T) {
 			t.Parallel()
--- a/lab/badday/trouble.go
+++ b/lab/scenario/fault.go
@@ -1,4 +1,4 @@
-package badday
+package scenario
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"dillroute/lab/standin"
+	"dillroute/lab/emulator"
 )
 
 // troubles are the kinds that can be played, by the bench's names, each with what begins and ends it. A player
@@ -22,13 +22,13 @@
 		"crash":          (*day).crash,
 		"mass_restart":   (*day).massRestart,
 		"zone_loss":      (*day).zoneLoss,
-		"fast_errors":    faulty(func(f *standin.Faults, t Trouble) { f.Errors = cmp.Or(t.Size, 0.8) }),
-		"origin_slow":    faulty(func(f *standin.Faults, t Trouble) { f.LinkSlow = cmp.Or(t.Size, 4) }),
-		"report_late":    faulty(func(f *standin.Faults, t Trouble) { f.ReportLate = cmp.Or(t.Size, 10) }),
-		"handshake_slow": faulty(func(f *standin.Faults, t Trouble) { f.HandshakeMS = cmp.Or(t.Size, 100) }),
-		"silent":         faulty(func(f *standin.Faults, _ Trouble) { f.Silent = true }),
-		"cut_streams":    faulty(func(f *standin.Faults, t Trouble) { n := int(t.Size); f.CutAfter = &n }),
-		"pauses": faulty(func(f *standin.Faults, t Trouble) {
+		"fast_errors":    faulty(func(f *emulator.Faults, t Trouble) { f.Errors = cmp.Or(t.Size, 0.8) }),
+		"origin_slow":    faulty(func(f *emulator.Faults, t Trouble) { f.LinkSlow = cmp.Or(t.Size, 4) }),
+		"report_late":    faulty(func(f *emulator.Faults, t Trouble) { f.ReportLate = cmp.Or(t.Size, 10) }),
+		"handshake_slow": faulty(func(f *emulator.Faults, t Trouble) { f.HandshakeMS = cmp.Or(t.Size, 100) }),
+		"silent":         faulty(func(f *emulator.Faults, _ Trouble) { f.Silent = true }),
+		"cut_streams":    faulty(func(f *emulator.Faults, t Trouble) { n := int(t.Size); f.CutAfter = &n }),
+		"pauses": faulty(func(f *emulator.Faults, t Trouble) {
 			f.PauseMS, f.PauseShare = cmp.Or(t.Size, 150), cmp.Or(t.Extra, 0.05)
 		}),
 		"ageing":          (*day).ageing,
@@ -72,8 +72,8 @@
 }
 
 // struck picks the engines of a trouble: those named, or a part of all, drawn by the day's seed.
-func (d *day) struck(t Trouble, fallback float64) []*standin.Engine {
-	var xs []*standin.Engine
+func (d *day) struck(t Trouble, fallback float64) []*emulator.Engine {
+	var xs []*emulator.Engine
 	for _, m := range d.fleet.Members() {
 		named := slices.ContainsFunc(t.Engines, func(p string) bool { ok, _ := path.Match(p, m.ID); return ok })
 		if named || len(t.Engines) == 0 && (t.Zone == "" || t.Zone == m.Zone) {
@@ -91,22 +91,22 @@
 }
 
 // faulty plays a trouble that is a fault of some engines.
-func faulty(set func(*standin.Faults, Trouble)) func(*day, Trouble) func() {
+func faulty(set func(*emulator.Faults, Trouble)) func(*day, Trouble) func() {
 	return func(d *day, t Trouble) func() {
 		xs := d.struck(t, 0.2)
 		for _, e := range xs {
-			e.ChangeFaults(func(f *standin.Faults) { set(f, t) })
+			e.ChangeFaults(func(f *emulator.Faults) { set(f, t) })
 		}
 		return func() {
 			for _, e := range xs {
-				e.SetFaults(standin.Faults{})
+				e.SetFaults(emulator.Faults{})
 			}
 		}
 	}
 }
 
 // down kills engines; the list tells of it late. What it returns starts them again, cold.
-func (d *day) down(xs []*standin.Engine) func() {
+func (d *day) down(xs []*emulator.Engine) func() {
 	var wg sync.WaitGroup
 	for _, e := range xs {
 		wg.Add(1)
@@ -117,7 +117,7 @@
 	d.changed()
 	return func() {
 		for _, e := range xs {
-			e.SetFaults(standin.Faults{})
+			e.SetFaults(emulator.Faults{})
 			if err := e.Start(true); err != nil {
 				fmt.Fprintln(d.o.Out, e.ID, "does not come back:", err)
 				continue
@@ -142,7 +142,7 @@
 	steps := 8
 	for i := range steps {
 		for _, e := range xs {
-			e.ChangeFaults(func(f *standin.Faults) { f.Slow = 1 + (cmp.Or(t.Size, 6)-1)*float64(i+1)/float64(steps) })
+			e.ChangeFaults(func(f *emulator.Faults) { f.Slow = 1 + (cmp.Or(t.Size, 6)-1)*float64(i+1)/float64(steps) })
 		}
 		if !d.sleep(t.At + t.Len*0.7*float64(i+1)/float64(steps)) {
 			return nil
@@ -176,11 +176,11 @@
 		if m.Zone == zone {
 			cut = without
 		}
-		d.fleet.Engine(m.ID).ChangeFaults(func(f *standin.Faults) { f.Cut = cut })
+		d.fleet.Engine(m.ID).ChangeFaults(func(f *emulator.Faults) { f.Cut = cut })
 	}
 	return func() {
 		for _, m := range d.fleet.Members() {
-			d.fleet.Engine(m.ID).ChangeFaults(func(f *standin.Faults) { f.Cut = nil })
+			d.fleet.Engine(m.ID).ChangeFaults(func(f *emulator.Faults) { f.Cut = nil })
 		}
 	}
 }
@@ -329,7 +329,7 @@
 		if _, up := e.Booted(); !up {
 			continue
 		}
-		mend := d.down([]*standin.Engine{e})
+		mend := d.down([]*emulator.Engine{e})
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
--- a/lab/badday/machine.go
+++ b/lab/scenario/machine.go
@@ -1,4 +1,4 @@
-package badday
+package scenario
 
 import (
 	"fmt"
--- a/lab/badday/run.go
+++ b/lab/scenario/run.go
@@ -1,4 +1,4 @@
-package badday
+package scenario
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 	"time"
 
 	"dillroute/lab/client"
+	"dillroute/lab/emulator"
 	"dillroute/lab/fleet"
 	"dillroute/lab/record"
 	"dillroute/lab/rules"
-	"dillroute/lab/standin"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -53,7 +53,7 @@
 	log    *record.Log
 	fleet  *fleet.Fleet
 	client *client.Client
-	lists  *standin.ListServer // nil = a file for each node
+	lists  *emulator.ListServer // nil = a file for each node
 	start  time.Time
 	work   sync.WaitGroup // clients, troubles and list deliveries
 
@@ -117,7 +117,7 @@
 	}
 	defer d.fleet.Stop()
 	if s.List.Server {
-		d.lists = standin.NewListServer(1)
+		d.lists = emulator.NewListServer(1)
 		if err := d.lists.Start(); err != nil {
 			return nil, err
 		}
@@ -286,7 +286,7 @@
 func (d *day) members() []fleet.Member {
 	var ms []fleet.Member
 	d.s.each(func(id string, k Kind, g Group) {
-		ms = append(ms, fleet.Member{Kind: k.Name, Cell: g.Cell, Zone: g.Zone, Settings: standin.Settings{ID: id, Role: k.Role,
+		ms = append(ms, fleet.Member{Kind: k.Name, Cell: g.Cell, Zone: g.Zone, Settings: emulator.Settings{ID: id, Role: k.Role,
 			Slots: k.Slots, Queue: k.Queue, MemoryTokens: k.MemoryTokens, ReadPerS: k.ReadPerS * g.Speed,
 			StepMS: k.StepMS / g.Speed, PerSeqMS: k.PerSeqMS / g.Speed, MovePerS: k.MovePerS, ColdShare: k.ColdShare,
 			ColdS: k.ColdS, ReportMS: k.ReportMS, LocalRead: d.s.Limits.LocalRead, StateTTL: 30,
@@ -597,7 +597,7 @@
 func (d *day) session(seed uint64) {
 	rng := rand.New(rand.NewPCG(d.s.Seed^0xabcdef, seed))
 	c, who := d.class(rng), d.tenant(rng)
-	ms := []standin.Message{{Role: "system", Content: d.beginning(rng, c, seed)}}
+	ms := []emulator.Message{{Role: "system", Content: d.beginning(rng, c, seed)}}
 	for turn := 0; ; turn++ {
 		d.mu.Lock()
 		heavy, ok := d.heavy[c.Name]
@@ -608,14 +608,14 @@
 			size *= heavy[0]
 		}
 		size = min(size, 20000)
-		ms = append(ms, standin.Message{Role: "user", Content: standin.Words(seed*31+uint64(turn), int(size)+4)})
+		ms = append(ms, emulator.Message{Role: "user", Content: emulator.Words(seed*31+uint64(turn), int(size)+4)})
 		answer := int(max(2, min(float64(c.MaxTokens), lognormal(rng, c.AnswerTokens, c.AnswerSigma))))
 		op := fmt.Sprintf("s%d.%d", seed, turn)
 		text, served := d.operation(rng, c, who, op, fmt.Sprintf("session-%d", seed), ms, answer)
 		if !served || rng.Float64() >= 1-1/max(1, c.Turns) {
 			return
 		}
-		ms = append(ms[:len(ms):len(ms)], standin.Message{Role: "assistant", Content: text})
+		ms = append(ms[:len(ms):len(ms)], emulator.Message{Role: "assistant", Content: text})
 		if !d.sleep(time.Since(d.start).Seconds()+c.Think*rng.ExpFloat64()) || time.Since(d.start) > seconds(d.s.Length) {
 			return
 		}
@@ -628,17 +628,17 @@
 	hot, hotSeed := d.hot, d.hotSeed
 	d.mu.Unlock()
 	if hot > 0 && rng.Float64() < hot {
-		return standin.Words(hotSeed, max(1500, c.PrefixTokens))
+		return emulator.Words(hotSeed, max(1500, c.PrefixTokens))
 	}
 	if c.Prefixes > 0 && rng.Float64() < c.PrefixShare {
 		x := rng.Float64() // a few beginnings are common
-		return standin.Words(uint64(1000+int(x*x*float64(c.Prefixes))), c.PrefixTokens)
+		return emulator.Words(uint64(1000+int(x*x*float64(c.Prefixes))), c.PrefixTokens)
 	}
-	return standin.Words(seed*7919, 16)
+	return emulator.Words(seed*7919, 16)
 }
 
 // operation asks once and comes again as clients do. It returns the text of a served answer.
-func (d *day) operation(rng *rand.Rand, c *Class, who *Tenant, op, session string, ms []standin.Message, answer int) (string, bool) {
+func (d *day) operation(rng *rand.Rand, c *Class, who *Tenant, op, session string, ms []emulator.Message, answer int) (string, bool) {
 	prompt := 0
 	for _, m := range ms {
 		prompt += len(m.Content)/4 + 4
@@ -650,7 +650,7 @@
 	}
 	d.mu.Unlock()
 	a := client.Ask{Model: c.Name, Messages: ms, MaxTokens: c.MaxTokens, Session: session, Patience: seconds(patience),
-		Whole: rng.Float64() < c.Whole, Key: keyOf(*who), Tenant: who.Name, Mark: standin.Mark{Op: op, Class: c.Name, Answer: answer}}
+		Whole: rng.Float64() < c.Whole, Key: keyOf(*who), Tenant: who.Name, Mark: emulator.Mark{Op: op, Class: c.Name, Answer: answer}}
 	if rng.Float64() < d.s.Clients.Hangups {
 		a.HangupAt = 1 + rng.IntN(max(1, answer))
 		a.Whole = false
--- a/lab/badday/badday_test.go
+++ b/lab/scenario/scenario_test.go
@@ -1,4 +1,4 @@
-package badday_test
+package scenario_test
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 
 	"dillroute/internal/config"
 	"dillroute/internal/node"
-	"dillroute/lab/badday"
+	"dillroute/lab/scenario"
 )
 
-func launch(name string, text []byte) (badday.Node, error) {
+func launch(name string, text []byte) (scenario.Node, error) {
 	cfg, err := config.Parse(text)
 	if err != nil {
 		return nil, err
@@ -28,13 +28,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := badday.Parse(text)
+	s, err := scenario.Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
-	r, err := badday.Run(ctx, s, badday.Options{Launch: launch, Skew: 0.5})
+	r, err := scenario.Run(ctx, s, scenario.Options{Launch: launch, Skew: 0.5})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := badday.Parse(text); err != nil {
+		if _, err := scenario.Parse(text); err != nil {
 			t.Errorf("%s: %v", f, err)
 		}
 	}
@@ -69,7 +69,7 @@
 		`"name": "short"`: {`"nam": "short"`, `did you mean "name"?`},
 		`["decode-a-1"]`:  {`["decode-z"]`, `no engine is named "decode-z"`},
 	} {
-		_, err := badday.Parse([]byte(strings.Replace(string(text), old, c[0], 1)))
+		_, err := scenario.Parse([]byte(strings.Replace(string(text), old, c[0], 1)))
 		if err == nil || !strings.Contains(err.Error(), c[1]) {
 			t.Errorf("%s: %v, want %s", c[0], err, c[1])
 		}
@@ -91,7 +91,7 @@
 "out_sigma":0.5,"max_out":400,"prefixes":9,"prefix_share":0.9,"prefix_tokens":1500,"turns":2,"think_s":4,"token_ms":60}]}}`
 
 func TestBenchDayIsConverted(t *testing.T) {
-	s, err := badday.Convert([]byte(benchDay), 20, 5)
+	s, err := scenario.Convert([]byte(benchDay), 20, 5)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,19 +101,19 @@
 	if tr := s.Troubles[0]; tr.At != 1 || tr.Len != 1.5 || tr.Engines[0] != "w-c0-2" {
 		t.Fatalf("%+v", tr)
 	}
-	if _, err := badday.Convert([]byte(`{"family":"proxy"}`), 1, 1); err == nil {
+	if _, err := scenario.Convert([]byte(`{"family":"proxy"}`), 1, 1); err == nil {
 		t.Fatal("another family")
 	}
 }
 
 // play runs a script made from the short one.
-func play(t *testing.T, change func(*badday.Script)) *badday.Report {
+func play(t *testing.T, change func(*scenario.Script)) *scenario.Report {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/badday/short.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := badday.Parse(text)
+	s, err := scenario.Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,7 +121,7 @@
 	change(s)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
-	r, err := badday.Run(ctx, s, badday.Options{Launch: launch, Skew: 0.5})
+	r, err := scenario.Run(ctx, s, scenario.Options{Launch: launch, Skew: 0.5})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,9 +134,9 @@
 // Half the nodes go by a list that is three seconds older, on which an engine that drained, one that died and one that
 // changed its role are as they were.
 func TestHalfTheNodesHoldAnOlderList(t *testing.T) {
-	r := play(t, func(s *badday.Script) {
+	r := play(t, func(s *scenario.Script) {
 		s.Nodes, s.Length = 6, 7
-		s.Troubles = []badday.Trouble{{Kind: "stale_half", At: 0.5, Len: 6, Size: 3}, {Kind: "drain", At: 1, Len: 5, Engines: []string{"decode-a-2"}},
+		s.Troubles = []scenario.Trouble{{Kind: "stale_half", At: 0.5, Len: 6, Size: 3}, {Kind: "drain", At: 1, Len: 5, Engines: []string{"decode-a-2"}},
 			{Kind: "crash", At: 1.5, Len: 4, Engines: []string{"prefill-a-2"}},
 			{Kind: "role_change", At: 2, Len: 1, Engines: []string{"decode-a-1"}, To: "prefill"}}
 	})
@@ -149,12 +149,12 @@
 
 // An engine that all nodes had learned to do without comes back cold before all of them at once.
 func TestColdEngineBeforeAllNodesAtOnce(t *testing.T) {
-	r := play(t, func(s *badday.Script) {
+	r := play(t, func(s *scenario.Script) {
 		s.Nodes, s.Length, s.Load.PerS, s.Rules.ColdS = 20, 8, 60, 3
 		for i := range s.Kinds {
 			s.Kinds[i].ColdS = 3
 		}
-		s.Troubles = []badday.Trouble{{Kind: "crash", At: 2, Len: 1.5, Engines: []string{"decode-a-1", "prefill-a-1"}}}
+		s.Troubles = []scenario.Trouble{{Kind: "crash", At: 2, Len: 1.5, Engines: []string{"decode-a-1", "prefill-a-1"}}}
 	})
 	if r.Cold.Share > 1 || r.Cold.Share == 0 {
 		t.Errorf("sends to cold engines came to %.2f of their budget", r.Cold.Share)
@@ -162,9 +162,9 @@
 }
 
 func TestManyNodesRestartWithinASecond(t *testing.T) {
-	r := play(t, func(s *badday.Script) {
+	r := play(t, func(s *scenario.Script) {
 		s.Nodes, s.Length = 60, 6
-		s.Troubles = []badday.Trouble{{Kind: "balancer_roll", At: 3, Len: 1, Part: 1, Size: 0.25, Extra: 0.1}}
+		s.Troubles = []scenario.Trouble{{Kind: "balancer_roll", At: 3, Len: 1, Part: 1, Size: 0.25, Extra: 0.1}}
 	})
 	if r.Starts != 120 {
 		t.Errorf("%d starts", r.Starts)
@@ -173,9 +173,9 @@
 
 // A release restarts each reader once, and the load of a fleet follows from what its engines can do.
 func TestReleaseRestartsEveryReaderOnceAndLoadFollowsCapacity(t *testing.T) {
-	p := badday.FleetPlan{Nodes: 2, Engines: 24, Length: 60, Load: 0.5}
+	p := scenario.FleetPlan{Nodes: 2, Engines: 24, Length: 60, Load: 0.5}
 	readers := p.Script().Readers()
-	p.Troubles = badday.CrowdTroubles(readers, 3, 15, 9, 2)
+	p.Troubles = scenario.CrowdTroubles(readers, 3, 15, 9, 2)
 	s := p.Script()
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
--- a/lab/badday/script.go
+++ b/lab/scenario/script.go
@@ -1,7 +1,7 @@
-// Package badday plays a scripted bad day through real nodes on loopback: clients, stand-in engines, a list that
+// Package scenario plays a scripted fault scenario through real nodes on loopback: clients, stand-in engines, a list that
 // comes late, and troubles by the names that the bench gives its kinds. The rules are judged from what passed on
 // the sockets.
-package badday
+package scenario
 
 import (
 	"cmp"
--- a/lab/virtualfleet/day.go
+++ b/lab/simulation/day.go
@@ -1,4 +1,4 @@
-package virtualfleet
+package simulation
 
 import (
 	"context"
--- a/lab/virtualfleet/site.go
+++ b/lab/simulation/site.go
@@ -1,8 +1,8 @@
-// Package virtualfleet plays whole days of a fleet on virtual time (testing/synctest): nodes behind in-memory sockets, stand-in
+// Package simulation plays whole days of a fleet on virtual time (testing/synctest): nodes behind in-memory sockets, stand-in
 // engines that queue and slow down as they fill, discovery, clients and faults. Deployments and their settings are drawn from a
 // seed. The same day is also served by a plain policy of its own (plain.go), against which the nodes' service is judged
 // (oracle.go). It reaches the product through sockets and its configuration alone. Its figures are of simulated engines.
-package virtualfleet
+package simulation
 
 import (
 	"encoding/json"
--- a/scheduler/collapse_test.go
+++ b/scheduler/collapse_test.go
@@ -7,7 +7,7 @@
 )
 
 // An aim that is longer than a read, but by less than the slack of the first-token test, left a class that was refused by an idle
-// fleet: 55 to 80% of its worth on drawn days 149, 167 and 327 (lab/virtualfleet).
+// fleet: 55 to 80% of its worth on drawn days 149, 167 and 327 (lab/simulation).
 func TestClassWhoseAimLeavesLittleSlackIsSentToAnIdleFleet(t *testing.T) {
 	alone := (1000 + overhead) * firstSpt
 	for _, x := range []struct {
