--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -182,17 +182,17 @@
 }
 
 var statuses = map[string]scheduler.Status{
-	"served": scheduler.Served, "server_error": scheduler.ServerError, "turned_away": scheduler.TurnedAway,
-	"no_answer": scheduler.NoAnswer, "no_connection": scheduler.NoConnection, "connection_lost": scheduler.ConnectionLost,
-	"called_off": scheduler.CalledOff, "not_sent": scheduler.NotSent, "parsed": scheduler.Parsed,
+	"served": scheduler.Completed, "server_error": scheduler.ServerError, "turned_away": scheduler.Rejected,
+	"no_answer": scheduler.TimedOut, "no_connection": scheduler.ConnectFailed, "connection_lost": scheduler.ConnectionLost,
+	"called_off": scheduler.Canceled, "not_sent": scheduler.NotSent, "parsed": scheduler.Prefilled,
 }
 
-var forms = map[string]scheduler.ListForm{
-	"incr": scheduler.ListChanges, "total": scheduler.ListFull, "warm_copy": scheduler.ListWarm, "lost": scheduler.ListLost,
+var forms = map[string]scheduler.UpdateForm{
+	"incr": scheduler.UpdateIncremental, "total": scheduler.UpdateComplete, "warm_copy": scheduler.UpdateStale, "lost": scheduler.UpdateFailed,
 }
 
 var states = map[string]scheduler.EngineState{
-	"ready": scheduler.Ready, "draining": scheduler.Draining, "gone": scheduler.Removed,
+	"ready": scheduler.EngineReady, "draining": scheduler.EngineDraining, "gone": scheduler.EngineRemoved,
 }
 
 // Next returns the next batch, or io.EOF at the end of the input.
@@ -263,23 +263,23 @@
 	case "KILL":
 		it.Kill = true
 	case "WAKEUP":
-		it.Event = scheduler.Wake{Token: int64(r.integer("ctx", true))}
+		it.Event = scheduler.TimerFired{Token: int64(r.integer("ctx", true))}
 	case "DEMAND":
 		it.Event = scheduler.Request{ID: r.text("op_id"), Class: r.index("tier_class", len(cfg.Classes)),
 			Tenant: r.index("project", max(1, len(cfg.Tenants))), Session: r.kv["session_id"],
-			Prefix: r.kv["system_prompt"], TimeLeft: r.number("time_left_s", true), Hint: r.amount("work_s"),
-			PromptLen: r.amount("prompt_tokens"), PrefixLen: r.amount("prefix_tokens"),
-			MaxOut: r.amount("output_cap"), Retry: r.flag("is_retry"), Returned: r.flag("returned")}
+			Prefix: r.kv["system_prompt"], ClientTimeLeft: r.number("time_left_s", true), DurationHint: r.amount("work_s"),
+			PromptTokens: r.amount("prompt_tokens"), PrefixTokens: r.amount("prefix_tokens"),
+			MaxOutputTokens: r.amount("output_cap"), Retry: r.flag("is_retry"), Returned: r.flag("returned")}
 	case "FLOWING":
-		it.Event = scheduler.First{ID: r.text("op_id"), Attempt: r.integer("n", false), Engine: r.text("engine"),
+		it.Event = scheduler.FirstToken{ID: r.text("op_id"), Attempt: r.integer("n", false), Engine: r.text("engine"),
 			Spent: r.amount("spent_s")}
 	case "GONE":
-		it.Event = scheduler.Gone{ID: r.text("op_id")}
+		it.Event = scheduler.ClientDisconnected{ID: r.text("op_id")}
 	case "HELD_NOTE":
-		it.Event = scheduler.Held{ID: r.text("op_id"), Attempt: r.integer("n", false), Engine: r.kv["engine"],
+		it.Event = scheduler.ReserveResult{ID: r.text("op_id"), Attempt: r.integer("n", false), Engine: r.kv["engine"],
 			OK: r.integer("sort", true) == 1}
 	case "CHECKED":
-		it.Event = scheduler.Probed{Engine: r.text("engine"), Status: lookup(r, "disposition", statuses),
+		it.Event = scheduler.ProbeResult{Engine: r.text("engine"), Status: lookup(r, "disposition", statuses),
 			Spent: r.amount("spent_s"), Report: r.report()}
 	case "CLOSED_ATTEMPT":
 		it.Event = scheduler.Outcome{ID: r.text("op_id"), Attempt: r.integer("n", false), Engine: r.text("engine"),
@@ -292,7 +292,7 @@
 				r.fail("payload", "not hex digits")
 			}
 		}
-		it.Event = scheduler.Peer{From: r.integer("neighbour", false), Data: data}
+		it.Event = scheduler.PeerMessage{From: r.integer("neighbour", false), Data: data}
 	case "PEERS_KNOWN":
 		m, merr := d.members(r, cfg)
 		if merr != nil {
@@ -305,9 +305,9 @@
 	return it, true, r.err
 }
 
-func (d *Decoder) members(r *record, cfg *scheduler.Config) (scheduler.Members, error) {
-	m := scheduler.Members{Form: lookup(r, "form", forms)}
-	n := r.integer("members", m.Form != scheduler.ListLost)
+func (d *Decoder) members(r *record, cfg *scheduler.Config) (scheduler.EndpointUpdate, error) {
+	m := scheduler.EndpointUpdate{Form: lookup(r, "form", forms)}
+	n := r.integer("members", m.Form != scheduler.UpdateFailed)
 	if r.err != nil {
 		return m, r.err
 	}
@@ -323,7 +323,7 @@
 			return m, fmt.Errorf("line %d: %s where ITEM %d of %d should be", e.line, clip(e.name), i+1, n)
 		}
 		m.Engines = append(m.Engines, scheduler.Engine{ID: e.text("engine"), Cell: e.integer("cohort", false),
-			Zone: e.index("hall", max(1, cfg.Zones)), Kind: e.index("generation_hw", len(cfg.Kinds)),
+			Zone: e.index("hall", max(1, cfg.ZoneCount)), Kind: e.index("generation_hw", len(cfg.Kinds)),
 			State: lookup(e, "state", states), Weight: e.number("capacity_hint", false),
 			BootTime: e.number("boot_time_s", false)})
 		if e.err != nil {
@@ -403,24 +403,24 @@
 		return "RESERVE\top_id=" + a.ID + "\tengine=" + a.Engine, nil
 	case scheduler.Release:
 		return "UNHOLD\top_id=" + a.ID, nil
-	case scheduler.Refuse:
+	case scheduler.Reject:
 		if a.RetryAfter <= 0 {
 			return "REFUSE\top_id=" + a.ID, nil
 		}
 		return "REFUSE\top_id=" + a.ID + "\tbackoff_s=" + seconds(a.RetryAfter), nil
 	case scheduler.Fail:
 		return "FAIL\top_id=" + a.ID, nil
-	case scheduler.Timer:
+	case scheduler.SetTimer:
 		return fmt.Sprintf("SCHEDULE\ttime_s=%s\tctx=%d", seconds(a.At), a.Token), nil
 	case scheduler.Probe:
 		return "HEALTH_CHECK\tengine=" + a.Engine, nil
-	case scheduler.Watch:
+	case scheduler.WatchEndpoints:
 		on := 0
 		if a.On {
 			on = 1
 		}
 		return fmt.Sprintf("STREAM_CHANGES\tenable=%d", on), nil
-	case scheduler.Fetch:
+	case scheduler.FetchEndpoints:
 		return "REFRESH", nil
 	case scheduler.Log:
 		return "SAY_LOG\tbody_text=" + oneLine(a.Text), nil
--- a/internal/benchwire/benchwire_test.go
+++ b/internal/benchwire/benchwire_test.go
@@ -45,31 +45,31 @@
 		t.Fatalf("%v, %d items", err, len(items))
 	}
 	c := items[0].Launch.Config
-	if c.Rules.LetGoBy != 1 || c.Classes[0].TokenAim != 0.06 || c.Classes[0].AimPerK != 0.04 ||
-		c.Kinds[1].Role != scheduler.Write || c.Report != scheduler.ReportInline || items[0].Launch.Seed != 7 {
+	if c.Rules.StateReleaseLimit != 1 || c.Classes[0].OutputTokenObjective != 0.06 || c.Classes[0].ObjectivePer1KTokens != 0.04 ||
+		c.Kinds[1].Role != scheduler.Decode || c.ReportStyle != scheduler.ReportInline || items[0].Launch.Seed != 7 {
 		t.Errorf("settings: %+v", c)
 	}
-	m := items[1].Event.(scheduler.Members)
+	m := items[1].Event.(scheduler.EndpointUpdate)
 	want := scheduler.Engine{ID: "10.0.0.2:1", Kind: 1, Weight: 1}
-	if m.Form != scheduler.ListWarm || len(m.Engines) != 2 || m.Engines[1] != want {
+	if m.Form != scheduler.UpdateStale || len(m.Engines) != 2 || m.Engines[1] != want {
 		t.Errorf("list: %+v", m)
 	}
 }
 
 func TestEveryEvent(t *testing.T) {
 	for line, want := range map[string]scheduler.Event{
-		"WAKEUP\tctx=77": scheduler.Wake{Token: 77},
-		"GONE\top_id=a":  scheduler.Gone{ID: "a"},
+		"WAKEUP\tctx=77": scheduler.TimerFired{Token: 77},
+		"GONE\top_id=a":  scheduler.ClientDisconnected{ID: "a"},
 		"DEMAND\top_id=a\ttier_class=0\tproject=0\tsession_id=s\ttime_left_s=0.24\twork_s=0.5\tsystem_prompt=p\tprompt_tokens=18\tprefix_tokens=12\toutput_cap=25\tis_retry=1\treturned=1\tnew=x": scheduler.Request{
-			ID: "a", Session: "s", Prefix: "p", TimeLeft: 0.24, Hint: 0.5, PromptLen: 18, PrefixLen: 12, MaxOut: 25, Retry: true, Returned: true},
-		"FLOWING\top_id=a\tn=1\tengine=e\tspent_s=0.5":        scheduler.First{ID: "a", Attempt: 1, Engine: "e", Spent: 0.5},
-		"HELD_NOTE\top_id=a\tsort=1\tn=2\tengine=e\tamount=0": scheduler.Held{ID: "a", Attempt: 2, Engine: "e", OK: true},
-		"CHECKED\tdisposition=no_answer\tspent_s=1\tengine=e": scheduler.Probed{Engine: "e", Status: scheduler.NoAnswer, Spent: 1},
-		"WHISPER\tneighbour=2\tpayload=6869":                  scheduler.Peer{From: 2, Data: []byte("hi")},
-		"PEERS_KNOWN\tform=lost\trev=1":                       scheduler.Members{Form: scheduler.ListLost},
+			ID: "a", Session: "s", Prefix: "p", ClientTimeLeft: 0.24, DurationHint: 0.5, PromptTokens: 18, PrefixTokens: 12, MaxOutputTokens: 25, Retry: true, Returned: true},
+		"FLOWING\top_id=a\tn=1\tengine=e\tspent_s=0.5":        scheduler.FirstToken{ID: "a", Attempt: 1, Engine: "e", Spent: 0.5},
+		"HELD_NOTE\top_id=a\tsort=1\tn=2\tengine=e\tamount=0": scheduler.ReserveResult{ID: "a", Attempt: 2, Engine: "e", OK: true},
+		"CHECKED\tdisposition=no_answer\tspent_s=1\tengine=e": scheduler.ProbeResult{Engine: "e", Status: scheduler.TimedOut, Spent: 1},
+		"WHISPER\tneighbour=2\tpayload=6869":                  scheduler.PeerMessage{From: 2, Data: []byte("hi")},
+		"PEERS_KNOWN\tform=lost\trev=1":                       scheduler.EndpointUpdate{Form: scheduler.UpdateFailed},
 		"CLOSED_ATTEMPT\top_id=a\tdisposition=parsed\tinfo=7\tn=1\tengine=e\tspent_s=0.1\tfinished=1\treport=cpu:0.6,waiting:3,x0:0.4,x1:2,active:5,avg_ms:9,odd:1": scheduler.Outcome{
-			ID: "a", Attempt: 1, Engine: "e", Status: scheduler.Parsed, Info: 7, Spent: 0.1, Closed: true,
-			Report: &scheduler.Report{Util: 0.6, Waiting: 3, MemShare: 0.4, TokensWaiting: 2000, Active: 5, LatencyMS: 9, Has: 63}},
+			ID: "a", Attempt: 1, Engine: "e", Status: scheduler.Prefilled, Info: 7, Spent: 0.1, Closed: true,
+			Report: &scheduler.LoadReport{Utilization: 0.6, Waiting: 3, MemoryShare: 0.4, TokensWaiting: 2000, Active: 5, LatencyMS: 9, Has: 63}},
 	} {
 		items, err := decode(launch(t) + batch(line))
 		if err != nil || len(items) != 3 || !reflect.DeepEqual(items[2].Event, want) {
@@ -91,13 +91,13 @@
 		"ABORT_ATTEMPT\top_id=a\tn=2":             scheduler.Cancel{ID: "a", Attempt: 2},
 		"RESERVE\top_id=a\tengine=e":              scheduler.Reserve{ID: "a", Engine: "e"},
 		"UNHOLD\top_id=a":                         scheduler.Release{ID: "a"},
-		"REFUSE\top_id=a":                         scheduler.Refuse{ID: "a"},
-		"REFUSE\top_id=a\tbackoff_s=0.5":          scheduler.Refuse{ID: "a", RetryAfter: 0.5},
+		"REFUSE\top_id=a":                         scheduler.Reject{ID: "a"},
+		"REFUSE\top_id=a\tbackoff_s=0.5":          scheduler.Reject{ID: "a", RetryAfter: 0.5},
 		"FAIL\top_id=a":                           scheduler.Fail{ID: "a"},
-		"SCHEDULE\ttime_s=8.91225\tctx=7":         scheduler.Timer{At: 8.91225, Token: 7},
+		"SCHEDULE\ttime_s=8.91225\tctx=7":         scheduler.SetTimer{At: 8.91225, Token: 7},
 		"HEALTH_CHECK\tengine=e":                  scheduler.Probe{Engine: "e"},
-		"STREAM_CHANGES\tenable=1":                scheduler.Watch{On: true},
-		"REFRESH":                                 scheduler.Fetch{},
+		"STREAM_CHANGES\tenable=1":                scheduler.WatchEndpoints{On: true},
+		"REFRESH":                                 scheduler.FetchEndpoints{},
 		"SAY_LOG\tbody_text=two lines are joined": scheduler.Log{Text: "two lines\nare joined"},
 	} {
 		if got, err := FormatAction(a); err != nil || got != want {
@@ -136,7 +136,7 @@
 func TestLineOfSeveralMegabytes(t *testing.T) {
 	long := strings.Repeat("x", 4<<20)
 	items, err := decode(launch(t) + batch("GONE\top_id="+long))
-	if err != nil || items[2].Event.(scheduler.Gone).ID != long {
+	if err != nil || items[2].Event.(scheduler.ClientDisconnected).ID != long {
 		t.Fatalf("long line: %v", err)
 	}
 }
--- a/internal/benchwire/facts.go
+++ b/internal/benchwire/facts.go
@@ -9,12 +9,12 @@
 )
 
 // report reads the load report of a line; keys that are not known are passed over.
-func (r *record) report() *scheduler.Report {
+func (r *record) report() *scheduler.LoadReport {
 	s := r.kv["report"]
 	if s == "" || s == "-" {
 		return nil
 	}
-	rep := &scheduler.Report{}
+	rep := &scheduler.LoadReport{}
 	for _, part := range strings.Split(s, ",") {
 		k, v, _ := strings.Cut(part, ":")
 		x, err := strconv.ParseFloat(v, 64)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -282,25 +282,25 @@
 }
 
 var (
-	effects = map[string]scheduler.Effect{"repeatable": scheduler.Repeatable, "by_key": scheduler.ByKey, "once": scheduler.Once}
-	groups  = map[string]scheduler.Group{"all": scheduler.GroupAll, "zone": scheduler.GroupZone, "cell": scheduler.GroupCell}
-	roles   = map[string]scheduler.Role{"prefill": scheduler.Read, "decode": scheduler.Write, "mixed": scheduler.Mixed}
+	effects = map[string]scheduler.Effect{"repeatable": scheduler.Idempotent, "by_key": scheduler.IdempotentByKey, "once": scheduler.AtMostOnce}
+	groups  = map[string]scheduler.DedupScope{"all": scheduler.DedupFleet, "zone": scheduler.DedupZone, "cell": scheduler.DedupCell}
+	roles   = map[string]scheduler.Role{"prefill": scheduler.Prefill, "decode": scheduler.Decode, "mixed": scheduler.Mixed}
 	reports = map[string]scheduler.ReportStyle{"off": scheduler.ReportOff, "inline": scheduler.ReportInline}
 )
 
 // Brain returns the settings of the routing module.
 func (c *Config) Brain() scheduler.Config {
 	zone, _ := indexOf(c.Zones, c.Node.Zone)
-	b := scheduler.Config{Rank: c.Node.Rank, Balancers: c.Node.Nodes, Zone: zone, Zones: len(c.Zones),
-		Report: reports[c.Reports], LocalRead: c.LocalRead, Tick: c.Tick,
-		Limits: scheduler.Limits{MaxAttempts: c.Limits.MaxAttempts, Cancel: true, ParallelTries: c.Limits.ParallelTries,
+	b := scheduler.Config{NodeIndex: c.Node.Rank, NodeCount: c.Node.Nodes, Zone: zone, ZoneCount: len(c.Zones),
+		ReportStyle: reports[c.Reports], DecodeEnginesPrefill: c.LocalRead, Tick: c.Tick,
+		Limits: scheduler.Limits{MaxAttempts: c.Limits.MaxAttempts, Cancel: true, HedgedRequests: c.Limits.ParallelTries,
 			RetryAfter: true, MaxRetryAfter: c.Limits.MaxRetryAfter},
-		Rules: scheduler.Rules{AnswerSlack: c.Rules.AnswerSlack, ColdShare: c.Rules.ColdShare, ColdFor: c.Rules.Cold,
-			DrainGrace: c.Rules.DrainGrace, FallMultiple: c.Rules.FallMultiple, TipAfter: c.Rules.TipAfter,
-			LetGoBy: c.Rules.LetGoBy}}
+		Rules: scheduler.Rules{AnswerSlack: c.Rules.AnswerSlack, SlowStartShare: c.Rules.ColdShare, SlowStartDuration: c.Rules.Cold,
+			DrainGrace: c.Rules.DrainGrace, OverloadMultiple: c.Rules.FallMultiple, SlowStartWindow: c.Rules.TipAfter,
+			StateReleaseLimit: c.Rules.LetGoBy}}
 	for _, k := range c.Classes {
-		b.Classes = append(b.Classes, scheduler.Class{Effect: effects[k.Effect], Group: groups[k.Group], KeyTTL: k.KeyWindow,
-			Aim: k.Aim, AimPerK: k.AimPerK, HardLimit: k.Patience, TokenAim: k.TokenAim, Worth: k.Worth,
+		b.Classes = append(b.Classes, scheduler.Class{Effect: effects[k.Effect], DedupScope: groups[k.Group], DedupWindow: k.KeyWindow,
+			FirstTokenObjective: k.Aim, ObjectivePer1KTokens: k.AimPerK, ClientTimeout: k.Patience, OutputTokenObjective: k.TokenAim, PriorityWeight: k.Worth,
 			LateValue: k.LateValue})
 	}
 	for _, k := range c.Kinds {
--- a/internal/decide/connreuse/connreuse.go
+++ b/internal/decide/connreuse/connreuse.go
@@ -56,4 +56,4 @@
 
 // Kept tells whether an attempt may go out on a kept connection at all. One whose effect must not happen twice may not: a
 // loss there could not be told from a request that has run.
-func Kept(effect scheduler.Effect, reads bool) bool { return reads || effect == scheduler.Repeatable }
+func Kept(effect scheduler.Effect, reads bool) bool { return reads || effect == scheduler.Idempotent }
--- a/internal/decide/connreuse/connreuse_test.go
+++ b/internal/decide/connreuse/connreuse_test.go
@@ -50,7 +50,7 @@
 }
 
 func TestWhatMustNotRunTwiceGetsANewConnection(t *testing.T) {
-	if Kept(scheduler.Once, false) || Kept(scheduler.ByKey, false) || !Kept(scheduler.Once, true) || !Kept(scheduler.Repeatable, false) {
+	if Kept(scheduler.AtMostOnce, false) || Kept(scheduler.IdempotentByKey, false) || !Kept(scheduler.AtMostOnce, true) || !Kept(scheduler.Idempotent, false) {
 		t.Fatal("only what may be repeated, and reads, go out on kept connections")
 	}
 }
--- a/internal/decide/outcome/outcome.go
+++ b/internal/decide/outcome/outcome.go
@@ -92,7 +92,7 @@
 	}
 	if f.Stage == Prefill {
 		v.Ran = false // reading has no effect
-		v.Holds = f.Progress >= Written && v.Status != scheduler.Parsed && v.Status != scheduler.TurnedAway && !v.Final
+		v.Holds = f.Progress >= Written && v.Status != scheduler.Prefilled && v.Status != scheduler.Rejected && !v.Final
 		return v
 	}
 	v.Ran = v.Ran || !v.Final && !provesNot(v.Status)
@@ -123,7 +123,7 @@
 
 // provesNot tells whether a status proves that the request never ran.
 func provesNot(s scheduler.Status) bool {
-	return s == scheduler.TurnedAway || s == scheduler.NoConnection || s == scheduler.NotSent || s == scheduler.Parsed
+	return s == scheduler.Rejected || s == scheduler.ConnectFailed || s == scheduler.NotSent || s == scheduler.Prefilled
 }
 
 // unanswered covers the ends without a whole answer.
@@ -132,13 +132,13 @@
 		if f.Cause == ClientLeft || f.Cause == Overtaken || f.Progress == Unsent {
 			return scheduler.NotSent
 		}
-		return scheduler.NoConnection
+		return scheduler.ConnectFailed
 	}
 	switch f.Cause {
 	case Expired, Stalled:
-		return scheduler.NoAnswer
+		return scheduler.TimedOut
 	case Stopped, ClientLeft, Overtaken:
-		return scheduler.CalledOff
+		return scheduler.Canceled
 	case Unreadable:
 		return scheduler.ServerError
 	}
@@ -150,23 +150,23 @@
 	switch f.Meaning {
 	case Done:
 		if f.Stage == Decode {
-			return Verdict{Status: scheduler.Served, Ran: true, Info: f.Kept}
+			return Verdict{Status: scheduler.Completed, Ran: true, Info: f.Kept}
 		}
 	case Read:
 		if f.Stage == Prefill {
-			return Verdict{Status: scheduler.Parsed, Info: f.Kept}
+			return Verdict{Status: scheduler.Prefilled, Info: f.Kept}
 		}
 	case NoState:
-		return Verdict{Status: scheduler.TurnedAway, Info: 1}
+		return Verdict{Status: scheduler.Rejected, Info: 1}
 	case Turned:
-		return Verdict{Status: scheduler.TurnedAway}
+		return Verdict{Status: scheduler.Rejected}
 	case Judged:
 		// One engine may be wrong in it (a model that it lacks, a key that it does not take), and would then fail every
 		// request as fast as it is asked; so a second one has to agree, unless no attempt is left.
 		if f.Agreed || f.Last {
-			return Verdict{Status: scheduler.Served, Final: true}
+			return Verdict{Status: scheduler.Completed, Final: true}
 		}
-		return Verdict{Status: scheduler.TurnedAway}
+		return Verdict{Status: scheduler.Rejected}
 	}
 	return Verdict{Status: scheduler.ServerError, Ran: f.Stage == Decode}
 }
@@ -186,18 +186,18 @@
 func Failed() Answer { return Answer{HTTP: 500, Code: "may_have_run"} }
 
 // Broke is the answer where a stream ended early: repeating is harmless only where the class says so.
-func Broke(effect scheduler.Effect, group scheduler.Group) Answer {
+func Broke(effect scheduler.Effect, group scheduler.DedupScope) Answer {
 	a := Answer{HTTP: 502, Code: "stream_broken", Retry: Repeats(effect, group, true)}
 	return a
 }
 
 // TooSlow is the answer where a whole answer is not ready when its client gives up.
-func TooSlow(effect scheduler.Effect, group scheduler.Group) Answer {
+func TooSlow(effect scheduler.Effect, group scheduler.DedupScope) Answer {
 	return Answer{HTTP: 504, Code: "answer_too_slow", Retry: Repeats(effect, group, true)}
 }
 
 // Repeats tells whether the client may be told that a further try is harmless (rule 2): always where nothing
 // can have run, and else where every engine takes or discards a repeat.
-func Repeats(effect scheduler.Effect, group scheduler.Group, mayHaveRun bool) bool {
-	return !mayHaveRun || effect == scheduler.Repeatable || effect == scheduler.ByKey && group == scheduler.GroupAll
+func Repeats(effect scheduler.Effect, group scheduler.DedupScope, mayHaveRun bool) bool {
+	return !mayHaveRun || effect == scheduler.Idempotent || effect == scheduler.IdempotentByKey && group == scheduler.DedupFleet
 }
--- a/internal/decide/permit/permit.go
+++ b/internal/decide/permit/permit.go
@@ -84,7 +84,7 @@
 // after an attempt that may have run counts as sent again.
 type Repeat struct {
 	Effect   scheduler.Effect
-	Group    scheduler.Group
+	Group    scheduler.DedupScope
 	MayRun   bool    // an earlier attempt may have run, or may yet
 	Since    float64 // when that was sent
 	Window   float64 // in which engines know a repeat of a keyed request
@@ -96,13 +96,13 @@
 // Reason says why the request may not be sent again.
 func (r Repeat) Reason() Reason {
 	switch {
-	case r.Effect == scheduler.Repeatable || !r.MayRun:
+	case r.Effect == scheduler.Idempotent || !r.MayRun:
 		return Allowed
-	case r.Effect == scheduler.Once || r.Since > r.Window:
+	case r.Effect == scheduler.AtMostOnce || r.Since > r.Window:
 		return MayRunTwice
-	case r.Group == scheduler.GroupAll:
+	case r.Group == scheduler.DedupFleet:
 		return Allowed
-	case !r.BothSeen || r.Group == scheduler.GroupZone && !r.SameZone || r.Group == scheduler.GroupCell && !r.SameCell:
+	case !r.BothSeen || r.Group == scheduler.DedupZone && !r.SameZone || r.Group == scheduler.DedupCell && !r.SameCell:
 		return MayRunTwice
 	}
 	return Allowed
@@ -135,7 +135,7 @@
 // Refuse is the promise to a client that a retry is harmless (rule 2).
 type Refuse struct {
 	Effect   scheduler.Effect
-	Group    scheduler.Group
+	Group    scheduler.DedupScope
 	Proven   bool    // the bytes of every attempt prove that it has not run
 	Unheard  bool    // one was written whole and ended without an answer
 	TimeLeft float64 // of the client
@@ -148,9 +148,9 @@
 // Reason says why the promise may not be made.
 func (r Refuse) Reason() Reason {
 	switch {
-	case r.Effect == scheduler.Repeatable:
+	case r.Effect == scheduler.Idempotent:
 		return Allowed
-	case !r.Proven && !(r.Effect == scheduler.ByKey && r.Group == scheduler.GroupAll):
+	case !r.Proven && !(r.Effect == scheduler.IdempotentByKey && r.Group == scheduler.DedupFleet):
 		return Unproven
 	case r.Unheard && r.TimeLeft < lastMoment:
 		return NotHeardOf
@@ -191,7 +191,7 @@
 // Reason says why the call may not be made yet.
 func (r Release) Reason() Reason {
 	switch {
-	case r.Due && !r.EngineHeard && r.ReadsOut == 0 && (r.Effect != scheduler.Repeatable || r.SilentTwice):
+	case r.Due && !r.EngineHeard && r.ReadsOut == 0 && (r.Effect != scheduler.Idempotent || r.SilentTwice):
 		return Allowed
 	case r.AttemptsOut > 0:
 		return AttemptOut
--- a/internal/decide/permit/permit_test.go
+++ b/internal/decide/permit/permit_test.go
@@ -10,8 +10,8 @@
 )
 
 func TestReasons(t *testing.T) {
-	once := Repeat{Effect: scheduler.Once, MayRun: true}
-	keyed := Repeat{Effect: scheduler.ByKey, Group: scheduler.GroupCell, MayRun: true, Since: 1, Window: 5, BothSeen: true, SameCell: true}
+	once := Repeat{Effect: scheduler.AtMostOnce, MayRun: true}
+	keyed := Repeat{Effect: scheduler.IdempotentByKey, Group: scheduler.DedupCell, MayRun: true, Since: 1, Window: 5, BothSeen: true, SameCell: true}
 	elsewhere, late := keyed, keyed
 	elsewhere.SameCell, late.Since = false, 5.1
 	send := Send{AttemptsLeft: 1, EngineKnown: true, Leaving: true, LeavingFor: 0.2, Grace: 0.25}
@@ -35,28 +35,28 @@
 		{"repeat within group and window", keyed, Allowed},
 		{"repeat outside the group", elsewhere, MayRunTwice},
 		{"repeat outside the window", late, MayRunTwice},
-		{"repeat at an engine that is not known", Repeat{Effect: scheduler.ByKey, Group: scheduler.GroupZone, MayRun: true, Window: 5}, MayRunTwice},
+		{"repeat at an engine that is not known", Repeat{Effect: scheduler.IdempotentByKey, Group: scheduler.DedupZone, MayRun: true, Window: 5}, MayRunTwice},
 		{"write", Write{TimeLeft: 1}, Allowed},
 		{"write for a client that left", Write{TimeLeft: 1, ClientGone: true}, ClientGone},
 		{"write what was called off", Write{TimeLeft: 1, CalledOff: true}, CalledOff},
 		{"write when its time is over", Write{}, TimeOver},
 		{"write when its window is over", Write{TimeLeft: 1, Keyed: true}, WindowOver},
-		{"refuse what is repeatable", Refuse{Effect: scheduler.Repeatable, Unheard: true}, Allowed},
-		{"refuse with proof", Refuse{Effect: scheduler.Once, Proven: true, TimeLeft: 1}, Allowed},
-		{"refuse without proof", Refuse{Effect: scheduler.Once, TimeLeft: 1}, Unproven},
-		{"refuse in the last moment", Refuse{Effect: scheduler.Once, Proven: true, Unheard: true, TimeLeft: 0.05}, NotHeardOf},
-		{"refuse what all engines know", Refuse{Effect: scheduler.ByKey, Group: scheduler.GroupAll, TimeLeft: 1}, Allowed},
+		{"refuse what is repeatable", Refuse{Effect: scheduler.Idempotent, Unheard: true}, Allowed},
+		{"refuse with proof", Refuse{Effect: scheduler.AtMostOnce, Proven: true, TimeLeft: 1}, Allowed},
+		{"refuse without proof", Refuse{Effect: scheduler.AtMostOnce, TimeLeft: 1}, Unproven},
+		{"refuse in the last moment", Refuse{Effect: scheduler.AtMostOnce, Proven: true, Unheard: true, TimeLeft: 0.05}, NotHeardOf},
+		{"refuse what all engines know", Refuse{Effect: scheduler.IdempotentByKey, Group: scheduler.DedupFleet, TimeLeft: 1}, Allowed},
 		{"close what has rested for its time", Close{RestedFor: 0.01, LeastRest: 0.1}, Allowed},
 		{"close to make room", Close{MakesRoom: true, RestedFor: 0.2, LeastRest: 0.1}, Allowed},
 		{"close to make room what has just answered", Close{MakesRoom: true, RestedFor: 0.1, LeastRest: 0.1}, RestsBriefly},
 		{"release", Release{}, Allowed},
 		{"release beside an attempt", Release{AttemptsOut: 1}, AttemptOut},
 		{"release what is wanted", Release{StateWanted: true}, StateWanted},
-		{"release beside an attempt that is not heard of", Release{AttemptsOut: 1, StateWanted: true, Due: true, Effect: scheduler.Once}, Allowed},
-		{"release beside an attempt whose engine is heard of", Release{AttemptsOut: 1, Due: true, Effect: scheduler.Once, EngineHeard: true}, AttemptOut},
-		{"release beside an attempt that will be called off", Release{AttemptsOut: 1, Due: true, Effect: scheduler.Repeatable}, AttemptOut},
-		{"release beside the second silent attempt", Release{AttemptsOut: 1, Due: true, Effect: scheduler.Repeatable, SilentTwice: true}, Allowed},
-		{"release beside a read", Release{AttemptsOut: 2, StateWanted: true, Due: true, Effect: scheduler.Once, ReadsOut: 1}, AttemptOut},
+		{"release beside an attempt that is not heard of", Release{AttemptsOut: 1, StateWanted: true, Due: true, Effect: scheduler.AtMostOnce}, Allowed},
+		{"release beside an attempt whose engine is heard of", Release{AttemptsOut: 1, Due: true, Effect: scheduler.AtMostOnce, EngineHeard: true}, AttemptOut},
+		{"release beside an attempt that will be called off", Release{AttemptsOut: 1, Due: true, Effect: scheduler.Idempotent}, AttemptOut},
+		{"release beside the second silent attempt", Release{AttemptsOut: 1, Due: true, Effect: scheduler.Idempotent, SilentTwice: true}, Allowed},
+		{"release beside a read", Release{AttemptsOut: 2, StateWanted: true, Due: true, Effect: scheduler.AtMostOnce, ReadsOut: 1}, AttemptOut},
 	} {
 		if got := c.ask.Reason(); got != c.want {
 			t.Errorf("%s: got %q, want %q", c.name, got, c.want)
--- a/internal/decide/requesttable/attempts.go
+++ b/internal/decide/requesttable/attempts.go
@@ -42,7 +42,7 @@
 	n, s := e.sent, l.engines[a.Engine]
 	e.sent++
 	t := attempt{n: n, engine: a.Engine, sentAt: now, stage: outcome.Decode}
-	if s != nil && s.role == scheduler.Read {
+	if s != nil && s.role == scheduler.Prefill {
 		t.stage = outcome.Prefill
 	}
 	t.withState, t.stateN = t.stage == outcome.Decode && e.state != "", e.stateN
@@ -74,7 +74,7 @@
 	ask := permit.Send{Ended: e.concluded || e.answering, AttemptsLeft: l.left(e), EngineKnown: s != nil, Grace: l.cfg.DrainGrace,
 		Repeat: l.repeat(now, e, t.engine)}
 	if s != nil {
-		ask.Leaving, ask.LeavingFor = s.state != scheduler.Ready, now-s.since
+		ask.Leaving, ask.LeavingFor = s.state != scheduler.EngineReady, now-s.since
 	}
 	return ask.Reason()
 }
@@ -82,7 +82,7 @@
 // repeat is a further attempt of a request at an engine, as rule 2 has it.
 func (l *Ledger) repeat(now float64, e *entry, engine string) permit.Repeat {
 	on, at, ran := e.mayRun()
-	r := permit.Repeat{Effect: e.class.Effect, Group: e.class.Group, MayRun: ran, Since: now - at, Window: e.class.KeyTTL}
+	r := permit.Repeat{Effect: e.class.Effect, Group: e.class.DedupScope, MayRun: ran, Since: now - at, Window: e.class.DedupWindow}
 	if a, b := l.engines[on], l.engines[engine]; a != nil && b != nil {
 		r.BothSeen, r.SameCell, r.SameZone = true, a.cell == b.cell, a.zone == b.zone
 	}
@@ -104,8 +104,8 @@
 
 // repeatBy is when the time ends in which a repeat of a keyed request is known as one; 0 = there is no such time.
 func (l *Ledger) repeatBy(e *entry) float64 {
-	if _, at, ran := e.mayRun(); ran && e.class.Effect == scheduler.ByKey {
-		return at + e.class.KeyTTL
+	if _, at, ran := e.mayRun(); ran && e.class.Effect == scheduler.IdempotentByKey {
+		return at + e.class.DedupWindow
 	}
 	return 0
 }
@@ -148,7 +148,7 @@
 	}
 	e.state = "" // else the fetch has ended: the reader let its memory go
 	l.do(Grant{id, n, true})
-	l.emit(scheduler.First{ID: id, Attempt: n, Engine: t.engine, Spent: now - t.sentAt})
+	l.emit(scheduler.FirstToken{ID: id, Attempt: n, Engine: t.engine, Spent: now - t.sentAt})
 	for i := range e.attempts { // a second copy has lost
 		if o := &e.attempts[i]; o != t && !o.over && !o.aborting {
 			o.aborting = true
@@ -158,7 +158,7 @@
 }
 
 // Ended is told, once, when an attempt has ended. The report may be nil.
-func (l *Ledger) Ended(now float64, id string, n int, f outcome.Facts, rep *scheduler.Report) {
+func (l *Ledger) Ended(now float64, id string, n int, f outcome.Facts, rep *scheduler.LoadReport) {
 	e := l.open[id]
 	if e == nil || e.attempt(n) == nil || e.attempt(n).over {
 		l.fault("end of attempt %d of %s, which is not out", n, id)
@@ -181,7 +181,7 @@
 	if f.Cause == outcome.Answered && f.Meaning == outcome.Judged && !v.Final {
 		e.rejected = f.Code
 	}
-	if v.Ran && e.ran && e.class.Effect == scheduler.Once {
+	if v.Ran && e.ran && e.class.Effect == scheduler.AtMostOnce {
 		l.fault("%s may have run at %s and at %s", id, e.ranOn, t.engine)
 	}
 	if v.Ran && !e.ran {
@@ -194,7 +194,7 @@
 	l.emit(scheduler.Outcome{ID: id, Attempt: n, Engine: t.engine, Status: v.Status, Info: v.Info,
 		Spent: now - t.sentAt, Closed: closed || e.concluded, Report: rep})
 	if t.streaming && e.farewell != nil {
-		if v.Status != scheduler.Served { // else the answer was whole before it could be stopped
+		if v.Status != scheduler.Completed { // else the answer was whole before it could be stopped
 			l.do(*e.farewell)
 		}
 		e.farewell = nil
@@ -220,16 +220,16 @@
 func (l *Ledger) states(now float64, id string, e *entry, n int, v outcome.Verdict) {
 	t := e.attempt(n)
 	switch {
-	case v.Status == scheduler.Parsed:
+	case v.Status == scheduler.Prefilled:
 		if e.state != "" { // read twice: one of the two will not be taken
 			l.letGo(id, e, Release{Engine: e.state, N: e.stateN})
 		}
 		e.state, e.stateN = t.engine, n
-	case v.Holds, l.cfg.ReleaseAll && !t.withState && v.Ran && v.Status != scheduler.Served:
+	case v.Holds, l.cfg.ReleaseAll && !t.withState && v.Ran && v.Status != scheduler.Completed:
 		// Cut reads may have ended well, and an engine that read for itself keeps what it has read.
 		l.letGo(id, e, Release{Engine: t.engine, N: n, CutAt: now})
-	case t.took(e) && (v.Status == scheduler.TurnedAway && v.Info == 1 || v.Status == scheduler.Served && !v.Final):
-		if l.cfg.ReleaseAll && v.Status == scheduler.TurnedAway { // gone for the writer; the reader may know better
+	case t.took(e) && (v.Status == scheduler.Rejected && v.Info == 1 || v.Status == scheduler.Completed && !v.Final):
+		if l.cfg.ReleaseAll && v.Status == scheduler.Rejected { // gone for the writer; the reader may know better
 			l.letGo(id, e, Release{Engine: e.state, N: e.stateN})
 		}
 		e.state = ""
@@ -246,10 +246,10 @@
 	case v.Final:
 		l.do(Pass{id, n})
 		return true
-	case t.streaming && v.Status == scheduler.Served:
+	case t.streaming && v.Status == scheduler.Completed:
 		return true
 	case t.streaming:
-		a := outcome.Broke(e.class.Effect, e.class.Group)
+		a := outcome.Broke(e.class.Effect, e.class.DedupScope)
 		l.do(Answer{id, a, 0, "the engine stopped before the answer was complete"})
 		return true
 	}
--- a/internal/decide/requesttable/endpoints.go
+++ b/internal/decide/requesttable/endpoints.go
@@ -15,8 +15,8 @@
 }
 
 // Members files a list before the module sees it, so that both know the same. since is when it was learned.
-func (l *Ledger) Members(now float64, m scheduler.Members) {
-	if m.Form == scheduler.ListLost {
+func (l *Ledger) Members(now float64, m scheduler.EndpointUpdate) {
+	if m.Form == scheduler.UpdateFailed {
 		l.emit(m)
 		return
 	}
@@ -31,15 +31,15 @@
 		if s.state != n.State {
 			s.state, s.since = n.State, now
 		}
-		s.listed, s.cell, s.zone = n.State != scheduler.Removed, n.Cell, n.Zone
+		s.listed, s.cell, s.zone = n.State != scheduler.EngineRemoved, n.Cell, n.Zone
 		if n.Kind >= 0 && n.Kind < len(l.kinds) {
 			s.role = l.kinds[n.Kind].Role
 		}
 	}
-	if m.Form != scheduler.ListChanges {
+	if m.Form != scheduler.UpdateIncremental {
 		for id, s := range l.engines {
-			if !named[id] && s.state != scheduler.Removed {
-				s.state, s.since, s.listed = scheduler.Removed, now, false
+			if !named[id] && s.state != scheduler.EngineRemoved {
+				s.state, s.since, s.listed = scheduler.EngineRemoved, now, false
 			}
 		}
 	}
@@ -54,7 +54,7 @@
 // prune forgets engines that were removed long ago: where they are replaced all day, there is no end of them.
 func (l *Ledger) prune(now float64) {
 	for id, s := range l.engines {
-		if s.state == scheduler.Removed && now > s.since+keepRemoved {
+		if s.state == scheduler.EngineRemoved && now > s.since+keepRemoved {
 			delete(l.engines, id)
 		}
 	}
@@ -63,12 +63,12 @@
 // Listed tells whether an engine may be sent something new.
 func (l *Ledger) Listed(id string) bool {
 	s := l.engines[id]
-	return s != nil && s.state == scheduler.Ready
+	return s != nil && s.state == scheduler.EngineReady
 }
 
 // LeavingSince is since when an engine is known to drain or be gone (s); 0 = it is ready, or not remembered.
 func (l *Ledger) LeavingSince(id string) float64 {
-	if s := l.engines[id]; s != nil && s.state != scheduler.Ready {
+	if s := l.engines[id]; s != nil && s.state != scheduler.EngineReady {
 		return s.since
 	}
 	return 0
@@ -83,7 +83,7 @@
 		return false
 	}
 	for _, s := range l.engines {
-		if s.state == scheduler.Ready {
+		if s.state == scheduler.EngineReady {
 			return true
 		}
 	}
--- a/internal/decide/requesttable/releases_test.go
+++ b/internal/decide/requesttable/releases_test.go
@@ -56,7 +56,7 @@
 	if l.Wanted(rs[0]) {
 		t.Fatal("the new read would be lost")
 	}
-	l.Apply(1.3, scheduler.Refuse{ID: "a"})
+	l.Apply(1.3, scheduler.Reject{ID: "a"})
 	l.Ended(1.4, "a", 1, outcome.Facts{Progress: outcome.Written, Cause: outcome.Overtaken}, nil)
 	if again := find[Release](l); len(again) != 1 {
 		t.Fatalf("%v", again)
@@ -123,7 +123,7 @@
 			case k == 1:
 				l.Apply(now, scheduler.Release{ID: "a"})
 			case k == 2 && rapid.Bool().Draw(t, "refuse"):
-				l.Apply(now, scheduler.Refuse{ID: "a"})
+				l.Apply(now, scheduler.Reject{ID: "a"})
 			default:
 				for n, s := range out {
 					f := outcome.Facts{Progress: outcome.Written, Cause: rapid.SampledFrom([]outcome.Cause{outcome.Broken, outcome.Expired, outcome.Stopped}).Draw(t, "cause")}
@@ -140,7 +140,7 @@
 			}
 			see()
 		}
-		l.Apply(now, scheduler.Refuse{ID: "a"})
+		l.Apply(now, scheduler.Reject{ID: "a"})
 		see()
 		for n := range out {
 			delete(out, n)
--- a/internal/decide/requesttable/responses.go
+++ b/internal/decide/requesttable/responses.go
@@ -25,7 +25,7 @@
 
 // mayRefuse says why a client may not be told that a retry is harmless.
 func (e *entry) mayRefuse(now float64) permit.Reason {
-	return permit.Refuse{Effect: e.class.Effect, Group: e.class.Group, Proven: e.provenNotRun(), Unheard: e.unheard,
+	return permit.Refuse{Effect: e.class.Effect, Group: e.class.DedupScope, Proven: e.provenNotRun(), Unheard: e.unheard,
 		TimeLeft: e.deadline - now}.Reason()
 }
 
@@ -72,7 +72,7 @@
 		l.say(e, Answer{id, outcome.Answer{HTTP: 400, Code: "client_closed", Retry: retry}, 0,
 			"the client closed its side before the answer; keep it open until then"})
 	}
-	l.emit(scheduler.Gone{ID: id})
+	l.emit(scheduler.ClientDisconnected{ID: id})
 	l.conclude(id, e, outcome.ClientLeft)
 }
 
@@ -84,7 +84,7 @@
 		return
 	case e.answering:
 		if e.wholeBy > 0 && now >= e.wholeBy {
-			l.giveUp(now, id, e, outcome.TooSlow(e.class.Effect, e.class.Group), "the answer was not whole in time")
+			l.giveUp(now, id, e, outcome.TooSlow(e.class.Effect, e.class.DedupScope), "the answer was not whole in time")
 		}
 		return
 	}
@@ -98,7 +98,7 @@
 		a = outcome.Failed()
 	}
 	l.say(e, Answer{id, a, 0, reason})
-	l.emit(scheduler.Gone{ID: id})
+	l.emit(scheduler.ClientDisconnected{ID: id})
 	l.conclude(id, e, outcome.Overtaken)
 }
 
--- a/internal/decide/requesttable/responses_test.go
+++ b/internal/decide/requesttable/responses_test.go
@@ -36,7 +36,7 @@
 			n := decode(t, l, 1, "a", "r0") // r0 reads: an attempt there has no effect by the protocol
 			l.Ended(2, "a", n, c.facts, nil)
 			if how == "by the module" {
-				l.Apply(c.at, scheduler.Refuse{ID: "a"})
+				l.Apply(c.at, scheduler.Reject{ID: "a"})
 			} else {
 				l.EndAll(c.at)
 			}
--- a/internal/decide/requesttable/table.go
+++ b/internal/decide/requesttable/table.go
@@ -134,7 +134,7 @@
 		l.fault("request %s: its class %d is not known", q.ID, q.Class)
 		return outcome.Answer{HTTP: 500, Code: "internal", Retry: true}, false
 	}
-	e := &entry{class: &l.cfg.Classes[q.Class], deadline: now + q.TimeLeft}
+	e := &entry{class: &l.cfg.Classes[q.Class], deadline: now + q.ClientTimeLeft}
 	if whole > 0 {
 		e.wholeBy = now + whole - wholeMargin
 	}
@@ -165,10 +165,10 @@
 		l.cancel(a)
 	case scheduler.Release:
 		l.release(a.ID)
-	case scheduler.Refuse:
-		l.answer(now, a.ID, outcome.Refused(), a.RetryAfter, because("no engine could serve this in time", a.Why))
+	case scheduler.Reject:
+		l.answer(now, a.ID, outcome.Refused(), a.RetryAfter, because("no engine could serve this in time", a.Reason))
 	case scheduler.Fail:
-		l.answer(now, a.ID, outcome.Failed(), 0, because("an engine may have run this; it was not tried again", a.Why))
+		l.answer(now, a.ID, outcome.Failed(), 0, because("an engine may have run this; it was not tried again", a.Reason))
 	case scheduler.Reserve: // offered only where the protocol has it
 		l.fault("request %s: a place cannot be reserved by this protocol", a.ID)
 	default:
@@ -178,7 +178,7 @@
 }
 
 // because adds the module's reason to what a client is told.
-func because(text string, why scheduler.GiveUp) string {
+func because(text string, why scheduler.GiveUpReason) string {
 	if why == "" {
 		return text
 	}
@@ -204,4 +204,4 @@
 func (l *Ledger) Close() { l.closing = true }
 
 // Heard files what an engine told of its load outside the end of an attempt.
-func (l *Ledger) Heard(p scheduler.Probed) { l.emit(p) }
+func (l *Ledger) Heard(p scheduler.ProbeResult) { l.emit(p) }
--- a/internal/decide/requesttable/table_test.go
+++ b/internal/decide/requesttable/table_test.go
@@ -11,14 +11,14 @@
 )
 
 func classes() []scheduler.Class {
-	return []scheduler.Class{{Effect: scheduler.Repeatable}, {Effect: scheduler.Once},
-		{Effect: scheduler.ByKey, Group: scheduler.GroupCell, KeyTTL: 2}, {Effect: scheduler.ByKey, Group: scheduler.GroupAll, KeyTTL: 2}}
+	return []scheduler.Class{{Effect: scheduler.Idempotent}, {Effect: scheduler.AtMostOnce},
+		{Effect: scheduler.IdempotentByKey, DedupScope: scheduler.DedupCell, DedupWindow: 2}, {Effect: scheduler.IdempotentByKey, DedupScope: scheduler.DedupFleet, DedupWindow: 2}}
 }
 
 func newBook() *Ledger {
 	l := New(Config{Classes: classes(), MaxOpen: 8, MaxAttempts: 4, Slack: 0.05, DrainGrace: 0.25},
-		[]scheduler.Kind{{Role: scheduler.Read}, {Role: scheduler.Write}})
-	l.Members(0, scheduler.Members{Form: scheduler.ListFull, Engines: []scheduler.Engine{
+		[]scheduler.Kind{{Role: scheduler.Prefill}, {Role: scheduler.Decode}})
+	l.Members(0, scheduler.EndpointUpdate{Form: scheduler.UpdateComplete, Engines: []scheduler.Engine{
 		{ID: "r0", Kind: 0}, {ID: "r1", Kind: 0, Cell: 1}, {ID: "w0", Kind: 1}, {ID: "w1", Kind: 1, Cell: 1}}})
 	l.Take()
 	return l
@@ -35,7 +35,7 @@
 }
 
 func request(id string, class int) scheduler.Request {
-	return scheduler.Request{ID: id, Class: class, TimeLeft: 5}
+	return scheduler.Request{ID: id, Class: class, ClientTimeLeft: 5}
 }
 
 // decode starts an attempt at a writer and returns its number.
@@ -96,7 +96,7 @@
 	if _, ok := cmds[0].(Fault); !ok {
 		t.Fatalf("the attempt was made: %v", cmds)
 	}
-	l.Apply(1.3, scheduler.Refuse{ID: "a"}) // a lie: it may have run
+	l.Apply(1.3, scheduler.Reject{ID: "a"}) // a lie: it may have run
 	for _, c := range l.TakeCommands() {
 		if a, ok := c.(Answer); ok && a.Answer.Retry {
 			t.Fatalf("the client is told that a retry is harmless: %+v", a)
@@ -125,7 +125,7 @@
 
 func TestNothingToDrainingOrGoneAfterTheGrace(t *testing.T) {
 	l := newBook()
-	l.Members(10, scheduler.Members{Form: scheduler.ListFull, Engines: []scheduler.Engine{{ID: "w0", Kind: 1, State: scheduler.Draining}}})
+	l.Members(10, scheduler.EndpointUpdate{Form: scheduler.UpdateComplete, Engines: []scheduler.Engine{{ID: "w0", Kind: 1, State: scheduler.EngineDraining}}})
 	for i, c := range []struct {
 		engine string
 		at     float64
@@ -244,7 +244,7 @@
 				w.t.Fatalf("%s is sent to %s after its end", c.ID, c.Engine)
 			}
 			k := classes()[w.class[c.ID]]
-			if c.Stage == outcome.Decode && k.Effect == scheduler.Once && w.effect[c.ID] > 0 {
+			if c.Stage == outcome.Decode && k.Effect == scheduler.AtMostOnce && w.effect[c.ID] > 0 {
 				w.t.Fatalf("%s may run twice", c.ID)
 			}
 			if c.Stage == outcome.Decode {
@@ -261,7 +261,7 @@
 		case Answer:
 			w.answers[c.ID]++
 			k := classes()[w.class[c.ID]]
-			if c.Answer.Retry && k.Effect == scheduler.Once && w.effect[c.ID] > 0 {
+			if c.Answer.Retry && k.Effect == scheduler.AtMostOnce && w.effect[c.ID] > 0 {
 				w.t.Fatalf("%s may have run and is refused: %+v", c.ID, c)
 			}
 		case Pass:
@@ -301,17 +301,17 @@
 	}
 	f.Stage = s.Stage
 	v := outcome.Judge(f)
-	if s.Stage == outcome.Decode && !v.Ran && v.Status != scheduler.Served {
+	if s.Stage == outcome.Decode && !v.Ran && v.Status != scheduler.Completed {
 		w.effect[id]--
 	}
-	if s.Stage == outcome.Prefill && (v.Status == scheduler.Parsed || v.Holds) {
+	if s.Stage == outcome.Prefill && (v.Status == scheduler.Prefilled || v.Holds) {
 		w.states[id][s.N] = true
 	}
-	if s.Stage == outcome.Decode && s.State && (v.Info == 1 || v.Status == scheduler.Served && !v.Final) {
+	if s.Stage == outcome.Decode && s.State && (v.Info == 1 || v.Status == scheduler.Completed && !v.Final) {
 		delete(w.states[id], s.StateN)
 	}
 	delete(w.out[id], s.N)
-	if s.Stage == outcome.Decode && v.Status == scheduler.Served && !v.Final {
+	if s.Stage == outcome.Decode && v.Status == scheduler.Completed && !v.Final {
 		w.answers[id]++ // it was passed on as it came
 	}
 	if f.Cause == outcome.ClientLeft {
@@ -373,7 +373,7 @@
 					}
 				}
 			case 8:
-				w.l.Apply(w.now, rapid.SampledFrom([]scheduler.Action{scheduler.Refuse{ID: id}, scheduler.Fail{ID: id}, scheduler.Release{ID: id},
+				w.l.Apply(w.now, rapid.SampledFrom([]scheduler.Action{scheduler.Reject{ID: id}, scheduler.Fail{ID: id}, scheduler.Release{ID: id},
 					scheduler.Cancel{ID: id, Attempt: 0}, scheduler.Cancel{ID: id, Attempt: 1}}).Draw(t, "action"))
 			case 9:
 				w.gone[id] = w.gone[id] || w.answers[id] == 0
@@ -381,8 +381,8 @@
 			case 10:
 				w.l.Overdue(w.now, id)
 			case 11:
-				state := rapid.SampledFrom([]scheduler.EngineState{scheduler.Ready, scheduler.Draining}).Draw(t, "state")
-				w.l.Members(w.now, scheduler.Members{Form: scheduler.ListChanges, Engines: []scheduler.Engine{{ID: "w0", Kind: 1, State: state}}})
+				state := rapid.SampledFrom([]scheduler.EngineState{scheduler.EngineReady, scheduler.EngineDraining}).Draw(t, "state")
+				w.l.Members(w.now, scheduler.EndpointUpdate{Form: scheduler.UpdateIncremental, Engines: []scheduler.Engine{{ID: "w0", Kind: 1, State: state}}})
 			}
 			w.drain()
 		}
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -165,11 +165,11 @@
 // tell hands the belief on, and saves it.
 func (f *Follower) tell(now float64) {
 	b := f.believer.Believed(now)
-	l := protocol.List{Form: scheduler.ListFull, Addresses: map[string]string{}, Saved: b.Saved}
+	l := protocol.List{Form: scheduler.UpdateComplete, Addresses: map[string]string{}, Saved: b.Saved}
 	for _, e := range b.Entries {
 		n := scheduler.Engine{ID: e.ID, Kind: e.Kind, Cell: e.Cell, Zone: e.Zone, Weight: e.Weight, BootTime: f.starts.Own(e.ID, e.Boot, now, f.clock.Wall(), f.heard)}
 		if e.State == endpoints.Draining {
-			n.State = scheduler.Draining
+			n.State = scheduler.EngineDraining
 		}
 		l.Engines = append(l.Engines, n)
 		l.Addresses[e.ID] = e.Address
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -59,7 +59,7 @@
 // Sink takes the stream of a decode attempt.
 type Sink interface {
 	// Load is told the engine's load, when its answer begins.
-	Load(*scheduler.Report)
+	Load(*scheduler.LoadReport)
 	// First waits for leave to answer the client.
 	First() bool
 	// Event passes an event on; more tells that another follows at once, so that the two may leave together. An
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -17,10 +17,10 @@
 // sink keeps back as the node does.
 type sink struct{ kept, sent int }
 
-func (s *sink) Load(*scheduler.Report) {}
-func (s *sink) First() bool            { return true }
-func (s *sink) Finish() error          { return s.Flush() }
-func (s *sink) Flush() error           { s.sent, s.kept = s.sent+s.kept, 0; return nil }
+func (s *sink) Load(*scheduler.LoadReport) {}
+func (s *sink) First() bool                { return true }
+func (s *sink) Finish() error              { return s.Flush() }
+func (s *sink) Flush() error               { s.sent, s.kept = s.sent+s.kept, 0; return nil }
 func (s *sink) Event(_, _ []byte, more bool) error {
 	if s.kept++; !more {
 		s.Flush()
--- a/internal/engine/load.go
+++ b/internal/engine/load.go
@@ -13,7 +13,7 @@
 const loadHeader = "Endpoint-Load-Metrics"
 
 // parseLoad reads a load header in ORCA's JSON or TEXT form; nil where there is none that can be read.
-func parseLoad(h textproto.MIMEHeader) *scheduler.Report {
+func parseLoad(h textproto.MIMEHeader) *scheduler.LoadReport {
 	v := h.Get(loadHeader)
 	if v == "" || len(v) > 4096 {
 		return nil
@@ -32,7 +32,7 @@
 		r := named(func(name string) (float64, bool) { x, ok := orca.Named[name]; return x, ok })
 		for _, util := range []*float64{orca.CPU, orca.Application} {
 			if util != nil {
-				r.Util, r.Has = *util, r.Has|scheduler.HasUtil
+				r.Utilization, r.Has = *util, r.Has|scheduler.HasUtilization
 			}
 		}
 		return known(r)
@@ -47,7 +47,7 @@
 		r := named(func(name string) (float64, bool) { x, ok := values[name]; return x, ok })
 		for _, name := range []string{"cpu_utilization", "application_utilization"} {
 			if x, ok := values[name]; ok {
-				r.Util, r.Has = x, r.Has|scheduler.HasUtil
+				r.Utilization, r.Has = x, r.Has|scheduler.HasUtilization
 			}
 		}
 		return known(r)
@@ -56,10 +56,10 @@
 }
 
 // named maps the metrics that engines publish. Active counts waiting requests too, as the module has it.
-func named(get func(string) (float64, bool)) *scheduler.Report {
-	r := &scheduler.Report{}
+func named(get func(string) (float64, bool)) *scheduler.LoadReport {
+	r := &scheduler.LoadReport{}
 	if x, ok := get("kv_cache_usage_perc"); ok {
-		r.MemShare, r.Has = x, r.Has|scheduler.HasMemShare
+		r.MemoryShare, r.Has = x, r.Has|scheduler.HasMemoryShare
 	}
 	waiting, hasWaiting := get("num_requests_waiting")
 	if hasWaiting {
@@ -72,8 +72,8 @@
 }
 
 // known drops a report that tells nothing, or what cannot be.
-func known(r *scheduler.Report) *scheduler.Report {
-	for _, x := range []float64{r.Active, r.Waiting, r.Util, r.MemShare} {
+func known(r *scheduler.LoadReport) *scheduler.LoadReport {
+	for _, x := range []float64{r.Active, r.Waiting, r.Utilization, r.MemoryShare} {
 		if !(x >= 0 && x < 1e9) {
 			return nil
 		}
--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -15,9 +15,9 @@
 func (n *Node) take(now float64, x *http1.Exchange, asked protocol.Asked) {
 	q, whole, job := asked.Request, asked.Whole, asked.Job
 	if n.endBy > 0 {
-		q.TimeLeft = max(0, min(q.TimeLeft, n.endBy-now+time.Since(x.Arrived).Seconds()))
+		q.ClientTimeLeft = max(0, min(q.ClientTimeLeft, n.endBy-now+time.Since(x.Arrived).Seconds()))
 	}
-	patience := q.TimeLeft
+	patience := q.ClientTimeLeft
 	v := n.strain.take(now, overload.Request{Patience: patience, Spent: time.Since(x.Arrived).Seconds(), Held: n.server.Held()})
 	if !v.OK {
 		n.metrics.strained.WithLabelValues(v.Why).Inc()
@@ -26,7 +26,7 @@
 		n.turnAway(job, outcome.Answer{HTTP: 503, Code: "node_overloaded", Retry: true}, v.RetryAfter, "the node does not keep up now")
 		return
 	}
-	q.TimeLeft = v.TimeLeft
+	q.ClientTimeLeft = v.TimeLeft
 	if whole > 0 {
 		whole -= patience - v.TimeLeft
 	}
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -300,12 +300,12 @@
 }
 
 // Load tells the module the engine's load when its answer begins, as the result of a probe would.
-func (s *stream) Load(r *scheduler.Report) {
+func (s *stream) Load(r *scheduler.LoadReport) {
 	if r == nil {
 		return
 	}
 	s.node.core.post(func(now float64) {
-		s.node.core.book.Heard(scheduler.Probed{Engine: s.engine, Status: scheduler.Served, Report: r})
+		s.node.core.book.Heard(scheduler.ProbeResult{Engine: s.engine, Status: scheduler.Completed, Report: r})
 	})
 }
 
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -148,9 +148,9 @@
 	}
 	for _, a := range acts {
 		if !c.book.Apply(now, a) {
-			if t, ok := a.(scheduler.Timer); ok {
+			if t, ok := a.(scheduler.SetTimer); ok {
 				token := t.Token
-				c.wheel.Add(t.At, func(float64) { c.wakes = append(c.wakes, scheduler.Wake{Token: token}) })
+				c.wheel.Add(t.At, func(float64) { c.wakes = append(c.wakes, scheduler.TimerFired{Token: token}) })
 				continue
 			}
 			c.side(now, a)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -105,7 +105,7 @@
 
 // newNode makes a node that has no sockets yet.
 func newNode(p plan, o options) (*Node, error) {
-	p.scheduler.Limits.HoldRunsOn = true // on sockets (PROTOCOL, the rules)
+	p.scheduler.Limits.StateTimeRunsDuringConnects = true // on sockets (PROTOCOL, the rules)
 	router, err := scheduler.New(p.scheduler, o.seed)
 	if err != nil {
 		return nil, err
@@ -171,7 +171,7 @@
 		for id, a := range l.Addresses {
 			n.addresses[id] = a
 		}
-		n.core.book.Members(now, scheduler.Members{Form: l.Form, Engines: l.Engines})
+		n.core.book.Members(now, scheduler.EndpointUpdate{Form: l.Form, Engines: l.Engines})
 		for id := range n.addresses {
 			if !n.core.book.Known(id) {
 				delete(n.addresses, id)
@@ -249,7 +249,7 @@
 	for i := range ids {
 		streams[i] = shutdown.Stream{ID: ids[i], Since: since[i]}
 	}
-	for _, m := range shutdown.Plan(now, n.endBy, n.plan.scheduler.Balancers, streams) {
+	for _, m := range shutdown.Plan(now, n.endBy, n.plan.scheduler.NodeCount, streams) {
 		n.core.wheel.Add(m.At, func(now float64) { n.core.book.Move(now, m.ID) })
 	}
 }
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -48,8 +48,8 @@
 func relayPlan(cfg *relay.Config) plan {
 	s, parts := cfg.Settings, cfg.Limits.Parts()
 	rules, decisions := s.Brain.Rules, s.Brain
-	decisions.Limits.UnsentFree = true // an attempt counts once its last byte has come (PROTOCOL, nodes to engines)
-	return plan{scheduler: decisions, tick: s.Brain.Tick, letGoBy: rules.LetGoBy, held: parts.Bytes, anyone: true, resume: s.Resume,
+	decisions.Limits.UnsentAttemptsAreFree = true // an attempt counts once its last byte has come (PROTOCOL, nodes to engines)
+	return plan{scheduler: decisions, tick: s.Brain.Tick, letGoBy: rules.StateReleaseLimit, held: parts.Bytes, anyone: true, resume: s.Resume,
 		book: requesttable.Config{Classes: s.Brain.Classes, MaxOpen: parts.Clients, MaxAttempts: s.Brain.Limits.MaxAttempts, UnsentFree: true,
 			Slack: rules.AnswerSlack + relay.Slack.Seconds()/2, DrainGrace: rules.DrainGrace, ReleaseAll: true},
 		strain: overload.Limits{Files: cfg.Limits.Sockets, Connections: parts.Clients, Bytes: parts.Bytes,
--- a/internal/node/release_test.go
+++ b/internal/node/release_test.go
@@ -88,11 +88,11 @@
 
 func releaseInTime(t *testing.T, s *slowDials) {
 	const letGoBy = 0.3
-	kinds := []scheduler.Kind{{Role: scheduler.Read, Memory: 2e5}, {Role: scheduler.Write, Memory: 2e5}}
-	classes := []scheduler.Class{{Effect: scheduler.Repeatable, Aim: 1, HardLimit: 4, TokenAim: 0.06, Worth: 1, LateValue: 0.3}}
-	cfg := scheduler.Config{Balancers: 1, Zones: 1, Tick: 0.002, Classes: classes, Kinds: kinds, Tenants: []scheduler.Tenant{{}},
+	kinds := []scheduler.Kind{{Role: scheduler.Prefill, Memory: 2e5}, {Role: scheduler.Decode, Memory: 2e5}}
+	classes := []scheduler.Class{{Effect: scheduler.Idempotent, FirstTokenObjective: 1, ClientTimeout: 4, OutputTokenObjective: 0.06, PriorityWeight: 1, LateValue: 0.3}}
+	cfg := scheduler.Config{NodeCount: 1, ZoneCount: 1, Tick: 0.002, Classes: classes, Kinds: kinds, Tenants: []scheduler.Tenant{{}},
 		Limits: scheduler.Limits{MaxAttempts: 6, Cancel: true},
-		Rules:  scheduler.Rules{ColdShare: 0.25, ColdFor: 1, FallMultiple: 4, TipAfter: 1, LetGoBy: letGoBy, AskEvery: 10, DrainGrace: 0.25}}
+		Rules:  scheduler.Rules{SlowStartShare: 0.25, SlowStartDuration: 1, OverloadMultiple: 4, SlowStartWindow: 1, StateReleaseLimit: letGoBy, PollInterval: 10, DrainGrace: 0.25}}
 	s.said = make(chan struct{})
 	n, err := newNode(plan{scheduler: cfg, tick: cfg.Tick, letGoBy: letGoBy, anyone: true, strain: overload.Limits{Connections: 10},
 		book: requesttable.Config{Classes: classes, MaxOpen: 8, MaxAttempts: 6, Slack: 0.05, DrainGrace: 0.25, ReleaseAll: true}},
@@ -103,10 +103,10 @@
 	n.caller, n.lists = s, s
 	n.runLoop(n.core.run)
 	defer func() { n.core.post(func(float64) { n.core.quit = true }); n.loops.Wait(); n.running.wait() }()
-	n.takeList(protocol.List{Form: scheduler.ListFull, Addresses: map[string]string{"r0": "x", "r1": "x", "w0": "x", "w1": "x", "w2": "x"},
+	n.takeList(protocol.List{Form: scheduler.UpdateComplete, Addresses: map[string]string{"r0": "x", "r1": "x", "w0": "x", "w1": "x", "w2": "x"},
 		Engines: []scheduler.Engine{{ID: "r0", Kind: 0, Weight: 1}, {ID: "r1", Kind: 0, Weight: 1}, {ID: "w0", Kind: 1, Weight: 1}, {ID: "w1", Kind: 1, Weight: 1}, {ID: "w2", Kind: 1, Weight: 1}}})
 	n.core.post(func(now float64) {
-		n.core.book.Request(now, scheduler.Request{ID: "a", TimeLeft: 4, PromptLen: 1000, MaxOut: 100}, 0)
+		n.core.book.Request(now, scheduler.Request{ID: "a", ClientTimeLeft: 4, PromptTokens: 1000, MaxOutputTokens: 100}, 0)
 		n.calls["a"] = &call{id: "a", job: s, attempts: map[int]try{}, grants: map[int]chan bool{}}
 	})
 	select {
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -205,8 +205,8 @@
 	most := v.table.MaxTokens(class, chat.MaxTokens)
 	wait := v.table.Patience(class, chat.PromptTokens, most, stated, !chat.Stream)
 	q := scheduler.Request{ID: j.id, Class: class, Tenant: tenant, Session: chat.Session, Prefix: chat.Prefix,
-		TimeLeft: wait.First, PromptLen: float64(chat.PromptTokens), PrefixLen: float64(chat.PrefixTokens),
-		MaxOut: float64(most), Retry: retried(x)}
+		ClientTimeLeft: wait.First, PromptTokens: float64(chat.PromptTokens), PrefixTokens: float64(chat.PrefixTokens),
+		MaxOutputTokens: float64(most), Retry: retried(x)}
 	if chosen := x.Header.Get("X-Request-Id"); chosen != "" {
 		f.log.Debug("taken", "request", j.id, "client_request", clip(chosen), "class", v.cfg.Classes[class].Name)
 	}
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -77,7 +77,7 @@
 // Host is what an attempt tells while it runs.
 type Host interface {
 	// Load is told the engine's load, when its answer begins; nil = none was told.
-	Load(*scheduler.Report)
+	Load(*scheduler.LoadReport)
 	// First waits for leave to answer the client.
 	First() bool
 }
@@ -85,7 +85,7 @@
 // Result is what was seen of an attempt.
 type Result struct {
 	Facts  outcome.Facts
-	Report *scheduler.Report
+	Report *scheduler.LoadReport
 	Err    error     // why it ended early; for the log alone
 	Wrote  time.Time // when its first byte was about to be written; zero = none was
 	Extra  any       // of the protocol
@@ -102,7 +102,7 @@
 
 // List is a list of engines, or of changes to it.
 type List struct {
-	Form      scheduler.ListForm
+	Form      scheduler.UpdateForm
 	Engines   []scheduler.Engine
 	Addresses map[string]string // by id
 	Saved     bool              // known from an earlier run alone
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -107,8 +107,8 @@
 
 // paceOf is the pace at which the discovery of the settings is followed.
 func paceOf(s *settings.Settings) endpoints.Pace {
-	if s.Brain.OnRequest {
-		return endpoints.SharedPace(toldAfter, s.Brain.Rules.AskEvery, rand.Float64)
+	if s.Brain.PollsDiscovery {
+		return endpoints.SharedPace(toldAfter, s.Brain.Rules.PollInterval, rand.Float64)
 	}
 	return endpoints.AgentPace(toldAfter, rand.Float64)
 }
@@ -427,16 +427,16 @@
 // list turns changes into what the host takes. The lock is held.
 func (d *Discovery) list(changes []endpoints.Word, known bool) protocol.List {
 	now, wall := d.clock.Now(), d.clock.Wall()
-	l := protocol.List{Form: scheduler.ListChanges, Addresses: map[string]string{}, Saved: known}
+	l := protocol.List{Form: scheduler.UpdateIncremental, Addresses: map[string]string{}, Saved: known}
 	for _, w := range changes {
 		e := scheduler.Engine{ID: w.ID, Kind: w.Kind, Cell: w.Cell, Zone: w.Zone, Weight: w.Weight,
 			BootTime: d.starts.Own(w.ID, w.Boot, now, wall, d.heard)}
 		switch {
 		case w.Gone:
-			e.State = scheduler.Removed
+			e.State = scheduler.EngineRemoved
 			d.starts.Gone(w.ID, now)
 		case w.State == endpoints.Draining:
-			e.State = scheduler.Draining
+			e.State = scheduler.EngineDraining
 		}
 		l.Engines = append(l.Engines, e)
 		if w.Address != "" {
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -138,9 +138,9 @@
 func (h *heard) take(l protocol.List) {
 	for _, e := range l.Engines {
 		switch now := time.Now().UnixNano(); e.State {
-		case scheduler.Draining:
+		case scheduler.EngineDraining:
 			h.drained.CompareAndSwap(0, now)
-		case scheduler.Ready:
+		case scheduler.EngineReady:
 			h.up.CompareAndSwap(0, now)
 		}
 	}
--- a/internal/relay/engines.go
+++ b/internal/relay/engines.go
@@ -110,11 +110,11 @@
 }
 
 // parseLoad reads a load report; nil where there is none that can be read.
-func parseLoad(text string) *scheduler.Report {
+func parseLoad(text string) *scheduler.LoadReport {
 	if text == "" || len(text) > 512 {
 		return nil
 	}
-	rep := &scheduler.Report{}
+	rep := &scheduler.LoadReport{}
 	for _, part := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		x, err := strconv.ParseFloat(value, 64)
--- a/internal/relay/front.go
+++ b/internal/relay/front.go
@@ -78,7 +78,7 @@
 func repeatWindow(s *settings.Settings) float64 {
 	window := 0.0
 	for _, c := range s.Brain.Classes {
-		window = max(window, c.HardLimit+c.KeyTTL)
+		window = max(window, c.ClientTimeout+c.DedupWindow)
 	}
 	return window
 }
@@ -138,8 +138,8 @@
 		say(409, "the id was taken before")
 		return
 	}
-	f.log.Debug("asked", "request", q.ID, "class", q.Class, "session", q.Session, "budget", q.TimeLeft, "retry", q.Retry,
-		"returned", q.Returned, "prompt", q.PromptLen, "prefix", q.PrefixLen, "most", q.MaxOut)
+	f.log.Debug("asked", "request", q.ID, "class", q.Class, "session", q.Session, "budget", q.ClientTimeLeft, "retry", q.Retry,
+		"returned", q.Returned, "prompt", q.PromptTokens, "prefix", q.PrefixTokens, "most", q.MaxOutputTokens)
 	j := &job{front: f, id: q.ID, x: x, method: x.Method, target: x.Target(), body: x.Body,
 		fields: http1.EndToEnd(x.Header, headID, headBudget), effect: f.effects[q.Class]}
 	x.Body, x.Header = nil, nil // j and q hold what is needed
@@ -185,7 +185,7 @@
 	if len(q.Session) > maxKey {
 		return q, fmt.Errorf("%s is too long", headKey)
 	}
-	if q.TimeLeft, err = strconv.ParseFloat(budget, 64); err != nil || !(q.TimeLeft > 0 && q.TimeLeft <= maxBudget) {
+	if q.ClientTimeLeft, err = strconv.ParseFloat(budget, 64); err != nil || !(q.ClientTimeLeft > 0 && q.ClientTimeLeft <= maxBudget) {
 		return q, fmt.Errorf("%s %q is not a time", headBudget, clip(budget))
 	}
 	switch again {
@@ -236,11 +236,11 @@
 			q.Prefix = value
 			continue
 		case "prompt_len":
-			to = &q.PromptLen
+			to = &q.PromptTokens
 		case "prefix_len":
-			to = &q.PrefixLen
+			to = &q.PrefixTokens
 		case "max_out":
-			to = &q.MaxOut
+			to = &q.MaxOutputTokens
 		default:
 			continue
 		}
@@ -261,13 +261,13 @@
 	if bytes.TrimLeft(body, " \t\r\n")[0] != '{' {
 		return fmt.Errorf("the body is no object")
 	}
-	if q.PromptLen == 0 {
-		q.PromptLen = math.Ceil(float64(len(body)) / charsToken)
+	if q.PromptTokens == 0 {
+		q.PromptTokens = math.Ceil(float64(len(body)) / charsToken)
 	}
-	if q.PrefixLen > q.PromptLen {
+	if q.PrefixTokens > q.PromptTokens {
 		return fmt.Errorf("%s: the prefix is longer than the prompt", headInfo)
 	}
-	if q.MaxOut == 0 {
+	if q.MaxOutputTokens == 0 {
 		var b struct {
 			Max float64 `json:"max_tokens"`
 		}
@@ -277,7 +277,7 @@
 		if !(b.Max >= 0 && b.Max <= maxTokens) {
 			return fmt.Errorf("max_tokens is out of range")
 		}
-		q.MaxOut = b.Max
+		q.MaxOutputTokens = b.Max
 	}
 	return nil
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -75,8 +75,8 @@
 }
 
 func TestReportsThatCannotBeReadArePassedOver(t *testing.T) {
-	if r := parseLoad("util=0.61,queue=2,x0=0.25,other=7"); r == nil || r.Util != 0.61 || r.Waiting != 2 || r.MemShare != 0.25 ||
-		r.Has != scheduler.HasUtil|scheduler.HasWaiting|scheduler.HasMemShare {
+	if r := parseLoad("util=0.61,queue=2,x0=0.25,other=7"); r == nil || r.Utilization != 0.61 || r.Waiting != 2 || r.MemoryShare != 0.25 ||
+		r.Has != scheduler.HasUtilization|scheduler.HasWaiting|scheduler.HasMemoryShare {
 		t.Errorf("%+v", r)
 	}
 	for _, bad := range []string{"", "util", "util=", "util=often", "util=-1", "util=NaN", "util=1e300", "=", "other=1", strings.Repeat("x", 1000)} {
@@ -99,12 +99,12 @@
 		if err != nil {
 			return
 		}
-		for _, x := range []float64{q.TimeLeft, q.PromptLen, q.PrefixLen, q.MaxOut} {
+		for _, x := range []float64{q.ClientTimeLeft, q.PromptTokens, q.PrefixTokens, q.MaxOutputTokens} {
 			if !(x >= 0) || math.IsInf(x, 0) {
 				t.Fatalf("%+v", q)
 			}
 		}
-		if q.ID == "" || strings.ContainsAny(q.ID, "/ \r\n%?") || q.TimeLeft <= 0 || q.PrefixLen > q.PromptLen || !json.Valid([]byte(body)) {
+		if q.ID == "" || strings.ContainsAny(q.ID, "/ \r\n%?") || q.ClientTimeLeft <= 0 || q.PrefixTokens > q.PromptTokens || !json.Valid([]byte(body)) {
 			t.Fatalf("%+v of %q", q, body)
 		}
 	})
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -131,28 +131,28 @@
 
 // config makes the module's part.
 func (f *facts) config() (c scheduler.Config, err error) {
-	c = scheduler.Config{Rank: f.Rank, Balancers: f.Balancers, Zone: f.Zone, Zones: len(f.Localities),
-		OnRequest: f.RegistryMode == "on_request", Ahead: f.Family.Ahead, LocalRead: f.Family.LocalRead,
+	c = scheduler.Config{NodeIndex: f.Rank, NodeCount: f.Balancers, Zone: f.Zone, ZoneCount: len(f.Localities),
+		PollsDiscovery: f.RegistryMode == "on_request", ReservationOffered: f.Family.Ahead, DecodeEnginesPrefill: f.Family.LocalRead,
 		Tick: f.Tick,
 		Limits: scheduler.Limits{MaxAttempts: f.Limits.MaxAttempts, Cancel: f.Limits.Cancel, Probe: f.Limits.MayProbe,
-			ParallelTries: f.Limits.ParallelTries, RetryAfter: f.Limits.RetryAfter,
+			HedgedRequests: f.Limits.ParallelTries, RetryAfter: f.Limits.RetryAfter,
 			MaxRetryAfter: f.Limits.MaxRetryAfter},
-		Rules: scheduler.Rules{AnswerSlack: f.Guarantees.AnswerSlack, AskEvery: f.Guarantees.AskEvery,
-			ColdShare: f.Guarantees.ColdShare, ColdFor: f.Guarantees.Cold, DrainGrace: f.Guarantees.DrainGrace,
-			FallMultiple: f.Guarantees.FallMultiple, TipAfter: f.Guarantees.TipAfter, LetGoBy: f.Family.LetGoBy},
+		Rules: scheduler.Rules{AnswerSlack: f.Guarantees.AnswerSlack, PollInterval: f.Guarantees.AskEvery,
+			SlowStartShare: f.Guarantees.ColdShare, SlowStartDuration: f.Guarantees.Cold, DrainGrace: f.Guarantees.DrainGrace,
+			OverloadMultiple: f.Guarantees.FallMultiple, SlowStartWindow: f.Guarantees.TipAfter, StateReleaseLimit: f.Family.LetGoBy},
 		Prices: scheduler.Prices{Probe: f.Tariffs.Probe, Waste: f.Tariffs.Waste, CrossZone: f.Tariffs.CrossZone,
-			LateFail: f.Tariffs.LateFail, Transfer: f.Family.Transfer}}
+			LateFailure: f.Tariffs.LateFail, Transfer: f.Family.Transfer}}
 	for i, k := range f.Classes {
-		cl := scheduler.Class{KeyTTL: k.KeyTTL, Aim: k.Target, AimStretch: k.AimStretch, HardLimit: k.HardLimit,
-			Worth: k.Worth, LateValue: k.LateValue,
-			AimPerK: at(f.Family.AimPerK, i) / 1e6, TokenAim: at(f.Family.TokenAim, i)}
+		cl := scheduler.Class{DedupWindow: k.KeyTTL, FirstTokenObjective: k.Target, ObjectivePerHintSecond: k.AimStretch, ClientTimeout: k.HardLimit,
+			PriorityWeight: k.Worth, LateValue: k.LateValue,
+			ObjectivePer1KTokens: at(f.Family.AimPerK, i) / 1e6, OutputTokenObjective: at(f.Family.TokenAim, i)}
 		cl.Effect, err = word(fmt.Sprintf("classes[%d].effect", i), k.Effect,
-			map[string]scheduler.Effect{"repeatable": scheduler.Repeatable, "by_key": scheduler.ByKey, "once": scheduler.Once})
+			map[string]scheduler.Effect{"repeatable": scheduler.Idempotent, "by_key": scheduler.IdempotentByKey, "once": scheduler.AtMostOnce})
 		if err != nil {
 			return c, err
 		}
-		cl.Group, err = word(fmt.Sprintf("classes[%d].group", i), k.Group,
-			map[string]scheduler.Group{"": scheduler.GroupAll, "all": scheduler.GroupAll, "zone": scheduler.GroupZone, "cell": scheduler.GroupCell})
+		cl.DedupScope, err = word(fmt.Sprintf("classes[%d].group", i), k.Group,
+			map[string]scheduler.DedupScope{"": scheduler.DedupFleet, "all": scheduler.DedupFleet, "zone": scheduler.DedupZone, "cell": scheduler.DedupCell})
 		if err != nil {
 			return c, err
 		}
@@ -165,7 +165,7 @@
 			stage = f.Family.Stage[i]
 		}
 		k.Role, err = word(fmt.Sprintf("family_info.stage_of_kind[%d]", i), stage,
-			map[string]scheduler.Role{"read": scheduler.Read, "write": scheduler.Write, "both": scheduler.Mixed})
+			map[string]scheduler.Role{"read": scheduler.Prefill, "write": scheduler.Decode, "both": scheduler.Mixed})
 		if err != nil {
 			return c, err
 		}
@@ -174,25 +174,25 @@
 	for _, a := range f.Accounts {
 		c.Tenants = append(c.Tenants, scheduler.Tenant{Quota: a.Quota})
 	}
-	c.Report, err = word("report.how", f.Report.How, map[string]scheduler.ReportStyle{"": scheduler.ReportOff,
+	c.ReportStyle, err = word("report.how", f.Report.How, map[string]scheduler.ReportStyle{"": scheduler.ReportOff,
 		"off": scheduler.ReportOff, "inline": scheduler.ReportInline, "on_probe": scheduler.ReportOnProbe})
 	return c, err
 }
 
 // File puts a figure of a load report where its name belongs, by the settings' names and by those of the users' pages;
 // a name that is not known is passed over.
-func File(rep *scheduler.Report, name string, x float64) {
+func File(rep *scheduler.LoadReport, name string, x float64) {
 	switch name {
 	case "active", "inflight":
 		rep.Active, rep.Has = x, rep.Has|scheduler.HasActive
 	case "waiting", "queue":
 		rep.Waiting, rep.Has = x, rep.Has|scheduler.HasWaiting
 	case "cpu", "util":
-		rep.Util, rep.Has = x, rep.Has|scheduler.HasUtil
+		rep.Utilization, rep.Has = x, rep.Has|scheduler.HasUtilization
 	case "avg_ms", "latency_ms":
 		rep.LatencyMS, rep.Has = x, rep.Has|scheduler.HasLatency
 	case "x0":
-		rep.MemShare, rep.Has = x, rep.Has|scheduler.HasMemShare
+		rep.MemoryShare, rep.Has = x, rep.Has|scheduler.HasMemoryShare
 	case "x1":
 		rep.TokensWaiting, rep.Has = x*1000, rep.Has|scheduler.HasTokensWaiting
 	}
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -13,8 +13,8 @@
 
 // Roles of an engine kind: prefill, decode, or both.
 const (
-	Read Role = iota
-	Write
+	Prefill Role = iota
+	Decode
 	Mixed
 )
 
@@ -23,19 +23,19 @@
 
 // Effects: repeats are harmless, discarded within a group by key, or never allowed.
 const (
-	Repeatable Effect = iota
-	ByKey
-	Once
+	Idempotent Effect = iota
+	IdempotentByKey
+	AtMostOnce
 )
 
-// Group is the set of engines that discard repeats of a ByKey request.
-type Group int
+// DedupScope is the set of engines that discard repeats of a ByKey request.
+type DedupScope int
 
 // Groups of engines: all, those of a zone, those of a cell.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupFleet DedupScope = iota
+	DedupZone
+	DedupCell
 )
 
 // ReportStyle says how engines report their load.
@@ -50,16 +50,16 @@
 
 // Class is one class of request.
 type Class struct {
-	Effect     Effect
-	Group      Group   // ByKey: who discards repeats
-	KeyTTL     float64 // ByKey: for how long, from the first attempt that may have run
-	Aim        float64 // first token wanted within
-	AimStretch float64 // more aim for each second of hinted work
-	AimPerK    float64 // more aim for each 1,000 prompt tokens
-	HardLimit  float64 // the client's whole patience
-	TokenAim   float64 // wanted mean time between tokens
-	Worth      float64
-	LateValue  float64 // share of the worth that a late answer earns
+	Effect                 Effect
+	DedupScope             DedupScope // ByKey: who discards repeats
+	DedupWindow            float64    // ByKey: for how long, from the first attempt that may have run
+	FirstTokenObjective    float64    // first token wanted within
+	ObjectivePerHintSecond float64    // more aim for each second of hinted work
+	ObjectivePer1KTokens   float64    // more aim for each 1,000 prompt tokens
+	ClientTimeout          float64    // the client's whole patience
+	OutputTokenObjective   float64    // wanted mean time between tokens
+	PriorityWeight         float64
+	LateValue              float64 // share of the worth that a late answer earns
 }
 
 // Kind is one kind of engine.
@@ -76,67 +76,67 @@
 // Limits are the site's allowances.
 type Limits struct {
 	MaxAttempts int
-	// UnsentFree tells that attempts which ended before their request was written do not count towards MaxAttempts.
-	UnsentFree bool
-	// HoldRunsOn tells that the time for which a state may wait keeps running while connections fail to come up.
-	HoldRunsOn    bool
-	Cancel        bool
-	Probe         bool
-	ParallelTries bool
-	RetryAfter    bool
-	MaxRetryAfter float64
+	// UnsentAttemptsAreFree tells that attempts which ended before their request was written do not count towards MaxAttempts.
+	UnsentAttemptsAreFree bool
+	// StateTimeRunsDuringConnects tells that the time for which a state may wait keeps running while connections fail to come up.
+	StateTimeRunsDuringConnects bool
+	Cancel                      bool
+	Probe                       bool
+	HedgedRequests              bool
+	RetryAfter                  bool
+	MaxRetryAfter               float64
 }
 
 // Rules are the figures of the operators' rules.
 type Rules struct {
-	AnswerSlack  float64
-	AskEvery     float64 // OnRequest: ask at least this often
-	ColdShare    float64 // a cold engine's least share of its capacity
-	ColdFor      float64 // and when it is warm at the latest
-	DrainGrace   float64
-	FallMultiple float64
-	TipAfter     float64
-	LetGoBy      float64 // held state or place must be used or released within
+	AnswerSlack       float64
+	PollInterval      float64 // OnRequest: ask at least this often
+	SlowStartShare    float64 // a cold engine's least share of its capacity
+	SlowStartDuration float64 // and when it is warm at the latest
+	DrainGrace        float64
+	OverloadMultiple  float64
+	SlowStartWindow   float64
+	StateReleaseLimit float64 // held state or place must be used or released within
 }
 
 // Prices are points of the result, each times its rate.
 type Prices struct {
-	Probe, Waste, CrossZone, LateFail, Transfer float64
+	Probe, Waste, CrossZone, LateFailure, Transfer float64
 }
 
 // Config is what a router is told at its start.
 type Config struct {
-	Rank, Balancers int // this router's number and how many there are
-	Zone, Zones     int
-	Classes         []Class
-	Kinds           []Kind
-	Tenants         []Tenant
-	OnRequest       bool // the engine list comes only when asked for
-	Report          ReportStyle
-	Ahead           bool // Reserve is offered
-	LocalRead       bool // writers read prompts that come without a state
-	Tick            float64
-	Limits          Limits
-	Rules           Rules
-	Prices          Prices
+	NodeIndex, NodeCount int // this router's number and how many there are
+	Zone, ZoneCount      int
+	Classes              []Class
+	Kinds                []Kind
+	Tenants              []Tenant
+	PollsDiscovery       bool // the engine list comes only when asked for
+	ReportStyle          ReportStyle
+	ReservationOffered   bool // Reserve is offered
+	DecodeEnginesPrefill bool // writers read prompts that come without a state
+	Tick                 float64
+	Limits               Limits
+	Rules                Rules
+	Prices               Prices
 }
 
-// Report is an engine's own figures of its load. Has tells which were given.
-type Report struct {
-	Active, Waiting, Util, LatencyMS, MemShare, TokensWaiting float64
-	Has                                                       ReportField
+// LoadReport is an engine's own figures of its load. Has tells which were given.
+type LoadReport struct {
+	Active, Waiting, Utilization, LatencyMS, MemoryShare, TokensWaiting float64
+	Has                                                                 LoadReportField
 }
 
-// ReportField is a set of figures of a Report.
-type ReportField uint8
+// LoadReportField is a set of figures of a Report.
+type LoadReportField uint8
 
 // The figures that a Report may hold.
 const (
-	HasActive ReportField = 1 << iota
+	HasActive LoadReportField = 1 << iota
 	HasWaiting
-	HasUtil
+	HasUtilization
 	HasLatency
-	HasMemShare
+	HasMemoryShare
 	HasTokensWaiting
 )
 
@@ -145,9 +145,9 @@
 
 // States of a listed engine.
 const (
-	Ready EngineState = iota
-	Draining
-	Removed
+	EngineReady EngineState = iota
+	EngineDraining
+	EngineRemoved
 )
 
 // Engine is one entry of the engine list.
@@ -160,15 +160,15 @@
 	BootTime   float64 // last start; 0 = long ago
 }
 
-// ListForm says how a list of engines is to be read.
-type ListForm int
+// UpdateForm says how a list of engines is to be read.
+type UpdateForm int
 
 // Forms of a list: changes, complete, complete but perhaps outdated, or a failed call.
 const (
-	ListChanges ListForm = iota
-	ListFull
-	ListWarm
-	ListLost
+	UpdateIncremental UpdateForm = iota
+	UpdateComplete
+	UpdateStale
+	UpdateFailed
 )
 
 // Status says how an attempt or a probe ended.
@@ -177,15 +177,15 @@
 // Statuses of an attempt. TurnedAway, NoConnection, NotSent and Parsed prove that the
 // request never ran.
 const (
-	Served Status = iota
+	Completed Status = iota
 	ServerError
-	TurnedAway
-	NoAnswer
-	NoConnection
+	Rejected
+	TimedOut
+	ConnectFailed
 	ConnectionLost
-	CalledOff
+	Canceled
 	NotSent
-	Parsed
+	Prefilled
 )
 
 // Event is something that a router learns.
@@ -193,13 +193,13 @@
 
 // Request is a client's request; one final answer is owed to it.
 type Request struct {
-	ID                           string
-	Class, Tenant                int
-	Session, Prefix              string
-	TimeLeft                     float64 // until the client gives this try up
-	Hint                         float64 // rough time of the answer at the class's pace; 0 = none
-	PromptLen, PrefixLen, MaxOut float64
-	Retry, Returned              bool
+	ID                                          string
+	Class, Tenant                               int
+	Session, Prefix                             string
+	ClientTimeLeft                              float64 // until the client gives this try up
+	DurationHint                                float64 // rough time of the answer at the class's pace; 0 = none
+	PromptTokens, PrefixTokens, MaxOutputTokens float64
+	Retry, Returned                             bool
 }
 
 // Outcome tells how an attempt ended.
@@ -211,60 +211,60 @@
 	Info    int // tokens found kept; with TurnedAway, 1 = no state to fetch
 	Spent   float64
 	Closed  bool // the request has ended
-	Report  *Report
+	Report  *LoadReport
 }
 
-// First tells that the answer has begun to stream.
-type First struct {
+// FirstToken tells that the answer has begun to stream.
+type FirstToken struct {
 	ID      string
 	Attempt int
 	Engine  string
 	Spent   float64
 }
 
-// Gone tells that the client has left.
-type Gone struct{ ID string }
+// ClientDisconnected tells that the client has left.
+type ClientDisconnected struct{ ID string }
 
-// Held answers a Reserve.
-type Held struct {
+// ReserveResult answers a Reserve.
+type ReserveResult struct {
 	ID      string
 	Attempt int
 	Engine  string
 	OK      bool
 }
 
-// Members is a list of engines, or of changes to it.
-type Members struct {
-	Form    ListForm
+// EndpointUpdate is a list of engines, or of changes to it.
+type EndpointUpdate struct {
+	Form    UpdateForm
 	Engines []Engine
 }
 
-// Probed is the result of a Probe.
-type Probed struct {
+// ProbeResult is the result of a Probe.
+type ProbeResult struct {
 	Engine string
 	Status Status
 	Spent  float64
-	Report *Report
+	Report *LoadReport
 }
 
-// Wake is a timer that has fallen due.
-type Wake struct{ Token int64 }
+// TimerFired is a timer that has fallen due.
+type TimerFired struct{ Token int64 }
 
-// Peer is a message from another router.
-type Peer struct {
+// PeerMessage is a message from another router.
+type PeerMessage struct {
 	From int
 	Data []byte
 }
 
-func (Request) event() {}
-func (Outcome) event() {}
-func (First) event()   {}
-func (Gone) event()    {}
-func (Held) event()    {}
-func (Members) event() {}
-func (Probed) event()  {}
-func (Wake) event()    {}
-func (Peer) event()    {}
+func (Request) event()            {}
+func (Outcome) event()            {}
+func (FirstToken) event()         {}
+func (ClientDisconnected) event() {}
+func (ReserveResult) event()      {}
+func (EndpointUpdate) event()     {}
+func (ProbeResult) event()        {}
+func (TimerFired) event()         {}
+func (PeerMessage) event()        {}
 
 // Action is something that the host is to do.
 type Action interface{ action() }
@@ -287,32 +287,32 @@
 // Release lets go of every state and place held for a request.
 type Release struct{ ID string }
 
-// Refuse is a final answer: a further try is harmless.
-type Refuse struct {
+// Reject is a final answer: a further try is harmless.
+type Reject struct {
 	ID         string
 	RetryAfter float64
-	Why        GiveUp
+	Reason     GiveUpReason
 }
 
 // Fail is a final answer without any such promise.
 type Fail struct {
-	ID  string
-	Why GiveUp
+	ID     string
+	Reason GiveUpReason
 }
 
-// GiveUp says why a request is given up. It is for people alone: nothing is decided by it.
-type GiveUp string
+// GiveUpReason says why a request is given up. It is for people alone: nothing is decided by it.
+type GiveUpReason string
 
 // Reasons to give up.
 const (
-	TimeIsUp      GiveUp = "its time is nearly up"
-	TooLate       GiveUp = "no engine can begin the answer while it has any worth"
-	NoAttemptLeft GiveUp = "it has had as many attempts as it may"
-	MayRunTwice   GiveUp = "a further attempt could run it twice"
+	DeadlineNear         GiveUpReason = "its time is nearly up"
+	ObjectiveUnreachable GiveUpReason = "no engine can begin the answer while it has any worth"
+	AttemptsExhausted    GiveUpReason = "it has had as many attempts as it may"
+	RepeatUnsafe         GiveUpReason = "a further attempt could run it twice"
 )
 
-// Timer asks for a Wake at a time.
-type Timer struct {
+// SetTimer asks for a Wake at a time.
+type SetTimer struct {
 	At    float64
 	Token int64
 }
@@ -320,61 +320,61 @@
 // Probe asks an engine for its health and load.
 type Probe struct{ Engine string }
 
-// Watch subscribes to changes of the engine list; Fetch asks for it once.
-type Watch struct{ On bool }
+// WatchEndpoints subscribes to changes of the engine list; Fetch asks for it once.
+type WatchEndpoints struct{ On bool }
 
-// Fetch asks for the complete engine list once.
-type Fetch struct{}
+// FetchEndpoints asks for the complete engine list once.
+type FetchEndpoints struct{}
 
 // Log is a line for the operators.
 type Log struct{ Text string }
 
-func (Send) action()    {}
-func (Cancel) action()  {}
-func (Reserve) action() {}
-func (Release) action() {}
-func (Refuse) action()  {}
-func (Fail) action()    {}
-func (Timer) action()   {}
-func (Probe) action()   {}
-func (Watch) action()   {}
-func (Fetch) action()   {}
-func (Log) action()     {}
+func (Send) action()           {}
+func (Cancel) action()         {}
+func (Reserve) action()        {}
+func (Release) action()        {}
+func (Reject) action()         {}
+func (Fail) action()           {}
+func (SetTimer) action()       {}
+func (Probe) action()          {}
+func (WatchEndpoints) action() {}
+func (FetchEndpoints) action() {}
+func (Log) action()            {}
 
 // check names the first field of the Config that cannot be.
 func (c *Config) check() error {
 	switch {
-	case c.Balancers < 1:
-		return fmt.Errorf("scheduler: Balancers is %d", c.Balancers)
-	case c.Rank < 0 || c.Rank >= c.Balancers:
-		return fmt.Errorf("scheduler: Rank %d is not under Balancers %d", c.Rank, c.Balancers)
+	case c.NodeCount < 1:
+		return fmt.Errorf("scheduler: Balancers is %d", c.NodeCount)
+	case c.NodeIndex < 0 || c.NodeIndex >= c.NodeCount:
+		return fmt.Errorf("scheduler: Rank %d is not under Balancers %d", c.NodeIndex, c.NodeCount)
 	case len(c.Classes) == 0:
 		return fmt.Errorf("scheduler: Classes is empty")
 	case len(c.Kinds) == 0:
 		return fmt.Errorf("scheduler: Kinds is empty")
 	case c.Limits.MaxAttempts < 1:
 		return fmt.Errorf("scheduler: Limits.MaxAttempts is %d", c.Limits.MaxAttempts)
-	case c.Zone < 0 || c.Zones > 0 && c.Zone >= c.Zones:
-		return fmt.Errorf("scheduler: Zone %d is not under Zones %d", c.Zone, c.Zones)
+	case c.Zone < 0 || c.ZoneCount > 0 && c.Zone >= c.ZoneCount:
+		return fmt.Errorf("scheduler: Zone %d is not under Zones %d", c.Zone, c.ZoneCount)
 	case !(c.Tick >= 0):
 		return fmt.Errorf("scheduler: Tick is %g", c.Tick)
 	}
 	for i, k := range c.Classes {
-		if !(k.Aim >= 0 && k.AimPerK >= 0 && k.AimStretch >= 0 && k.TokenAim >= 0 && k.HardLimit >= 0 && k.KeyTTL >= 0) {
+		if !(k.FirstTokenObjective >= 0 && k.ObjectivePer1KTokens >= 0 && k.ObjectivePerHintSecond >= 0 && k.OutputTokenObjective >= 0 && k.ClientTimeout >= 0 && k.DedupWindow >= 0) {
 			return fmt.Errorf("scheduler: Classes[%d] has a negative time", i)
 		}
-		if k.Effect < Repeatable || k.Effect > Once {
+		if k.Effect < Idempotent || k.Effect > AtMostOnce {
 			return fmt.Errorf("scheduler: Classes[%d].Effect is %d", i, k.Effect)
 		}
 	}
 	for i, k := range c.Kinds {
-		if k.Role < Read || k.Role > Mixed || !(k.Memory >= 0) {
+		if k.Role < Prefill || k.Role > Mixed || !(k.Memory >= 0) {
 			return fmt.Errorf("scheduler: Kinds[%d] has an unknown Role or negative Memory", i)
 		}
 	}
 	u := c.Rules
-	if !(u.ColdFor >= 0 && u.ColdShare >= 0 && u.FallMultiple >= 0 && u.TipAfter >= 0 && u.LetGoBy >= 0 &&
-		u.AskEvery >= 0 && u.DrainGrace >= 0 && u.AnswerSlack >= 0) {
+	if !(u.SlowStartDuration >= 0 && u.SlowStartShare >= 0 && u.OverloadMultiple >= 0 && u.SlowStartWindow >= 0 && u.StateReleaseLimit >= 0 &&
+		u.PollInterval >= 0 && u.DrainGrace >= 0 && u.AnswerSlack >= 0) {
 		return fmt.Errorf("scheduler: Rules has a negative figure")
 	}
 	return nil
--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -23,9 +23,9 @@
 // engines of which part are warm and borne to load of what they can do.
 func newColdFleet(n, warm int, role int, load, spread float64, seed uint64) *coldFleet {
 	f := &coldFleet{cfg: testConfig(), boot: 100, cold: "cold"}
-	f.cfg.Balancers, f.cfg.Rules.TipAfter = n, 1.5
+	f.cfg.NodeCount, f.cfg.Rules.SlowStartWindow = n, 1.5
 	rng := rand.New(rand.NewPCG(seed, 1))
-	m := Members{Form: ListFull, Engines: []Engine{eng(f.cold, role, 0)}}
+	m := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{eng(f.cold, role, 0)}}
 	for i := range warm {
 		m.Engines = append(m.Engines, eng(fmt.Sprint("e", i), role, 0))
 	}
@@ -36,7 +36,7 @@
 		sum += shares[i]
 	}
 	for i := range n {
-		f.cfg.Rank = i
+		f.cfg.NodeIndex = i
 		r, _ := New(f.cfg, seed+uint64(i))
 		r.Step(0, nil)
 		r.Step(f.boot, []Event{m})
@@ -49,7 +49,7 @@
 		if warm > 0 {
 			r.borne[e.role].add(f.boot, shares[i]/sum*load*capacity*float64(warm)*r.weight(x, e.role)*rateWindow, rateWindow)
 		}
-		f.n = f.cfg.Rules.FallMultiple * f.cfg.Rules.ColdShare * f.cfg.Rules.TipAfter * capacity
+		f.n = f.cfg.Rules.OverloadMultiple * f.cfg.Rules.SlowStartShare * f.cfg.Rules.SlowStartWindow * capacity
 		f.routers = append(f.routers, r)
 	}
 	return f
@@ -71,7 +71,7 @@
 	}
 	from := 0
 	for i := range at {
-		for at[i]-at[from] >= f.cfg.Rules.TipAfter {
+		for at[i]-at[from] >= f.cfg.Rules.SlowStartWindow {
 			from++
 		}
 		most = max(most, i-from+1)
@@ -100,7 +100,7 @@
 	for _, n := range []int{1, 30, 300} {
 		f := newColdFleet(n, 0, 1, 0, 0.5, 7)
 		_, all := f.most(6)
-		if want := 0.25 * f.n * 6 / f.cfg.Rules.TipAfter; float64(all) < want {
+		if want := 0.25 * f.n * 6 / f.cfg.Rules.SlowStartWindow; float64(all) < want {
 			t.Errorf("%d routers: %d sends in 6 s, wanted %.0f at least", n, all, want)
 		}
 	}
--- a/scheduler/collapse_test.go
+++ b/scheduler/collapse_test.go
@@ -20,7 +20,7 @@
 		{"no time to read", 0.5 * alone, 0},
 	} {
 		cfg := testConfig()
-		cfg.Classes[0].AimPerK, cfg.Classes[0].Aim = 0, firstLag+x.aim
+		cfg.Classes[0].ObjectivePer1KTokens, cfg.Classes[0].FirstTokenObjective = 0, firstLag+x.aim
 		r := start(t, cfg, fleet())
 		if got := len(of[Send](r.Step(1, []Event{ask("a", 0)}))); got != x.want {
 			t.Errorf("%s: an idle fleet was sent %d reads, want %d", x.name, got, x.want)
@@ -32,7 +32,7 @@
 // behind anybody, nobody keeps it by waiting.
 func TestShortAimsHoldTheirPlaceInTheHighTier(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[0].AimPerK, cfg.Classes[0].Aim = 0, firstLag+1.3*(1000+overhead)*firstSpt
+	cfg.Classes[0].ObjectivePer1KTokens, cfg.Classes[0].FirstTokenObjective = 0, firstLag+1.3*(1000+overhead)*firstSpt
 	r := start(t, cfg, fleet())
 	if got := len(of[Send](r.Step(1, []Event{ask("a", 0), ask("b", 0), ask("c", 0), ask("d", 0)}))); got < 1 || got > 2 {
 		t.Errorf("two idle readers were sent %d reads of an aim that has no room for two, want 1 or 2", got)
@@ -43,7 +43,7 @@
 // reads, lags of writers, speeds, the errors of predictions. When nothing of ours has come for a while, one request is tried, and one alone.
 func TestOneRequestIsTriedWhereWhatWasLearnedKeepsAllAway(t *testing.T) {
 	for name, spoil := range map[string]func(r *Scheduler){
-		"errors of predictions": func(r *Scheduler) { r.spread[Read].add(r.now, 30, 1) },
+		"errors of predictions": func(r *Scheduler) { r.spread[Prefill].add(r.now, 30, 1) },
 		"lags of writers": func(r *Scheduler) {
 			r.kinds[1].lag.add(r.now, 30, 1)
 			for _, e := range r.list {
@@ -59,20 +59,20 @@
 	} {
 		for _, routers := range []int{1, 3, 300} {
 			cfg := testConfig()
-			cfg.Balancers = routers
+			cfg.NodeCount = routers
 			if name == "errors of predictions" { // they keep the low tier alone away
-				cfg.Classes[0].Aim, cfg.Classes[0].AimPerK = 1e-3, 0
+				cfg.Classes[0].FirstTokenObjective, cfg.Classes[0].ObjectivePer1KTokens = 1e-3, 0
 			}
 			r := start(t, cfg, fleet())
 			s := one[Send](t, r.Step(1, []Event{ask("a", 0)}))
-			r.Step(1.1, []Event{Outcome{ID: s.ID, Attempt: 0, Engine: s.Engine, Status: TurnedAway, Closed: true}})
+			r.Step(1.1, []Event{Outcome{ID: s.ID, Attempt: 0, Engine: s.Engine, Status: Rejected, Closed: true}})
 			spoil(r)
 			sent := 0
 			var first float64
 			for now := 1.2; now < 9; now += 0.05 {
 				q := ask(fmt.Sprintf("q%.2f", now), 0)
 				if name == "errors of predictions" {
-					q.TimeLeft = 40
+					q.ClientTimeLeft = 40
 				}
 				acts := r.Step(now, []Event{q})
 				if n := len(of[Send](acts)); n > 0 && sent == 0 {
@@ -119,7 +119,7 @@
 // One class whose aim no reader can keep behind anybody kept the late requests of all others from being read, for ever.
 func TestClassWithTheShortestAimDoesNotKeepTheLowTierAway(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[1].Aim = 0.01
+	cfg.Classes[1].FirstTokenObjective = 0.01
 	r := start(t, cfg, fleet())
 	r.now = 1
 	r.classes[1].prompt.add(1, 1000, 1)
@@ -134,7 +134,7 @@
 	for _, n := range []int{1, 3, 30, 300} {
 		f := newColdFleet(n, 0, 0, 0, 0.5, 7)
 		_, all := f.most(8)
-		windows := 8/f.cfg.Rules.TipAfter - 1 // that in which it was heard of is closed
+		windows := 8/f.cfg.Rules.SlowStartWindow - 1 // that in which it was heard of is closed
 		believed := coldGuess * f.n
 		if want := 0.7 * (believed + 2*math.Sqrt(believed)) * windows; float64(all) < want {
 			t.Errorf("%d routers: %d sends in 8 s, wanted %.0f at least", n, all, want)
--- a/scheduler/expiry.go
+++ b/scheduler/expiry.go
@@ -11,17 +11,17 @@
 	if q.class.LateValue <= 0 {
 		until = q.aim // a late answer is worth nothing
 	}
-	why := TimeIsUp
+	why := DeadlineNear
 	q.due = q.deadline - r.margin()
 	if r.best = best; q.out < 0 && !r.blind() && until-best < q.due {
-		q.due, why = until-best, TooLate // what can no longer be served with some worth is given up at once
+		q.due, why = until-best, ObjectiveUnreachable // what can no longer be served with some worth is given up at once
 	}
 	switch {
 	case q.out >= 0:
 	case r.left(q) <= 0:
-		q.due, why = r.now, NoAttemptLeft
+		q.due, why = r.now, AttemptsExhausted
 	case q.mayRun && !r.maySend(q, q.mayRunOn):
-		q.due, why = r.now, MayRunTwice
+		q.due, why = r.now, RepeatUnsafe
 	}
 	q.low = q.low || r.now+best > q.aim
 	if r.now >= q.due {
@@ -34,10 +34,10 @@
 func (r *Scheduler) bestCase(q *request) float64 {
 	t, lag := math.Inf(1), math.Inf(1)
 	for _, e := range r.list {
-		if e.State == Ready && e.role != Write {
-			t = min(t, max(32, q.PromptLen-r.keptAt(q, e))*r.spt(e))
+		if e.State == EngineReady && e.role != Decode {
+			t = min(t, max(32, q.PromptTokens-r.keptAt(q, e))*r.spt(e))
 		}
-		if e.State == Ready && e.role != Read {
+		if e.State == EngineReady && e.role != Prefill {
 			lag = min(lag, r.lag(e))
 		}
 	}
@@ -54,10 +54,10 @@
 
 // answer is the best final answer that the ledger allows: a refusal tells the client that a further try is
 // harmless (rule 2).
-func (r *Scheduler) answer(q *request, why GiveUp) Action {
+func (r *Scheduler) answer(q *request, why GiveUpReason) Action {
 	may := q.mayRun || q.out >= 0
-	if q.class.Effect == Repeatable || !may || q.class.Effect == ByKey && q.class.Group == GroupAll {
-		return Refuse{q.ID, r.comeBack(), why}
+	if q.class.Effect == Idempotent || !may || q.class.Effect == IdempotentByKey && q.class.DedupScope == DedupFleet {
+		return Reject{q.ID, r.comeBack(), why}
 	}
 	return Fail{q.ID, why}
 }
@@ -69,7 +69,7 @@
 		return 0
 	}
 	wait := r.cfg.Limits.MaxRetryAfter
-	for _, e := range r.pool(func(e *engine) bool { return e.role != Write }) {
+	for _, e := range r.pool(func(e *engine) bool { return e.role != Decode }) {
 		wait = min(wait, r.backlog(e))
 	}
 	return min(r.cfg.Limits.MaxRetryAfter, max(backLeast, wait)*(0.5+r.rng.Float64()))
--- a/scheduler/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -46,7 +46,7 @@
 		if !q.final && !q.flowing && c.now > q.deadline+c.cfg.Rules.AnswerSlack {
 			c.fail("rule 1: %s has no answer", id)
 		}
-		if q.held && q.out == 0 && c.now > q.heldAt+c.cfg.Rules.LetGoBy {
+		if q.held && q.out == 0 && c.now > q.heldAt+c.cfg.Rules.StateReleaseLimit {
 			c.fail("rule 5: %s pins a state", id)
 		}
 	}
@@ -63,23 +63,23 @@
 				c.fail("rule 1: %s is sent on after its end", a.ID)
 			case q.out > 0:
 				c.fail("rule 2: %s has two attempts out", a.ID)
-			case c.state[a.Engine] != Ready:
+			case c.state[a.Engine] != EngineReady:
 				c.fail("rule 3: %s goes to %s, which is not ready", a.ID, a.Engine)
 			case q.sent >= c.cfg.Limits.MaxAttempts:
 				c.fail("%s has too many attempts", a.ID)
-			case q.ran && c.role[a.Engine] != Read && k.Effect == Once:
+			case q.ran && c.role[a.Engine] != Prefill && k.Effect == AtMostOnce:
 				c.fail("rule 2: %s may have run and is sent again", a.ID)
-			case q.ran && c.role[a.Engine] != Read && k.Effect == ByKey &&
-				(c.now > q.ranAt+k.KeyTTL || c.cell[a.Engine] != q.ranCell):
+			case q.ran && c.role[a.Engine] != Prefill && k.Effect == IdempotentByKey &&
+				(c.now > q.ranAt+k.DedupWindow || c.cell[a.Engine] != q.ranCell):
 				c.fail("rule 2: %s is sent outside its group or time", a.ID)
 			}
 			q.outAt[q.sent], q.sentAt[q.sent] = a.Engine, c.now
 			q.out++
 			q.sent++
-		case Refuse:
+		case Reject:
 			c.final(a.ID)
 			q := c.reqs[a.ID]
-			if c.cfg.Classes[q.class].Effect != Repeatable && (q.ran || q.out > 0) {
+			if c.cfg.Classes[q.class].Effect != Idempotent && (q.ran || q.out > 0) {
 				c.fail("rule 2: %s may have run and is refused", a.ID)
 			}
 		case Fail:
@@ -103,45 +103,45 @@
 	*checker
 	r      *Scheduler
 	rnd    *rand.Rand
-	timers []Timer
+	timers []SetTimer
 	ids    []string
 }
 
 func (w *world) step(evs []Event) {
 	acts := w.r.Step(w.now, evs)
 	w.actions(acts)
-	w.timers = append(w.timers, of[Timer](acts)...)
+	w.timers = append(w.timers, of[SetTimer](acts)...)
 }
 
 // close ends a random attempt, or starts its stream.
 func (w *world) close(id string, n int) Event {
 	q := w.reqs[id]
 	e := q.outAt[n]
-	if w.role[e] != Read && !q.flowing && !q.final && w.rnd.Intn(2) == 0 {
+	if w.role[e] != Prefill && !q.flowing && !q.final && w.rnd.Intn(2) == 0 {
 		q.flowing, q.held = true, false
-		return First{ID: id, Attempt: n, Engine: e, Spent: w.now - q.sentAt[n]}
+		return FirstToken{ID: id, Attempt: n, Engine: e, Spent: w.now - q.sentAt[n]}
 	}
 	delete(q.outAt, n)
 	q.out--
 	o := Outcome{ID: id, Attempt: n, Engine: e, Spent: w.now - q.sentAt[n], Closed: q.final || q.flowing}
-	bad := []Status{ServerError, NoAnswer, ConnectionLost, CalledOff, NoConnection, TurnedAway}
+	bad := []Status{ServerError, TimedOut, ConnectionLost, Canceled, ConnectFailed, Rejected}
 	switch {
 	case q.flowing:
-		o.Status = Served
+		o.Status = Completed
 		q.final = true
-	case w.role[e] == Read && w.rnd.Intn(4) > 0:
-		o.Status = Parsed
+	case w.role[e] == Prefill && w.rnd.Intn(4) > 0:
+		o.Status = Prefilled
 		q.held, q.heldAt = true, w.now
 	default:
 		o.Status = bad[w.rnd.Intn(len(bad))]
-		if w.role[e] != Read && o.Status <= ConnectionLost && o.Status != TurnedAway && o.Status != NoConnection ||
-			w.role[e] != Read && o.Status == CalledOff {
+		if w.role[e] != Prefill && o.Status <= ConnectionLost && o.Status != Rejected && o.Status != ConnectFailed ||
+			w.role[e] != Prefill && o.Status == Canceled {
 			if !q.ran {
 				q.ran, q.ranAt, q.ranCell = true, q.sentAt[n], w.cell[e]
 			}
 		}
 		q.heldAt = w.now
-		if w.role[e] == Read {
+		if w.role[e] == Prefill {
 			q.held = false
 		}
 	}
@@ -151,7 +151,7 @@
 func play(t *testing.T, seed int64, steps int) {
 	rnd := rand.New(rand.NewSource(seed))
 	cfg := testConfig()
-	cfg.LocalRead, cfg.Ahead = rnd.Intn(2) == 0, rnd.Intn(2) == 0
+	cfg.DecodeEnginesPrefill, cfg.ReservationOffered = rnd.Intn(2) == 0, rnd.Intn(2) == 0
 	r, err := New(cfg, uint64(seed))
 	if err != nil {
 		t.Fatal(err)
@@ -175,30 +175,30 @@
 		}
 		c.now = max(c.now, at)
 		if due >= 0 {
-			evs = append(evs, Wake{w.timers[due].Token})
+			evs = append(evs, TimerFired{w.timers[due].Token})
 			w.timers = append(w.timers[:due:due], w.timers[due+1:]...)
 		}
 		switch k := rnd.Intn(20); {
 		case k < 6 && i < steps*3/4:
 			q := ask(fmt.Sprint("q", i), rnd.Intn(3))
-			q.TimeLeft, q.PromptLen = 0.02+rnd.Float64()*3, 100+rnd.Float64()*4000
-			c.reqs[q.ID] = &tracked{class: q.Class, deadline: c.now + q.TimeLeft, outAt: map[int]string{},
+			q.ClientTimeLeft, q.PromptTokens = 0.02+rnd.Float64()*3, 100+rnd.Float64()*4000
+			c.reqs[q.ID] = &tracked{class: q.Class, deadline: c.now + q.ClientTimeLeft, outAt: map[int]string{},
 				sentAt: map[int]float64{}}
 			w.ids = append(w.ids, q.ID)
 			evs = append(evs, q)
 		case k < 7:
 			e := m.Engines[rnd.Intn(len(m.Engines))]
 			e.State = EngineState(rnd.Intn(3))
-			if e.State == Ready && rnd.Intn(2) == 0 {
+			if e.State == EngineReady && rnd.Intn(2) == 0 {
 				e.BootTime = c.now
 			}
 			c.state[e.ID] = e.State
-			evs = append(evs, Members{Form: ListChanges, Engines: []Engine{e}})
+			evs = append(evs, EndpointUpdate{Form: UpdateIncremental, Engines: []Engine{e}})
 		case k < 8 && len(w.ids) > 0:
 			id := w.ids[rnd.Intn(len(w.ids))]
 			if q := c.reqs[id]; !q.final && !q.flowing {
 				q.final = true
-				evs = append(evs, Gone{id})
+				evs = append(evs, ClientDisconnected{id})
 			}
 		default:
 			for _, id := range w.ids {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -99,8 +99,8 @@
 }
 
 // members applies a list of engines. A new start of an engine voids what we knew of it.
-func (r *Scheduler) members(ev Members) {
-	if r.watching = ev.Form != ListLost; !r.watching {
+func (r *Scheduler) members(ev EndpointUpdate) {
+	if r.watching = ev.Form != UpdateFailed; !r.watching {
 		return
 	}
 	seen := map[string]bool{}
@@ -114,13 +114,13 @@
 			e = &engine{since: r.now}
 			r.engines[n.ID] = e
 			r.list = append(r.list, e)
-		} else if n.State == Ready && n.BootTime > e.BootTime { // came back empty and cold
+		} else if n.State == EngineReady && n.BootTime > e.BootTime { // came back empty and cold
 			old, none := *e, gauge{n: 1, at: r.now}
 			*e = engine{since: r.now, reads: old.reads, jobs: old.jobs, pushes: old.pushes, hit: none}
 		}
 		e.Engine, e.role, e.mem = n, r.cfg.Kinds[n.Kind].Role, r.cfg.Kinds[n.Kind].Memory
 	}
-	r.prune(ev.Form != ListChanges, seen)
+	r.prune(ev.Form != UpdateIncremental, seen)
 	r.weighHomes()
 }
 
@@ -147,10 +147,11 @@
 		return
 	}
 	c := &r.cfg.Classes[ev.Class]
-	q := &request{Request: ev, class: c, arrived: r.now, out: -1, deadline: r.now + ev.TimeLeft}
-	q.aim = r.now + c.Aim + c.AimPerK*ev.PromptLen/1000 + c.AimStretch*ev.Hint
+	q := &request{Request: ev, class: c, arrived: r.now, out: -1, deadline: r.now + ev.ClientTimeLeft}
+	q.aim = r.now + c.FirstTokenObjective + c.ObjectivePer1KTokens*ev.PromptTokens/1000 +
+		c.ObjectivePerHintSecond*ev.DurationHint
 	if ev.Tenant >= 0 && ev.Tenant < len(r.buckets) && r.cfg.Tenants[ev.Tenant].Quota > 0 {
-		rate := r.cfg.Tenants[ev.Tenant].Quota / float64(r.cfg.Balancers) // our part of its share
+		rate := r.cfg.Tenants[ev.Tenant].Quota / float64(r.cfg.NodeCount) // our part of its share
 		q.over = !r.buckets[ev.Tenant].take(r.now, rate, max(shareLeast, shareSlack*rate))
 	}
 	r.byID[ev.ID] = q
@@ -160,22 +161,22 @@
 	x := r.prefixes[ev.Prefix]
 	x.add(r.now, 1, shareWindow)
 	r.prefixes[ev.Prefix] = x
-	r.classes[ev.Class].prompt.add(r.now, ev.PromptLen, 0.05)
-	r.meanPrompt.add(r.now, ev.PromptLen, 0.05)
+	r.classes[ev.Class].prompt.add(r.now, ev.PromptTokens, 0.05)
+	r.meanPrompt.add(r.now, ev.PromptTokens, 0.05)
 	r.meanAnswer.add(r.now, r.answerTokens(q), 0.05)
 }
 
 // answerTokens guesses an answer's length: the hint, else the class's mean part of the most allowed (see
 // learnStream). Where no stream runs into that most, the guess is too long: admission errs to the open side.
 func (r *Scheduler) answerTokens(q *request) float64 {
-	tokens := q.Hint / max(q.class.TokenAim, 1e-3)
-	if q.Hint <= 0 {
-		tokens = q.MaxOut * cmp.Or(r.classes[q.Class].share, firstShare)
+	tokens := q.DurationHint / max(q.class.OutputTokenObjective, 1e-3)
+	if q.DurationHint <= 0 {
+		tokens = q.MaxOutputTokens * cmp.Or(r.classes[q.Class].share, firstShare)
 	}
-	return max(4, min(tokens, q.MaxOut))
+	return max(4, min(tokens, q.MaxOutputTokens))
 }
 
-func (r *Scheduler) first(ev First) {
+func (r *Scheduler) first(ev FirstToken) {
 	q := r.byID[ev.ID]
 	if q == nil || q.out != ev.Attempt || q.stage != writing {
 		return
@@ -209,31 +210,31 @@
 	}
 	was, e := q.stage, q.at()
 	r.heard(was)
-	if was == writing && !q.hasHold && ev.Status != Served {
+	if was == writing && !q.hasHold && ev.Status != Completed {
 		r.do(Release{q.ID}) // what a mixed engine has read by itself stays held as well
 	}
 	lost := q.passed >= lostAfter
-	if (was == reading || was == writing) && (ev.Status == Parsed || r.good[e.role] < q.sentAt) {
+	if (was == reading || was == writing) && (ev.Status == Prefilled || r.good[e.role] < q.sentAt) {
 		r.spread[e.role].add(r.now, math.Abs(ev.Spent-q.expect), poolGain)
 	}
-	if ev.Status == Parsed {
+	if ev.Status == Prefilled {
 		q.overtake(e.reads, reading)
 	}
 	q.out, q.stage, e.reads = -1, held, without(e.reads, q)
-	q.holdSince = q.heldFrom(r.now, ev.Status, r.cfg.Limits.HoldRunsOn)
+	q.holdSince = q.heldFrom(r.now, ev.Status, r.cfg.Limits.StateTimeRunsDuringConnects)
 	if q.far > 0 {
 		r.link(q.reader, e).out, q.far = r.link(q.reader, e).out-q.far, 0
 	}
 	switch ev.Status {
-	case Parsed:
+	case Prefilled:
 		q.hasHold, q.stage = true, parsed
-		r.borne[Read].add(r.now, r.weight(q, Read), rateWindow)
+		r.borne[Prefill].add(r.now, r.weight(q, Prefill), rateWindow)
 		r.learnRead(q, e, max(1, q.load+q.kept-float64(ev.Info)), ev.Spent)
 		r.learnHit(q, e, float64(ev.Info))
 		r.judge(e, 0)
-	case Served:
+	case Completed:
 		r.learnStream(q, e)
-	case TurnedAway:
+	case Rejected:
 		switch {
 		case ev.Info != 1:
 			e.fullTill = r.now + fullFor
@@ -249,14 +250,14 @@
 	case NotSent:
 	default:
 		q.failed = e
-		slow := (ev.Status == NoAnswer || ev.Status == CalledOff) && e.lastGood >= q.sentAt && !lost
-		if ev.Status == NoConnection && e.err < errEject {
+		slow := (ev.Status == TimedOut || ev.Status == Canceled) && e.lastGood >= q.sentAt && !lost
+		if ev.Status == ConnectFailed && e.err < errEject {
 			r.eject(e)
 		} else if !slow { // an engine that answers others is not failing
 			r.judge(e, 1)
 		}
 		if was == writing || was == flowing {
-			if ev.Status != NoConnection && !q.mayRun && e.role != Read {
+			if ev.Status != ConnectFailed && !q.mayRun && e.role != Prefill {
 				q.mayRun, q.mayRunAt, q.mayRunOn = true, q.sentAt, e
 			}
 			if q.hasHold {
@@ -278,8 +279,8 @@
 }
 
 // roomy tells whether an engine reports that nothing waits there and slots are free.
-func roomy(rep *Report) bool {
-	return rep != nil && rep.Has&HasWaiting != 0 && rep.Waiting < 1 && rep.Util < roomyUtil
+func roomy(rep *LoadReport) bool {
+	return rep != nil && rep.Has&HasWaiting != 0 && rep.Waiting < 1 && rep.Utilization < roomyUtil
 }
 
 // letGo releases whatever is held for a request of which no attempt is out (rule 5) and frees its place in
@@ -318,15 +319,15 @@
 
 // maySend tells whether the ledger allows an attempt that could have an effect at e (rule 2).
 func (r *Scheduler) maySend(q *request, e *engine) bool {
-	if !q.mayRun || q.class.Effect == Repeatable {
+	if !q.mayRun || q.class.Effect == Idempotent {
 		return true
 	}
-	if q.class.Effect == Once || r.now > q.mayRunAt+q.class.KeyTTL-2*r.cfg.Tick {
+	if q.class.Effect == AtMostOnce || r.now > q.mayRunAt+q.class.DedupWindow-2*r.cfg.Tick {
 		return false
 	}
-	g := q.class.Group
-	return g == GroupAll || g == GroupZone && e.Zone == q.mayRunOn.Zone ||
-		g == GroupCell && e.Cell == q.mayRunOn.Cell
+	g := q.class.DedupScope
+	return g == DedupFleet || g == DedupZone && e.Zone == q.mayRunOn.Zone ||
+		g == DedupCell && e.Cell == q.mayRunOn.Cell
 }
 
 // judge moves an engine's failure score. Two failures in a row eject it, whatever their cause: fast errors,
@@ -352,14 +353,14 @@
 	}
 }
 
-func (r *Scheduler) probed(ev Probed) {
+func (r *Scheduler) probed(ev ProbeResult) {
 	e := r.engines[ev.Engine]
 	if e == nil {
 		return
 	}
 	e.probing = false
 	r.reported(e, ev.Report)
-	if ev.Report == nil && ev.Status != Served && ev.Status != TurnedAway {
+	if ev.Report == nil && ev.Status != Completed && ev.Status != Rejected {
 		r.judge(e, 1)
 	}
 }
@@ -372,7 +373,7 @@
 	e.wait.add(r.now, wait, waitGain)
 	k.wait.add(r.now, wait, poolGain)
 	if q.Session != "" {
-		r.sessions[q.Session] = session{q.PromptLen, r.now, e}
+		r.sessions[q.Session] = session{q.PromptTokens, r.now, e}
 	}
 }
 
@@ -436,7 +437,7 @@
 // engine that still answers others are left alone: under load a retry would only add to it.
 func (r *Scheduler) rescue(q *request) {
 	if q.out >= 0 && !q.calledOff && r.cfg.Limits.Cancel && r.left(q) >= 2 &&
-		(q.stage == reading || q.class.Effect == Repeatable) && r.stuck(q, q.at()) {
+		(q.stage == reading || q.class.Effect == Idempotent) && r.stuck(q, q.at()) {
 		q.calledOff = true
 		r.do(Cancel{q.ID, q.out})
 	}
@@ -448,7 +449,7 @@
 	var good []*engine
 	var last *engine
 	for _, e := range r.list {
-		if e.State != Ready || !fit(e) {
+		if e.State != EngineReady || !fit(e) {
 			continue
 		}
 		if r.trusted(e) {
@@ -469,8 +470,9 @@
 // uncount takes off an attempt that was never written, where such do not count: as many as may be made.
 func (r *Scheduler) uncount(ev Outcome) {
 	q := r.byID[ev.ID]
-	if r.cfg.Limits.UnsentFree && q != nil && q.out == ev.Attempt && q.unsent < r.cfg.Limits.MaxAttempts &&
-		(ev.Status == NoConnection || ev.Status == NotSent) {
+	if r.cfg.Limits.UnsentAttemptsAreFree && q != nil && q.out == ev.Attempt &&
+		q.unsent < r.cfg.Limits.MaxAttempts &&
+		(ev.Status == ConnectFailed || ev.Status == NotSent) {
 		q.unsent++
 	}
 }
@@ -494,7 +496,7 @@
 func (r *Scheduler) spt(e *engine) float64 {
 	base := max(sptFloor, r.kinds[e.Kind].read.slope(firstSpt, linePrior))
 	if e.wait.n == 0 && r.cold(e) {
-		return base / max(0.1, r.cfg.Rules.ColdShare)
+		return base / max(0.1, r.cfg.Rules.SlowStartShare)
 	}
 	return base
 }
@@ -518,7 +520,7 @@
 
 // weight is the mean work of a request's class at an engine's role, the unit of the cold budget.
 func (r *Scheduler) weight(q *request, role Role) float64 {
-	if role == Read {
+	if role == Prefill {
 		return r.classes[q.Class].prompt.v + overhead
 	}
 	return r.answerTokens(q) + 0.1*r.classes[q.Class].prompt.v
@@ -529,11 +531,11 @@
 // bear. A fraction of a send is a turn: spread over routers' numbers, as many have one as parts add up to,
 // none in the window in which it was heard of. After our own start we wait one: sends of ours may be in it.
 func (r *Scheduler) coldRoom(q *request, e *engine) bool {
-	if cold := r.cold(e); !cold || r.now < r.started+r.cfg.Rules.TipAfter {
+	if cold := r.cold(e); !cold || r.now < r.started+r.cfg.Rules.SlowStartWindow {
 		return !cold
 	}
 	u, w, used := &r.cfg.Rules, r.weight(q, e.role), 0.0
-	e.pushes, used = since(e.pushes, r.now-u.TipAfter)
+	e.pushes, used = since(e.pushes, r.now-u.SlowStartWindow)
 	for _, x := range e.jobs {
 		if x != q && (x.stage == reading || x.stage == parsed) { // admitted, still to be sent
 			used += r.weight(x, e.role)
@@ -541,13 +543,14 @@
 	}
 	engines := max(1, r.warm(e.role), r.most[e.role]/2) // where most are cold, a few warm ones are no measure
 	mean := r.borne[e.role].get(r.now, rateWindow) / float64(engines) / w
-	all := coldGuess * u.FallMultiple * u.ColdShare * u.TipAfter / r.cost(e) // of all routers, in a window
-	even := (all + coldChance*math.Sqrt(all)) / float64(r.cfg.Balancers)
-	part := coldSafety * max(u.FallMultiple*u.ColdShare*u.TipAfter*mean, even)
-	phase := float64(r.cfg.Rank) / float64(r.cfg.Balancers)
-	turn := math.Floor(r.now/u.TipAfter + phase)
-	_, at := math.Modf(rank(fmt.Sprint(turn), e.ID) + float64(r.cfg.Rank)*math.Phi)
-	if (turn-phase)*u.TipAfter < e.since {
+	// of all routers, in a window
+	all := coldGuess * u.OverloadMultiple * u.SlowStartShare * u.SlowStartWindow / r.cost(e)
+	even := (all + coldChance*math.Sqrt(all)) / float64(r.cfg.NodeCount)
+	part := coldSafety * max(u.OverloadMultiple*u.SlowStartShare*u.SlowStartWindow*mean, even)
+	phase := float64(r.cfg.NodeIndex) / float64(r.cfg.NodeCount)
+	turn := math.Floor(r.now/u.SlowStartWindow + phase)
+	_, at := math.Modf(rank(fmt.Sprint(turn), e.ID) + float64(r.cfg.NodeIndex)*math.Phi)
+	if (turn-phase)*u.SlowStartWindow < e.since {
 		at = 0
 	}
 	return used+w <= w*math.Floor(part+at)
@@ -557,10 +560,10 @@
 // no shorter than by what is taken before any were seen.
 func (r *Scheduler) cost(e *engine) (s float64) {
 	k, prompt, answer := &r.kinds[e.Kind], r.meanPrompt.v+overhead, r.meanAnswer.v
-	if e.role != Write {
+	if e.role != Decode {
 		s = prompt * max(firstSpt, k.read.slope(firstSpt, linePrior))
 	}
-	if e.role != Read {
+	if e.role != Prefill {
 		l := max(1, min(perUtil/2, memLimit*cmp.Or(e.mem, math.Inf(1))/(prompt+answer)))
 		s += answer * max(firstPace, k.pace.c[0]/k.pace.speed(l)) / l
 	}
@@ -570,15 +573,15 @@
 // keptAt guesses how much of a prompt a reader has kept.
 func (r *Scheduler) keptAt(q *request, e *engine) float64 {
 	if s, ok := r.sessions[q.Session]; ok && s.reader == e && s.at > e.BootTime {
-		return min(s.prompt, q.PromptLen)
+		return min(s.prompt, q.PromptTokens)
 	}
 	part := e.hit.get(r.now, r.kinds[e.Kind].hit.get(r.now, 0, 0), waitForget)
-	return part * min(q.PrefixLen, q.PromptLen)
+	return part * min(q.PrefixTokens, q.PromptTokens)
 }
 
 // readTime predicts a read: others' reads ahead show in the wait learned, our own count as they are.
 func (r *Scheduler) readTime(q *request, e *engine) (t, tokens, load float64) {
-	tokens = max(32, q.PromptLen-r.keptAt(q, e))
+	tokens = max(32, q.PromptTokens-r.keptAt(q, e))
 	load = tokens + overhead + ahead(e)
 	return max(0, r.wait(e)+load*r.spt(e)), tokens, load
 }
@@ -593,7 +596,7 @@
 		return 0
 	}
 	l := r.link(from, to)
-	return (l.out + q.PromptLen) * l.perTok.get(r.now, firstFar, forget)
+	return (l.out + q.PromptTokens) * l.perTok.get(r.now, firstFar, forget)
 }
 
 // freshness is the trust left in an engine's last report against its kind's mean.
@@ -616,20 +619,20 @@
 		return 0
 	}
 	_, own, _, fresh := r.sinceReport(e)
-	used := max(own, r.kinds[e.Kind].mem.toward(e.report.MemShare, r.freshness(e))*e.mem+fresh) / e.mem
-	return used + (q.PromptLen+r.answerTokens(q))/e.mem
+	used := max(own, r.kinds[e.Kind].mem.toward(e.report.MemoryShare, r.freshness(e))*e.mem+fresh) / e.mem
+	return used + (q.PromptTokens+r.answerTokens(q))/e.mem
 }
 
 // paceRoom applies the curve: what f(L+1) leaves above the bound set by the pace aims of the newcomer and
 // of every stream of ours there. Negative means that one of them would fall behind.
 func (r *Scheduler) paceRoom(e *engine, q *request) float64 {
-	l, aim := r.streams(e), q.class.TokenAim
+	l, aim := r.streams(e), q.class.OutputTokenObjective
 	if q.writer != e {
 		l++
 	}
 	for _, x := range e.jobs {
-		if x.class.TokenAim > 0 {
-			aim = min(aim, x.class.TokenAim)
+		if x.class.OutputTokenObjective > 0 {
+			aim = min(aim, x.class.OutputTokenObjective)
 		}
 	}
 	if aim <= 0 || l <= 1 { // an empty writer always takes one: a bad fit must be able to mend
@@ -656,7 +659,7 @@
 	var best *engine
 	most := math.Inf(-1)
 	for _, e := range r.others(q, r.pool(func(e *engine) bool {
-		return e.role != Read && r.maySend(q, e) && r.coldRoom(q, e)
+		return e.role != Prefill && r.maySend(q, e) && r.coldRoom(q, e)
 	})) {
 		room, pace, fits := r.room(e, q)
 		if !untested && (!pace || !fits || r.lag(e)+r.moveTime(q, from, e) > left) {
@@ -696,7 +699,7 @@
 // the same at all routers. A hot beginning has homes by its part of our arrivals; sessions share them.
 func (r *Scheduler) readers(q *request) []*engine {
 	xs := r.others(q, r.pool(func(e *engine) bool {
-		return e.role != Write && r.maySend(q, e) && r.coldRoom(q, e)
+		return e.role != Decode && r.maySend(q, e) && r.coldRoom(q, e)
 	}))
 	key := q.Prefix
 	if key == "" {
@@ -727,7 +730,7 @@
 // take for a request each. What keeps all away (waits, lags, speeds, loads, memory as learned) is then put to
 // the test by one request: what is not tried is not learned anew.
 func (r *Scheduler) blind() bool {
-	return r.out == 0 && r.heardAt > 0 && r.now > r.heardAt+min(forget, r.best*float64(r.cfg.Balancers))
+	return r.out == 0 && r.heardAt > 0 && r.now > r.heardAt+min(forget, r.best*float64(r.cfg.NodeCount))
 }
 
 // sendRead starts the read at rd of a request admitted to w.
@@ -739,7 +742,8 @@
 	rd.reads = append(rd.reads, q)
 	r.admitTo(q, w)
 	move := r.moveTime(q, rd, w)
-	if r.cfg.Ahead && move > farReserve*max(0, q.aim-r.now) && r.coldRoom(q, w) && w.State == Ready {
+	if r.cfg.ReservationOffered && move > farReserve*max(0, q.aim-r.now) && r.coldRoom(q, w) &&
+		w.State == EngineReady {
 		r.do(Reserve{q.ID, w.ID})
 		q.hasHold = true
 	}
@@ -759,7 +763,7 @@
 	if q.stage == parsed {
 		move = r.moveTime(q, q.reader, w)
 		if w.Cell != q.reader.Cell {
-			q.far = q.PromptLen
+			q.far = q.PromptTokens
 			r.link(q.reader, w).out += q.far
 		}
 	}
@@ -851,7 +855,7 @@
 	if low || r.blind() {
 		return math.Inf(1)
 	}
-	aim, alone := q.aim-q.arrived-r.leastLag, (max(32, q.PromptLen-r.keptAt(q, e))+overhead)*r.spt(e)
+	aim, alone := q.aim-q.arrived-r.leastLag, (max(32, q.PromptTokens-r.keptAt(q, e))+overhead)*r.spt(e)
 	slack := 1.0 * readSlack
 	if aimMost*t <= alone { // nobody is ahead
 		slack = max(1, min(readSlack, aimMost*aim/alone))
@@ -866,7 +870,8 @@
 	t += spreadOver * r.spread[e.role].get(r.now, 0, 0)
 	for i, c := range r.cfg.Classes {
 		p := r.classes[i].prompt.v
-		aim := c.Aim + c.AimPerK*p/1000 // one too short for any reader is kept by nobody's waiting
+		// one too short for any reader is kept by nobody's waiting
+		aim := c.FirstTokenObjective + c.ObjectivePer1KTokens*p/1000
 		if aim > readSlack*(p+overhead)*firstSpt && readSlack*(t+(p+overhead)*r.spt(e)) > aim {
 			return false
 		}
@@ -915,7 +920,7 @@
 	var best *engine
 	bestRoom := math.Inf(-1)
 	for _, e := range r.pool(func(e *engine) bool {
-		can := e.role == Mixed || e.role == Write && r.cfg.LocalRead
+		can := e.role == Mixed || e.role == Decode && r.cfg.DecodeEnginesPrefill
 		return can && r.maySend(q, e) && r.coldRoom(q, e)
 	}) {
 		room, pace, fits := r.room(e, q)
@@ -933,11 +938,11 @@
 // good time (rule 5).
 func (r *Scheduler) placeParsed(q *request) {
 	w := q.writer
-	if w == nil || w.State != Ready || !r.trusted(w) || !r.maySend(q, w) || !r.coldRoom(q, w) ||
+	if w == nil || w.State != EngineReady || !r.trusted(w) || !r.maySend(q, w) || !r.coldRoom(q, w) ||
 		r.now < w.fullTill {
 		w = r.bestWriter(q, q.reader, math.Inf(1), q.low)
 	}
-	if r.now >= q.holdSince+holdShare*r.cfg.Rules.LetGoBy {
+	if r.now >= q.holdSince+holdShare*r.cfg.Rules.StateReleaseLimit {
 		r.letGo(q)
 	} else if w != nil {
 		r.sendWrite(q, w, 0)
@@ -947,7 +952,7 @@
 // probe asks the writers in turn for their load where reports come in no other way, as often as the price
 // of a probe allows.
 func (r *Scheduler) probe() {
-	if r.cfg.Report != ReportOnProbe || !r.cfg.Limits.Probe || r.now < r.probeAt {
+	if r.cfg.ReportStyle != ReportOnProbe || !r.cfg.Limits.Probe || r.now < r.probeAt {
 		return
 	}
 	perSecond := probeBudget * max(0.5, r.arrivals.get(r.now, rateWindow))
@@ -955,7 +960,7 @@
 	for range r.list {
 		e := r.list[r.probeNext%len(r.list)]
 		r.probeNext++
-		if e.State == Ready && !e.probing && e.role != Read {
+		if e.State == EngineReady && !e.probing && e.role != Prefill {
 			e.probing = true
 			r.do(Probe{e.ID})
 			return
@@ -965,11 +970,11 @@
 
 // housekeeping keeps the subscription to the list and forgets idle sessions.
 func (r *Scheduler) housekeeping() {
-	if r.cfg.OnRequest && r.now >= r.watchAt {
+	if r.cfg.PollsDiscovery && r.now >= r.watchAt {
 		if !r.watching || r.watchAt == 0 {
-			r.do(Watch{true})
+			r.do(WatchEndpoints{true})
 		}
-		r.watchAt = r.now + max(0.5, min(2, r.cfg.Rules.AskEvery/4))
+		r.watchAt = r.now + max(0.5, min(2, r.cfg.Rules.PollInterval/4))
 	}
 	if r.now >= r.sweep {
 		r.sweep = r.now + idleSession/4
@@ -991,7 +996,7 @@
 			}
 		}
 	}
-	if r.cfg.OnRequest {
+	if r.cfg.PollsDiscovery {
 		at = min(at, r.watchAt)
 	}
 	if r.probeAt > 0 {
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -13,16 +13,16 @@
 
 // testConfig: kind 0 reads, kind 1 writes, kind 2 does both; class 0 repeatable, 1 once, 2 by key.
 func testConfig() Config {
-	return Config{Balancers: 1, Zones: 1, Tick: 0.002,
+	return Config{NodeCount: 1, ZoneCount: 1, Tick: 0.002,
 		Classes: []Class{
-			{Effect: Repeatable, Aim: 1, AimPerK: 0.04, HardLimit: 5, TokenAim: 0.06, Worth: 1, LateValue: 0.3},
-			{Effect: Once, Aim: 1, HardLimit: 5, TokenAim: 0.08, Worth: 2, LateValue: 0.3},
-			{Effect: ByKey, Group: GroupCell, KeyTTL: 2, Aim: 1, HardLimit: 5, TokenAim: 0.08, Worth: 1},
+			{Effect: Idempotent, FirstTokenObjective: 1, ObjectivePer1KTokens: 0.04, ClientTimeout: 5, OutputTokenObjective: 0.06, PriorityWeight: 1, LateValue: 0.3},
+			{Effect: AtMostOnce, FirstTokenObjective: 1, ClientTimeout: 5, OutputTokenObjective: 0.08, PriorityWeight: 2, LateValue: 0.3},
+			{Effect: IdempotentByKey, DedupScope: DedupCell, DedupWindow: 2, FirstTokenObjective: 1, ClientTimeout: 5, OutputTokenObjective: 0.08, PriorityWeight: 1},
 		},
-		Kinds:   []Kind{{Read, 2e5}, {Write, 1.5e5}, {Mixed, 2e5}},
+		Kinds:   []Kind{{Prefill, 2e5}, {Decode, 1.5e5}, {Mixed, 2e5}},
 		Tenants: []Tenant{{0}},
 		Limits:  Limits{MaxAttempts: 4, Cancel: true},
-		Rules: Rules{ColdShare: 0.25, ColdFor: 10, FallMultiple: 4, TipAfter: 2, LetGoBy: 1, AskEvery: 10,
+		Rules: Rules{SlowStartShare: 0.25, SlowStartDuration: 10, OverloadMultiple: 4, SlowStartWindow: 2, StateReleaseLimit: 1, PollInterval: 10,
 			DrainGrace: 0.25, AnswerSlack: 0.008},
 	}
 }
@@ -30,11 +30,11 @@
 func eng(id string, kind, cell int) Engine { return Engine{ID: id, Kind: kind, Cell: cell, Weight: 1} }
 
 // fleet is two cells of a reader and a writer each.
-func fleet() Members {
-	return Members{Form: ListFull, Engines: []Engine{eng("r0", 0, 0), eng("w0", 1, 0), eng("r1", 0, 1), eng("w1", 1, 1)}}
+func fleet() EndpointUpdate {
+	return EndpointUpdate{Form: UpdateComplete, Engines: []Engine{eng("r0", 0, 0), eng("w0", 1, 0), eng("r1", 0, 1), eng("w1", 1, 1)}}
 }
 
-func start(t *testing.T, cfg Config, m Members) *Scheduler {
+func start(t *testing.T, cfg Config, m EndpointUpdate) *Scheduler {
 	t.Helper()
 	r, err := New(cfg, 1)
 	if err != nil {
@@ -45,8 +45,8 @@
 }
 
 func ask(id string, class int) Request {
-	return Request{ID: id, Class: class, Session: "s" + id, Prefix: "p", TimeLeft: 4, PromptLen: 1000, PrefixLen: 800,
-		MaxOut: 200}
+	return Request{ID: id, Class: class, Session: "s" + id, Prefix: "p", ClientTimeLeft: 4, PromptTokens: 1000, PrefixTokens: 800,
+		MaxOutputTokens: 200}
 }
 
 func of[T Action](acts []Action) (out []T) {
@@ -78,7 +78,7 @@
 func read(t *testing.T, r *Scheduler, now float64, q Request) (reader, writer string) {
 	t.Helper()
 	s := one[Send](t, r.Step(now, []Event{q}))
-	w := one[Send](t, r.Step(now+0.05, []Event{Outcome{ID: q.ID, Engine: s.Engine, Status: Parsed, Spent: 0.05}}))
+	w := one[Send](t, r.Step(now+0.05, []Event{Outcome{ID: q.ID, Engine: s.Engine, Status: Prefilled, Spent: 0.05}}))
 	return s.Engine, w.Engine
 }
 
@@ -88,10 +88,10 @@
 	if rd[0] != 'r' || w[0] != 'w' || rd[1] != w[1] {
 		t.Fatalf("read at %s, written at %s", rd, w)
 	}
-	r.Step(1.1, []Event{First{ID: "a", Attempt: 1, Engine: w, Spent: 0.05}})
-	acts := r.Step(2, []Event{Outcome{ID: "a", Attempt: 1, Engine: w, Status: Served, Spent: 1, Closed: true}})
+	r.Step(1.1, []Event{FirstToken{ID: "a", Attempt: 1, Engine: w, Spent: 0.05}})
+	acts := r.Step(2, []Event{Outcome{ID: "a", Attempt: 1, Engine: w, Status: Completed, Spent: 1, Closed: true}})
 	none[Fail](t, acts)
-	none[Refuse](t, acts)
+	none[Reject](t, acts)
 	if len(r.byID)+len(r.open)+len(r.engines[w].jobs) != 0 {
 		t.Fatal("an ended request left something behind")
 	}
@@ -99,40 +99,40 @@
 
 func TestAnswerComesBeforeAShortDeadline(t *testing.T) {
 	// Time left under the look interval: the timer must be for the answer, not for the next look.
-	r := start(t, testConfig(), Members{Form: ListFull})
+	r := start(t, testConfig(), EndpointUpdate{Form: UpdateComplete})
 	q := ask("a", 0)
-	q.TimeLeft = 0.013
+	q.ClientTimeLeft = 0.013
 	acts := r.Step(1, []Event{q})
-	if len(of[Refuse](acts)) == 1 {
+	if len(of[Reject](acts)) == 1 {
 		return
 	}
-	at := one[Timer](t, acts)
+	at := one[SetTimer](t, acts)
 	if at.At > 1.013-0.002 {
 		t.Fatalf("timer at %g is past the deadline", at.At)
 	}
-	one[Refuse](t, r.Step(at.At, []Event{Wake{at.Token}}))
+	one[Reject](t, r.Step(at.At, []Event{TimerFired{at.Token}}))
 }
 
 func TestHeldRequestIsAnsweredByTimersAlone(t *testing.T) {
-	r := start(t, testConfig(), Members{Form: ListFull})
+	r := start(t, testConfig(), EndpointUpdate{Form: UpdateComplete})
 	acts := r.Step(1, []Event{ask("a", 1)})
 	now := 1.0
 	for i := 0; i < 1000; i++ {
-		if len(of[Refuse](acts)) == 1 {
+		if len(of[Reject](acts)) == 1 {
 			if now >= 5 {
 				t.Fatalf("answered at %g", now)
 			}
 			return
 		}
-		w := one[Timer](t, acts)
+		w := one[SetTimer](t, acts)
 		now = w.At
-		acts = r.Step(now, []Event{Wake{w.Token}})
+		acts = r.Step(now, []Event{TimerFired{w.Token}})
 	}
 	t.Fatal("never answered")
 }
 
 func TestServiceResumesWhenEnginesAppear(t *testing.T) {
-	r := start(t, testConfig(), Members{Form: ListFull})
+	r := start(t, testConfig(), EndpointUpdate{Form: UpdateComplete})
 	none[Send](t, r.Step(1, []Event{ask("a", 0)}))
 	one[Send](t, r.Step(1.2, []Event{fleet()}))
 }
@@ -141,14 +141,14 @@
 	for _, c := range []struct {
 		status Status
 		ran    bool
-	}{{ServerError, true}, {ConnectionLost, true}, {NoAnswer, true}, {CalledOff, true}, {TurnedAway, false},
-		{NoConnection, false}} {
+	}{{ServerError, true}, {ConnectionLost, true}, {TimedOut, true}, {Canceled, true}, {Rejected, false},
+		{ConnectFailed, false}} {
 		r := start(t, testConfig(), fleet())
 		_, w := read(t, r, 1, ask("a", 1))
 		acts := r.Step(1.2, []Event{Outcome{ID: "a", Attempt: 1, Engine: w, Status: c.status}})
 		if c.ran {
 			none[Send](t, acts)
-			none[Refuse](t, acts)
+			none[Reject](t, acts)
 			one[Fail](t, acts)
 			one[Release](t, acts)
 		} else {
@@ -169,7 +169,7 @@
 	// Past the key's time nothing more may go out, and a group smaller than all forbids a refusal.
 	acts := r.Step(3.2, []Event{Outcome{ID: "a", Attempt: 2, Engine: s.Engine, Status: ServerError}})
 	none[Send](t, acts)
-	none[Refuse](t, acts)
+	none[Reject](t, acts)
 	one[Fail](t, acts)
 }
 
@@ -183,9 +183,9 @@
 	_, w := read(t, r, 1, ask("a", 2))
 	s := one[Send](t, r.Step(1.2, []Event{Outcome{ID: "a", Attempt: 1, Engine: w, Status: ServerError}}))
 	gone := eng("r"+w[1:2], 0, int(w[1]-'0'))
-	gone.State = Removed
-	acts := r.Step(1.3, []Event{Members{Form: ListChanges, Engines: []Engine{gone}},
-		Outcome{ID: "a", Attempt: 2, Engine: s.Engine, Status: TurnedAway, Info: 1}}) // its state is gone as well
+	gone.State = EngineRemoved
+	acts := r.Step(1.3, []Event{EndpointUpdate{Form: UpdateIncremental, Engines: []Engine{gone}},
+		Outcome{ID: "a", Attempt: 2, Engine: s.Engine, Status: Rejected, Info: 1}}) // its state is gone as well
 	for _, x := range of[Send](acts) {
 		if x.Engine[1] != w[1] {
 			t.Fatalf("read anew at %s, after an attempt at %s", x.Engine, w)
@@ -194,14 +194,14 @@
 }
 
 func TestNothingGoesToDrainingOrGone(t *testing.T) {
-	for _, state := range []EngineState{Draining, Removed} {
+	for _, state := range []EngineState{EngineDraining, EngineRemoved} {
 		r := start(t, testConfig(), fleet())
 		s := one[Send](t, r.Step(1, []Event{ask("a", 0)}))
 		w := "w" + s.Engine[1:]
 		e := eng(w, 1, int(s.Engine[1]-'0'))
 		e.State = state
-		r.Step(1.01, []Event{Members{Form: ListChanges, Engines: []Engine{e}}})
-		got := one[Send](t, r.Step(1.05, []Event{Outcome{ID: "a", Engine: s.Engine, Status: Parsed}}))
+		r.Step(1.01, []Event{EndpointUpdate{Form: UpdateIncremental, Engines: []Engine{e}}})
+		got := one[Send](t, r.Step(1.05, []Event{Outcome{ID: "a", Engine: s.Engine, Status: Prefilled}}))
 		if got.Engine == w {
 			t.Fatalf("sent to %s after it was %v", w, state)
 		}
@@ -209,7 +209,7 @@
 }
 
 func TestColdEngineGetsNoMoreThanItsBudget(t *testing.T) {
-	m := Members{Form: ListFull, Engines: []Engine{eng("r0", 0, 0), eng("w0", 1, 0), eng("w1", 1, 0)}}
+	m := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{eng("r0", 0, 0), eng("w0", 1, 0), eng("w1", 1, 0)}}
 	m.Engines[2].BootTime = 9.9
 	r := start(t, testConfig(), m)
 	n := map[string]int{}
@@ -219,10 +219,10 @@
 		acts := r.Step(now, []Event{ask(id, 0)})
 		for _, s := range of[Send](acts) {
 			if s.Engine == "r0" {
-				acts = r.Step(now+0.01, []Event{Outcome{ID: s.ID, Engine: "r0", Status: Parsed, Spent: 0.01}})
+				acts = r.Step(now+0.01, []Event{Outcome{ID: s.ID, Engine: "r0", Status: Prefilled, Spent: 0.01}})
 				for _, s := range of[Send](acts) {
 					n[s.Engine]++
-					r.Step(now+0.01, []Event{First{ID: s.ID, Attempt: 1, Engine: s.Engine, Spent: 0.01}})
+					r.Step(now+0.01, []Event{FirstToken{ID: s.ID, Attempt: 1, Engine: s.Engine, Spent: 0.01}})
 				}
 			}
 		}
@@ -238,8 +238,8 @@
 func TestColdBudgetAddsUpOverManyRouters(t *testing.T) {
 	const routers, rate, until = 100, 1.0, 14.0
 	cfg := testConfig()
-	cfg.Balancers = routers
-	m := Members{Form: ListFull, Engines: []Engine{eng("r0", 0, 0)}}
+	cfg.NodeCount = routers
+	m := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{eng("r0", 0, 0)}}
 	for i := 0; i < 10; i++ {
 		m.Engines = append(m.Engines, eng(fmt.Sprint("w", i), 1, 0))
 	}
@@ -248,7 +248,7 @@
 	var cold []sent
 	all := 0
 	for rank := range routers {
-		cfg.Rank = rank
+		cfg.NodeIndex = rank
 		r, err := New(cfg, uint64(rank))
 		if err != nil {
 			t.Fatal(err)
@@ -258,13 +258,13 @@
 			now := (float64(i) + float64(rank)/routers) / rate
 			id := fmt.Sprint("q", i)
 			for _, s := range of[Send](r.Step(now, []Event{ask(id, 0)})) {
-				for _, s := range of[Send](r.Step(now+0.05, []Event{Outcome{ID: s.ID, Attempt: 0, Engine: s.Engine, Status: Parsed, Spent: 0.05}})) {
+				for _, s := range of[Send](r.Step(now+0.05, []Event{Outcome{ID: s.ID, Attempt: 0, Engine: s.Engine, Status: Prefilled, Spent: 0.05}})) {
 					all++
 					if s.Engine == "w0" && now >= 4 {
 						cold = append(cold, sent{now})
 					}
-					r.Step(now+0.08, []Event{First{ID: s.ID, Attempt: 1, Engine: s.Engine, Spent: 0.03}})
-					r.Step(now+0.09, []Event{Outcome{ID: s.ID, Attempt: 1, Engine: s.Engine, Status: Served, Spent: 0.04, Closed: true}})
+					r.Step(now+0.08, []Event{FirstToken{ID: s.ID, Attempt: 1, Engine: s.Engine, Spent: 0.03}})
+					r.Step(now+0.09, []Event{Outcome{ID: s.ID, Attempt: 1, Engine: s.Engine, Status: Completed, Spent: 0.04, Closed: true}})
 				}
 			}
 		}
@@ -274,13 +274,13 @@
 	for _, a := range cold {
 		n := 0
 		for _, b := range cold {
-			if b.at >= a.at && b.at < a.at+cfg.Rules.TipAfter {
+			if b.at >= a.at && b.at < a.at+cfg.Rules.SlowStartWindow {
 				n++
 			}
 		}
 		most = max(most, n)
 	}
-	budget := cfg.Rules.FallMultiple * cfg.Rules.ColdShare * cfg.Rules.TipAfter * warm
+	budget := cfg.Rules.OverloadMultiple * cfg.Rules.SlowStartShare * cfg.Rules.SlowStartWindow * warm
 	if len(cold) == 0 || float64(most) > 1.3*budget {
 		t.Fatalf("%d sends to the cold writer, at most %d in a window; budget %.1f", len(cold), most, budget)
 	}
@@ -289,17 +289,17 @@
 func TestReportedLoadHoldsBackWhereOwnStreamsAreFew(t *testing.T) {
 	// One of very many routers: no stream of its own anywhere, but every writer reports that it is busy.
 	cfg := testConfig()
-	cfg.Balancers, cfg.Report = 100, ReportInline
+	cfg.NodeCount, cfg.ReportStyle = 100, ReportInline
 	r := start(t, cfg, fleet())
 	for i := range r.kinds {
 		r.kinds[i].pace.c = [3]float64{0.02, 0.001, 0}
 	}
-	busy := &Report{Util: 0.9, MemShare: 0.3, Has: HasUtil | HasMemShare}
+	busy := &LoadReport{Utilization: 0.9, MemoryShare: 0.3, Has: HasUtilization | HasMemoryShare}
 	r.Step(1, []Event{Outcome{ID: "x", Engine: "w0", Report: busy}})
 	if s := of[Send](r.Step(1.1, []Event{ask("a", 0)})); len(s) != 0 {
 		t.Fatalf("sent to %v though the kind's writers are full", s)
 	}
-	idle := &Report{Util: 0.1, Has: HasUtil | HasMemShare}
+	idle := &LoadReport{Utilization: 0.1, Has: HasUtilization | HasMemoryShare}
 	one[Send](t, r.Step(1.2, []Event{Outcome{ID: "x", Engine: "w1", Report: idle}}))
 }
 
@@ -307,11 +307,11 @@
 	r := start(t, testConfig(), fleet())
 	e := r.engines["w0"]
 	r.now = 1
-	r.reported(r.engines["w1"], &Report{MemShare: 0.2, Has: HasMemShare})
+	r.reported(r.engines["w1"], &LoadReport{MemoryShare: 0.2, Has: HasMemoryShare})
 	for range 200 {
-		r.reported(r.engines["w1"], &Report{MemShare: 0.2, Has: HasMemShare})
+		r.reported(r.engines["w1"], &LoadReport{MemoryShare: 0.2, Has: HasMemoryShare})
 	}
-	r.reported(e, &Report{MemShare: 0.9, Has: HasMemShare})
+	r.reported(e, &LoadReport{MemoryShare: 0.9, Has: HasMemoryShare})
 	q := &request{Request: ask("a", 0), class: &r.cfg.Classes[0]}
 	now := r.memUsed(e, q)
 	r.now += 5 * reportFresh
@@ -328,7 +328,7 @@
 		calls  int
 	}{{0, 1}, {1, 0}} {
 		r := start(t, testConfig(), fleet())
-		r.spread[Read].add(0, c.spread, 1)
+		r.spread[Prefill].add(0, c.spread, 1)
 		r.Step(1, []Event{ask("a", 0)})
 		if got := len(of[Cancel](r.Step(2.6, nil))); got != c.calls {
 			t.Fatalf("spread %g: %d called off", c.spread, got)
@@ -337,7 +337,7 @@
 }
 
 func TestHomesLieWhereWritersAre(t *testing.T) {
-	m := Members{Form: ListFull}
+	m := EndpointUpdate{Form: UpdateComplete}
 	for i := range 4 { // cell 0: four readers and one writer; cell 1: two readers and five writers
 		m.Engines = append(m.Engines, eng(fmt.Sprint("r", i), 0, 0))
 	}
@@ -358,7 +358,7 @@
 }
 
 func TestHotBeginningHasSeveralHomesAndOthersOne(t *testing.T) {
-	m := Members{Form: ListFull, Engines: []Engine{eng("w", 1, 0)}}
+	m := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{eng("w", 1, 0)}}
 	for i := range 10 {
 		m.Engines = append(m.Engines, eng(fmt.Sprint("r", i), 0, 0))
 	}
@@ -389,7 +389,7 @@
 	m.Engines = append(m.Engines, eng("r2", 0, 0), eng("r3", 0, 1))
 	r := start(t, testConfig(), m)
 	first := one[Send](t, r.Step(1, []Event{ask("a", 0)})).Engine
-	r.Step(1.05, []Event{Outcome{ID: "a", Engine: first, Status: Parsed, Spent: 0.05}})
+	r.Step(1.05, []Event{Outcome{ID: "a", Engine: first, Status: Prefilled, Spent: 0.05}})
 	r.engines[first].wait.add(r.now, 0.7, 1)
 	if next := one[Send](t, r.Step(1.1, []Event{ask("b", 0)})).Engine; next == first {
 		t.Fatal("the home was not passed over though its queue takes 0.7 s")
@@ -413,7 +413,7 @@
 	r.now = 1
 	r.arrive(ask("a", 0))
 	r.byID["a"].low = true
-	r.spread[Read].add(1, 0.4, 1) // no wait is known, but predictions have been off
+	r.spread[Prefill].add(1, 0.4, 1) // no wait is known, but predictions have been off
 	none[Send](t, r.Step(1, nil))
 }
 
@@ -431,7 +431,7 @@
 
 // A client's patience is for tries that can succeed: two tries went to an engine that fails at once before it was ejected.
 func TestARetryGoesElsewhere(t *testing.T) {
-	m := Members{Form: ListFull}
+	m := EndpointUpdate{Form: UpdateComplete}
 	for i := range 4 {
 		m.Engines = append(m.Engines, eng(fmt.Sprint("r", i), 0, 0), eng(fmt.Sprint("w", i), 1, 0))
 	}
@@ -441,7 +441,7 @@
 	if again == first {
 		t.Fatalf("%s failed the request and is asked again", first)
 	}
-	r = start(t, testConfig(), Members{Form: ListFull, Engines: []Engine{eng("r0", 0, 0), eng("w0", 1, 0)}})
+	r = start(t, testConfig(), EndpointUpdate{Form: UpdateComplete, Engines: []Engine{eng("r0", 0, 0), eng("w0", 1, 0)}})
 	r.Step(1, []Event{ask("a", 0)})
 	if s := one[Send](t, r.Step(1.01, []Event{Outcome{ID: "a", Engine: "r0", Status: ServerError, Spent: 0.01}})); s.Engine != "r0" {
 		t.Fatalf("%s instead of the only reader", s.Engine)
@@ -450,7 +450,7 @@
 
 // Writers of one cell ran late while others stood idle: what the first token takes counts against a writer's room.
 func TestWriterThatIsSlowToStartIsPassedOver(t *testing.T) {
-	m := Members{Form: ListFull, Engines: []Engine{eng("r0", 0, 0), eng("w0", 1, 0), eng("w1", 1, 0)}}
+	m := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{eng("r0", 0, 0), eng("w0", 1, 0), eng("w1", 1, 0)}}
 	for _, slow := range []string{"w0", "w1"} {
 		r := start(t, testConfig(), m)
 		r.now = 1
@@ -465,7 +465,7 @@
 // A mixed engine is a home as readers are, for fewer beginnings. It answers what it reads, so that no state moves,
 // and what readers have read goes to it only when no writer passes.
 func TestMixedEnginesAreHomes(t *testing.T) {
-	m := Members{Form: ListFull}
+	m := EndpointUpdate{Form: UpdateComplete}
 	for i := range 4 {
 		m.Engines = append(m.Engines, eng(fmt.Sprint("r", i), 0, i), eng(fmt.Sprint("w", i), 1, i), eng(fmt.Sprint("m", i), 2, i))
 	}
@@ -477,16 +477,16 @@
 		s := one[Send](t, r.Step(now, []Event{q}))
 		homes[s.Engine[0]]++
 		if s.Engine[0] == 'm' {
-			r.Step(now+0.05, []Event{First{ID: q.ID, Engine: s.Engine, Spent: 0.05}})
-			acts := r.Step(now+0.1, []Event{Outcome{ID: q.ID, Engine: s.Engine, Status: Served, Closed: true}})
+			r.Step(now+0.05, []Event{FirstToken{ID: q.ID, Engine: s.Engine, Spent: 0.05}})
+			acts := r.Step(now+0.1, []Event{Outcome{ID: q.ID, Engine: s.Engine, Status: Completed, Closed: true}})
 			none[Release](t, acts)
 		} else {
-			w := one[Send](t, r.Step(now+0.05, []Event{Outcome{ID: q.ID, Engine: s.Engine, Status: Parsed, Spent: 0.05}}))
+			w := one[Send](t, r.Step(now+0.05, []Event{Outcome{ID: q.ID, Engine: s.Engine, Status: Prefilled, Spent: 0.05}}))
 			if w.Engine[0] != 'w' {
 				t.Fatalf("%s was given a state though writers pass", w.Engine)
 			}
-			r.Step(now+0.08, []Event{First{ID: q.ID, Attempt: 1, Engine: w.Engine, Spent: 0.03},
-				Outcome{ID: q.ID, Attempt: 1, Engine: w.Engine, Status: Served, Closed: true}})
+			r.Step(now+0.08, []Event{FirstToken{ID: q.ID, Attempt: 1, Engine: w.Engine, Spent: 0.03},
+				Outcome{ID: q.ID, Attempt: 1, Engine: w.Engine, Status: Completed, Closed: true}})
 		}
 		now += 0.2
 	}
@@ -497,7 +497,7 @@
 
 func TestSmallShareSavesUpWholeRequests(t *testing.T) {
 	cfg := testConfig()
-	cfg.Balancers, cfg.Tenants = 100, []Tenant{{2}}
+	cfg.NodeCount, cfg.Tenants = 100, []Tenant{{2}}
 	r := start(t, cfg, fleet())
 	r.Step(1, []Event{ask("a", 0), ask("b", 0)})
 	if r.byID["a"].over || r.byID["b"].over {
@@ -506,21 +506,21 @@
 }
 
 func TestWhatAMixedEngineReadItselfIsReleased(t *testing.T) {
-	m := Members{Form: ListFull, Engines: []Engine{eng("m0", 2, 0)}}
+	m := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{eng("m0", 2, 0)}}
 	r := start(t, testConfig(), m)
 	s := one[Send](t, r.Step(1, []Event{ask("a", 0)}))
 	one[Cancel](t, r.Step(4.99, nil))
-	one[Release](t, r.Step(5, []Event{Outcome{ID: "a", Engine: s.Engine, Status: CalledOff, Closed: true}}))
+	one[Release](t, r.Step(5, []Event{Outcome{ID: "a", Engine: s.Engine, Status: Canceled, Closed: true}}))
 }
 
 func TestColdBudgetCountsWhatIsAdmittedAndNotYetSent(t *testing.T) {
 	// Reads that end together must not all go to a cold writer: admission takes its part of the budget.
-	m := Members{Form: ListFull, Engines: []Engine{eng("r0", 0, 0), eng("w0", 1, 0), eng("w1", 1, 0)}}
+	m := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{eng("r0", 0, 0), eng("w0", 1, 0), eng("w1", 1, 0)}}
 	m.Engines[2].BootTime = 0.5
 	cfg := testConfig()
-	cfg.Balancers = 1000 // of the even share nothing is left
+	cfg.NodeCount = 1000 // of the even share nothing is left
 	r := start(t, cfg, m)
-	r.borne[Write].add(3, 1000, rateWindow) // about one warm request a second
+	r.borne[Decode].add(3, 1000, rateWindow) // about one warm request a second
 	for i := 0; i < 30; i++ {
 		r.Step(3, []Event{ask(fmt.Sprint(i), 0)})
 	}
@@ -536,7 +536,7 @@
 }
 
 func TestRestartSendsNothingToAColdEngineForAWindow(t *testing.T) {
-	m := Members{Form: ListWarm, Engines: []Engine{eng("r0", 0, 0), eng("w0", 1, 0)}}
+	m := EndpointUpdate{Form: UpdateStale, Engines: []Engine{eng("r0", 0, 0), eng("w0", 1, 0)}}
 	m.Engines[0].BootTime = 0.5
 	r, _ := New(testConfig(), 1)
 	none[Send](t, r.Step(1, []Event{m, ask("a", 0)}))
@@ -549,17 +549,17 @@
 	var gone []Engine
 	for _, e := range fleet().Engines {
 		if e.Kind == 1 {
-			e.State = Draining
+			e.State = EngineDraining
 			gone = append(gone, e)
 		}
 	}
-	r.Step(1.01, []Event{Members{Form: ListChanges, Engines: gone}})
-	acts := r.Step(1.05, []Event{Outcome{ID: "a", Engine: s.Engine, Status: Parsed}})
+	r.Step(1.01, []Event{EndpointUpdate{Form: UpdateIncremental, Engines: gone}})
+	acts := r.Step(1.05, []Event{Outcome{ID: "a", Engine: s.Engine, Status: Prefilled}})
 	for now := 1.05; now < 2.05-0.3; now += 0.02 {
 		if len(of[Release](acts)) == 1 {
 			return
 		}
-		acts = r.Step(now, []Event{Wake{0}})
+		acts = r.Step(now, []Event{TimerFired{0}})
 	}
 	t.Fatal("the state was not released in time")
 }
@@ -567,24 +567,24 @@
 // While connections fail to come up, the time for which a state is held keeps running: the last try begins so early that it
 // ends within the rule, and then the state is let go of though writers are left to be tried.
 func TestStateIsReleasedInTimeWhileConnectionsFail(t *testing.T) {
-	m := Members{Form: ListFull, Engines: []Engine{eng("r0", 0, 0)}}
+	m := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{eng("r0", 0, 0)}}
 	for i := range 8 {
 		m.Engines = append(m.Engines, eng(fmt.Sprint("w", i), 1, 0))
 	}
 	cfg := testConfig()
-	cfg.Limits.MaxAttempts, cfg.Limits.HoldRunsOn = 9, true // the protocol on sockets
+	cfg.Limits.MaxAttempts, cfg.Limits.StateTimeRunsDuringConnects = 9, true // the protocol on sockets
 	r := start(t, cfg, m)
 	read := one[Send](t, r.Step(1, []Event{ask("a", 1)}))
-	acts, parsed, n := r.Step(1.1, []Event{Outcome{ID: "a", Engine: read.Engine, Status: Parsed, Spent: 0.1}}), 1.1, 1
-	for now := parsed; now < parsed+cfg.Rules.LetGoBy; n++ {
+	acts, parsed, n := r.Step(1.1, []Event{Outcome{ID: "a", Engine: read.Engine, Status: Prefilled, Spent: 0.1}}), 1.1, 1
+	for now := parsed; now < parsed+cfg.Rules.StateReleaseLimit; n++ {
 		s := of[Send](acts)
 		if len(s) == 0 || len(of[Release](acts)) > 0 {
 			break
 		}
 		now += 0.25 // the time to connect
-		acts = r.Step(now, []Event{Outcome{ID: "a", Attempt: n, Engine: s[0].Engine, Status: NoConnection, Spent: 0.25}})
+		acts = r.Step(now, []Event{Outcome{ID: "a", Attempt: n, Engine: s[0].Engine, Status: ConnectFailed, Spent: 0.25}})
 	}
-	if len(of[Release](acts)) != 1 || r.now > parsed+0.8*cfg.Rules.LetGoBy || n < 3 {
+	if len(of[Release](acts)) != 1 || r.now > parsed+0.8*cfg.Rules.StateReleaseLimit || n < 3 {
 		t.Fatalf("%.2f s after the read, after %d attempts: %v", r.now-parsed, n, acts)
 	}
 }
@@ -596,8 +596,8 @@
 	m.Engines = append(m.Engines, eng("w2", 1, 0), eng("w3", 1, 0))
 	r := start(t, testConfig(), m)
 	read := one[Send](t, r.Step(1, []Event{ask("a", 1)}))
-	write := one[Send](t, r.Step(1.1, []Event{Outcome{ID: "a", Engine: read.Engine, Status: Parsed, Spent: 0.1}}))
-	acts := r.Step(1.8, []Event{Outcome{ID: "a", Attempt: 1, Engine: write.Engine, Status: NoConnection, Spent: 0.7}})
+	write := one[Send](t, r.Step(1.1, []Event{Outcome{ID: "a", Engine: read.Engine, Status: Prefilled, Spent: 0.1}}))
+	acts := r.Step(1.8, []Event{Outcome{ID: "a", Attempt: 1, Engine: write.Engine, Status: ConnectFailed, Spent: 0.7}})
 	none[Release](t, acts)
 	if again := one[Send](t, acts); again.Engine == write.Engine {
 		t.Errorf("the state was sent to %s again", again.Engine)
@@ -607,15 +607,15 @@
 func TestGoneReleasesTheStateOfAReadStillOut(t *testing.T) {
 	r := start(t, testConfig(), fleet())
 	s := one[Send](t, r.Step(1, []Event{ask("a", 0)}))
-	one[Cancel](t, r.Step(1.01, []Event{Gone{"a"}}))
-	one[Release](t, r.Step(1.02, []Event{Outcome{ID: "a", Engine: s.Engine, Status: Parsed, Closed: true}}))
+	one[Cancel](t, r.Step(1.01, []Event{ClientDisconnected{"a"}}))
+	one[Release](t, r.Step(1.02, []Event{Outcome{ID: "a", Engine: s.Engine, Status: Prefilled, Closed: true}}))
 	if len(r.byID) != 0 {
 		t.Fatal("the request is still known")
 	}
 }
 
 func TestPrefixHomeIsSharedAndStable(t *testing.T) {
-	m := Members{Form: ListFull}
+	m := EndpointUpdate{Form: UpdateComplete}
 	for i := 0; i < 6; i++ {
 		m.Engines = append(m.Engines, eng(fmt.Sprint("r", i), 0, i), eng(fmt.Sprint("w", i), 1, i))
 	}
@@ -638,8 +638,8 @@
 		}
 	}
 	left := m.Engines[0]
-	left.State = Removed
-	a.Step(a.now, []Event{Members{Form: ListChanges, Engines: []Engine{left}}})
+	left.State = EngineRemoved
+	a.Step(a.now, []Event{EndpointUpdate{Form: UpdateIncremental, Engines: []Engine{left}}})
 	for p, was := range before {
 		if got := home(a, p); was != "r0" && got != was {
 			t.Fatalf("%s moved from %s to %s though its home stayed", p, was, got)
@@ -704,7 +704,7 @@
 		if home == "" {
 			home = rd
 		}
-		acts := r.Step(now+0.2, []Event{Outcome{ID: q.ID, Attempt: 1, Engine: w, Status: TurnedAway, Info: 1}})
+		acts := r.Step(now+0.2, []Event{Outcome{ID: q.ID, Attempt: 1, Engine: w, Status: Rejected, Info: 1}})
 		if e := r.engines[w]; e.fullTill > now {
 			t.Fatalf("%s counts as full", w)
 		}
@@ -712,7 +712,7 @@
 			if s := one[Send](t, acts); s.Engine != home { // once is chance
 				t.Fatalf("read again at %s, want %s", s.Engine, home)
 			}
-			r.Step(now+0.3, []Event{Gone{q.ID}, Outcome{ID: q.ID, Attempt: 2, Engine: home, Status: CalledOff, Closed: true}})
+			r.Step(now+0.3, []Event{ClientDisconnected{q.ID}, Outcome{ID: q.ID, Attempt: 2, Engine: home, Status: Canceled, Closed: true}})
 		} else if s := one[Send](t, acts); s.Engine == home {
 			t.Fatalf("%s lost two states and is asked again", home)
 		}
@@ -728,8 +728,8 @@
 	for i := range 2 * lengths {
 		q := ask(fmt.Sprint("q", i), 0)
 		_, w := read(t, r, now, q)
-		r.Step(now+0.2, []Event{First{ID: q.ID, Attempt: 1, Engine: w, Spent: 0.01},
-			Outcome{ID: q.ID, Attempt: 1, Engine: w, Status: Served, Closed: true}})
+		r.Step(now+0.2, []Event{FirstToken{ID: q.ID, Attempt: 1, Engine: w, Spent: 0.01},
+			Outcome{ID: q.ID, Attempt: 1, Engine: w, Status: Completed, Closed: true}})
 		now += 0.5
 	}
 	q := &request{Request: ask("x", 0), class: &r.cfg.Classes[0]}
@@ -739,7 +739,7 @@
 	for i := range 3 { // streams that last
 		q := ask(fmt.Sprint("long", i), 0)
 		_, w := read(t, r, now, q)
-		r.Step(now+0.2, []Event{First{ID: q.ID, Attempt: 1, Engine: w, Spent: 0.01}})
+		r.Step(now+0.2, []Event{FirstToken{ID: q.ID, Attempt: 1, Engine: w, Spent: 0.01}})
 		now += 0.3
 	}
 }
@@ -747,13 +747,13 @@
 // A router that hears of writers seldom leaves a cell whose writer has less room; one that hears often leaves it only
 // when no writer there passes.
 func TestFullCellIsLeftWhereReportsAreOld(t *testing.T) {
-	report := func(share float64) *Report { return &Report{MemShare: share, Has: HasMemShare} }
+	report := func(share float64) *LoadReport { return &LoadReport{MemoryShare: share, Has: HasMemoryShare} }
 	for age, want := range map[float64]string{0.1: "w0", 8: "w1"} {
 		cfg := testConfig()
-		cfg.Report, cfg.Prices.Transfer = ReportInline, 0.03
+		cfg.ReportStyle, cfg.Prices.Transfer = ReportInline, 0.03
 		r := start(t, cfg, fleet())
 		q := &request{Request: ask("q", 0), class: &r.cfg.Classes[0]}
-		r.Step(1, []Event{Probed{Engine: "w0", Status: Served, Report: report(0.85)}, Probed{Engine: "w1", Status: Served, Report: report(0.05)}})
+		r.Step(1, []Event{ProbeResult{Engine: "w0", Status: Completed, Report: report(0.85)}, ProbeResult{Engine: "w1", Status: Completed, Report: report(0.05)}})
 		r.kinds[1].mem.v = 0.4 // of all that were heard of lately
 		r.engines["w0"].reportAt, r.engines["w1"].reportAt = 1, 1
 		r.now = 1 + age
@@ -856,7 +856,7 @@
 	e := r.engines["w0"]
 	for i := 0; i < 300; i++ {
 		q := &request{Request: ask("a", 0), class: &r.cfg.Classes[0], flowAt: 1, flowL: 1, stage: flowing}
-		q.MaxOut, q.Hint = 800, 0.06*100*[2]float64{1.0 / 3, 3}[i%2]
+		q.MaxOutputTokens, q.DurationHint = 800, 0.06*100*[2]float64{1.0 / 3, 3}[i%2]
 		r.now = 1 + 3
 		r.learnStream(q, e)
 	}
@@ -877,7 +877,7 @@
 		t.Fatal("not by deadline with over-share traffic last")
 	}
 	// A request whose aim has passed waits while the high tier holds one.
-	r := start(t, testConfig(), Members{Form: ListFull})
+	r := start(t, testConfig(), EndpointUpdate{Form: UpdateComplete})
 	late := ask("late", 0)
 	r.Step(0, []Event{late})
 	r.Step(1.5, []Event{ask("new", 0)})
@@ -894,7 +894,7 @@
 func TestAnswerLengthIsInferred(t *testing.T) {
 	r := start(t, testConfig(), fleet())
 	q := &request{Request: ask("a", 0), class: &r.cfg.Classes[0]}
-	q.Hint = 3
+	q.DurationHint = 3
 	if got := r.answerTokens(q); got != 50 {
 		t.Fatalf("hinted length is %g", got)
 	}
@@ -913,7 +913,7 @@
 			all = append(all, acts...)
 			for _, s := range of[Send](acts) {
 				if s.Engine[0] == 'r' && i%2 == 0 {
-					all = append(all, r.Step(now, []Event{Outcome{ID: s.ID, Engine: s.Engine, Status: Parsed, Spent: 0.02}})...)
+					all = append(all, r.Step(now, []Event{Outcome{ID: s.ID, Engine: s.Engine, Status: Prefilled, Spent: 0.02}})...)
 				}
 			}
 		}
@@ -926,7 +926,7 @@
 
 func TestWritersDoNotReadWhileReadersAreMerelyLate(t *testing.T) {
 	cfg := testConfig()
-	cfg.LocalRead = true
+	cfg.DecodeEnginesPrefill = true
 	m := fleet()
 	m.Engines = append(m.Engines, eng("m0", 2, 0))
 	r := start(t, cfg, m)
@@ -941,7 +941,7 @@
 		}
 	}
 	// With no reader at all, a writer reads.
-	r = start(t, cfg, Members{Form: ListFull, Engines: []Engine{eng("w0", 1, 0)}})
+	r = start(t, cfg, EndpointUpdate{Form: UpdateComplete, Engines: []Engine{eng("w0", 1, 0)}})
 	if s := one[Send](t, r.Step(1, []Event{ask("a", 0)})); s.Engine != "w0" {
 		t.Fatalf("sent to %s", s.Engine)
 	}
@@ -950,10 +950,10 @@
 func TestStrayEventsAreIgnored(t *testing.T) {
 	r := start(t, testConfig(), fleet())
 	r.Step(1, []Event{ask("a", 0)})
-	acts := r.Step(1.001, []Event{Outcome{ID: "zz", Engine: "r0"}, Outcome{ID: "a", Attempt: 7, Engine: "r0"}, Gone{"zz"},
-		First{ID: "a", Attempt: 3}, Wake{999}, Probed{Engine: "nobody"}, Held{ID: "zz"}, Peer{}, ask("a", 0)})
+	acts := r.Step(1.001, []Event{Outcome{ID: "zz", Engine: "r0"}, Outcome{ID: "a", Attempt: 7, Engine: "r0"}, ClientDisconnected{"zz"},
+		FirstToken{ID: "a", Attempt: 3}, TimerFired{999}, ProbeResult{Engine: "nobody"}, ReserveResult{ID: "zz"}, PeerMessage{}, ask("a", 0)})
 	for _, a := range acts {
-		if _, ok := a.(Timer); !ok {
+		if _, ok := a.(SetTimer); !ok {
 			t.Fatalf("acted on a stray event: %v", a)
 		}
 	}
@@ -961,14 +961,14 @@
 
 func TestNewNamesTheBadField(t *testing.T) {
 	for field, spoil := range map[string]func(*Config){
-		"Balancers":   func(c *Config) { c.Balancers = 0 },
-		"Rank":        func(c *Config) { c.Rank = 5 },
+		"Balancers":   func(c *Config) { c.NodeCount = 0 },
+		"Rank":        func(c *Config) { c.NodeIndex = 5 },
 		"Classes":     func(c *Config) { c.Classes = nil },
-		"Classes[1]":  func(c *Config) { c.Classes[1].Aim = -1 },
+		"Classes[1]":  func(c *Config) { c.Classes[1].FirstTokenObjective = -1 },
 		"Kinds":       func(c *Config) { c.Kinds = nil },
 		"MaxAttempts": func(c *Config) { c.Limits.MaxAttempts = 0 },
 		"Zone":        func(c *Config) { c.Zone = 3 },
-		"Rules":       func(c *Config) { c.Rules.LetGoBy = -1 },
+		"Rules":       func(c *Config) { c.Rules.StateReleaseLimit = -1 },
 	} {
 		c := testConfig()
 		spoil(&c)
@@ -1007,8 +1007,8 @@
 	granted := 0
 	for i := range nodes {
 		cfg := testConfig()
-		cfg.Balancers = []int{130, 180}[i%2]
-		cfg.Rank = i % 130 // some numbers are given twice
+		cfg.NodeCount = []int{130, 180}[i%2]
+		cfg.NodeIndex = i % 130 // some numbers are given twice
 		cfg.Tenants = []Tenant{{Quota: quota}}
 		r := start(t, cfg, fleet())
 		for k := range 100 * seconds { // far more than its part
@@ -1034,22 +1034,22 @@
 func TestWhatHasNoWayLeftIsRefusedAtOnce(t *testing.T) {
 	r := start(t, testConfig(), fleet())
 	q := ask("a", 0)
-	q.PromptLen, q.PrefixLen, q.TimeLeft = 2e5, 0, 2 // 10 s to read at best
-	one[Refuse](t, r.Step(1, []Event{q}))
+	q.PromptTokens, q.PrefixTokens, q.ClientTimeLeft = 2e5, 0, 2 // 10 s to read at best
+	one[Reject](t, r.Step(1, []Event{q}))
 
 	cfg := testConfig()
 	cfg.Classes[0].LateValue = 0
 	r = start(t, cfg, fleet())
 	q = ask("b", 0)
-	q.PromptLen, q.PrefixLen, q.TimeLeft = 6e4, 0, 30 // 3 s at best: in time, but after its aim
-	cfg.Classes[0].AimPerK = 0
+	q.PromptTokens, q.PrefixTokens, q.ClientTimeLeft = 6e4, 0, 30 // 3 s at best: in time, but after its aim
+	cfg.Classes[0].ObjectivePer1KTokens = 0
 	r = start(t, cfg, fleet())
-	one[Refuse](t, r.Step(1, []Event{q}))
+	one[Reject](t, r.Step(1, []Event{q}))
 
 	cfg = testConfig()
-	cfg.Classes[0].AimPerK = 0
+	cfg.Classes[0].ObjectivePer1KTokens = 0
 	r = start(t, cfg, fleet())
-	none[Refuse](t, r.Step(1, []Event{q}))
+	none[Reject](t, r.Step(1, []Event{q}))
 }
 
 // A refusal tells when to come back where the settings let it: within the most that they allow, spread, sooner where
@@ -1057,11 +1057,11 @@
 func TestRefusalsTellWhenToComeBack(t *testing.T) {
 	hopeless := func(id string) Request {
 		q := ask(id, 0)
-		q.PromptLen, q.PrefixLen, q.TimeLeft = 2e5, 0, 2
+		q.PromptTokens, q.PrefixTokens, q.ClientTimeLeft = 2e5, 0, 2
 		return q
 	}
 	r := start(t, testConfig(), fleet())
-	if a := one[Refuse](t, r.Step(1, []Event{hopeless("a")})); a.RetryAfter != 0 {
+	if a := one[Reject](t, r.Step(1, []Event{hopeless("a")})); a.RetryAfter != 0 {
 		t.Fatalf("a time where none is allowed: %g", a.RetryAfter)
 	}
 	cfg := testConfig()
@@ -1069,7 +1069,7 @@
 	r = start(t, cfg, fleet())
 	idle, seen := 0.0, map[float64]bool{}
 	for i := range 20 {
-		a := one[Refuse](t, r.Step(1+float64(i)/100, []Event{hopeless(fmt.Sprint("a", i))}))
+		a := one[Reject](t, r.Step(1+float64(i)/100, []Event{hopeless(fmt.Sprint("a", i))}))
 		if !(a.RetryAfter > 0 && a.RetryAfter <= 1) {
 			t.Fatalf("%g", a.RetryAfter)
 		}
@@ -1080,12 +1080,12 @@
 	}
 	for i := range 60 { // both readers get much to read
 		q := ask(fmt.Sprint("b", i), 0)
-		q.PromptLen, q.PrefixLen, q.TimeLeft, q.Prefix = 5000, 0, 30, fmt.Sprint("p", i)
+		q.PromptTokens, q.PrefixTokens, q.ClientTimeLeft, q.Prefix = 5000, 0, 30, fmt.Sprint("p", i)
 		r.Step(2, []Event{q})
 	}
 	busy := 0.0
 	for i := range 20 {
-		busy += one[Refuse](t, r.Step(2.01+float64(i)/1000, []Event{hopeless(fmt.Sprint("c", i))})).RetryAfter / 20
+		busy += one[Reject](t, r.Step(2.01+float64(i)/1000, []Event{hopeless(fmt.Sprint("c", i))})).RetryAfter / 20
 	}
 	if busy <= idle {
 		t.Fatalf("asked back after %g s behind a queue, %g s without one", busy, idle)
@@ -1097,7 +1097,7 @@
 func TestOvertakenAttemptIsLostNotSlow(t *testing.T) {
 	cfg := testConfig()
 	cfg.Kinds = cfg.Kinds[:2]
-	m := Members{Form: ListFull, Engines: []Engine{eng("r0", 0, 0), eng("r1", 0, 0), eng("w0", 1, 0)}}
+	m := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{eng("r0", 0, 0), eng("r1", 0, 0), eng("w0", 1, 0)}}
 	for _, later := range []int{1, 2} {
 		r := start(t, cfg, m)
 		lost := one[Send](t, r.Step(1, []Event{ask("lost", 0)}))
@@ -1107,13 +1107,13 @@
 			if s.Engine != lost.Engine {
 				t.Fatalf("%s went to %s", id, s.Engine)
 			}
-			r.Step(now+0.05, []Event{Outcome{ID: id, Engine: s.Engine, Status: Parsed, Spent: 0.05}})
+			r.Step(now+0.05, []Event{Outcome{ID: id, Engine: s.Engine, Status: Prefilled, Spent: 0.05}})
 		}
 		if r.engines[lost.Engine].err > 0 || !r.trusted(r.engines[lost.Engine]) {
 			t.Fatal("an engine that answers is not silent")
 		}
 		cancelled := false
-		for _, c := range of[Cancel](r.Step(2.2, []Event{Wake{}})) { // the writer says nothing: not what is asked here
+		for _, c := range of[Cancel](r.Step(2.2, []Event{TimerFired{}})) { // the writer says nothing: not what is asked here
 			cancelled = cancelled || c.ID == "lost"
 		}
 		if cancelled != (later == 2) {
@@ -1122,7 +1122,7 @@
 		if later == 1 {
 			continue
 		}
-		acts := r.Step(2.21, []Event{Outcome{ID: "lost", Engine: lost.Engine, Status: CalledOff, Spent: 1.2}})
+		acts := r.Step(2.21, []Event{Outcome{ID: "lost", Engine: lost.Engine, Status: Canceled, Spent: 1.2}})
 		for _, s := range of[Send](acts) {
 			if s.ID == "lost" && s.Engine == lost.Engine {
 				t.Fatal("tried again where it was lost")
@@ -1137,12 +1137,12 @@
 // An engine that turns away though it reports room is not asked again for that request while there are others; one
 // that is full by its own word may be.
 func TestRejectionInIdlenessGoesElsewhere(t *testing.T) {
-	m := Members{Form: ListFull, Engines: []Engine{eng("r0", 0, 0), eng("r1", 0, 0), eng("w0", 1, 0)}}
+	m := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{eng("r0", 0, 0), eng("r1", 0, 0), eng("w0", 1, 0)}}
 	for _, waiting := range []float64{0, 3} {
 		r := start(t, testConfig(), m)
 		s := one[Send](t, r.Step(1, []Event{ask("a", 0)}))
-		rep := &Report{Waiting: waiting, Util: 0.2, Has: HasWaiting | HasUtil}
-		again := one[Send](t, r.Step(1.3, []Event{Outcome{ID: "a", Engine: s.Engine, Status: TurnedAway, Spent: 0.28, Report: rep}}))
+		rep := &LoadReport{Waiting: waiting, Utilization: 0.2, Has: HasWaiting | HasUtilization}
+		again := one[Send](t, r.Step(1.3, []Event{Outcome{ID: "a", Engine: s.Engine, Status: Rejected, Spent: 0.28, Report: rep}}))
 		if elsewhere := again.Engine != s.Engine; elsewhere != (waiting == 0) {
 			t.Errorf("%g waiting: first %s, then %s", waiting, s.Engine, again.Engine)
 		}
@@ -1156,14 +1156,14 @@
 // late, and all refused would be worse. One that keeps the pace comes first.
 func TestWriterTooSlowForThePaceIsTheLastResort(t *testing.T) {
 	for _, other := range []bool{false, true} {
-		m := Members{Form: ListFull, Engines: []Engine{eng("r0", 0, 0), eng("slow", 1, 0)}}
+		m := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{eng("r0", 0, 0), eng("slow", 1, 0)}}
 		if other {
 			m.Engines = append(m.Engines, eng("w1", 1, 0))
 		}
 		r := start(t, testConfig(), m)
-		rep := &Report{Util: 0.3, Has: HasUtil | HasWaiting | HasMemShare}
+		rep := &LoadReport{Utilization: 0.3, Has: HasUtilization | HasWaiting | HasMemoryShare}
 		for _, e := range r.list {
-			if e.role == Write {
+			if e.role == Decode {
 				r.reported(e, rep)
 				e.pace.c[0] = 0.02
 			}
@@ -1179,7 +1179,7 @@
 // An engine that hangs while others of its role answer says nothing of the role: the next one that hangs is noticed as soon as
 // the first was. Where the whole role is late, that is learned.
 func TestAHangingEngineDoesNotMakeItsRolePatient(t *testing.T) {
-	m := Members{Form: ListFull, Engines: []Engine{eng("w0", 1, 0)}}
+	m := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{eng("w0", 1, 0)}}
 	for i := range 6 {
 		m.Engines = append(m.Engines, eng(fmt.Sprint("r", i), 0, 0))
 	}
@@ -1199,15 +1199,15 @@
 					q.Prefix = other
 					x := of[Send](r.Step(now+0.01, []Event{q}))
 					if len(x) == 1 && x[0].Engine != s.Engine {
-						r.Step(now+0.06, []Event{Outcome{ID: other, Engine: x[0].Engine, Status: Parsed, Spent: 0.05}})
+						r.Step(now+0.06, []Event{Outcome{ID: other, Engine: x[0].Engine, Status: Prefilled, Spent: 0.05}})
 					}
-					r.Step(now+0.06, []Event{Gone{ID: other}})
+					r.Step(now+0.06, []Event{ClientDisconnected{ID: other}})
 				}
 			}
-			r.Step(now+2, []Event{Outcome{ID: id, Engine: s.Engine, Status: CalledOff, Spent: 2}, Gone{ID: id}})
+			r.Step(now+2, []Event{Outcome{ID: id, Engine: s.Engine, Status: Canceled, Spent: 2}, ClientDisconnected{ID: id}})
 			now += 2.5
 		}
-		got := r.spread[Read].get(now, 0, 0)
+		got := r.spread[Prefill].get(now, 0, 0)
 		if c.others && got > c.most || !c.others && got < 0.3 {
 			t.Errorf("others answer: %v; mean error %.2f s", c.others, got)
 		}
@@ -1219,8 +1219,8 @@
 func TestRefusedConnectionsDoNotUseUpTheAttempts(t *testing.T) {
 	for _, free := range []bool{true, false} {
 		cfg := testConfig()
-		cfg.Limits.MaxAttempts, cfg.Limits.UnsentFree = 4, free
-		r := start(t, cfg, Members{Form: ListFull, Engines: []Engine{eng("r0", 0, 0), eng("r1", 0, 0), eng("r2", 0, 0), eng("w0", 1, 0)}})
+		cfg.Limits.MaxAttempts, cfg.Limits.UnsentAttemptsAreFree = 4, free
+		r := start(t, cfg, EndpointUpdate{Form: UpdateComplete, Engines: []Engine{eng("r0", 0, 0), eng("r1", 0, 0), eng("r2", 0, 0), eng("w0", 1, 0)}})
 		now, sends, served := 1.0, 0, false
 		acts := r.Step(now, []Event{ask("a", 1)})
 		for range 400 {
@@ -1229,9 +1229,9 @@
 				switch a := a.(type) {
 				case Send:
 					if sends++; now < 1.4 { // all are dead for a while
-						next = append(next, Outcome{ID: "a", Attempt: sends - 1, Engine: a.Engine, Status: NoConnection, Spent: 1e-3})
+						next = append(next, Outcome{ID: "a", Attempt: sends - 1, Engine: a.Engine, Status: ConnectFailed, Spent: 1e-3})
 					} else {
-						next = append(next, Outcome{ID: "a", Attempt: sends - 1, Engine: a.Engine, Status: Parsed, Spent: 0.05})
+						next = append(next, Outcome{ID: "a", Attempt: sends - 1, Engine: a.Engine, Status: Prefilled, Spent: 0.05})
 					}
 				}
 			}
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -78,7 +78,7 @@
 	home           float64    // weight as a home of shared beginnings
 	order          float64    // its rank when readers were last put in order
 	pace           curve
-	report         Report
+	report         LoadReport
 	reportAt       float64
 	hasReport      bool
 	err, backoff   float64
@@ -293,11 +293,11 @@
 }
 
 // reportedLoad returns the streams that a report tells of; full is how many a share of one stands for.
-func reportedLoad(rep *Report, full float64) float64 {
+func reportedLoad(rep *LoadReport, full float64) float64 {
 	if rep.Has&HasActive != 0 {
 		return max(0, rep.Active-rep.Waiting)
 	}
-	return rep.Util * full
+	return rep.Utilization * full
 }
 
 // rendezvous orders engines by weighted rendezvous hashing of a key.
@@ -320,11 +320,11 @@
 func census(list []*engine) (cells map[int]sides, all sides, roles [3]int) {
 	cells = map[int]sides{}
 	for _, e := range list {
-		if e.State != Ready {
+		if e.State != EngineReady {
 			continue
 		}
 		c := cells[e.Cell]
-		if e.role == Read {
+		if e.role == Prefill {
 			c.readers++
 			all.readers++
 		} else {
@@ -340,22 +340,22 @@
 // apply hands an event to what files it.
 func (r *Scheduler) apply(ev Event) {
 	switch ev := ev.(type) {
-	case Members:
+	case EndpointUpdate:
 		r.members(ev)
 	case Request:
 		r.arrive(ev)
-	case First:
+	case FirstToken:
 		r.first(ev)
 	case Outcome:
 		r.uncount(ev)
 		r.outcome(ev)
-	case Gone:
+	case ClientDisconnected:
 		if q := r.byID[ev.ID]; q != nil && !q.done {
 			r.finish(q, nil)
 		}
-	case Probed:
+	case ProbeResult:
 		r.probed(ev)
-	case Wake:
+	case TimerFired:
 		if ev.Token == r.timers {
 			r.timerAt = 0
 		}
@@ -369,7 +369,7 @@
 	if !math.IsInf(at, 1) && (r.timerAt <= r.now || r.timerAt > at) {
 		r.timers++
 		r.timerAt = at
-		r.do(Timer{at, r.timers})
+		r.do(SetTimer{at, r.timers})
 	}
 }
 
@@ -379,9 +379,9 @@
 	keep := r.list[:0]
 	for _, e := range r.list {
 		if complete && !listed[e.ID] {
-			e.State = Removed
+			e.State = EngineRemoved
 		}
-		if e.State == Removed && len(e.reads)+len(e.jobs) == 0 {
+		if e.State == EngineRemoved && len(e.reads)+len(e.jobs) == 0 {
 			delete(r.engines, e.ID)
 		} else {
 			keep = append(keep, e)
@@ -395,7 +395,7 @@
 // seen.
 func (r *Scheduler) sinceReport(e *engine) (streams, tokens, newStreams, newTokens float64) {
 	for _, x := range e.jobs {
-		t := x.PromptLen + r.answerTokens(x)
+		t := x.PromptTokens + r.answerTokens(x)
 		streams, tokens = streams+1, tokens+t
 		if x.stage != flowing || x.flowAt > e.reportAt-reportLag {
 			newStreams, newTokens = newStreams+1, newTokens+t
@@ -420,7 +420,7 @@
 // heldFrom is since when a state counts as held, after an attempt to take it has ended: from then on, unless the time runs on while
 // connections fail to come up.
 func (q *request) heldFrom(now float64, s Status, runsOn bool) float64 {
-	if q.hasHold && runsOn && (s == NoConnection || s == NotSent) {
+	if q.hasHold && runsOn && (s == ConnectFailed || s == NotSent) {
 		return q.holdSince
 	}
 	return now
@@ -458,12 +458,12 @@
 
 // cold tells whether an engine may still be warming up; warm counts those of a role that are not.
 func (r *Scheduler) cold(e *engine) bool {
-	return e.BootTime > 0 && r.now < e.BootTime+r.cfg.Rules.ColdFor
+	return e.BootTime > 0 && r.now < e.BootTime+r.cfg.Rules.SlowStartDuration
 }
 
 func (r *Scheduler) warm(role Role) (n int) {
 	for _, e := range r.list {
-		if e.role == role && e.State == Ready && !r.cold(e) {
+		if e.role == role && e.State == EngineReady && !r.cold(e) {
 			n++
 		}
 	}
@@ -510,19 +510,19 @@
 
 // reported files an engine's load report, and pools it: a router that hears of each engine only now and then
 // still knows what its kind bears.
-func (r *Scheduler) reported(e *engine, rep *Report) {
+func (r *Scheduler) reported(e *engine, rep *LoadReport) {
 	if e == nil || rep == nil {
 		return
 	}
 	e.report, e.reportAt, e.hasReport = *rep, r.now, true
 	r.kinds[e.Kind].load.add(r.now, reportedLoad(rep, perUtil), poolGain)
-	r.kinds[e.Kind].mem.add(r.now, rep.MemShare, poolGain)
+	r.kinds[e.Kind].mem.add(r.now, rep.MemoryShare, poolGain)
 }
 
 // learnHit takes the part of a beginning that was found kept: those not found are expected to be read anew.
 func (r *Scheduler) learnHit(q *request, e *engine, kept float64) {
-	if q.PrefixLen > 0 {
-		e.hit.add(r.now, min(1, kept/q.PrefixLen), waitGain)
-		r.kinds[e.Kind].hit.add(r.now, min(1, kept/q.PrefixLen), poolGain)
+	if q.PrefixTokens > 0 {
+		e.hit.add(r.now, min(1, kept/q.PrefixTokens), waitGain)
+		r.kinds[e.Kind].hit.add(r.now, min(1, kept/q.PrefixTokens), poolGain)
 	}
 }
