--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -258,8 +258,8 @@
 			r.fail("facts", "%v", serr)
 			s = &settings.Settings{}
 		}
-		d.cfg[node] = &s.Brain
-		it.Launch = &Launch{Config: s.Brain, Seed: seed}
+		d.cfg[node] = &s.Scheduler
+		it.Launch = &Launch{Config: s.Scheduler, Seed: seed}
 	case "KILL":
 		it.Kill = true
 	case "WAKEUP":
--- a/internal/benchwire/facts.go
+++ b/internal/benchwire/facts.go
@@ -22,7 +22,7 @@
 			r.fail("report", "%q is not name:number", clip(part))
 			return nil
 		}
-		settings.File(rep, k, x)
+		settings.SetReportField(rep, k, x)
 	}
 	return rep
 }
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -99,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	n, err := node.Start(cfg, node.WithLogger(slog.New(slog.NewTextHandler(errOut, &slog.HandlerOptions{Level: slog.LevelWarn}))))
+	n, err := node.StartChat(cfg, node.WithLogger(slog.New(slog.NewTextHandler(errOut, &slog.HandlerOptions{Level: slog.LevelWarn}))))
 	if err != nil {
 		return err
 	}
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -101,7 +101,7 @@
 		fmt.Fprintf(out, "\r%5.0f of %.0f s  %d nodes up, %d starts  %d served in time of %d  cold budget %.0f%%  %d breaches   ",
 			q.T, q.Length, q.Up, q.Starts, q.InTime, q.Ended, 100*q.Cold, q.Broken)
 	}}
-	o.Files = service.Files()
+	o.Files = service.DescriptorLimit()
 	if processes {
 		o.Files = 0
 		dir, err := os.MkdirTemp("", "dillroute-fleet-")
--- a/internal/cli/relay.go
+++ b/internal/cli/relay.go
@@ -29,7 +29,7 @@
 		return withCode(ExitUsage, fmt.Errorf("--log %s: it is debug, info, warn or error", level))
 	}
 	var cfg *relay.Config
-	err := service.Persist(startFor, func() (err error) {
+	err := service.RetryTransient(startFor, func() (err error) {
 		cfg, err = relay.Load(os.Getenv)
 		return err
 	})
@@ -41,7 +41,7 @@
 	log, _ := newLogger(lines, config.Log{Level: level, Format: "text"})
 	bindLimits(cfg.Limits)
 	var n *node.RelayNode
-	err = service.Persist(startFor, func() (err error) {
+	err = service.RetryTransient(startFor, func() (err error) {
 		n, err = node.StartRelay(cfg, node.WithLogger(log))
 		return err
 	})
@@ -54,7 +54,7 @@
 	failure := waitRelay(n, told, reload, log)
 	stopped := make(chan struct{})
 	go func() {
-		n.ShutdownBy(relay.StopBy(cfg.Settings.Patience), node.LongestStop)
+		n.ShutdownBy(relay.StopBy(cfg.Settings.LongestClientTimeout), node.MaxStreamDrain)
 		close(stopped)
 	}()
 	for {
@@ -64,7 +64,7 @@
 			return withCode(ExitRun, failure)
 		case s := <-told.stop:
 			if s == syscall.SIGINT {
-				n.Hurry()
+				n.RespondNow()
 			}
 		case <-told.reload: // what drains is told at the new address, while attempts are still made
 			reload.Ask()
@@ -112,6 +112,6 @@
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
 	}
 	if l.MemoryMB > 0 {
-		debug.SetMemoryLimit(l.Parts().HeapMost)
+		debug.SetMemoryLimit(l.Parts().HeapLimit)
 	}
 }
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -64,7 +64,7 @@
 
 // Ask is told that there is a new configuration.
 func (r *reloader) Ask() {
-	r.pause, r.until = service.FirstPause, time.Now().Add(reloadFor)
+	r.pause, r.until = service.MinBackoff, time.Now().Add(reloadFor)
 	r.Try()
 }
 
@@ -92,6 +92,6 @@
 	default:
 		r.log.Warn("configuration not read yet, it is tried again", "error", err.Error(), "pause", r.pause)
 		r.timer.Reset(r.pause)
-		r.pause = min(2*r.pause, service.LongestPause)
+		r.pause = min(2*r.pause, service.MaxBackoff)
 	}
 }
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -65,7 +65,7 @@
 		if log != io.Discard { // hundreds of nodes would spend their time on lines that nobody reads
 			l = slog.New(slog.NewJSONHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug})).With("node", name)
 		}
-		return node.Start(cfg, node.WithLogger(l))
+		return node.StartChat(cfg, node.WithLogger(l))
 	}
 }
 
@@ -82,7 +82,7 @@
 		log = f
 	}
 	start := time.Now()
-	r, err := scenario.Run(ctx, s, scenario.Options{Launch: launcher(log), Out: out, Files: service.Files()})
+	r, err := scenario.Run(ctx, s, scenario.Options{Launch: launcher(log), Out: out, Files: service.DescriptorLimit()})
 	if err != nil {
 		return withCode(ExitRun, err)
 	}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -71,7 +71,7 @@
 
 func serve(file string, takeover time.Duration, out, errOut io.Writer) error {
 	var cfg *config.Config
-	err := service.Persist(startFor, func() (err error) {
+	err := service.RetryTransient(startFor, func() (err error) {
 		cfg, err = config.Load(file)
 		return err
 	})
@@ -85,20 +85,20 @@
 	defer told.giveBack()
 	letGo := func() {}
 	if cfg.StateDir != "" {
-		state, err := service.Take(cfg.StateDir, takeover)
+		state, err := service.AwaitStateDir(cfg.StateDir, takeover)
 		if err != nil {
 			return withCode(ExitRun, fmt.Errorf("/state_dir: %w", err))
 		}
 		letGo = func() { state.Release() }
 	}
 	defer letGo()
-	client, admin, err := service.Handed()
+	client, admin, err := service.InheritedListeners()
 	if err != nil {
 		return withCode(ExitRun, err)
 	}
 	var n *node.ChatNode
-	err = service.Persist(startFor, func() (err error) {
-		n, err = node.Start(cfg, node.WithLogger(log), node.WithListener(client), node.WithAdminListener(admin))
+	err = service.RetryTransient(startFor, func() (err error) {
+		n, err = node.StartChat(cfg, node.WithLogger(log), node.WithListener(client), node.WithAdminListener(admin))
 		return err
 	})
 	if err != nil {
@@ -121,15 +121,15 @@
 			continue
 		case err := <-again.Ended():
 			again.Conclude(err)
-			service.Tell(service.Ready)
+			service.Notify(service.Ready)
 			continue
 		case <-told.reload:
-			service.Tell(service.Reloading)
+			service.Notify(service.Reloading)
 			again.Ask()
 			continue
 		case s := <-told.stop:
-			service.Tell(service.Stopping)
-			n.KeepNoState()
+			service.Notify(service.Stopping)
+			n.StopSavingState()
 			letGo()
 			log.Info("stopping", "signal", s.String(), "held_s", n.Config().Limits.Shutdown)
 		}
@@ -146,7 +146,7 @@
 			log.Info("stopped")
 			return withCode(ExitRun, failure)
 		case <-told.stop:
-			n.Hurry()
+			n.RespondNow()
 		}
 	}
 }
@@ -162,7 +162,7 @@
 		case <-tick.C:
 		}
 	}
-	service.Tell(service.Ready)
+	service.Notify(service.Ready)
 }
 
 // reload takes what may change of the file, and says what may not.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -288,8 +288,8 @@
 	reports = map[string]scheduler.ReportStyle{"off": scheduler.ReportOff, "inline": scheduler.ReportInline}
 )
 
-// Brain returns the settings of the routing module.
-func (c *Config) Brain() scheduler.Config {
+// Scheduler returns the settings of the routing module.
+func (c *Config) Scheduler() scheduler.Config {
 	zone, _ := indexOf(c.Zones, c.Node.Zone)
 	b := scheduler.Config{NodeIndex: c.Node.Rank, NodeCount: c.Node.Nodes, Zone: zone, ZoneCount: len(c.Zones),
 		ReportStyle: reports[c.Reports], DecodeEnginesPrefill: c.LocalRead, Tick: c.Tick,
--- a/internal/decide/batching/batching.go
+++ b/internal/decide/batching/batching.go
@@ -6,16 +6,16 @@
 // Share of the owner's time that decision passes may take.
 const share = 0.25
 
-// Beat is the pace of passes. Times are in seconds.
-type Beat struct {
+// DispatchInterval is the pace of passes. Times are in seconds.
+type DispatchInterval struct {
 	Tick float64 // least time between the starts of two passes
 	next float64
 }
 
 // Done is told when a pass began and how long it took.
-func (b *Beat) Done(began, took float64) {
+func (b *DispatchInterval) Done(began, took float64) {
 	b.next = began + max(b.Tick, took/share)
 }
 
 // Next returns the earliest time of the next pass.
-func (b *Beat) Next() float64 { return b.next }
+func (b *DispatchInterval) Next() float64 { return b.next }
--- a/internal/decide/batching/batching_test.go
+++ b/internal/decide/batching/batching_test.go
@@ -9,7 +9,7 @@
 // However long passes take, they get no more than their share of the time, and an idle owner asks at once.
 func TestPassesKeepTheirShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := Beat{Tick: rapid.Float64Range(1e-4, 1e-2).Draw(t, "tick")}
+		b := DispatchInterval{Tick: rapid.Float64Range(1e-4, 1e-2).Draw(t, "tick")}
 		now, spent, start := 1000.0, 0.0, 1000.0
 		if b.Next() > now {
 			t.Fatal("the first pass waits")
--- a/internal/decide/classify/classify.go
+++ b/internal/decide/classify/classify.go
@@ -11,9 +11,9 @@
 
 // Class is what intake needs of a class.
 type Class struct {
-	Patience, PatiencePerK float64 // s until the client gives up, and more for each 1,000 prompt tokens
-	MaxTokens              int     // taken where the request states none
-	TokenAim               float64 // s between tokens
+	ClientTimeout, ClientTimeoutPer1KTokens float64 // s until the client gives up, and more for each 1,000 prompt tokens
+	MaxTokens                               int     // taken where the request states none
+	OutputTokenObjective                    float64 // s between tokens
 }
 
 // Rule settles a class by the model's name (a shell pattern) and a header; empty parts fit everything.
@@ -100,13 +100,13 @@
 	Whole float64 // for the whole of an answer that is not streamed; 0 = it is
 }
 
-// Patience returns how long a client waits: as its class says, or less where it has told so itself (stated, 0 = not).
+// ClientWait returns how long a client waits: as its class says, or less where it has told so itself (stated, 0 = not).
 // A client that asks for no stream sees nothing before the end. What it waits must hold the making of the answer too:
 // the longest at the pace aimed for, but never more than half, since most answers are shorter.
-func (t *Table) Patience(class, promptTokens, maxTokens int, stated float64, whole bool) Wait {
+func (t *Table) ClientWait(class, promptTokens, maxTokens int, stated float64, whole bool) Wait {
 	c := &t.classes[class]
-	w := Wait{First: c.Patience + c.PatiencePerK*float64(promptTokens)/1000}
-	making := float64(maxTokens) * c.TokenAim
+	w := Wait{First: c.ClientTimeout + c.ClientTimeoutPer1KTokens*float64(promptTokens)/1000}
+	making := float64(maxTokens) * c.OutputTokenObjective
 	if whole {
 		w.Whole = w.First + 2*making // twice the pace aimed for is the slowest that is worth anything
 		if stated > 0 {
--- a/internal/decide/classify/classify_test.go
+++ b/internal/decide/classify/classify_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestWhoseAndOfWhichClass(t *testing.T) {
-	table := NewTable([]Class{{Patience: 5, PatiencePerK: 2, MaxTokens: 800, TokenAim: 0.05}, {Patience: 9}},
+	table := NewTable([]Class{{ClientTimeout: 5, ClientTimeoutPer1KTokens: 2, MaxTokens: 800, OutputTokenObjective: 0.05}, {ClientTimeout: 9}},
 		map[string]int{"roster-chat": 0, "roster-commit": 1},
 		[]Rule{{Model: "roster-c[h]at", Header: "X-Urgent", Value: "yes", Class: 1}, {Header: "X-Any", AnyValue: true, Class: 1}},
 		[][]string{{"key-one"}, {"key-two", "key-three"}}, [][]string{nil, nil,
@@ -40,7 +40,7 @@
 		{0, 100, 0, true, Wait{First: 5, Whole: 15}}, {0, 20, 4, true, Wait{First: 3, Whole: 4}},
 		{0, 100, 4, true, Wait{First: 2, Whole: 4}},
 	} {
-		if w := table.Patience(0, c.prompt, c.max, c.stated, c.whole); w != c.want {
+		if w := table.ClientWait(0, c.prompt, c.max, c.stated, c.whole); w != c.want {
 			t.Errorf("%+v: %+v", c, w)
 		}
 	}
--- a/internal/decide/classify/recent.go
+++ b/internal/decide/classify/recent.go
@@ -1,9 +1,9 @@
 package classify
 
-// Recent remembers ids that clients chose, so that one is not taken twice: a second request under the id of a first would
+// RecentIDs remembers ids that clients chose, so that one is not taken twice: a second request under the id of a first would
 // be taken for it by whoever knows requests by their ids. An id is remembered for a stated time at least, and longer while few
 // are; under a flood of ids the oldest go first. It does not read the clock and is not safe for concurrent use.
-type Recent struct {
+type RecentIDs struct {
 	few, most int
 	window    float64
 	ids       map[string]bool
@@ -20,15 +20,15 @@
 // floodFactor is how many times as many ids are remembered under a flood as else.
 const floodFactor = 4
 
-// NewRecent returns a memory of so many ids, at least one, and of those taken within the window (s), if that is more, up to four
+// NewRecentIDs returns a memory of so many ids, at least one, and of those taken within the window (s), if that is more, up to four
 // times as many.
-func NewRecent(few int, window float64) *Recent {
+func NewRecentIDs(few int, window float64) *RecentIDs {
 	few = max(1, few)
-	return &Recent{few: few, most: floodFactor * few, window: window, ids: map[string]bool{}}
+	return &RecentIDs{few: few, most: floodFactor * few, window: window, ids: map[string]bool{}}
 }
 
 // Take notes an id and tells whether it is new.
-func (r *Recent) Take(now float64, id string) bool {
+func (r *RecentIDs) Take(now float64, id string) bool {
 	if r.ids[id] {
 		return false
 	}
@@ -47,7 +47,7 @@
 }
 
 // tooMany tells whether the oldest id is to be forgotten.
-func (r *Recent) tooMany(now float64) bool {
+func (r *RecentIDs) tooMany(now float64) bool {
 	n := len(r.queue) - r.first
 	return n > r.most || n > r.few && now > r.queue[r.first].at+r.window
 }
--- a/internal/decide/classify/recent_test.go
+++ b/internal/decide/classify/recent_test.go
@@ -18,7 +18,7 @@
 		size := rapid.IntRange(0, 20).Draw(t, "size")
 		window := rapid.Float64Range(0, 5).Draw(t, "window")
 		few, now, all := max(1, size), 0.0, []taken{}
-		r := NewRecent(size, window)
+		r := NewRecentIDs(size, window)
 		for range rapid.IntRange(0, 200).Draw(t, "n") {
 			now += rapid.Float64Range(0, 1).Draw(t, "later")
 			id := fmt.Sprint("id", rapid.IntRange(0, 120).Draw(t, "id"))
@@ -43,7 +43,7 @@
 
 // What is beyond the window and not among the last is forgotten.
 func TestRecentForgets(t *testing.T) {
-	r := NewRecent(2, 10)
+	r := NewRecentIDs(2, 10)
 	for i, id := range []string{"a", "b", "c"} {
 		r.Take(float64(i), id)
 	}
--- a/internal/decide/connreuse/connreuse.go
+++ b/internal/decide/connreuse/connreuse.go
@@ -16,8 +16,8 @@
 	keepOff = 10.0 // s without any reuse where even such short rests were lost
 )
 
-// State is what was seen of kept connections. It is not safe for concurrent use.
-type State struct {
+// Policy is what was seen of kept connections. It is not safe for concurrent use.
+type Policy struct {
 	top   float64 // limit while none is lost
 	limit float64
 	at    float64 // when limit was last set
@@ -25,8 +25,8 @@
 }
 
 // New returns a state; idle is when engines close a connection at the latest, 0 = not told.
-func New(idle float64) *State {
-	s := &State{top: most}
+func New(idle float64) *Policy {
+	s := &Policy{top: most}
 	if idle > 0 {
 		s.top = min(s.top, told*idle)
 	}
@@ -34,8 +34,8 @@
 	return s
 }
 
-// Limit is how long a connection may have rested that is used again; 0 = none may.
-func (s *State) Limit(now float64) float64 {
+// MaxIdle is how long a connection may have rested that is used again; 0 = none may.
+func (s *Policy) MaxIdle(now float64) float64 {
 	if dt := now - s.at; dt > 0 {
 		s.limit, s.at = min(s.top, s.limit*(1+dt/regrow)), now
 	}
@@ -45,15 +45,17 @@
 	return s.limit
 }
 
-// Lost files that a connection which had rested so long broke under its next request before a byte of an answer came.
-func (s *State) Lost(now, rested float64) {
-	s.Limit(now)
+// ObserveLoss files that a connection which had rested so long broke under its next request before a byte of an answer came.
+func (s *Policy) ObserveLoss(now, rested float64) {
+	s.MaxIdle(now)
 	s.limit = max(min(least, s.top), min(s.limit, shrink*rested))
 	if rested <= least/shrink {
 		s.off = now + keepOff
 	}
 }
 
-// Kept tells whether an attempt may go out on a kept connection at all. One whose effect must not happen twice may not: a
+// ReuseAllowed tells whether an attempt may go out on a kept connection at all. One whose effect must not happen twice may not: a
 // loss there could not be told from a request that has run.
-func Kept(effect scheduler.Effect, reads bool) bool { return reads || effect == scheduler.Idempotent }
+func ReuseAllowed(effect scheduler.Effect, reads bool) bool {
+	return reads || effect == scheduler.Idempotent
+}
--- a/internal/decide/connreuse/connreuse_test.go
+++ b/internal/decide/connreuse/connreuse_test.go
@@ -10,21 +10,21 @@
 
 func TestLossesShortenTheRest(t *testing.T) {
 	s := New(30)
-	if s.Limit(0) != most {
-		t.Fatal(s.Limit(0))
+	if s.MaxIdle(0) != most {
+		t.Fatal(s.MaxIdle(0))
 	}
-	if New(4).Limit(0) != 2 {
+	if New(4).MaxIdle(0) != 2 {
 		t.Fatal("engines that close sooner are told of")
 	}
-	s.Lost(1, 2)
-	if l := s.Limit(1); l != 0.5 {
+	s.ObserveLoss(1, 2)
+	if l := s.MaxIdle(1); l != 0.5 {
 		t.Fatal(l)
 	}
-	if l := s.Limit(31); !(l > 0.9 && l <= most) {
+	if l := s.MaxIdle(31); !(l > 0.9 && l <= most) {
 		t.Fatalf("after a while without a loss: %g", l)
 	}
-	s.Lost(32, 0.01)
-	if s.Limit(33) != 0 || s.Limit(32+keepOff+1) == 0 {
+	s.ObserveLoss(32, 0.01)
+	if s.MaxIdle(33) != 0 || s.MaxIdle(32+keepOff+1) == 0 {
 		t.Fatal("where all are lost none is used, for a while")
 	}
 }
@@ -37,12 +37,12 @@
 			now += rapid.Float64Range(0, 20).Draw(t, "dt")
 			if rapid.Bool().Draw(t, "lost") {
 				rested := rapid.Float64Range(0, 60).Draw(t, "rested")
-				s.Lost(now, rested)
-				if l := s.Limit(now); l > 0 && l >= rested && l > least {
+				s.ObserveLoss(now, rested)
+				if l := s.MaxIdle(now); l > 0 && l >= rested && l > least {
 					t.Fatalf("limit %g after a loss at %g", l, rested)
 				}
 			}
-			if l := s.Limit(now); l < 0 || l > s.top {
+			if l := s.MaxIdle(now); l < 0 || l > s.top {
 				t.Fatal(l)
 			}
 		}
@@ -50,7 +50,7 @@
 }
 
 func TestWhatMustNotRunTwiceGetsANewConnection(t *testing.T) {
-	if Kept(scheduler.AtMostOnce, false) || Kept(scheduler.IdempotentByKey, false) || !Kept(scheduler.AtMostOnce, true) || !Kept(scheduler.Idempotent, false) {
+	if ReuseAllowed(scheduler.AtMostOnce, false) || ReuseAllowed(scheduler.IdempotentByKey, false) || !ReuseAllowed(scheduler.AtMostOnce, true) || !ReuseAllowed(scheduler.Idempotent, false) {
 		t.Fatal("only what may be repeated, and reads, go out on kept connections")
 	}
 }
--- a/internal/decide/outcome/outcome.go
+++ b/internal/decide/outcome/outcome.go
@@ -20,12 +20,12 @@
 // Steps of an attempt, in order. Written means that the connection took every byte of the request; a shorter
 // request cannot run, for its stated length was not reached (RFC 9112, section 8).
 const (
-	Unsent    Progress = iota // nothing was tried yet
-	Dialling                  // no connection yet
-	Connected                 // a connection, but not every byte of the request was written
-	Written                   // the whole request was written
-	Headed                    // the status line and header of the answer have come
-	Streaming                 // the first token has been passed on
+	NotStarted     Progress = iota // nothing was tried yet
+	Connecting                     // no connection yet
+	Connected                      // a connection, but not every byte of the request was written
+	RequestWritten                 // the whole request was written
+	HeaderReceived                 // the status line and header of the answer have come
+	Streaming                      // the first token has been passed on
 )
 
 // Cause is what ended an attempt.
@@ -33,83 +33,83 @@
 
 // Causes of an end.
 const (
-	Answered   Cause = iota // an answer came, whole
-	Broken                  // dial refused, reset, or closed before the answer was whole
-	Expired                 // the attempt's time ran out
-	Stopped                 // called off by the module
-	Overtaken               // the request had ended, or may have no such attempt
-	Unreadable              // what came is no answer of the protocol
-	Stalled                 // a stream gave nothing for longer than it may
-	ClientLeft              // the client has gone
+	ResponseComplete    Cause = iota // an answer came, whole
+	ConnectionBroken                 // dial refused, reset, or closed before the answer was whole
+	AttemptTimedOut                  // the attempt's time ran out
+	CanceledByScheduler              // called off by the module
+	RequestEnded                     // the request had ended, or may have no such attempt
+	MalformedResponse                // what came is no answer of the protocol
+	StreamStalled                    // a stream gave nothing for longer than it may
+	ClientDisconnected               // the client has gone
 )
 
-// Meaning is what a whole answer says, in the words of no protocol: the engine's client names it.
-type Meaning int
+// ResponseKind is what a whole answer says, in the words of no protocol: the engine's client names it.
+type ResponseKind int
 
 // Meanings of a whole answer.
 const (
-	Error   Meaning = iota // the engine failed at it, or answered what it should not
-	Read                   // the prompt has been read, and its state waits there
-	Done                   // the answer was made
-	Turned                 // full, draining or the like: it has not run
-	NoState                // there was no state to fetch: it has not run
-	Judged                 // a judgement of the request, before it ran
+	EngineError    ResponseKind = iota // the engine failed at it, or answered what it should not
+	PrefillDone                        // the prompt has been read, and its state waits there
+	DecodeDone                         // the answer was made
+	EngineRejected                     // full, draining or the like: it has not run
+	StateMissing                       // there was no state to fetch: it has not run
+	InvalidRequest                     // a judgement of the request, before it ran
 )
 
-// Facts are what was seen of an attempt.
-type Facts struct {
-	Stage    Stage
-	Progress Progress
-	Cause    Cause
-	Meaning  Meaning // of the answer, where Cause is Answered
-	Code     int     // Judged: what tells one judgement from another
-	Kept     int     // prompt tokens that the engine had kept
-	// Agreed tells that another engine has judged the same request alike before.
-	Agreed bool
-	// Last tells that the request can have no further attempt.
-	Last bool
+// Evidence are what was seen of an attempt.
+type Evidence struct {
+	Stage        Stage
+	Progress     Progress
+	Cause        Cause
+	ResponseKind ResponseKind // of the answer, where Cause is Answered
+	Code         int          // Judged: what tells one judgement from another
+	CachedTokens int          // prompt tokens that the engine had kept
+	// ConfirmedElsewhere tells that another engine has judged the same request alike before.
+	ConfirmedElsewhere bool
+	// LastAttempt tells that the request can have no further attempt.
+	LastAttempt bool
 }
 
-// Verdict is what they prove.
-type Verdict struct {
-	Status scheduler.Status
-	Info   int
-	Ran    bool // an effect is possible
-	Holds  bool // the engine may hold a state that nobody will take
-	// Final tells that the engine's own answer is to be passed to the client: it has judged the request,
+// Classification is what they prove.
+type Classification struct {
+	Status       scheduler.Status
+	Info         int
+	MayHaveRun   bool // an effect is possible
+	MayHoldState bool // the engine may hold a state that nobody will take
+	// PassThrough tells that the engine's own answer is to be passed to the client: it has judged the request,
 	// not failed at it.
-	Final bool
+	PassThrough bool
 }
 
-// Judge applies the table.
-func Judge(f Facts) Verdict {
-	v := Verdict{}
+// Classify applies the table.
+func Classify(f Evidence) Classification {
+	v := Classification{}
 	switch f.Cause {
-	case Answered:
+	case ResponseComplete:
 		v = answered(f)
 	default:
 		v.Status = unanswered(f)
 	}
 	if f.Stage == Prefill {
-		v.Ran = false // reading has no effect
-		v.Holds = f.Progress >= Written && v.Status != scheduler.Prefilled && v.Status != scheduler.Rejected && !v.Final
+		v.MayHaveRun = false // reading has no effect
+		v.MayHoldState = f.Progress >= RequestWritten && v.Status != scheduler.Prefilled && v.Status != scheduler.Rejected && !v.PassThrough
 		return v
 	}
-	v.Ran = v.Ran || !v.Final && !provesNot(v.Status)
+	v.MayHaveRun = v.MayHaveRun || !v.PassThrough && !provesNot(v.Status)
 	return v
 }
 
 // ProvesNotRun tells whether the bytes of an attempt prove that it has not run at its engine: not all of its request was written, or
 // the engine answered that the prompt was read, or that it did not run. Unlike Verdict.Ran it does not take an engine's role for
 // proof: that a prefill engine runs nothing says little of an engine that did not answer as one.
-func ProvesNotRun(f Facts) bool {
-	if f.Cause != Answered {
-		return f.Progress < Written
+func ProvesNotRun(f Evidence) bool {
+	if f.Cause != ResponseComplete {
+		return f.Progress < RequestWritten
 	}
-	switch f.Meaning {
-	case Read:
+	switch f.ResponseKind {
+	case PrefillDone:
 		return f.Stage == Prefill
-	case Turned, NoState, Judged:
+	case EngineRejected, StateMissing, InvalidRequest:
 		return true
 	}
 	return false
@@ -117,8 +117,8 @@
 
 // Silent tells whether an attempt was written and called off, or its time ran out, before anything came of it: whether its request has
 // reached the engine is not known.
-func Silent(f Facts) bool {
-	return f.Progress == Written && (f.Cause == Stopped || f.Cause == Expired)
+func Silent(f Evidence) bool {
+	return f.Progress == RequestWritten && (f.Cause == CanceledByScheduler || f.Cause == AttemptTimedOut)
 }
 
 // provesNot tells whether a status proves that the request never ran.
@@ -127,77 +127,79 @@
 }
 
 // unanswered covers the ends without a whole answer.
-func unanswered(f Facts) scheduler.Status {
-	if f.Progress < Written { // the engine cannot have had the whole request
-		if f.Cause == ClientLeft || f.Cause == Overtaken || f.Progress == Unsent {
+func unanswered(f Evidence) scheduler.Status {
+	if f.Progress < RequestWritten { // the engine cannot have had the whole request
+		if f.Cause == ClientDisconnected || f.Cause == RequestEnded || f.Progress == NotStarted {
 			return scheduler.NotSent
 		}
 		return scheduler.ConnectFailed
 	}
 	switch f.Cause {
-	case Expired, Stalled:
+	case AttemptTimedOut, StreamStalled:
 		return scheduler.TimedOut
-	case Stopped, ClientLeft, Overtaken:
+	case CanceledByScheduler, ClientDisconnected, RequestEnded:
 		return scheduler.Canceled
-	case Unreadable:
+	case MalformedResponse:
 		return scheduler.ServerError
 	}
 	return scheduler.ConnectionLost
 }
 
 // answered covers whole answers.
-func answered(f Facts) Verdict {
-	switch f.Meaning {
-	case Done:
+func answered(f Evidence) Classification {
+	switch f.ResponseKind {
+	case DecodeDone:
 		if f.Stage == Decode {
-			return Verdict{Status: scheduler.Completed, Ran: true, Info: f.Kept}
+			return Classification{Status: scheduler.Completed, MayHaveRun: true, Info: f.CachedTokens}
 		}
-	case Read:
+	case PrefillDone:
 		if f.Stage == Prefill {
-			return Verdict{Status: scheduler.Prefilled, Info: f.Kept}
+			return Classification{Status: scheduler.Prefilled, Info: f.CachedTokens}
 		}
-	case NoState:
-		return Verdict{Status: scheduler.Rejected, Info: 1}
-	case Turned:
-		return Verdict{Status: scheduler.Rejected}
-	case Judged:
+	case StateMissing:
+		return Classification{Status: scheduler.Rejected, Info: 1}
+	case EngineRejected:
+		return Classification{Status: scheduler.Rejected}
+	case InvalidRequest:
 		// One engine may be wrong in it (a model that it lacks, a key that it does not take), and would then fail every
 		// request as fast as it is asked; so a second one has to agree, unless no attempt is left.
-		if f.Agreed || f.Last {
-			return Verdict{Status: scheduler.Completed, Final: true}
+		if f.ConfirmedElsewhere || f.LastAttempt {
+			return Classification{Status: scheduler.Completed, PassThrough: true}
 		}
-		return Verdict{Status: scheduler.Rejected}
+		return Classification{Status: scheduler.Rejected}
 	}
-	return Verdict{Status: scheduler.ServerError, Ran: f.Stage == Decode}
+	return Classification{Status: scheduler.ServerError, MayHaveRun: f.Stage == Decode}
 }
 
-// Answer is how a final answer that the node itself gives presents itself to the client.
-type Answer struct {
-	HTTP  int
-	Code  string
-	Retry bool // a further try is harmless
+// Response is how a final answer that the node itself gives presents itself to the client.
+type Response struct {
+	HTTPStatus  int
+	Code        string
+	RetryIsSafe bool // a further try is harmless
 }
 
-// Refused and Failed are the two final answers of the module; Broke ends a stream that had begun, and Whole an
+// RejectedResponse and Failed are the two final answers of the module; Broke ends a stream that had begun, and Whole an
 // answer that was gathered for a client which asked for no stream.
-func Refused() Answer { return Answer{HTTP: 503, Code: "no_capacity", Retry: true} }
+func RejectedResponse() Response {
+	return Response{HTTPStatus: 503, Code: "no_capacity", RetryIsSafe: true}
+}
 
-// Failed promises nothing.
-func Failed() Answer { return Answer{HTTP: 500, Code: "may_have_run"} }
+// FailedResponse promises nothing.
+func FailedResponse() Response { return Response{HTTPStatus: 500, Code: "may_have_run"} }
 
-// Broke is the answer where a stream ended early: repeating is harmless only where the class says so.
-func Broke(effect scheduler.Effect, group scheduler.DedupScope) Answer {
-	a := Answer{HTTP: 502, Code: "stream_broken", Retry: Repeats(effect, group, true)}
+// StreamBrokenResponse is the answer where a stream ended early: repeating is harmless only where the class says so.
+func StreamBrokenResponse(effect scheduler.Effect, group scheduler.DedupScope) Response {
+	a := Response{HTTPStatus: 502, Code: "stream_broken", RetryIsSafe: RepeatAllowed(effect, group, true)}
 	return a
 }
 
-// TooSlow is the answer where a whole answer is not ready when its client gives up.
-func TooSlow(effect scheduler.Effect, group scheduler.DedupScope) Answer {
-	return Answer{HTTP: 504, Code: "answer_too_slow", Retry: Repeats(effect, group, true)}
+// DeadlineResponse is the answer where a whole answer is not ready when its client gives up.
+func DeadlineResponse(effect scheduler.Effect, group scheduler.DedupScope) Response {
+	return Response{HTTPStatus: 504, Code: "answer_too_slow", RetryIsSafe: RepeatAllowed(effect, group, true)}
 }
 
-// Repeats tells whether the client may be told that a further try is harmless (rule 2): always where nothing
+// RepeatAllowed tells whether the client may be told that a further try is harmless (rule 2): always where nothing
 // can have run, and else where every engine takes or discards a repeat.
-func Repeats(effect scheduler.Effect, group scheduler.DedupScope, mayHaveRun bool) bool {
+func RepeatAllowed(effect scheduler.Effect, group scheduler.DedupScope, mayHaveRun bool) bool {
 	return !mayHaveRun || effect == scheduler.Idempotent || effect == scheduler.IdempotentByKey && group == scheduler.DedupFleet
 }
--- a/internal/decide/outcome/outcome_test.go
+++ b/internal/decide/outcome/outcome_test.go
@@ -10,48 +10,48 @@
 func TestWhatAnEndProves(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		f      Facts
+		f      Evidence
 		status scheduler.Status
 		info   int
 		ran    bool
 		holds  bool
 		final  bool
 	}{
-		{"never tried", Facts{Stage: Decode, Progress: Unsent, Cause: Overtaken}, scheduler.NotSent, 0, false, false, false},
-		{"ended while dialling", Facts{Stage: Decode, Progress: Dialling, Cause: Overtaken}, scheduler.NotSent, 0, false, false, false},
-		{"client left while dialling", Facts{Stage: Decode, Progress: Dialling, Cause: ClientLeft}, scheduler.NotSent, 0, false, false, false},
-		{"dial refused", Facts{Stage: Decode, Progress: Dialling, Cause: Broken}, scheduler.ConnectFailed, 0, false, false, false},
-		{"dial too slow", Facts{Stage: Decode, Progress: Dialling, Cause: Expired}, scheduler.ConnectFailed, 0, false, false, false},
-		{"called off while dialling", Facts{Stage: Decode, Progress: Dialling, Cause: Stopped}, scheduler.ConnectFailed, 0, false, false, false},
-		{"broke within the request", Facts{Stage: Decode, Progress: Connected, Cause: Broken}, scheduler.ConnectFailed, 0, false, false, false},
-		{"broke after the request", Facts{Stage: Decode, Progress: Written, Cause: Broken}, scheduler.ConnectionLost, 0, true, false, false},
-		{"broke within the answer", Facts{Stage: Decode, Progress: Headed, Cause: Broken}, scheduler.ConnectionLost, 0, true, false, false},
-		{"broke in mid-stream", Facts{Stage: Decode, Progress: Streaming, Cause: Broken}, scheduler.ConnectionLost, 0, true, false, false},
-		{"no answer in time", Facts{Stage: Decode, Progress: Written, Cause: Expired}, scheduler.TimedOut, 0, true, false, false},
-		{"stalled", Facts{Stage: Decode, Progress: Streaming, Cause: Stalled}, scheduler.TimedOut, 0, true, false, false},
-		{"called off", Facts{Stage: Decode, Progress: Written, Cause: Stopped}, scheduler.Canceled, 0, true, false, false},
-		{"ended by another answer", Facts{Stage: Decode, Progress: Written, Cause: Overtaken}, scheduler.Canceled, 0, true, false, false},
-		{"client left", Facts{Stage: Decode, Progress: Streaming, Cause: ClientLeft}, scheduler.Canceled, 0, true, false, false},
-		{"garbage", Facts{Stage: Decode, Progress: Headed, Cause: Unreadable}, scheduler.ServerError, 0, true, false, false},
-		{"served", Facts{Stage: Decode, Progress: Streaming, Cause: Answered, Meaning: Done}, scheduler.Completed, 0, true, false, false},
-		{"full", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Turned}, scheduler.Rejected, 0, false, false, false},
-		{"full too", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Turned}, scheduler.Rejected, 0, false, false, false},
-		{"state gone", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: NoState}, scheduler.Rejected, 1, false, false, false},
-		{"error", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Error}, scheduler.ServerError, 0, true, false, false},
-		{"read by a writer", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Read}, scheduler.ServerError, 0, true, false, false},
-		{"answered by a reader", Facts{Stage: Prefill, Progress: Headed, Cause: Answered, Meaning: Done}, scheduler.ServerError, 0, false, true, false},
-		{"judged once", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Judged, Code: 400}, scheduler.Rejected, 0, false, false, false},
-		{"judged twice", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Judged, Code: 400, Agreed: true}, scheduler.Completed, 0, false, false, true},
-		{"judged at the last try", Facts{Stage: Decode, Progress: Headed, Cause: Answered, Meaning: Judged, Code: 422, Last: true}, scheduler.Completed, 0, false, false, true},
-		{"read", Facts{Stage: Prefill, Progress: Headed, Cause: Answered, Meaning: Read, Kept: 7}, scheduler.Prefilled, 7, false, false, false},
-		{"read without a state", Facts{Stage: Prefill, Progress: Headed, Cause: Answered}, scheduler.ServerError, 0, false, true, false},
-		{"read broke", Facts{Stage: Prefill, Progress: Written, Cause: Broken}, scheduler.ConnectionLost, 0, false, true, false},
-		{"read never written", Facts{Stage: Prefill, Progress: Connected, Cause: Broken}, scheduler.ConnectFailed, 0, false, false, false},
-		{"read called off", Facts{Stage: Prefill, Progress: Written, Cause: Stopped}, scheduler.Canceled, 0, false, true, false},
-		{"reader full", Facts{Stage: Prefill, Progress: Headed, Cause: Answered, Meaning: Turned}, scheduler.Rejected, 0, false, false, false},
+		{"never tried", Evidence{Stage: Decode, Progress: NotStarted, Cause: RequestEnded}, scheduler.NotSent, 0, false, false, false},
+		{"ended while dialling", Evidence{Stage: Decode, Progress: Connecting, Cause: RequestEnded}, scheduler.NotSent, 0, false, false, false},
+		{"client left while dialling", Evidence{Stage: Decode, Progress: Connecting, Cause: ClientDisconnected}, scheduler.NotSent, 0, false, false, false},
+		{"dial refused", Evidence{Stage: Decode, Progress: Connecting, Cause: ConnectionBroken}, scheduler.ConnectFailed, 0, false, false, false},
+		{"dial too slow", Evidence{Stage: Decode, Progress: Connecting, Cause: AttemptTimedOut}, scheduler.ConnectFailed, 0, false, false, false},
+		{"called off while dialling", Evidence{Stage: Decode, Progress: Connecting, Cause: CanceledByScheduler}, scheduler.ConnectFailed, 0, false, false, false},
+		{"broke within the request", Evidence{Stage: Decode, Progress: Connected, Cause: ConnectionBroken}, scheduler.ConnectFailed, 0, false, false, false},
+		{"broke after the request", Evidence{Stage: Decode, Progress: RequestWritten, Cause: ConnectionBroken}, scheduler.ConnectionLost, 0, true, false, false},
+		{"broke within the answer", Evidence{Stage: Decode, Progress: HeaderReceived, Cause: ConnectionBroken}, scheduler.ConnectionLost, 0, true, false, false},
+		{"broke in mid-stream", Evidence{Stage: Decode, Progress: Streaming, Cause: ConnectionBroken}, scheduler.ConnectionLost, 0, true, false, false},
+		{"no answer in time", Evidence{Stage: Decode, Progress: RequestWritten, Cause: AttemptTimedOut}, scheduler.TimedOut, 0, true, false, false},
+		{"stalled", Evidence{Stage: Decode, Progress: Streaming, Cause: StreamStalled}, scheduler.TimedOut, 0, true, false, false},
+		{"called off", Evidence{Stage: Decode, Progress: RequestWritten, Cause: CanceledByScheduler}, scheduler.Canceled, 0, true, false, false},
+		{"ended by another answer", Evidence{Stage: Decode, Progress: RequestWritten, Cause: RequestEnded}, scheduler.Canceled, 0, true, false, false},
+		{"client left", Evidence{Stage: Decode, Progress: Streaming, Cause: ClientDisconnected}, scheduler.Canceled, 0, true, false, false},
+		{"garbage", Evidence{Stage: Decode, Progress: HeaderReceived, Cause: MalformedResponse}, scheduler.ServerError, 0, true, false, false},
+		{"served", Evidence{Stage: Decode, Progress: Streaming, Cause: ResponseComplete, ResponseKind: DecodeDone}, scheduler.Completed, 0, true, false, false},
+		{"full", Evidence{Stage: Decode, Progress: HeaderReceived, Cause: ResponseComplete, ResponseKind: EngineRejected}, scheduler.Rejected, 0, false, false, false},
+		{"full too", Evidence{Stage: Decode, Progress: HeaderReceived, Cause: ResponseComplete, ResponseKind: EngineRejected}, scheduler.Rejected, 0, false, false, false},
+		{"state gone", Evidence{Stage: Decode, Progress: HeaderReceived, Cause: ResponseComplete, ResponseKind: StateMissing}, scheduler.Rejected, 1, false, false, false},
+		{"error", Evidence{Stage: Decode, Progress: HeaderReceived, Cause: ResponseComplete, ResponseKind: EngineError}, scheduler.ServerError, 0, true, false, false},
+		{"read by a writer", Evidence{Stage: Decode, Progress: HeaderReceived, Cause: ResponseComplete, ResponseKind: PrefillDone}, scheduler.ServerError, 0, true, false, false},
+		{"answered by a reader", Evidence{Stage: Prefill, Progress: HeaderReceived, Cause: ResponseComplete, ResponseKind: DecodeDone}, scheduler.ServerError, 0, false, true, false},
+		{"judged once", Evidence{Stage: Decode, Progress: HeaderReceived, Cause: ResponseComplete, ResponseKind: InvalidRequest, Code: 400}, scheduler.Rejected, 0, false, false, false},
+		{"judged twice", Evidence{Stage: Decode, Progress: HeaderReceived, Cause: ResponseComplete, ResponseKind: InvalidRequest, Code: 400, ConfirmedElsewhere: true}, scheduler.Completed, 0, false, false, true},
+		{"judged at the last try", Evidence{Stage: Decode, Progress: HeaderReceived, Cause: ResponseComplete, ResponseKind: InvalidRequest, Code: 422, LastAttempt: true}, scheduler.Completed, 0, false, false, true},
+		{"read", Evidence{Stage: Prefill, Progress: HeaderReceived, Cause: ResponseComplete, ResponseKind: PrefillDone, CachedTokens: 7}, scheduler.Prefilled, 7, false, false, false},
+		{"read without a state", Evidence{Stage: Prefill, Progress: HeaderReceived, Cause: ResponseComplete}, scheduler.ServerError, 0, false, true, false},
+		{"read broke", Evidence{Stage: Prefill, Progress: RequestWritten, Cause: ConnectionBroken}, scheduler.ConnectionLost, 0, false, true, false},
+		{"read never written", Evidence{Stage: Prefill, Progress: Connected, Cause: ConnectionBroken}, scheduler.ConnectFailed, 0, false, false, false},
+		{"read called off", Evidence{Stage: Prefill, Progress: RequestWritten, Cause: CanceledByScheduler}, scheduler.Canceled, 0, false, true, false},
+		{"reader full", Evidence{Stage: Prefill, Progress: HeaderReceived, Cause: ResponseComplete, ResponseKind: EngineRejected}, scheduler.Rejected, 0, false, false, false},
 	} {
-		v := Judge(c.f)
-		if v.Status != c.status || v.Info != c.info || v.Ran != c.ran || v.Holds != c.holds || v.Final != c.final {
+		v := Classify(c.f)
+		if v.Status != c.status || v.Info != c.info || v.MayHaveRun != c.ran || v.MayHoldState != c.holds || v.PassThrough != c.final {
 			t.Errorf("%s: %+v", c.name, v)
 		}
 	}
@@ -60,17 +60,17 @@
 // Over all facts: what proves that nothing ran says so in both words, and a reader has no effect.
 func TestProofsAgree(t *testing.T) {
 	for stage := Prefill; stage <= Decode; stage++ {
-		for p := Unsent; p <= Streaming; p++ {
-			for c := Answered; c <= ClientLeft; c++ {
-				for status := Error; status <= Judged; status++ {
-					v := Judge(Facts{Stage: stage, Progress: p, Cause: c, Meaning: status})
-					if stage == Prefill && v.Ran {
+		for p := NotStarted; p <= Streaming; p++ {
+			for c := ResponseComplete; c <= ClientDisconnected; c++ {
+				for status := EngineError; status <= InvalidRequest; status++ {
+					v := Classify(Evidence{Stage: stage, Progress: p, Cause: c, ResponseKind: status})
+					if stage == Prefill && v.MayHaveRun {
 						t.Fatalf("a read has no effect: %v %v %d", p, c, status)
 					}
-					if v.Ran && provesNot(v.Status) {
+					if v.MayHaveRun && provesNot(v.Status) {
 						t.Fatalf("%v says that it never ran: %v %v %d", v.Status, p, c, status)
 					}
-					if c != Answered && p >= Written && stage == Decode && !v.Ran {
+					if c != ResponseComplete && p >= RequestWritten && stage == Decode && !v.MayHaveRun {
 						t.Fatalf("a request that was written whole may have run: %v %v", p, c)
 					}
 				}
@@ -83,14 +83,14 @@
 // to have. Walked over all facts.
 func TestBytesProveNoMoreThanTheVerdict(t *testing.T) {
 	for stage := Prefill; stage <= Decode; stage++ {
-		for progress := Unsent; progress <= Streaming; progress++ {
-			for cause := Answered; cause <= ClientLeft; cause++ {
-				for meaning := Error; meaning <= Judged; meaning++ {
-					f := Facts{Stage: stage, Progress: progress, Cause: cause, Meaning: meaning}
-					if cause == Answered && progress < Headed {
+		for progress := NotStarted; progress <= Streaming; progress++ {
+			for cause := ResponseComplete; cause <= ClientDisconnected; cause++ {
+				for meaning := EngineError; meaning <= InvalidRequest; meaning++ {
+					f := Evidence{Stage: stage, Progress: progress, Cause: cause, ResponseKind: meaning}
+					if cause == ResponseComplete && progress < HeaderReceived {
 						continue // no answer can have come
 					}
-					if ProvesNotRun(f) && Judge(f).Ran {
+					if ProvesNotRun(f) && Classify(f).MayHaveRun {
 						t.Errorf("%+v: proven not to have run, though it may have", f)
 					}
 				}
--- a/internal/decide/overload/overload.go
+++ b/internal/decide/overload/overload.go
@@ -9,10 +9,10 @@
 
 // Limits are what the machine allows.
 type Limits struct {
-	Files       int     // descriptors of the process; 0 = not known
-	Connections int     // of clients, by the settings
-	Bytes       int64   // of requests held, by the settings; 0 = no bound
-	Slack       float64 // s that an answer may come after the client's time is up
+	Descriptors   int     // descriptors of the process; 0 = not known
+	Connections   int     // of clients, by the settings
+	Bytes         int64   // of requests held, by the settings; 0 = no bound
+	ResponseSlack float64 // s that an answer may come after the client's time is up
 }
 
 // Our starting values.
@@ -33,8 +33,8 @@
 	mostReturn  = 5.0  // and at the latest
 )
 
-// State is how one node keeps up. It is not safe for concurrent use.
-type State struct {
+// Controller is how one node keeps up. It is not safe for concurrent use.
+type Controller struct {
 	lim       Limits
 	mean, dev float64 // of lag
 	at        float64 // of the latest sample
@@ -44,24 +44,24 @@
 }
 
 // New returns the state of a node that keeps up.
-func New(lim Limits) *State {
-	s := &State{lim: lim}
+func New(lim Limits) *Controller {
+	s := &Controller{lim: lim}
 	s.cap = float64(s.most())
 	return s
 }
 
 // most is how many connections of clients the settings and the file table allow.
-func (s *State) most() int {
+func (s *Controller) most() int {
 	n := s.lim.Connections
-	if s.lim.Files > 0 {
-		free := float64(s.lim.Files)*(1-filePart) - fileReserve
+	if s.lim.Descriptors > 0 {
+		free := float64(s.lim.Descriptors)*(1-filePart) - fileReserve
 		n = min(n, max(leastConns, int(free/perRequest)))
 	}
 	return n
 }
 
-// Late files how late something was heard of: the longest wait among the facts of one turn, or a timer's.
-func (s *State) Late(now, lag float64) {
+// ObserveLag files how late something was heard of: the longest wait among the facts of one turn, or a timer's.
+func (s *Controller) ObserveLag(now, lag float64) {
 	s.decay(now)
 	lag = max(0, lag)
 	if off := lag - s.mean; off > 0 {
@@ -73,7 +73,7 @@
 }
 
 // decay lets go of what has not been seen again.
-func (s *State) decay(now float64) {
+func (s *Controller) decay(now float64) {
 	if dt := now - s.at; dt > 0 {
 		keep := fade / (fade + dt)
 		s.mean, s.dev, s.at = s.mean*keep, s.dev*keep, now
@@ -81,75 +81,75 @@
 }
 
 // Lag is what the next fact or timer is to be late by at most, as far as the latest ones tell.
-func (s *State) Lag(now float64) float64 {
+func (s *Controller) Lag(now float64) float64 {
 	s.decay(now)
 	return s.mean + devs*s.dev
 }
 
-// Short files that a socket or file could not be opened for want of descriptors, while so many connections of clients
+// ObserveDescriptorShortage files that a socket or file could not be opened for want of descriptors, while so many connections of clients
 // were open. Fewer are taken from then on, and they come back bit by bit.
-func (s *State) Short(now float64, open int) {
+func (s *Controller) ObserveDescriptorShortage(now float64, open int) {
 	s.regrow(now)
 	s.short++
 	s.cap = max(leastConns, min(s.cap, shrink*float64(open)))
 }
 
-func (s *State) regrow(now float64) {
+func (s *Controller) regrow(now float64) {
 	if dt := now - s.capAt; dt > 0 {
 		s.cap, s.capAt = min(float64(s.most()), s.cap+regrow*dt*float64(s.most())), now
 	}
 }
 
 // Connections is how many connections of clients may be open now.
-func (s *State) Connections(now float64) int {
+func (s *Controller) Connections(now float64) int {
 	s.regrow(now)
 	return int(s.cap)
 }
 
 // Shortages is how often descriptors ran out.
-func (s *State) Shortages() int { return s.short }
+func (s *Controller) Shortages() int { return s.short }
 
 // Request is what is asked of the node.
 type Request struct {
-	Patience float64 // s that the client waits, from the first byte of its request
-	Spent    float64 // s of them that are over
-	Held     int64   // bytes that requests hold, this one included
-	Draw     float64 // from 0 up to 1, the only chance in it
+	ClientTimeout float64 // s that the client waits, from the first byte of its request
+	Elapsed       float64 // s of them that are over
+	HeldBytes     int64   // bytes that requests hold, this one included
+	Draw          float64 // from 0 up to 1, the only chance in it
 }
 
-// Verdict says whether a request is taken.
-type Verdict struct {
-	OK         bool
-	TimeLeft   float64 // s until the answer has to be on its way, our own lag taken off
-	RetryAfter float64 // of a refusal: s until the client may come again
-	Why        string  // lag, time or bytes
+// Decision says whether a request is taken.
+type Decision struct {
+	Admitted       bool
+	ClientTimeLeft float64 // s until the answer has to be on its way, our own lag taken off
+	RetryAfter     float64 // of a refusal: s until the client may come again
+	Reason         string  // lag, time or bytes
 }
 
-// Take decides on a request. One is refused when the lag would take so much of its time that an answer might come too
+// Admit decides on a request. One is refused when the lag would take so much of its time that an answer might come too
 // late, or less than the lag is left: the refusal is certain to be in time only while it is given at once.
-func (s *State) Take(now float64, q Request) Verdict {
+func (s *Controller) Admit(now float64, q Request) Decision {
 	lag := s.Lag(now)
-	left := q.Patience - q.Spent - max(0, lag-s.lim.Slack)
-	v := Verdict{OK: true, TimeLeft: left}
+	left := q.ClientTimeout - q.Elapsed - max(0, lag-s.lim.ResponseSlack)
+	v := Decision{Admitted: true, ClientTimeLeft: left}
 	switch {
-	case lag > s.lim.Slack && lag > lagPart*q.Patience:
-		v.OK, v.Why = false, "lag"
+	case lag > s.lim.ResponseSlack && lag > lagPart*q.ClientTimeout:
+		v.Admitted, v.Reason = false, "lag"
 	case left <= lag || left <= 0:
-		v.OK, v.Why = false, "time"
-	case s.lim.Bytes > 0 && float64(q.Held) > bytesPart*float64(s.lim.Bytes):
-		v.OK, v.Why = false, "bytes"
+		v.Admitted, v.Reason = false, "time"
+	case s.lim.Bytes > 0 && float64(q.HeldBytes) > bytesPart*float64(s.lim.Bytes):
+		v.Admitted, v.Reason = false, "bytes"
 	}
-	if !v.OK {
+	if !v.Admitted {
 		v.RetryAfter = s.back(lag, q.Draw)
 	}
 	return v
 }
 
-// Return says when a client may come again that could not even be heard (s); draw is from 0 up to 1.
-func (s *State) Return(now, draw float64) float64 { return s.back(s.Lag(now), draw) }
+// RetryAfter says when a client may come again that could not even be heard (s); draw is from 0 up to 1.
+func (s *Controller) RetryAfter(now, draw float64) float64 { return s.back(s.Lag(now), draw) }
 
 // back spreads the return of refused clients over the time that it takes to catch up, so that they do not come as one.
-func (s *State) back(lag, draw float64) float64 {
+func (s *Controller) back(lag, draw float64) float64 {
 	span := min(mostReturn, max(leastReturn, 2*fade*min(1, lag)+2*lag))
 	return min(mostReturn, span*(0.5+draw))
 }
--- a/internal/decide/overload/overload_test.go
+++ b/internal/decide/overload/overload_test.go
@@ -6,15 +6,15 @@
 	"pgregory.net/rapid"
 )
 
-var limits = Limits{Files: 1024, Connections: 20000, Bytes: 1 << 20, Slack: 0.05}
+var limits = Limits{Descriptors: 1024, Connections: 20000, Bytes: 1 << 20, ResponseSlack: 0.05}
 
 func TestNodeThatKeepsUpTakesAllAndHidesNothingOfTheTime(t *testing.T) {
 	s := New(limits)
 	for i := range 1000 {
-		s.Late(float64(i)/100, 0.0002)
+		s.ObserveLag(float64(i)/100, 0.0002)
 	}
-	v := s.Take(10, Request{Patience: 4, Spent: 0.01})
-	if !v.OK || v.TimeLeft < 3.98 {
+	v := s.Admit(10, Request{ClientTimeout: 4, Elapsed: 0.01})
+	if !v.Admitted || v.ClientTimeLeft < 3.98 {
 		t.Fatalf("%+v", v)
 	}
 }
@@ -23,13 +23,13 @@
 func TestNodeThatHearsLateRefusesEarlyAndTakesAgainWhenItHasCaughtUp(t *testing.T) {
 	s := New(limits)
 	for i := range 40 {
-		s.Late(float64(i)/10, 1.5)
+		s.ObserveLag(float64(i)/10, 1.5)
 	}
-	v := s.Take(4, Request{Patience: 4, Draw: 0.5})
-	if v.OK || v.Why != "lag" || v.RetryAfter <= 0 {
+	v := s.Admit(4, Request{ClientTimeout: 4, Draw: 0.5})
+	if v.Admitted || v.Reason != "lag" || v.RetryAfter <= 0 {
 		t.Fatalf("%+v, lag %g", v, s.Lag(4))
 	}
-	if v := s.Take(60, Request{Patience: 4}); !v.OK {
+	if v := s.Admit(60, Request{ClientTimeout: 4}); !v.Admitted {
 		t.Fatalf("still refused a minute later: %+v", v)
 	}
 }
@@ -37,9 +37,9 @@
 func TestTheAnswerIsDueEarlierByTheLag(t *testing.T) {
 	s := New(limits)
 	for i := range 100 {
-		s.Late(float64(i)/10, 0.3)
+		s.ObserveLag(float64(i)/10, 0.3)
 	}
-	if v := s.Take(10, Request{Patience: 10, Spent: 1}); !v.OK || v.TimeLeft > 8.8 || v.TimeLeft < 7.5 {
+	if v := s.Admit(10, Request{ClientTimeout: 10, Elapsed: 1}); !v.Admitted || v.ClientTimeLeft > 8.8 || v.ClientTimeLeft < 7.5 {
 		t.Fatalf("%+v", v)
 	}
 }
@@ -49,7 +49,7 @@
 	if n := s.Connections(0); n*perRequest+fileReserve > 1024 || n < 400 {
 		t.Fatalf("%d connections in a table of 1024", n)
 	}
-	s.Short(1, 300)
+	s.ObserveDescriptorShortage(1, 300)
 	if n := s.Connections(1); n > 210 {
 		t.Fatalf("%d connections after the table was full at 300", n)
 	}
@@ -62,24 +62,24 @@
 // goes below its least or beyond what the limits allow.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lim := Limits{Files: rapid.IntRange(0, 4096).Draw(t, "files"), Connections: rapid.IntRange(leastConns, 30000).Draw(t, "connections"),
-			Bytes: 1000, Slack: rapid.Float64Range(0, 0.2).Draw(t, "slack")}
+		lim := Limits{Descriptors: rapid.IntRange(0, 4096).Draw(t, "files"), Connections: rapid.IntRange(leastConns, 30000).Draw(t, "connections"),
+			Bytes: 1000, ResponseSlack: rapid.Float64Range(0, 0.2).Draw(t, "slack")}
 		s, now := New(lim), 0.0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 3).Draw(t, "dt")
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				s.Late(now, rapid.Float64Range(-1, 10).Draw(t, "lag"))
+				s.ObserveLag(now, rapid.Float64Range(-1, 10).Draw(t, "lag"))
 			case 1:
-				s.Short(now, rapid.IntRange(0, 30000).Draw(t, "open"))
+				s.ObserveDescriptorShortage(now, rapid.IntRange(0, 30000).Draw(t, "open"))
 			default:
-				q := Request{Patience: rapid.Float64Range(0, 20).Draw(t, "patience"), Spent: rapid.Float64Range(0, 20).Draw(t, "spent"),
-					Held: rapid.Int64Range(0, 2000).Draw(t, "held"), Draw: rapid.Float64Range(0, 0.999).Draw(t, "draw")}
-				v := s.Take(now, q)
-				if v.OK && (v.TimeLeft <= s.Lag(now) || v.TimeLeft > q.Patience-q.Spent || q.Held > 900) {
+				q := Request{ClientTimeout: rapid.Float64Range(0, 20).Draw(t, "patience"), Elapsed: rapid.Float64Range(0, 20).Draw(t, "spent"),
+					HeldBytes: rapid.Int64Range(0, 2000).Draw(t, "held"), Draw: rapid.Float64Range(0, 0.999).Draw(t, "draw")}
+				v := s.Admit(now, q)
+				if v.Admitted && (v.ClientTimeLeft <= s.Lag(now) || v.ClientTimeLeft > q.ClientTimeout-q.Elapsed || q.HeldBytes > 900) {
 					t.Fatalf("%+v was taken: %+v, lag %g", q, v, s.Lag(now))
 				}
-				if !v.OK && (v.RetryAfter <= 0 || v.RetryAfter > mostReturn || v.Why == "") {
+				if !v.Admitted && (v.RetryAfter <= 0 || v.RetryAfter > mostReturn || v.Reason == "") {
 					t.Fatalf("refused without a time or a cause: %+v", v)
 				}
 			}
--- a/internal/decide/overload/parts.go
+++ b/internal/decide/overload/parts.go
@@ -1,12 +1,12 @@
 package overload
 
-// Parts are the shares of a node's limits that go to each of its concerns.
-type Parts struct {
-	Clients  int   // connections of clients, and requests open at once
-	Lobby    int   // further connections, that are being refused
-	Engines  int   // connections to engines
-	Bytes    int64 // of requests' bodies
-	HeapMost int64 // that the runtime keeps its heap within; the rest is for what it does not count
+// Budget are the shares of a node's limits that go to each of its concerns.
+type Budget struct {
+	Clients        int   // connections of clients, and requests open at once
+	RejectionQueue int   // further connections, that are being refused
+	Engines        int   // connections to engines
+	BodyBytes      int64 // of requests' bodies
+	HeapLimit      int64 // that the runtime keeps its heap within; the rest is for what it does not count
 }
 
 // Our starting values: parts of the descriptors and of the memory, and what is taken where no limit is told. What is left of
@@ -22,8 +22,8 @@
 	memory     = 256 << 20
 )
 
-// Divide divides the descriptors and the bytes of memory that a node may use; 0 = not told.
-func Divide(sockets int, bytes int64) Parts {
+// DivideLimits divides the descriptors and the bytes of memory that a node may use; 0 = not told.
+func DivideLimits(sockets int, bytes int64) Budget {
 	if sockets <= 0 {
 		sockets = files
 	}
@@ -31,6 +31,6 @@
 		bytes = memory
 	}
 	n := float64(sockets)
-	return Parts{Clients: int(clientPart * n), Lobby: max(leastLobby, int(lobbyPart*n)), Engines: int(enginePart * n),
-		Bytes: int64(bodyPart * float64(bytes)), HeapMost: int64(heapPart * float64(bytes))}
+	return Budget{Clients: int(clientPart * n), RejectionQueue: max(leastLobby, int(lobbyPart*n)), Engines: int(enginePart * n),
+		BodyBytes: int64(bodyPart * float64(bytes)), HeapLimit: int64(heapPart * float64(bytes))}
 }
--- a/internal/decide/permit/audit.go
+++ b/internal/decide/permit/audit.go
@@ -16,68 +16,68 @@
 
 // Written is an attempt as it was written. Times are of its first byte; a time of 0 stands for never, or none.
 type Written struct {
-	At       float64
-	LeftAt   float64 // when its client left
-	EndsAt   float64 // when its client's time was over
-	WindowBy float64 // when the window of its repeats was over
-	DrainsAt float64 // when its engine was known to drain or be gone
-	Grace    float64
+	At                   float64
+	ClientDisconnectedAt float64 // when its client left
+	ClientDeadline       float64 // when its client's time was over
+	DedupWindowEnd       float64 // when the window of its repeats was over
+	DrainingSince        float64 // when its engine was known to drain or be gone
+	DrainGrace           float64
 }
 
 // Violations are the rules that the attempt broke.
 func (w Written) Violations() (broken []Violation) {
-	if w.LeftAt > 0 && w.At > w.LeftAt+noticeWithin {
-		broken = append(broken, Violation{1, ClientGone})
+	if w.ClientDisconnectedAt > 0 && w.At > w.ClientDisconnectedAt+noticeWithin {
+		broken = append(broken, Violation{1, ClientDisconnected})
 	}
-	if w.EndsAt > 0 && w.At > w.EndsAt+heldUp {
-		broken = append(broken, Violation{1, TimeOver})
+	if w.ClientDeadline > 0 && w.At > w.ClientDeadline+heldUp {
+		broken = append(broken, Violation{1, DeadlinePassed})
 	}
-	if w.WindowBy > 0 && w.At > w.WindowBy+heldUp {
-		broken = append(broken, Violation{2, WindowOver})
+	if w.DedupWindowEnd > 0 && w.At > w.DedupWindowEnd+heldUp {
+		broken = append(broken, Violation{2, DedupWindowPassed})
 	}
-	if w.DrainsAt > 0 && w.At > w.DrainsAt+w.Grace {
-		broken = append(broken, Violation{3, EngineLeaving})
+	if w.DrainingSince > 0 && w.At > w.DrainingSince+w.DrainGrace {
+		broken = append(broken, Violation{3, EngineDraining})
 	}
 	return broken
 }
 
-// Answered is a final answer, or the first piece of one.
-type Answered struct {
+// Responded is a final answer, or the first piece of one.
+type Responded struct {
 	At, DueBy float64
 }
 
 // Violations are the rules that the answer broke.
-func (a Answered) Violations() []Violation {
+func (a Responded) Violations() []Violation {
 	if a.DueBy > 0 && a.At > a.DueBy+lostAfter {
-		return []Violation{{1, TimeOver}}
+		return []Violation{{1, DeadlinePassed}}
 	}
 	return nil
 }
 
 // Closed is a client's connection that the node has closed.
 type Closed struct {
-	Unanswered bool // a request was read on it and has no answer
-	ClientGone bool
+	Unanswered         bool // a request was read on it and has no answer
+	ClientDisconnected bool
 }
 
 // Violations are the rules that the close broke.
 func (c Closed) Violations() []Violation {
-	if c.Unanswered && !c.ClientGone {
+	if c.Unanswered && !c.ClientDisconnected {
 		return []Violation{{1, Unanswered}}
 	}
 	return nil
 }
 
-// Held is a state that an engine holds with no attempt out, after a call that was to release it. Times are in seconds.
-type Held struct {
+// HeldState is a state that an engine holds with no attempt out, after a call that was to release it. Times are in seconds.
+type HeldState struct {
 	Answered bool // an engine has answered the call
 	At, By   float64
 }
 
 // Violations are the rules that the state breaks.
-func (h Held) Violations() []Violation {
+func (h HeldState) Violations() []Violation {
 	if !h.Answered && h.At >= h.By {
-		return []Violation{{5, NotReleased}}
+		return []Violation{{5, StateNotReleased}}
 	}
 	return nil
 }
--- a/internal/decide/requesttable/attempts.go
+++ b/internal/decide/requesttable/attempts.go
@@ -47,7 +47,7 @@
 	}
 	t.withState, t.stateN = t.stage == outcome.Decode && e.state != "", e.stateN
 	if why := l.maySend(now, e, s, &t); why != permit.Allowed {
-		if why != permit.Ended { // else its client left, or its answer began, while the module was deciding
+		if why != permit.RequestEnded { // else its client left, or its answer began, while the module was deciding
 			l.fault("send of %s to %s: %s", a.ID, a.Engine, why)
 		}
 		l.emit(scheduler.Outcome{ID: a.ID, Attempt: n, Engine: a.Engine, Status: scheduler.NotSent, Closed: e.concluded})
@@ -71,10 +71,10 @@
 
 // maySend says why an attempt may not be begun.
 func (l *Ledger) maySend(now float64, e *entry, s *seen, t *attempt) permit.Reason {
-	ask := permit.Send{Ended: e.concluded || e.answering, AttemptsLeft: l.left(e), EngineKnown: s != nil, Grace: l.cfg.DrainGrace,
+	ask := permit.Send{RequestEnded: e.concluded || e.answering, AttemptsLeft: l.left(e), EngineKnown: s != nil, DrainGrace: l.cfg.DrainGrace,
 		Repeat: l.repeat(now, e, t.engine)}
 	if s != nil {
-		ask.Leaving, ask.LeavingFor = s.state != scheduler.EngineReady, now-s.since
+		ask.Draining, ask.DrainingFor = s.state != scheduler.EngineReady, now-s.since
 	}
 	return ask.Reason()
 }
@@ -82,9 +82,9 @@
 // repeat is a further attempt of a request at an engine, as rule 2 has it.
 func (l *Ledger) repeat(now float64, e *entry, engine string) permit.Repeat {
 	on, at, ran := e.mayRun()
-	r := permit.Repeat{Effect: e.class.Effect, Group: e.class.DedupScope, MayRun: ran, Since: now - at, Window: e.class.DedupWindow}
+	r := permit.Repeat{Effect: e.class.Effect, DedupScope: e.class.DedupScope, MayHaveRun: ran, SinceFirst: now - at, DedupWindow: e.class.DedupWindow}
 	if a, b := l.engines[on], l.engines[engine]; a != nil && b != nil {
-		r.BothSeen, r.SameCell, r.SameZone = true, a.cell == b.cell, a.zone == b.zone
+		r.EnginesKnown, r.SameCell, r.SameZone = true, a.cell == b.cell, a.zone == b.zone
 	}
 	return r
 }
@@ -118,7 +118,7 @@
 	}
 	if t := e.attempt(a.Attempt); t != nil && !t.over && !t.streaming && !t.aborting {
 		t.aborting = true
-		l.do(Abort{a.ID, a.Attempt, outcome.Stopped})
+		l.do(Abort{a.ID, a.Attempt, outcome.CanceledByScheduler})
 	}
 }
 
@@ -152,13 +152,13 @@
 	for i := range e.attempts { // a second copy has lost
 		if o := &e.attempts[i]; o != t && !o.over && !o.aborting {
 			o.aborting = true
-			l.do(Abort{id, o.n, outcome.Stopped})
+			l.do(Abort{id, o.n, outcome.CanceledByScheduler})
 		}
 	}
 }
 
 // Ended is told, once, when an attempt has ended. The report may be nil.
-func (l *Ledger) Ended(now float64, id string, n int, f outcome.Facts, rep *scheduler.LoadReport) {
+func (l *Ledger) Ended(now float64, id string, n int, f outcome.Evidence, rep *scheduler.LoadReport) {
 	e := l.open[id]
 	if e == nil || e.attempt(n) == nil || e.attempt(n).over {
 		l.fault("end of attempt %d of %s, which is not out", n, id)
@@ -167,24 +167,24 @@
 	t := e.attempt(n)
 	t.over = true
 	e.out--
-	f.Stage, f.Agreed = t.stage, e.rejected != 0 && e.rejected == f.Code
-	f.Last = l.left(e) <= 0
+	f.Stage, f.ConfirmedElsewhere = t.stage, e.rejected != 0 && e.rejected == f.Code
+	f.LastAttempt = l.left(e) <= 0
 	if t.streaming {
 		f.Progress = outcome.Streaming
 	}
-	v := outcome.Judge(f)
-	e.unheard = e.unheard || f.Cause != outcome.Answered && f.Progress >= outcome.Written
-	if f.Progress < outcome.Written && f.Cause != outcome.Answered {
+	v := outcome.Classify(f)
+	e.unheard = e.unheard || f.Cause != outcome.ResponseComplete && f.Progress >= outcome.RequestWritten
+	if f.Progress < outcome.RequestWritten && f.Cause != outcome.ResponseComplete {
 		e.unsent++
 	}
 	e.unproven = e.unproven || !outcome.ProvesNotRun(f)
-	if f.Cause == outcome.Answered && f.Meaning == outcome.Judged && !v.Final {
+	if f.Cause == outcome.ResponseComplete && f.ResponseKind == outcome.InvalidRequest && !v.PassThrough {
 		e.rejected = f.Code
 	}
-	if v.Ran && e.ran && e.class.Effect == scheduler.AtMostOnce {
+	if v.MayHaveRun && e.ran && e.class.Effect == scheduler.AtMostOnce {
 		l.fault("%s may have run at %s and at %s", id, e.ranOn, t.engine)
 	}
-	if v.Ran && !e.ran {
+	if v.MayHaveRun && !e.ran {
 		e.ran, e.ranOn, e.ranAt = true, t.engine, t.sentAt
 	}
 	l.states(now, id, e, n, v)
@@ -200,14 +200,14 @@
 		e.farewell = nil
 	}
 	if closed {
-		l.conclude(id, e, outcome.Overtaken)
+		l.conclude(id, e, outcome.RequestEnded)
 	}
 	l.settle(id, e)
 }
 
 // outcome notes that the time of what is held runs from the latest outcome of an attempt that was out.
-func (e *entry) outcome(now float64, f outcome.Facts) {
-	if f.Progress < outcome.Written {
+func (e *entry) outcome(now float64, f outcome.Evidence) {
+	if f.Progress < outcome.RequestWritten {
 		return
 	}
 	e.stateAt = now
@@ -217,7 +217,7 @@
 }
 
 // states keeps the book of the state that waits at a reader.
-func (l *Ledger) states(now float64, id string, e *entry, n int, v outcome.Verdict) {
+func (l *Ledger) states(now float64, id string, e *entry, n int, v outcome.Classification) {
 	t := e.attempt(n)
 	switch {
 	case v.Status == scheduler.Prefilled:
@@ -225,10 +225,10 @@
 			l.letGo(id, e, Release{Engine: e.state, N: e.stateN})
 		}
 		e.state, e.stateN = t.engine, n
-	case v.Holds, l.cfg.ReleaseAll && !t.withState && v.Ran && v.Status != scheduler.Completed:
+	case v.MayHoldState, l.cfg.ReleaseAll && !t.withState && v.MayHaveRun && v.Status != scheduler.Completed:
 		// Cut reads may have ended well, and an engine that read for itself keeps what it has read.
 		l.letGo(id, e, Release{Engine: t.engine, N: n, CutAt: now})
-	case t.took(e) && (v.Status == scheduler.Rejected && v.Info == 1 || v.Status == scheduler.Completed && !v.Final):
+	case t.took(e) && (v.Status == scheduler.Rejected && v.Info == 1 || v.Status == scheduler.Completed && !v.PassThrough):
 		if l.cfg.ReleaseAll && v.Status == scheduler.Rejected { // gone for the writer; the reader may know better
 			l.letGo(id, e, Release{Engine: e.state, N: e.stateN})
 		}
@@ -238,18 +238,18 @@
 
 // closes settles what the end of an attempt means for the client. An answer that began and broke
 // ends the request: the client has part of it, and the module is told so.
-func (l *Ledger) closes(id string, e *entry, n int, v outcome.Verdict) bool {
+func (l *Ledger) closes(id string, e *entry, n int, v outcome.Classification) bool {
 	t := e.attempt(n)
 	switch {
 	case e.concluded:
 		return false
-	case v.Final:
+	case v.PassThrough:
 		l.do(Pass{id, n})
 		return true
 	case t.streaming && v.Status == scheduler.Completed:
 		return true
 	case t.streaming:
-		a := outcome.Broke(e.class.Effect, e.class.DedupScope)
+		a := outcome.StreamBrokenResponse(e.class.Effect, e.class.DedupScope)
 		l.do(Answer{id, a, 0, "the engine stopped before the answer was complete"})
 		return true
 	}
--- a/internal/decide/requesttable/commands.go
+++ b/internal/decide/requesttable/commands.go
@@ -49,7 +49,7 @@
 // Answer is the node's own final answer to a client.
 type Answer struct {
 	ID         string
-	Answer     outcome.Answer
+	Answer     outcome.Response
 	RetryAfter float64 // s; 0 = no advice
 	Reason     string
 }
--- a/internal/decide/requesttable/releases.go
+++ b/internal/decide/requesttable/releases.go
@@ -52,8 +52,8 @@
 // releasesBeside tells whether the attempt still waits for a first token, and the state that it is to take may be released beside it.
 func (e *entry) releasesBeside(t *attempt, engineHeard bool) bool {
 	due := !t.over && !t.streaming && e.state != "" && t.took(e)
-	ask := permit.Release{AttemptsOut: e.out, StateWanted: true, Due: due, EngineHeard: engineHeard, Effect: e.class.Effect,
-		SilentTwice: e.silent, ReadsOut: e.readsOut()}
+	ask := permit.Release{AttemptsInFlight: e.out, StateNeeded: true, LimitNear: due, EngineResponded: engineHeard, Effect: e.class.Effect,
+		SilentTwice: e.silent, PrefillsInFlight: e.readsOut()}
 	return ask.Reason() == permit.Allowed
 }
 
@@ -69,7 +69,7 @@
 
 // mayRelease says why a call that releases all that is held for the request may not be made yet.
 func (e *entry) mayRelease() permit.Reason {
-	return permit.Release{AttemptsOut: e.out, StateWanted: e.state != ""}.Reason()
+	return permit.Release{AttemptsInFlight: e.out, StateNeeded: e.state != ""}.Reason()
 }
 
 // flush makes the releases that are owed once no attempt is out and no state is wanted. That of a state does not wait for the
--- a/internal/decide/requesttable/releases_test.go
+++ b/internal/decide/requesttable/releases_test.go
@@ -24,17 +24,17 @@
 	l.Apply(1, scheduler.Send{ID: "a", Engine: "r0"})
 	l.Apply(1, scheduler.Send{ID: "a", Engine: "r1"})
 	l.Take()
-	l.Ended(1.1, "a", 0, outcome.Facts{Progress: outcome.Written, Cause: outcome.Broken}, nil)
+	l.Ended(1.1, "a", 0, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.ConnectionBroken}, nil)
 	if rs := find[Release](l); len(rs) != 0 {
 		t.Fatalf("released while another read is out: %v", rs)
 	}
-	l.Ended(1.2, "a", 1, outcome.Facts{Progress: outcome.Headed, Cause: outcome.Answered, Meaning: outcome.Read}, nil)
+	l.Ended(1.2, "a", 1, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.PrefillDone}, nil)
 	if rs := find[Release](l); len(rs) != 0 {
 		t.Fatalf("released while a state is wanted: %v", rs)
 	}
 	n := decode(t, l, 1.3, "a", "w0")
 	l.First(1.4, "a", n)
-	l.Ended(1.5, "a", n, outcome.Facts{Progress: outcome.Streaming, Cause: outcome.Answered, Meaning: outcome.Done}, nil)
+	l.Ended(1.5, "a", n, outcome.Evidence{Progress: outcome.Streaming, Cause: outcome.ResponseComplete, ResponseKind: outcome.DecodeDone}, nil)
 	if rs := find[Release](l); len(rs) != 1 || rs[0].Engine != "r0" || rs[0].CutAt != 1.1 {
 		t.Fatalf("%v", rs)
 	}
@@ -46,7 +46,7 @@
 	l.Request(1, request("a", 0), 0)
 	l.Apply(1, scheduler.Send{ID: "a", Engine: "r0"})
 	l.Take()
-	l.Ended(1.1, "a", 0, outcome.Facts{Progress: outcome.Written, Cause: outcome.Expired}, nil)
+	l.Ended(1.1, "a", 0, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.AttemptTimedOut}, nil)
 	rs := find[Release](l)
 	if len(rs) != 1 || !l.Wanted(rs[0]) {
 		t.Fatalf("%v", rs)
@@ -57,7 +57,7 @@
 		t.Fatal("the new read would be lost")
 	}
 	l.Apply(1.3, scheduler.Reject{ID: "a"})
-	l.Ended(1.4, "a", 1, outcome.Facts{Progress: outcome.Written, Cause: outcome.Overtaken}, nil)
+	l.Ended(1.4, "a", 1, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.RequestEnded}, nil)
 	if again := find[Release](l); len(again) != 1 {
 		t.Fatalf("%v", again)
 	}
@@ -68,13 +68,13 @@
 	l := allBook()
 	l.Request(1, request("a", 0), 0)
 	n := decode(t, l, 1, "a", "w0")
-	l.Ended(1.1, "a", n, outcome.Facts{Progress: outcome.Written, Cause: outcome.Broken}, nil)
+	l.Ended(1.1, "a", n, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.ConnectionBroken}, nil)
 	if rs := find[Release](l); len(rs) != 1 || rs[0].Engine != "w0" {
 		t.Fatalf("%v", rs)
 	}
 	l.Request(2, request("b", 0), 0)
 	n = decode(t, l, 2, "b", "w0")
-	l.Ended(2.1, "b", n, outcome.Facts{Progress: outcome.Headed, Cause: outcome.Answered, Meaning: outcome.Turned}, nil)
+	l.Ended(2.1, "b", n, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.EngineRejected}, nil)
 	if rs := find[Release](l); len(rs) != 0 {
 		t.Fatalf("what never ran holds nothing: %v", rs)
 	}
@@ -83,7 +83,7 @@
 func TestIDInUseLeavesTheFirstRequest(t *testing.T) {
 	l := allBook()
 	l.Request(1, request("a", 0), 0)
-	if no, ok := l.Request(1.1, request("a", 1), 0); ok || no.HTTP != 409 || no.Retry {
+	if no, ok := l.Request(1.1, request("a", 1), 0); ok || no.HTTPStatus != 409 || no.RetryIsSafe {
 		t.Fatalf("%+v %v", no, ok)
 	}
 	decode(t, l, 1.2, "a", "w0")
@@ -126,13 +126,13 @@
 				l.Apply(now, scheduler.Reject{ID: "a"})
 			default:
 				for n, s := range out {
-					f := outcome.Facts{Progress: outcome.Written, Cause: rapid.SampledFrom([]outcome.Cause{outcome.Broken, outcome.Expired, outcome.Stopped}).Draw(t, "cause")}
+					f := outcome.Evidence{Progress: outcome.RequestWritten, Cause: rapid.SampledFrom([]outcome.Cause{outcome.ConnectionBroken, outcome.AttemptTimedOut, outcome.CanceledByScheduler}).Draw(t, "cause")}
 					if rapid.Bool().Draw(t, "answered") {
-						f = outcome.Facts{Progress: outcome.Headed, Cause: outcome.Answered, Meaning: rapid.SampledFrom([]outcome.Meaning{outcome.Read, outcome.Turned, outcome.NoState}).Draw(t, "meaning")}
+						f = outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: rapid.SampledFrom([]outcome.ResponseKind{outcome.PrefillDone, outcome.EngineRejected, outcome.StateMissing}).Draw(t, "meaning")}
 					}
 					delete(out, n)
-					may := f.Cause != outcome.Answered && (s.Stage == outcome.Prefill || !s.State)
-					read := f.Cause == outcome.Answered && f.Meaning == outcome.Read && s.Stage == outcome.Prefill
+					may := f.Cause != outcome.ResponseComplete && (s.Stage == outcome.Prefill || !s.State)
+					read := f.Cause == outcome.ResponseComplete && f.ResponseKind == outcome.PrefillDone && s.Stage == outcome.Prefill
 					held, state = held || may || read, state || read
 					l.Ended(now, "a", n, f, nil)
 					break
@@ -144,7 +144,7 @@
 		see()
 		for n := range out {
 			delete(out, n)
-			l.Ended(now, "a", n, outcome.Facts{Progress: outcome.Written, Cause: outcome.Overtaken}, nil)
+			l.Ended(now, "a", n, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.RequestEnded}, nil)
 			held = true
 			see()
 		}
@@ -161,7 +161,7 @@
 	l.Request(1, request("a", 0), 0)
 	l.Apply(1, scheduler.Send{ID: "a", Engine: "r0"})
 	l.Take()
-	l.Ended(1.1, "a", 0, outcome.Facts{Progress: outcome.Written, Cause: outcome.Stopped}, nil)
+	l.Ended(1.1, "a", 0, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.CanceledByScheduler}, nil)
 	cut := find[Release](l)
 	if len(cut) != 1 || cut[0].CutAt != 1.1 {
 		t.Fatalf("got %v, want the release of what was broken off at 1.1", cut)
@@ -171,9 +171,9 @@
 	if l.Wanted(cut[0]) {
 		t.Fatal("released over a read that is out")
 	}
-	l.Ended(1.2, "a", 1, outcome.Facts{Progress: outcome.Headed, Cause: outcome.Answered, Meaning: outcome.Read}, nil)
+	l.Ended(1.2, "a", 1, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.PrefillDone}, nil)
 	n := decode(t, l, 1.2, "a", "w0")
-	l.Ended(1.45, "a", n, outcome.Facts{Progress: outcome.Dialling, Cause: outcome.Broken}, nil)
+	l.Ended(1.45, "a", n, outcome.Evidence{Progress: outcome.Connecting, Cause: outcome.ConnectionBroken}, nil)
 	l.Take()
 	l.Apply(1.45, scheduler.Release{ID: "a"})
 	l.Apply(1.45, scheduler.Send{ID: "a", Engine: "w0"})
@@ -189,7 +189,7 @@
 	l := newBook()
 	l.Request(1, request("a", 0), 0)
 	read := decode(t, l, 1, "a", "r0")
-	l.Ended(2, "a", read, outcome.Facts{Progress: outcome.Headed, Cause: outcome.Answered, Meaning: outcome.Read}, nil)
+	l.Ended(2, "a", read, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.PrefillDone}, nil)
 	stateAt := func(now float64) (int, float64) {
 		t.Helper()
 		l.Take()
@@ -204,12 +204,12 @@
 	if at != 2 {
 		t.Errorf("after the read: got %g, want 2", at)
 	}
-	l.Ended(2.2, "a", n, outcome.Facts{Progress: outcome.Dialling, Cause: outcome.Broken}, nil)
+	l.Ended(2.2, "a", n, outcome.Evidence{Progress: outcome.Connecting, Cause: outcome.ConnectionBroken}, nil)
 	n, at = stateAt(2.3)
 	if at != 2 {
 		t.Errorf("after a connection that failed: got %g, want 2", at)
 	}
-	l.Ended(2.4, "a", n, outcome.Facts{Progress: outcome.Headed, Cause: outcome.Answered, Meaning: outcome.Turned}, nil)
+	l.Ended(2.4, "a", n, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.EngineRejected}, nil)
 	n, at = stateAt(2.5)
 	if at != 2.4 {
 		t.Errorf("after one that was turned away: got %g, want 2.4", at)
@@ -236,13 +236,13 @@
 		{"it may be repeated, so that the module calls it off", func(*Ledger, int) {}, 0, false, 0},
 		{"its answer has begun", func(l *Ledger, n int) { l.First(1.5, "a", n) }, 1, false, 0},
 		{"it has ended", func(l *Ledger, n int) {
-			l.Ended(1.5, "a", n, outcome.Facts{Progress: outcome.Written, Cause: outcome.Broken}, nil)
+			l.Ended(1.5, "a", n, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.ConnectionBroken}, nil)
 		}, 1, false, 0},
 	} {
 		l := allBook()
 		l.Request(1, request("a", c.class), 0)
 		l.Apply(1, scheduler.Send{ID: "a", Engine: "r0"})
-		l.Ended(1.1, "a", 0, outcome.Facts{Progress: outcome.Headed, Cause: outcome.Answered, Meaning: outcome.Read}, nil)
+		l.Ended(1.1, "a", 0, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.PrefillDone}, nil)
 		l.Take()
 		n := decode(t, l, 1.2, "a", "w0")
 		c.before(l, n)
@@ -272,10 +272,10 @@
 	l := allBook()
 	l.Request(1, request("a", 0), 0)
 	l.Apply(1, scheduler.Send{ID: "a", Engine: "r0"})
-	l.Ended(1.1, "a", 0, outcome.Facts{Progress: outcome.Headed, Cause: outcome.Answered, Meaning: outcome.Read}, nil)
+	l.Ended(1.1, "a", 0, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.PrefillDone}, nil)
 	l.Take()
 	n := decode(t, l, 1.2, "a", "w0")
-	l.Ended(1.6, "a", n, outcome.Facts{Progress: outcome.Written, Cause: outcome.Stopped}, nil)
+	l.Ended(1.6, "a", n, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.CanceledByScheduler}, nil)
 	l.Take()
 	l.Apply(1.7, scheduler.Send{ID: "a", Engine: "w0"})
 	starts := find[Start](l)
--- a/internal/decide/requesttable/responses.go
+++ b/internal/decide/requesttable/responses.go
@@ -8,25 +8,25 @@
 
 // answer concludes a request by the node's own word. A refusal after an effect is possible would be a lie: it
 // becomes a failure.
-func (l *Ledger) answer(now float64, id string, a outcome.Answer, after float64, reason string) {
+func (l *Ledger) answer(now float64, id string, a outcome.Response, after float64, reason string) {
 	e := l.open[id]
 	if e == nil || e.concluded || e.answering {
 		return
 	}
-	if why := e.mayRefuse(now); a.Retry && why != permit.Allowed {
-		if _, _, ran := e.mayRun(); ran && why == permit.Unproven {
+	if why := e.mayRefuse(now); a.RetryIsSafe && why != permit.Allowed {
+		if _, _, ran := e.mayRun(); ran && why == permit.EffectPossible {
 			l.fault("refusal of %s, which may have run", id)
 		}
-		a, after = outcome.Failed(), 0
+		a, after = outcome.FailedResponse(), 0
 	}
 	l.say(e, Answer{id, a, after, reason})
-	l.conclude(id, e, outcome.Overtaken)
+	l.conclude(id, e, outcome.RequestEnded)
 }
 
 // mayRefuse says why a client may not be told that a retry is harmless.
 func (e *entry) mayRefuse(now float64) permit.Reason {
-	return permit.Refuse{Effect: e.class.Effect, Group: e.class.DedupScope, Proven: e.provenNotRun(), Unheard: e.unheard,
-		TimeLeft: e.deadline - now}.Reason()
+	return permit.Reject{Effect: e.class.Effect, DedupScope: e.class.DedupScope, ProvenNotRun: e.provenNotRun(), OutcomeUnknown: e.unheard,
+		ClientTimeLeft: e.deadline - now}.Reason()
 }
 
 // say gives an answer now, or when the attempt that writes to the client has stopped.
@@ -69,11 +69,11 @@
 	}
 	if half {
 		retry := e.mayRefuse(now) == permit.Allowed
-		l.say(e, Answer{id, outcome.Answer{HTTP: 400, Code: "client_closed", Retry: retry}, 0,
+		l.say(e, Answer{id, outcome.Response{HTTPStatus: 400, Code: "client_closed", RetryIsSafe: retry}, 0,
 			"the client closed its side before the answer; keep it open until then"})
 	}
 	l.emit(scheduler.ClientDisconnected{ID: id})
-	l.conclude(id, e, outcome.ClientLeft)
+	l.conclude(id, e, outcome.ClientDisconnected)
 }
 
 // Overdue is told when the time of Deadline has come. The module answers before it; this is the net under it.
@@ -84,22 +84,22 @@
 		return
 	case e.answering:
 		if e.wholeBy > 0 && now >= e.wholeBy {
-			l.giveUp(now, id, e, outcome.TooSlow(e.class.Effect, e.class.DedupScope), "the answer was not whole in time")
+			l.giveUp(now, id, e, outcome.DeadlineResponse(e.class.Effect, e.class.DedupScope), "the answer was not whole in time")
 		}
 		return
 	}
 	l.fault("request %s was not answered in time by the module", id)
-	l.giveUp(now, id, e, outcome.Answer{HTTP: 503, Code: "no_capacity", Retry: true}, "no answer in time")
+	l.giveUp(now, id, e, outcome.Response{HTTPStatus: 503, Code: "no_capacity", RetryIsSafe: true}, "no answer in time")
 }
 
 // giveUp answers in the module's place and tells it so.
-func (l *Ledger) giveUp(now float64, id string, e *entry, a outcome.Answer, reason string) {
-	if a.Retry && e.mayRefuse(now) != permit.Allowed {
-		a = outcome.Failed()
+func (l *Ledger) giveUp(now float64, id string, e *entry, a outcome.Response, reason string) {
+	if a.RetryIsSafe && e.mayRefuse(now) != permit.Allowed {
+		a = outcome.FailedResponse()
 	}
 	l.say(e, Answer{id, a, 0, reason})
 	l.emit(scheduler.ClientDisconnected{ID: id})
-	l.conclude(id, e, outcome.Overtaken)
+	l.conclude(id, e, outcome.RequestEnded)
 }
 
 // EndAll answers every request that is still open, as refused where that is true and else as failed. Streams
@@ -122,7 +122,7 @@
 // Move ends a stream whose client comes again for the rest. It does nothing to what does not stream.
 func (l *Ledger) Move(now float64, id string) {
 	if e := l.open[id]; e != nil && e.answering && !e.concluded {
-		l.giveUp(now, id, e, outcome.Answer{HTTP: 503, Code: "node_stopping", Retry: true}, "the node is stopping")
+		l.giveUp(now, id, e, outcome.Response{HTTPStatus: 503, Code: "node_stopping", RetryIsSafe: true}, "the node is stopping")
 	}
 }
 
@@ -135,7 +135,7 @@
 		if e.concluded || e.answering && !streams {
 			continue
 		}
-		a := outcome.Answer{HTTP: 503, Code: "node_stopping", Retry: true}
+		a := outcome.Response{HTTPStatus: 503, Code: "node_stopping", RetryIsSafe: true}
 		l.giveUp(now, id, e, a, "the node is stopping")
 	}
 }
--- a/internal/decide/requesttable/responses_test.go
+++ b/internal/decide/requesttable/responses_test.go
@@ -11,24 +11,24 @@
 // none, for an engine that did not answer as one that reads may be another. Where every engine discards repeats a refusal is true
 // all the same, but of no use when the client's time is up.
 func TestRefusalsNeedProofOfEveryAttempt(t *testing.T) {
-	unheard := outcome.Facts{Progress: outcome.Written, Cause: outcome.Expired}
-	failed := outcome.Facts{Progress: outcome.Headed, Cause: outcome.Answered, Meaning: outcome.Error}
+	unheard := outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.AttemptTimedOut}
+	failed := outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.EngineError}
 	for _, c := range []struct {
 		name  string
 		class int
-		facts outcome.Facts
+		facts outcome.Evidence
 		at    float64 // of 6
 		retry bool
 	}{
 		{"once, not heard of, time left", 1, unheard, 3, false}, {"once, not heard of, none left", 1, unheard, 5.98, false},
 		{"once, an error, time left", 1, failed, 3, false},
-		{"once, spoilt, time left", 1, outcome.Facts{Progress: outcome.Written, Cause: outcome.Unreadable}, 3, false},
+		{"once, spoilt, time left", 1, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.MalformedResponse}, 3, false},
 		{"keyed in a cell, not heard of, time left", 2, unheard, 3, false},
 		{"keyed everywhere, not heard of, time left", 3, unheard, 3, true},
 		{"keyed everywhere, not heard of, none left", 3, unheard, 5.98, false}, {"repeatable, none left", 0, unheard, 5.98, true},
-		{"once, never written", 1, outcome.Facts{Progress: outcome.Connected, Cause: outcome.Broken}, 5.98, true},
-		{"once, turned away", 1, outcome.Facts{Progress: outcome.Headed, Cause: outcome.Answered, Meaning: outcome.Turned}, 5.98, true},
-		{"once, read", 1, outcome.Facts{Progress: outcome.Headed, Cause: outcome.Answered, Meaning: outcome.Read}, 3, true},
+		{"once, never written", 1, outcome.Evidence{Progress: outcome.Connected, Cause: outcome.ConnectionBroken}, 5.98, true},
+		{"once, turned away", 1, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.EngineRejected}, 5.98, true},
+		{"once, read", 1, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.PrefillDone}, 3, true},
 	} {
 		for _, how := range []string{"by the module", "by the book"} {
 			l := newBook()
@@ -41,7 +41,7 @@
 				l.EndAll(c.at)
 			}
 			xs := find[Answer](l)
-			if len(xs) != 1 || xs[0].Answer.Retry != c.retry {
+			if len(xs) != 1 || xs[0].Answer.RetryIsSafe != c.retry {
 				t.Errorf("%s, %s: %+v", c.name, how, xs)
 			}
 		}
@@ -55,7 +55,7 @@
 		l.Request(1, request("a", class), 0)
 		decode(t, l, 1, "a", "r0")
 		l.EndAll(3)
-		if xs := find[Answer](l); len(xs) != 1 || xs[0].Answer.Retry != retry {
+		if xs := find[Answer](l); len(xs) != 1 || xs[0].Answer.RetryIsSafe != retry {
 			t.Errorf("class %d: got %+v, want a refusal %v", class, xs, retry)
 		}
 	}
--- a/internal/decide/requesttable/table.go
+++ b/internal/decide/requesttable/table.go
@@ -126,13 +126,13 @@
 //
 // whole is how long the client waits for the whole of an answer that is not streamed (s); 0 = it is streamed, and
 // nothing bounds it once it has begun.
-func (l *Ledger) Request(now float64, q scheduler.Request, whole float64) (outcome.Answer, bool) {
-	switch why := (permit.Take{Stopping: l.closing, Open: l.live, MaxOpen: l.cfg.MaxOpen, IDInUse: l.open[q.ID] != nil}).Reason(); {
+func (l *Ledger) Request(now float64, q scheduler.Request, whole float64) (outcome.Response, bool) {
+	switch why := (permit.Accept{Stopping: l.closing, Open: l.live, MaxOpen: l.cfg.MaxOpen, IDInUse: l.open[q.ID] != nil}).Reason(); {
 	case why != permit.Allowed:
 		return notTaken[why], false
 	case q.Class < 0 || q.Class >= len(l.cfg.Classes):
 		l.fault("request %s: its class %d is not known", q.ID, q.Class)
-		return outcome.Answer{HTTP: 500, Code: "internal", Retry: true}, false
+		return outcome.Response{HTTPStatus: 500, Code: "internal", RetryIsSafe: true}, false
 	}
 	e := &entry{class: &l.cfg.Classes[q.Class], deadline: now + q.ClientTimeLeft}
 	if whole > 0 {
@@ -141,14 +141,14 @@
 	l.open[q.ID] = e
 	l.live++
 	l.emit(q)
-	return outcome.Answer{}, true
+	return outcome.Response{}, true
 }
 
 // notTaken are the answers to requests that may not be taken.
-var notTaken = map[permit.Reason]outcome.Answer{
-	permit.Stopping: {HTTP: 503, Code: "node_draining", Retry: true},
-	permit.Full:     {HTTP: 429, Code: "node_full", Retry: true},
-	permit.IDInUse:  {HTTP: 409, Code: "id_in_use"},
+var notTaken = map[permit.Reason]outcome.Response{
+	permit.NodeStopping: {HTTPStatus: 503, Code: "node_draining", RetryIsSafe: true},
+	permit.NodeFull:     {HTTPStatus: 429, Code: "node_full", RetryIsSafe: true},
+	permit.IDInUse:      {HTTPStatus: 409, Code: "id_in_use"},
 }
 
 // wholeMargin is how long before its client gives up a whole answer that is not ready is given up (s): the attempt
@@ -166,9 +166,9 @@
 	case scheduler.Release:
 		l.release(a.ID)
 	case scheduler.Reject:
-		l.answer(now, a.ID, outcome.Refused(), a.RetryAfter, because("no engine could serve this in time", a.Reason))
+		l.answer(now, a.ID, outcome.RejectedResponse(), a.RetryAfter, because("no engine could serve this in time", a.Reason))
 	case scheduler.Fail:
-		l.answer(now, a.ID, outcome.Failed(), 0, because("an engine may have run this; it was not tried again", a.Reason))
+		l.answer(now, a.ID, outcome.FailedResponse(), 0, because("an engine may have run this; it was not tried again", a.Reason))
 	case scheduler.Reserve: // offered only where the protocol has it
 		l.fault("request %s: a place cannot be reserved by this protocol", a.ID)
 	default:
--- a/internal/decide/requesttable/table_test.go
+++ b/internal/decide/requesttable/table_test.go
@@ -64,7 +64,7 @@
 		l := newBook()
 		l.Request(1, request("a", c.class), 0)
 		n := decode(t, l, 1, "a", "w0")
-		l.Ended(1.1, "a", n, outcome.Facts{Progress: outcome.Written, Cause: outcome.Broken}, nil)
+		l.Ended(1.1, "a", n, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.ConnectionBroken}, nil)
 		l.Take()
 		l.Apply(c.now, scheduler.Send{ID: "a", Engine: c.engine})
 		starts := find[Start](l)
@@ -87,7 +87,7 @@
 	l := newBook()
 	l.Request(1, request("a", 1), 0)
 	n := decode(t, l, 1, "a", "w0")
-	l.Ended(1.1, "a", n, outcome.Facts{Progress: outcome.Written, Cause: outcome.Broken}, nil)
+	l.Ended(1.1, "a", n, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.ConnectionBroken}, nil)
 	l.Apply(1.2, scheduler.Send{ID: "a", Engine: "w1"})
 	cmds := l.TakeCommands()
 	if len(cmds) != 1 {
@@ -98,7 +98,7 @@
 	}
 	l.Apply(1.3, scheduler.Reject{ID: "a"}) // a lie: it may have run
 	for _, c := range l.TakeCommands() {
-		if a, ok := c.(Answer); ok && a.Answer.Retry {
+		if a, ok := c.(Answer); ok && a.Answer.RetryIsSafe {
 			t.Fatalf("the client is told that a retry is harmless: %+v", a)
 		}
 	}
@@ -114,7 +114,7 @@
 		l := newBook()
 		l.Request(1, request("a", c.class), 0)
 		n := decode(t, l, 1, "a", "w0")
-		l.Ended(1.2, "a", n, outcome.Facts{Progress: outcome.Written, Cause: outcome.Expired}, nil)
+		l.Ended(1.2, "a", n, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.AttemptTimedOut}, nil)
 		l.TakeCommands()
 		l.Apply(c.at, scheduler.Send{ID: "a", Engine: c.engine})
 		if got := len(find[Start](l)) == 1; got != c.may {
@@ -170,8 +170,8 @@
 			t.Fatal("two would write to the client at once")
 		}
 	}
-	l.Ended(2.1, "a", n, outcome.Facts{Cause: outcome.Overtaken}, nil)
-	if as := find[Answer](l); len(as) != 1 || as[0].Answer.Retry {
+	l.Ended(2.1, "a", n, outcome.Evidence{Cause: outcome.RequestEnded}, nil)
+	if as := find[Answer](l); len(as) != 1 || as[0].Answer.RetryIsSafe {
 		t.Fatalf("%+v", as)
 	}
 }
@@ -190,8 +190,8 @@
 	if as := find[Abort](l); len(as) != 1 {
 		t.Fatalf("%v", as)
 	}
-	l.Ended(at+0.01, "a", n, outcome.Facts{Cause: outcome.Overtaken}, nil)
-	if as := find[Answer](l); len(as) != 1 || as[0].Answer.Retry || as[0].Answer.Code != "answer_too_slow" {
+	l.Ended(at+0.01, "a", n, outcome.Evidence{Cause: outcome.RequestEnded}, nil)
+	if as := find[Answer](l); len(as) != 1 || as[0].Answer.RetryIsSafe || as[0].Answer.Code != "answer_too_slow" {
 		t.Fatalf("%+v", as)
 	}
 }
@@ -201,7 +201,7 @@
 	l.Request(1, request("a", 0), 0)
 	n := decode(t, l, 1, "a", "r0")
 	l.Hangup(1.1, "a", false)
-	l.Ended(1.2, "a", n, outcome.Facts{Cause: outcome.Answered, Progress: outcome.Headed, Meaning: outcome.Read}, nil)
+	l.Ended(1.2, "a", n, outcome.Evidence{Cause: outcome.ResponseComplete, Progress: outcome.HeaderReceived, ResponseKind: outcome.PrefillDone}, nil)
 	if rs := find[Release](l); len(rs) != 1 || rs[0].Engine != "r0" {
 		t.Fatalf("%v", rs)
 	}
@@ -261,7 +261,7 @@
 		case Answer:
 			w.answers[c.ID]++
 			k := classes()[w.class[c.ID]]
-			if c.Answer.Retry && k.Effect == scheduler.AtMostOnce && w.effect[c.ID] > 0 {
+			if c.Answer.RetryIsSafe && k.Effect == scheduler.AtMostOnce && w.effect[c.ID] > 0 {
 				w.t.Fatalf("%s may have run and is refused: %+v", c.ID, c)
 			}
 		case Pass:
@@ -290,31 +290,31 @@
 
 // end ends a running attempt in some way that its progress allows.
 func (w *world) end(id string, s Start) {
-	f := outcome.Facts{Cause: outcome.Cause(rapid.IntRange(0, int(outcome.ClientLeft)).Draw(w.t, "cause")),
-		Progress: outcome.Progress(rapid.IntRange(int(outcome.Dialling), int(outcome.Headed)).Draw(w.t, "progress"))}
-	if f.Cause == outcome.Answered {
-		f.Progress = outcome.Headed
-		f.Meaning = outcome.Meaning(rapid.IntRange(int(outcome.Error), int(outcome.Judged)).Draw(w.t, "meaning"))
-		if (w.granted[id] == 0 || w.grantee[id] != s.N) && f.Meaning == outcome.Done && s.Stage == outcome.Decode {
-			f.Meaning = outcome.Turned // a stream is never whole before its first token
+	f := outcome.Evidence{Cause: outcome.Cause(rapid.IntRange(0, int(outcome.ClientDisconnected)).Draw(w.t, "cause")),
+		Progress: outcome.Progress(rapid.IntRange(int(outcome.Connecting), int(outcome.HeaderReceived)).Draw(w.t, "progress"))}
+	if f.Cause == outcome.ResponseComplete {
+		f.Progress = outcome.HeaderReceived
+		f.ResponseKind = outcome.ResponseKind(rapid.IntRange(int(outcome.EngineError), int(outcome.InvalidRequest)).Draw(w.t, "meaning"))
+		if (w.granted[id] == 0 || w.grantee[id] != s.N) && f.ResponseKind == outcome.DecodeDone && s.Stage == outcome.Decode {
+			f.ResponseKind = outcome.EngineRejected // a stream is never whole before its first token
 		}
 	}
 	f.Stage = s.Stage
-	v := outcome.Judge(f)
-	if s.Stage == outcome.Decode && !v.Ran && v.Status != scheduler.Completed {
+	v := outcome.Classify(f)
+	if s.Stage == outcome.Decode && !v.MayHaveRun && v.Status != scheduler.Completed {
 		w.effect[id]--
 	}
-	if s.Stage == outcome.Prefill && (v.Status == scheduler.Prefilled || v.Holds) {
+	if s.Stage == outcome.Prefill && (v.Status == scheduler.Prefilled || v.MayHoldState) {
 		w.states[id][s.N] = true
 	}
-	if s.Stage == outcome.Decode && s.State && (v.Info == 1 || v.Status == scheduler.Completed && !v.Final) {
+	if s.Stage == outcome.Decode && s.State && (v.Info == 1 || v.Status == scheduler.Completed && !v.PassThrough) {
 		delete(w.states[id], s.StateN)
 	}
 	delete(w.out[id], s.N)
-	if s.Stage == outcome.Decode && v.Status == scheduler.Completed && !v.Final {
+	if s.Stage == outcome.Decode && v.Status == scheduler.Completed && !v.PassThrough {
 		w.answers[id]++ // it was passed on as it came
 	}
-	if f.Cause == outcome.ClientLeft {
+	if f.Cause == outcome.ClientDisconnected {
 		w.gone[id] = true
 		w.l.Hangup(w.now, id, false)
 	}
@@ -394,7 +394,7 @@
 			for n := range 200 {
 				if s, ok := w.out[id][n]; ok {
 					delete(w.out[id], n)
-					w.l.Ended(w.now, id, s.N, outcome.Facts{Progress: outcome.Connected, Cause: outcome.Overtaken}, nil)
+					w.l.Ended(w.now, id, s.N, outcome.Evidence{Progress: outcome.Connected, Cause: outcome.RequestEnded}, nil)
 					w.drain()
 				}
 			}
@@ -427,7 +427,7 @@
 				break
 			}
 			n++
-			l.Ended(1, "a", starts[0].N, outcome.Facts{Progress: outcome.Dialling, Cause: outcome.Broken}, nil)
+			l.Ended(1, "a", starts[0].N, outcome.Evidence{Progress: outcome.Connecting, Cause: outcome.ConnectionBroken}, nil)
 			if err := l.Audit(); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/decide/shutdown/shutdown.go
+++ b/internal/decide/shutdown/shutdown.go
@@ -11,12 +11,12 @@
 
 // Stream is an answer that runs.
 type Stream struct {
-	ID    string
-	Since float64 // when it began
+	ID        string
+	StartedAt float64 // when it began
 }
 
-// Move is a stream and when it is ended.
-type Move struct {
+// Cutoff is a stream and when it is ended.
+type Cutoff struct {
 	ID string
 	At float64
 }
@@ -30,21 +30,21 @@
 	few              = 3 // nodes
 )
 
-// Plan says when each stream is ended that has not ended by itself, by one of so many nodes. The youngest go first, for they
+// CutoffSchedule says when each stream is ended that has not ended by itself, by one of so many nodes. The youngest go first, for they
 // have most before them.
-func Plan(now, by float64, nodes int, streams []Stream) []Move {
+func CutoffSchedule(now, by float64, nodes int, streams []Stream) []Cutoff {
 	left, begin, end := max(0, by-now), from, to
 	if nodes > few {
 		begin, end = fromMany, toMany
 	}
 	xs := slices.Clone(streams)
 	slices.SortFunc(xs, func(a, b Stream) int {
-		return cmp.Or(cmp.Compare(b.Since, a.Since), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(b.StartedAt, a.StartedAt), cmp.Compare(a.ID, b.ID))
 	})
-	moves := make([]Move, 0, len(xs))
+	moves := make([]Cutoff, 0, len(xs))
 	for i, s := range xs {
 		at := begin + (end-begin)*(float64(i)+0.5)/float64(len(xs))
-		moves = append(moves, Move{s.ID, now + left*at})
+		moves = append(moves, Cutoff{s.ID, now + left*at})
 	}
 	return moves
 }
--- a/internal/decide/shutdown/shutdown_test.go
+++ b/internal/decide/shutdown/shutdown_test.go
@@ -17,9 +17,9 @@
 		var streams []Stream
 		for i := range n {
 			s := Stream{fmt.Sprint("s", i), now - float64(rapid.IntRange(0, 100).Draw(t, "age"))}
-			since[s.ID], streams = s.Since, append(streams, s)
+			since[s.ID], streams = s.StartedAt, append(streams, s)
 		}
-		moves := Plan(now, now+left, rapid.IntRange(1, 300).Draw(t, "nodes"), streams)
+		moves := CutoffSchedule(now, now+left, rapid.IntRange(1, 300).Draw(t, "nodes"), streams)
 		if len(moves) != n {
 			t.Fatalf("%d moves of %d streams", len(moves), n)
 		}
@@ -43,7 +43,7 @@
 
 // A node whose time is up ends all at once.
 func TestNoTimeLeft(t *testing.T) {
-	for _, m := range Plan(10, 9, 2, []Stream{{"a", 1}, {"b", 2}}) {
+	for _, m := range CutoffSchedule(10, 9, 2, []Stream{{"a", 1}, {"b", 2}}) {
 		if m.At != 10 {
 			t.Fatalf("%+v", m)
 		}
@@ -53,10 +53,10 @@
 // Where there are many nodes, what can end by itself within most of the time does; of a few, some streams move early.
 func TestManyNodesLetStreamsEnd(t *testing.T) {
 	streams := []Stream{{"a", 1}, {"b", 2}, {"c", 3}}
-	if at := Plan(10, 13, 300, streams)[0].At; at < 12.4 {
+	if at := CutoffSchedule(10, 13, 300, streams)[0].At; at < 12.4 {
 		t.Errorf("of 300 nodes one ends a stream after %.2f of 3 s", at-10)
 	}
-	if at := Plan(10, 13, 2, streams)[0].At; at > 12 {
+	if at := CutoffSchedule(10, 13, 2, streams)[0].At; at > 12 {
 		t.Errorf("of 2 nodes one ends its first stream only after %.2f of 3 s", at-10)
 	}
 }
--- a/internal/decide/staterelease/staterelease.go
+++ b/internal/decide/staterelease/staterelease.go
@@ -8,22 +8,22 @@
 	"slices"
 )
 
-// Plan is the release of one state. Times are in seconds.
-type Plan struct {
-	By    float64 // the latest time at which it may still be held
-	Tries int     // calls made so far
-	Any   bool    // any engine releases what any holds: another one is asked next, so there is little to wait for
-	Late  bool    // it is known that the state was not released in time
-	last  float64 // when the latest call was to be made
+// RetrySchedule is the release of one state. Times are in seconds.
+type RetrySchedule struct {
+	Deadline     float64 // the latest time at which it may still be held
+	Attempts     int     // calls made so far
+	AnyEngine    bool    // any engine releases what any holds: another one is asked next, so there is little to wait for
+	PastDeadline bool    // it is known that the state was not released in time
+	last         float64 // when the latest call was to be made
 }
 
-// Outcome is what a call came to.
-type Outcome int
+// CallResult is what a call came to.
+type CallResult int
 
 // Outcomes of a call.
 const (
-	Answered Outcome = iota // the engine answered, with whatever status: it has released the state, or lacks the call
-	Lost                    // no connection, or none that lasted: it may not have heard
+	Acknowledged   CallResult = iota // the engine answered, with whatever status: it has released the state, or lacks the call
+	Unacknowledged                   // no connection, or none that lasted: it may not have heard
 )
 
 const (
@@ -41,48 +41,50 @@
 // in time may come at the time By. Where any engine will do, calls go on after it, for the state is still held: seldom, and ever more
 // so. Calls that fail at once do not use up the time: the pauses between them grow, and
 // the last one comes when the time is nearly over, for what made them fail may last but a moment.
-func (p *Plan) Next(now float64, o Outcome) (at float64, again bool) {
-	p.Tries++
+func (p *RetrySchedule) Next(now float64, o CallResult) (at float64, again bool) {
+	p.Attempts++
 	switch {
-	case o == Answered || !p.Any && p.Tries >= mostTries:
+	case o == Acknowledged || !p.AnyEngine && p.Attempts >= mostTries:
 		return 0, false
-	case now >= p.By:
+	case now >= p.Deadline:
 		p.last = now + p.pauseWhenLate(now)
-		return p.last, p.Any && p.last <= p.By+lateFor
+		return p.last, p.AnyEngine && p.last <= p.Deadline+lateFor
 	}
-	if p.Any {
+	if p.AnyEngine {
 		at = max(now, p.last+p.pauseForAny(now))
 	} else {
 		at = now + p.pauseForOne(now)
 	}
-	p.last = min(at, p.By)
+	p.last = min(at, p.Deadline)
 	return p.last, true
 }
 
 // pauseForAny is the least time from one call to the next where another engine is asked: the second one is asked at once.
-func (p *Plan) pauseForAny(now float64) float64 {
-	if p.Tries == 1 {
+func (p *RetrySchedule) pauseForAny(now float64) float64 {
+	if p.Attempts == 1 {
 		return 0
 	}
-	pause := firstWait * math.Pow(growth, float64(p.Tries-2))
-	return max(firstWait, min(pause, (p.By-now)/leftPart))
+	pause := firstWait * math.Pow(growth, float64(p.Attempts-2))
+	return max(firstWait, min(pause, (p.Deadline-now)/leftPart))
 }
 
 // pauseWhenLate is the time from the end of a call to the next once the time is over: the longer that is, the longer the pause.
-func (p *Plan) pauseWhenLate(now float64) float64 { return max(latePause, (now-p.By)/leftPart) }
+func (p *RetrySchedule) pauseWhenLate(now float64) float64 {
+	return max(latePause, (now-p.Deadline)/leftPart)
+}
 
 // pauseForOne is the time from the end of a call to the next where the same engine is asked.
-func (p *Plan) pauseForOne(now float64) float64 {
-	pause := firstWait * math.Pow(growth, float64(p.Tries-1))
-	if left := mostTries - p.Tries; left <= lastTries {
-		pause = max(pause, (p.By-now)/float64(left))
+func (p *RetrySchedule) pauseForOne(now float64) float64 {
+	pause := firstWait * math.Pow(growth, float64(p.Attempts-1))
+	if left := mostTries - p.Attempts; left <= lastTries {
+		pause = max(pause, (p.Deadline-now)/float64(left))
 	}
 	return pause
 }
 
-// Ready says when the first call may be made: at once, but where an attempt was broken off just before (cutAt; 0 = none was) a
+// EarliestRelease says when the first call may be made: at once, but where an attempt was broken off just before (cutAt; 0 = none was) a
 // little after that, for its engine may take it up only then.
-func Ready(now, cutAt float64) float64 {
+func EarliestRelease(now, cutAt float64) float64 {
 	if cutAt > 0 {
 		return max(now, cutAt+settle)
 	}
@@ -97,31 +99,31 @@
 
 const heldPart = 0.9
 
-// BesideAt is when a state that has been held since a time is released beside an attempt begun at now which is to take it, if nothing has
+// SilentReleaseAt is when a state that has been held since a time is released beside an attempt begun at now which is to take it, if nothing has
 // come of that: when the release is due, but not before the attempt has had some time to be answered.
-func BesideAt(now, since, letGoBy float64) float64 {
+func SilentReleaseAt(now, since, letGoBy float64) float64 {
 	return max(ReleaseAt(since, letGoBy), now+quietPart*letGoBy)
 }
 
 const quietPart = 0.3 // a first token takes less, in most cases
 
-// Heard tells whether an engine that was last heard of at a time counts as heard of since an attempt there began: what it said in the
+// EngineResponded tells whether an engine that was last heard of at a time counts as heard of since an attempt there began: what it said in the
 // moment in which that began it may have said before the attempt came.
-func Heard(heardAt, begun float64) bool { return heardAt > begun+crossing }
+func EngineResponded(heardAt, begun float64) bool { return heardAt > begun+crossing }
 
 const crossing = 0.05 // s, a few times what an answer is under way
 
-// Ahead is how long an attempt waits for a call that releases and was begun just before it (s): if the call came after what the
+// Lead is how long an attempt waits for a call that releases and was begun just before it (s): if the call came after what the
 // attempt brings, it would take that too. It is a few times what a call takes on a connection that is there, and no more, for the
 // attempt's own time runs on.
-const Ahead = 0.015
+const Lead = 0.015
 
-// Within is how long one call may take (s). Where any engine will do the first calls are short, so that one that is silent
+// CallTimeout is how long one call may take (s). Where any engine will do the first calls are short, so that one that is silent
 // costs little of the time; else a call gets a part of the time that is left.
-func (p *Plan) Within(now float64) float64 {
-	part := (p.By - now) / callPart
-	if p.Any {
-		part = min(part, leastCall*(1+float64(p.Tries)/2))
+func (p *RetrySchedule) CallTimeout(now float64) float64 {
+	part := (p.Deadline - now) / callPart
+	if p.AnyEngine {
+		part = min(part, leastCall*(1+float64(p.Attempts)/2))
 	}
 	return max(leastCall, part)
 }
@@ -133,18 +135,18 @@
 
 // Engine is one that may be asked to release, where any engine can.
 type Engine struct {
-	ID        string
-	Listed    bool
-	Holder    bool    // it may hold the state
-	Good, Bad float64 // when it last answered a call, and when one last failed; 0 = never
+	ID                       string
+	Listed                   bool
+	Holder                   bool    // it may hold the state
+	LastSuccess, LastFailure float64 // when it last answered a call, and when one last failed; 0 = never
 }
 
-// Order puts those to be asked in the order in which they are: engines that answered last come before those that failed
+// RankEngines puts those to be asked in the order in which they are: engines that answered last come before those that failed
 // last, the holder first among its likes, then who answered latest.
-func Order(engines []Engine) []Engine {
+func RankEngines(engines []Engine) []Engine {
 	rank := func(e Engine) int {
 		n := 0
-		if e.Bad > e.Good {
+		if e.LastFailure > e.LastSuccess {
 			n += 4
 		}
 		if !e.Listed {
@@ -161,9 +163,9 @@
 			return d
 		}
 		switch {
-		case a.Good > b.Good:
+		case a.LastSuccess > b.LastSuccess:
 			return -1
-		case a.Good < b.Good:
+		case a.LastSuccess < b.LastSuccess:
 			return 1
 		}
 		return 0
--- a/internal/decide/staterelease/staterelease_test.go
+++ b/internal/decide/staterelease/staterelease_test.go
@@ -11,23 +11,23 @@
 func TestCallsAreBoundedAndInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Float64Range(0, 1e9).Draw(t, "now")
-		p := Plan{By: now + rapid.Float64Range(0.001, 10).Draw(t, "left")}
+		p := RetrySchedule{Deadline: now + rapid.Float64Range(0.001, 10).Draw(t, "left")}
 		calls := 1
 		for {
 			now += rapid.Float64Range(0, 0.5).Draw(t, "took")
-			o := Lost
+			o := Unacknowledged
 			if rapid.IntRange(0, 9).Draw(t, "answered") == 0 {
-				o = Answered
+				o = Acknowledged
 			}
 			at, again := p.Next(now, o)
 			if !again {
-				if o == Lost && calls == 1 && now < p.By {
-					t.Fatalf("given up after one lost call with %.3f s left", p.By-now)
+				if o == Unacknowledged && calls == 1 && now < p.Deadline {
+					t.Fatalf("given up after one lost call with %.3f s left", p.Deadline-now)
 				}
 				break
 			}
-			if o == Answered || at < now || at > p.By {
-				t.Fatalf("outcome %d at %.3f: again at %.3f, by %.3f", o, now, at, p.By)
+			if o == Acknowledged || at < now || at > p.Deadline {
+				t.Fatalf("outcome %d at %.3f: again at %.3f, by %.3f", o, now, at, p.Deadline)
 			}
 			now = at
 			if calls++; calls > mostTries {
@@ -40,46 +40,46 @@
 // Who answered last comes before who failed last; the holder comes first among its likes; nobody is left out.
 func TestOrderOfThoseAsked(t *testing.T) {
 	got := ""
-	for _, e := range Order([]Engine{
-		{ID: "dead holder", Holder: true, Good: 1, Bad: 5},
-		{ID: "gone", Good: 9},
-		{ID: "old", Listed: true, Good: 2},
-		{ID: "new", Listed: true, Good: 8, Bad: 3},
-		{ID: "silent", Listed: true, Bad: 4},
+	for _, e := range RankEngines([]Engine{
+		{ID: "dead holder", Holder: true, LastSuccess: 1, LastFailure: 5},
+		{ID: "gone", LastSuccess: 9},
+		{ID: "old", Listed: true, LastSuccess: 2},
+		{ID: "new", Listed: true, LastSuccess: 8, LastFailure: 3},
+		{ID: "silent", Listed: true, LastFailure: 4},
 	}) {
 		got += e.ID + ", "
 	}
 	if want := "new, old, gone, silent, dead holder, "; got != want {
 		t.Errorf("%s; want %s", got, want)
 	}
-	if first := Order([]Engine{{ID: "a", Listed: true, Good: 9}, {ID: "h", Listed: true, Holder: true}})[0].ID; first != "h" {
+	if first := RankEngines([]Engine{{ID: "a", Listed: true, LastSuccess: 9}, {ID: "h", Listed: true, Holder: true}})[0].ID; first != "h" {
 		t.Errorf("the holder comes first, not %s", first)
 	}
 }
 
 func TestCallsLeaveTimeForOthers(t *testing.T) {
-	p := Plan{By: 11}
-	if w := p.Within(10); w > 0.3 {
+	p := RetrySchedule{Deadline: 11}
+	if w := p.CallTimeout(10); w > 0.3 {
 		t.Errorf("one call may take %g of a second", w)
 	}
-	if w := p.Within(12); w <= 0 {
+	if w := p.CallTimeout(12); w <= 0 {
 		t.Errorf("a call has %g s", w)
 	}
-	if Ready(5, 0) != 5 || Ready(5, 5) <= 5 {
+	if EarliestRelease(5, 0) != 5 || EarliestRelease(5, 5) <= 5 {
 		t.Error("only what was cut waits")
 	}
-	if at := Ready(5, 4.5); at != 5 {
+	if at := EarliestRelease(5, 4.5); at != 5 {
 		t.Errorf("what was cut long ago is released at %g, want 5: at once", at)
 	}
 }
 
 // Where any engine will do, two that are silent use up little of even a short time to release.
 func TestSilentEnginesLeaveTimeForOthers(t *testing.T) {
-	p := Plan{By: 10.3, Any: true}
+	p := RetrySchedule{Deadline: 10.3, AnyEngine: true}
 	now := 10.0
 	for range 2 {
-		now += p.Within(now)
-		if at, again := p.Next(now, Lost); !again || at != now {
+		now += p.CallTimeout(now)
+		if at, again := p.Next(now, Unacknowledged); !again || at != now {
 			t.Fatalf("again %v at %g, want at once", again, at)
 		}
 	}
@@ -89,11 +89,11 @@
 }
 
 func TestAnotherEngineIsAskedAtOnce(t *testing.T) {
-	p := Plan{By: 11, Any: true}
-	if at, again := p.Next(10, Lost); !again || at != 10 {
+	p := RetrySchedule{Deadline: 11, AnyEngine: true}
+	if at, again := p.Next(10, Unacknowledged); !again || at != 10 {
 		t.Errorf("again %v at %g", again, at)
 	}
-	if _, again := p.Next(10, Answered); again {
+	if _, again := p.Next(10, Acknowledged); again {
 		t.Error("asked again after an answer")
 	}
 }
@@ -104,10 +104,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		letGoBy := rapid.Float64Range(0.3, 5).Draw(t, "let go by")
 		outage := rapid.Float64Range(0, 0.8).Draw(t, "outage") * letGoBy
-		p := Plan{By: 100 + letGoBy, Any: rapid.Bool().Draw(t, "any")}
+		p := RetrySchedule{Deadline: 100 + letGoBy, AnyEngine: rapid.Bool().Draw(t, "any")}
 		now, calls := 100.0, 1
 		for now < 100+outage {
-			at, again := p.Next(now, Lost)
+			at, again := p.Next(now, Unacknowledged)
 			if !again {
 				t.Fatalf("given up at %.3f s of %.3f after %d calls, with calls failing until %.3f s", now-100, letGoBy, calls, outage)
 			}
@@ -116,8 +116,8 @@
 			}
 			now = at
 		}
-		if now > p.By {
-			t.Fatalf("the call after the outage comes %.3f s after the time", now-p.By)
+		if now > p.Deadline {
+			t.Fatalf("the call after the outage comes %.3f s after the time", now-p.Deadline)
 		}
 	})
 }
@@ -125,11 +125,11 @@
 // Once the time is over, calls go on where any engine can release, for the state is still held; they are few, and end.
 func TestCallsGoOnWhenTheTimeIsOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := Plan{By: 11, Any: true}
+		p := RetrySchedule{Deadline: 11, AnyEngine: true}
 		now, calls, ended := 11.0, 0, 0.0
 		outage := rapid.Float64Range(0, 45).Draw(t, "outage")
 		for now < 11+outage {
-			at, again := p.Next(now, Lost)
+			at, again := p.Next(now, Unacknowledged)
 			if !again {
 				t.Fatalf("given up %.3f s after the time, with calls failing for %.3f s", now-11, outage)
 			}
@@ -142,15 +142,15 @@
 		if calls > 40 {
 			t.Fatalf("%d calls in %.3f s", calls, ended-11)
 		}
-		if _, again := p.Next(now, Answered); again {
+		if _, again := p.Next(now, Acknowledged); again {
 			t.Fatal("asked again after an answer")
 		}
 	})
-	p := Plan{By: 11, Any: true}
-	if at, again := p.Next(11+lateFor, Lost); again {
+	p := RetrySchedule{Deadline: 11, AnyEngine: true}
+	if at, again := p.Next(11+lateFor, Unacknowledged); again {
 		t.Errorf("asked again at %g", at)
 	}
-	if at, again := (&Plan{By: 11}).Next(11, Lost); again && at <= 11 {
+	if at, again := (&RetrySchedule{Deadline: 11}).Next(11, Unacknowledged); again && at <= 11 {
 		t.Errorf("one engine is asked at once at the end of its time: %g", at)
 	}
 }
@@ -160,7 +160,7 @@
 		heardAt float64
 		want    bool
 	}{{0, false}, {9.9, false}, {10.01, false}, {10.2, true}} {
-		if got := Heard(c.heardAt, 10); got != c.want {
+		if got := EngineResponded(c.heardAt, 10); got != c.want {
 			t.Errorf("heard of at %g, begun at 10: got %v, want %v", c.heardAt, got, c.want)
 		}
 	}
@@ -168,7 +168,7 @@
 
 func TestReleaseBesideAnAttemptGivesItTime(t *testing.T) {
 	for _, c := range []struct{ now, since, want float64 }{{10.1, 10, 10.9}, {10.8, 10, 11.1}, {12, 10, 12.3}} {
-		if got := BesideAt(c.now, c.since, 1); math.Abs(got-c.want) > 1e-9 {
+		if got := SilentReleaseAt(c.now, c.since, 1); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("begun at %g, held since %g: got %g, want %g", c.now, c.since, got, c.want)
 		}
 	}
--- a/internal/discovery/consul_test.go
+++ b/internal/discovery/consul_test.go
@@ -19,7 +19,7 @@
 }
 
 // listed starts a list server and follows it.
-func listed(t *testing.T, ids ...string) (*emulator.ListServer, chan protocol.List, chan string) {
+func listed(t *testing.T, ids ...string) (*emulator.ListServer, chan protocol.EndpointList, chan string) {
 	t.Helper()
 	s := emulator.NewListServer(100)
 	if err := s.Start(); err != nil {
@@ -38,7 +38,7 @@
 }
 
 // until reads beliefs until one names just these engines; draining ones carry a mark.
-func until(t *testing.T, lists chan protocol.List, want string) protocol.List {
+func until(t *testing.T, lists chan protocol.EndpointList, want string) protocol.EndpointList {
 	t.Helper()
 	got := ""
 	for range 50 {
@@ -56,7 +56,7 @@
 		}
 	}
 	t.Fatalf("believed %q at last, want %q", got, want)
-	return protocol.List{}
+	return protocol.EndpointList{}
 }
 
 func TestBlockingQueriesBringChangesAtOnce(t *testing.T) {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -71,7 +71,7 @@
 	}
 	n := endpoints.Entry{ID: e.ID, Address: e.Address, Kind: kind, Zone: zone, Weight: 1, Boot: e.BootTime}
 	if len(ps) == 0 {
-		n.Role = int(p.Config.Brain().Kinds[kind].Role)
+		n.Role = int(p.Config.Scheduler().Kinds[kind].Role)
 	}
 	if e.Weight != nil {
 		n.Weight = *e.Weight
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -49,10 +49,10 @@
 }
 
 // follow follows a source and gathers what it is told.
-func follow(t *testing.T, c *config.Config, saved string) (chan protocol.List, chan string, error) {
+func follow(t *testing.T, c *config.Config, saved string) (chan protocol.EndpointList, chan string, error) {
 	t.Helper()
-	lists, words := make(chan protocol.List, 100), make(chan string, 100)
-	f, err := Follow(FollowOptions{Config: c, Saved: saved, Take: func(l protocol.List) { lists <- l }, Complain: func(s string) { words <- s },
+	lists, words := make(chan protocol.EndpointList, 100), make(chan string, 100)
+	f, err := Follow(FollowOptions{Config: c, Saved: saved, Take: func(l protocol.EndpointList) { lists <- l }, Complain: func(s string) { words <- s },
 		Draw: func() float64 { return 0.1 }})
 	if err == nil {
 		t.Cleanup(f.Close)
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -40,7 +40,7 @@
 	src      source
 	parser   *Parser
 	saved    string // file in which the believed list is kept; "" = none
-	take     func(protocol.List)
+	take     func(protocol.EndpointList)
 	complain func(string)
 	saves    chan save // the newest list that is still to be saved
 	stop     chan struct{}
@@ -54,11 +54,11 @@
 // FollowOptions say where lists come from and who is told.
 type FollowOptions struct {
 	Config   *config.Config
-	Saved    string              // file of the last believed list, read at the start; "" = none
-	Take     func(protocol.List) // a new belief; called on the follower's goroutine
-	Complain func(string)        // why something was not believed, once for each cause
-	Clock    clock.Clock         // of the node, in whose times lists are told; the zero clock = one of its own
-	Draw     func() float64      // chance for the spread of calls; nil = the system's
+	Saved    string                      // file of the last believed list, read at the start; "" = none
+	Take     func(protocol.EndpointList) // a new belief; called on the follower's goroutine
+	Complain func(string)                // why something was not believed, once for each cause
+	Clock    clock.Clock                 // of the node, in whose times lists are told; the zero clock = one of its own
+	Draw     func() float64              // chance for the spread of calls; nil = the system's
 }
 
 // Follow starts following. Where nothing was saved, a list file that cannot be read is an error; a list server that
@@ -97,8 +97,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Keep says whether a new belief is saved.
-func (f *Follower) Keep(on bool) { f.keeps.Store(on) }
+// SaveState says whether a new belief is saved.
+func (f *Follower) SaveState(on bool) { f.keeps.Store(on) }
 
 // Close stops the follower. A list that is being written just then is waited for, but not for long: a disk may hang.
 func (f *Follower) Close() {
@@ -165,7 +165,7 @@
 // tell hands the belief on, and saves it.
 func (f *Follower) tell(now float64) {
 	b := f.believer.Believed(now)
-	l := protocol.List{Form: scheduler.UpdateComplete, Addresses: map[string]string{}, Saved: b.Saved}
+	l := protocol.EndpointList{Form: scheduler.UpdateComplete, Addresses: map[string]string{}, Saved: b.Saved}
 	for _, e := range b.Entries {
 		n := scheduler.Engine{ID: e.ID, Kind: e.Kind, Cell: e.Cell, Zone: e.Zone, Weight: e.Weight, BootTime: f.starts.Own(e.ID, e.Boot, now, f.clock.Wall(), f.heard)}
 		if e.State == endpoints.Draining {
@@ -270,7 +270,7 @@
 	}
 	removeHalfWritten(filepath.Dir(f.saved))
 	var text []byte
-	err := service.Persist(restoreFor, func() (err error) {
+	err := service.RetryTransient(restoreFor, func() (err error) {
 		text, err = os.ReadFile(f.saved)
 		return err
 	})
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -35,7 +35,7 @@
 
 // Attempt is one attempt at an engine.
 type Attempt struct {
-	protocol.Hold
+	protocol.AttemptControl
 	Client    *Client
 	RequestID string // X-Request-Id: names the state at the engines
 	Address   string
@@ -58,10 +58,10 @@
 
 // Sink takes the stream of a decode attempt.
 type Sink interface {
-	// Load is told the engine's load, when its answer begins.
-	Load(*scheduler.LoadReport)
-	// First waits for leave to answer the client.
-	First() bool
+	// LoadReported is told the engine's load, when its answer begins.
+	LoadReported(*scheduler.LoadReport)
+	// RequestGrant waits for leave to answer the client.
+	RequestGrant() bool
 	// Event passes an event on; more tells that another follows at once, so that the two may leave together. An
 	// error means that the client is gone, or wraps ErrUnfit.
 	Event(data, raw []byte, more bool) error
@@ -77,16 +77,16 @@
 // open connects, writes the request and reads the head of the answer. r holds how far it came.
 func (a *Attempt) open(accept string, r *Result) (*http1.ClientConn, *http1.Response) {
 	start := time.Now()
-	r.Facts.Progress = outcome.Dialling
+	r.Evidence.Progress = outcome.Connecting
 	c, err := a.Dial(func(ctx context.Context) (*http1.ClientConn, error) {
 		return a.Client.Pool.Get(ctx, a.Address, min(a.Client.Connect, a.Timeout))
 	})
 	if err != nil {
-		r.Err, r.Facts.Cause = err, a.Failed(err, outcome.Broken)
+		r.Err, r.Evidence.Cause = err, a.CauseOf(err, outcome.ConnectionBroken)
 		return nil, nil
 	}
-	window, keyed := protocol.Window(a.WriteBy)
-	if a.Objects(permit.Write{TimeLeft: (a.Timeout - time.Since(start)).Seconds(), Keyed: keyed, WindowLeft: window}, &r.Result) {
+	window, keyed := protocol.TimeUntil(a.WriteBy)
+	if a.RefusesWrite(permit.Write{ClientTimeLeft: (a.Timeout - time.Since(start)).Seconds(), HasDedupWindow: keyed, DedupWindowLeft: window}, &r.Result) {
 		c.Close()
 		return nil, nil
 	}
@@ -126,12 +126,12 @@
 		} `json:"usage"`
 	}
 	if err := json.Unmarshal(body, &reply); err != nil {
-		r.Err, r.Facts.Cause = err, outcome.Unreadable
+		r.Err, r.Evidence.Cause = err, outcome.MalformedResponse
 		return r
 	}
-	r.State, r.Facts.Kept = reply.State, max(0, reply.Usage.Details.Cached)
+	r.State, r.Evidence.CachedTokens = reply.State, max(0, reply.Usage.Details.Cached)
 	if len(reply.State) > 0 && string(reply.State) != "null" { // one that names no state is of no use
-		r.Facts.Meaning = outcome.Read
+		r.Evidence.ResponseKind = outcome.PrefillDone
 	}
 	return r
 }
@@ -144,17 +144,17 @@
 
 // meaning says what an answer that is no success means. The statuses by which a server judges the request rather than
 // itself are those of RFC 9110, section 15.5.
-func meaning(status int, code string) outcome.Meaning {
+func meaning(status int, code string) outcome.ResponseKind {
 	if code == codeStateGone || code == codeNoState {
-		return outcome.NoState
+		return outcome.StateMissing
 	}
 	switch status {
 	case 429, 503:
-		return outcome.Turned
+		return outcome.EngineRejected
 	case 400, 404, 405, 411, 413, 414, 415, 422, 431:
-		return outcome.Judged
+		return outcome.InvalidRequest
 	}
-	return outcome.Error
+	return outcome.EngineError
 }
 
 // whole reads a whole answer and files what it says of an error.
@@ -163,7 +163,7 @@
 	a.Detach()
 	if err != nil {
 		c.Close()
-		r.Err, r.Facts.Cause = err, a.Failed(err, outcome.Expired)
+		r.Err, r.Evidence.Cause = err, a.CauseOf(err, outcome.AttemptTimedOut)
 		return nil, false
 	}
 	a.Client.Pool.Done(c, resp)
@@ -175,7 +175,7 @@
 		}
 		json.Unmarshal(body, &e) // a body of another shape has no code
 		r.Reply = body
-		r.Facts.Meaning, r.Facts.Code = meaning(resp.Status, e.Error.Code), resp.Status
+		r.Evidence.ResponseKind, r.Evidence.Code = meaning(resp.Status, e.Error.Code), resp.Status
 	}
 	return body, true
 }
@@ -194,16 +194,16 @@
 	if !strings.HasPrefix(strings.ToLower(resp.Header.Get("Content-Type")), "text/event-stream") {
 		a.Detach()
 		c.Close()
-		r.Facts.Cause = outcome.Unreadable
+		r.Evidence.Cause = outcome.MalformedResponse
 		return r
 	}
-	sink.Load(r.Report)
+	sink.LoadReported(r.Report)
 	r.Report = nil // told already; at the end it is old
 	cause, err := a.stream(c, resp, sink, &r)
-	r.Facts.Cause, r.Err = cause, err
+	r.Evidence.Cause, r.Err = cause, err
 	a.Detach()
-	if cause == outcome.Answered {
-		r.Facts.Meaning = outcome.Done
+	if cause == outcome.ResponseComplete {
+		r.Evidence.ResponseKind = outcome.DecodeDone
 		a.Client.Pool.Done(c, resp)
 	} else {
 		c.Close()
@@ -215,11 +215,11 @@
 func (a *Attempt) stream(c *http1.ClientConn, resp *http1.Response, sink Sink, r *Result) (outcome.Cause, error) {
 	events := http1.NewEventReader(resp.Body, a.Client.MaxEvent)
 	defer events.Close()
-	if cause, err := a.begin(events, sink, r); err != nil || r.Facts.Progress != outcome.Streaming {
+	if cause, err := a.begin(events, sink, r); err != nil || r.Evidence.Progress != outcome.Streaming {
 		return cause, err
 	}
 	cause, err := a.pass(c, events, sink)
-	if cause != outcome.Answered && cause != outcome.ClientLeft {
+	if cause != outcome.ResponseComplete && cause != outcome.ClientDisconnected {
 		sink.Flush() // an error: the client is gone, and the stream is over in any case
 	}
 	return cause, err
@@ -236,23 +236,23 @@
 		}
 		data, raw, err := events.Next()
 		if err != nil {
-			return a.Failed(whole(err), outcome.Stalled), err
+			return a.CauseOf(whole(err), outcome.StreamStalled), err
 		}
 		end, read := front.PassChunk(data)
 		if read {
 			chunk, err := front.ReadChunk(data)
 			if err != nil {
-				return a.Failed(&http1.Error{Status: 502, Reason: err.Error()}, outcome.Unreadable), err
+				return a.CauseOf(&http1.Error{Status: 502, Reason: err.Error()}, outcome.MalformedResponse), err
 			}
 			if chunk.Err != nil {
-				return a.Failed(nil, outcome.Broken), errors.New("engine: error event: " + chunk.Err.Message)
+				return a.CauseOf(nil, outcome.ConnectionBroken), errors.New("engine: error event: " + chunk.Err.Message)
 			}
 		}
 		if end {
 			if err := sink.Finish(); err != nil {
 				return sinkCause(err), err
 			}
-			return outcome.Answered, nil
+			return outcome.ResponseComplete, nil
 		}
 		if err := sink.Event(data, raw, events.More()); err != nil {
 			return sinkCause(err), err
@@ -275,49 +275,49 @@
 	for held := 0; ; {
 		data, raw, err := events.Next()
 		if err != nil {
-			return a.Failed(whole(err), outcome.Expired), err
+			return a.CauseOf(whole(err), outcome.AttemptTimedOut), err
 		}
 		chunk, err := front.ReadChunk(data)
 		switch {
 		case err != nil:
-			return a.Failed(&http1.Error{Status: 502, Reason: err.Error()}, outcome.Unreadable), err
+			return a.CauseOf(&http1.Error{Status: 502, Reason: err.Error()}, outcome.MalformedResponse), err
 		case chunk.Err != nil:
-			return a.Failed(nil, outcome.Broken), errors.New("engine: error event: " + chunk.Err.Message)
+			return a.CauseOf(nil, outcome.ConnectionBroken), errors.New("engine: error event: " + chunk.Err.Message)
 		case chunk.Done:
-			return outcome.Unreadable, errors.New("engine: a stream without a token")
+			return outcome.MalformedResponse, errors.New("engine: a stream without a token")
 		}
 		if held += len(raw); held > a.Client.MaxEvent {
-			return outcome.Unreadable, http1.ErrEventTooLong
+			return outcome.MalformedResponse, http1.ErrEventTooLong
 		}
 		early = append(early, [2][]byte{bytes.Clone(data), bytes.Clone(raw)})
 		if !chunk.Token {
 			continue
 		}
-		if !sink.First() {
-			return a.Failed(nil, outcome.Broken), nil
+		if !sink.RequestGrant() {
+			return a.CauseOf(nil, outcome.ConnectionBroken), nil
 		}
-		r.Facts.Progress = outcome.Streaming
+		r.Evidence.Progress = outcome.Streaming
 		for i, e := range early {
 			if err := sink.Event(e[0], e[1], i+1 < len(early)); err != nil {
 				return sinkCause(err), err
 			}
 		}
-		return outcome.Answered, nil
+		return outcome.ResponseComplete, nil
 	}
 }
 
 // sinkCause names the cause of a Sink's error.
 func sinkCause(err error) outcome.Cause {
 	if errors.Is(err, ErrUnfit) {
-		return outcome.Unreadable
+		return outcome.MalformedResponse
 	}
-	return outcome.ClientLeft
+	return outcome.ClientDisconnected
 }
 
-// Sweep closes connections that have rested for too long, CloseIdle all that rest, Close for good.
-func (cl *Client) Sweep()     { cl.Pool.Sweep() }
-func (cl *Client) CloseIdle() { cl.Pool.CloseIdle() }
-func (cl *Client) Close()     { cl.Pool.Close() }
+// CloseExpired closes connections that have rested for too long, CloseIdle all that rest, Close for good.
+func (cl *Client) CloseExpired() { cl.Pool.CloseExpired() }
+func (cl *Client) CloseIdle()    { cl.Pool.CloseIdle() }
+func (cl *Client) Close()        { cl.Pool.Close() }
 
 // Release lets go of a state, by the project's own call. Engines that lack it answer 404, and free the state by
 // their own time-out.
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -17,10 +17,10 @@
 // sink keeps back as the node does.
 type sink struct{ kept, sent int }
 
-func (s *sink) Load(*scheduler.LoadReport) {}
-func (s *sink) First() bool                { return true }
-func (s *sink) Finish() error              { return s.Flush() }
-func (s *sink) Flush() error               { s.sent, s.kept = s.sent+s.kept, 0; return nil }
+func (s *sink) LoadReported(*scheduler.LoadReport) {}
+func (s *sink) RequestGrant() bool                 { return true }
+func (s *sink) Finish() error                      { return s.Flush() }
+func (s *sink) Flush() error                       { s.sent, s.kept = s.sent+s.kept, 0; return nil }
 func (s *sink) Event(_, _ []byte, more bool) error {
 	if s.kept++; !more {
 		s.Flush()
@@ -53,8 +53,8 @@
 			Stall: func() time.Duration { return 5 * time.Second }}
 		a := &Attempt{Client: cl, Address: l.Addr().String(), Body: []byte("{}"), Timeout: 5 * time.Second}
 		s := &sink{}
-		if r := a.Decode(s); s.sent != 3 || r.Facts.Cause == outcome.Answered || r.Facts.Progress != outcome.Streaming {
-			t.Errorf("%q: %d events of 3, %+v", end, s.sent, r.Facts)
+		if r := a.Decode(s); s.sent != 3 || r.Evidence.Cause == outcome.ResponseComplete || r.Evidence.Progress != outcome.Streaming {
+			t.Errorf("%q: %d events of 3, %+v", end, s.sent, r.Evidence)
 		}
 		l.Close()
 		<-done
--- a/internal/engine/meaning_test.go
+++ b/internal/engine/meaning_test.go
@@ -11,11 +11,11 @@
 	for _, c := range []struct {
 		status int
 		code   string
-		want   outcome.Meaning
+		want   outcome.ResponseKind
 	}{
-		{429, "", outcome.Turned}, {503, "", outcome.Turned}, {409, codeStateGone, outcome.NoState},
-		{503, codeNoState, outcome.NoState}, {500, "", outcome.Error}, {502, "", outcome.Error}, {204, "", outcome.Error},
-		{409, "", outcome.Error}, {400, "", outcome.Judged}, {422, "invalid", outcome.Judged}, {404, "", outcome.Judged},
+		{429, "", outcome.EngineRejected}, {503, "", outcome.EngineRejected}, {409, codeStateGone, outcome.StateMissing},
+		{503, codeNoState, outcome.StateMissing}, {500, "", outcome.EngineError}, {502, "", outcome.EngineError}, {204, "", outcome.EngineError},
+		{409, "", outcome.EngineError}, {400, "", outcome.InvalidRequest}, {422, "invalid", outcome.InvalidRequest}, {404, "", outcome.InvalidRequest},
 	} {
 		if got := meaning(c.status, c.code); got != c.want {
 			t.Errorf("%d %q: %v, wanted %v", c.status, c.code, got, c.want)
--- a/internal/http1/accept_test.go
+++ b/internal/http1/accept_test.go
@@ -69,7 +69,7 @@
 	}{{syscall.EMFILE, true}, {syscall.ENFILE, false}, {syscall.ENOBUFS, false}, {syscall.EPROTO, false}, {syscall.EPERM, false}, {syscall.ENETDOWN, false}} {
 		l := newFailingListener(t, 3, c.err)
 		var short atomic.Bool
-		s := &Server{Handler: answersOK, Limits: DefaultLimits, Times: DefaultTimes, Short: func(int) { short.Store(true) }}
+		s := &Server{Handler: answersOK, Limits: DefaultLimits, Timeouts: DefaultTimeouts, OnDescriptorShortage: func(int) { short.Store(true) }}
 		done := make(chan error, 1)
 		go func() { done <- s.Serve(l) }()
 		if status, err := get(l.Addr().String()); status != 200 {
@@ -92,7 +92,7 @@
 		held, release := make(chan struct{}), make(chan struct{})
 		var once sync.Once
 		l := newFailingListener(t, 0, syscall.ENFILE)
-		s := &Server{Handler: answersOK, Limits: DefaultLimits, Times: Times{Head: time.Second, Body: time.Second, Idle: time.Second,
+		s := &Server{Handler: answersOK, Limits: DefaultLimits, Timeouts: Timeouts{Head: time.Second, Body: time.Second, Idle: time.Second,
 			Write: time.Second, DrainAccept: 20 * time.Millisecond, DrainIdle: 200 * time.Millisecond}}
 		l.hold = func() {
 			once.Do(func() {
--- a/internal/http1/answers_test.go
+++ b/internal/http1/answers_test.go
@@ -91,10 +91,10 @@
 
 // A full pool closes a connection that rests, and tells where none does.
 func TestPoolHoldsNoMoreThanItMay(t *testing.T) {
-	p := &Pool{MaxIdle: 4, MaxOpen: 2, Idle: time.Minute, Limits: DefaultLimits}
+	p := &Pool{MaxIdle: 4, MaxOpen: 2, IdleTimeout: time.Minute, Limits: DefaultLimits}
 	a, _ := dialled(t, p)
 	b, _ := dialled(t, p)
-	if _, err := p.Get(context.Background(), "127.0.0.1:1", time.Second); !errors.Is(err, ErrNoRoom) {
+	if _, err := p.Get(context.Background(), "127.0.0.1:1", time.Second); !errors.Is(err, ErrPoolFull) {
 		t.Errorf("%v", err)
 	}
 	p.Put(a)
@@ -112,7 +112,7 @@
 
 // A handler may take the body away: its bytes are given back all the same.
 func TestBytesAreGivenBackWhenTheBodyIsTaken(t *testing.T) {
-	s := &Server{Limits: DefaultLimits, Times: DefaultTimes, MaxBytes: 1 << 20, Handler: HandlerFunc(func(x *Exchange) {
+	s := &Server{Limits: DefaultLimits, Timeouts: DefaultTimeouts, MaxBytes: 1 << 20, Handler: HandlerFunc(func(x *Exchange) {
 		x.Body = nil
 		x.Reply(200, nil, nil)
 	})}
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -23,16 +23,16 @@
 
 // Pool keeps idle connections to servers, by address. It is safe for concurrent use.
 type Pool struct {
-	MaxIdle int           // kept for each address
-	MaxOpen int           // open at once, idle ones included, which make room; 0 = no bound
-	Idle    time.Duration // after which an idle connection closes
-	Limits  Limits
-	// Rest is asked how long a connection may have rested that Get returns; nil = Idle.
-	Rest func() time.Duration
-	// Settle is how long a connection rests at least before it carries another request; 0 = no such time. A server may send a
+	MaxIdle     int           // kept for each address
+	MaxOpen     int           // open at once, idle ones included, which make room; 0 = no bound
+	IdleTimeout time.Duration // after which an idle connection closes
+	Limits      Limits
+	// MaxIdleTime is asked how long a connection may have rested that Get returns; nil = Idle.
+	MaxIdleTime func() time.Duration
+	// MinIdleTime is how long a connection rests at least before it carries another request; 0 = no such time. A server may send a
 	// second answer to a request some moments after the first. It shows as unread bytes, which end the use of a connection, but
 	// only once it has come: read later, it would be taken for the answer to the next request.
-	Settle time.Duration
+	MinIdleTime time.Duration
 	// Chunk bounds the size of one chunk of an answer; 0 = no bound. Head bounds the time from the first byte of an answer
 	// to the end of its head; 0 = no bound but the connection's.
 	Chunk int64
@@ -49,8 +49,8 @@
 // DialFunc makes a connection, as net.Dialer.DialContext does; ctx bounds its time.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// ErrNoRoom tells that the pool has as many connections open as it may.
-var ErrNoRoom = errors.New("http1: no room for another connection")
+// ErrPoolFull tells that the pool has as many connections open as it may.
+var ErrPoolFull = errors.New("http1: no room for another connection")
 
 // ClientConn is a connection to a server. It belongs to one goroutine, but for Close.
 type ClientConn struct {
@@ -69,22 +69,22 @@
 	drained int // bytes that were read when the time of Finish was over
 	// Reused tells that the connection has carried an exchange before.
 	Reused bool
-	// Rested is for how long it had rested then.
-	Rested time.Duration
+	// IdleFor is for how long it had rested then.
+	IdleFor time.Duration
 }
 
 // Get returns an idle connection that is still open, or makes one within the time given, unless ctx ends before.
 func (p *Pool) Get(ctx context.Context, addr string, timeout time.Duration) (*ClientConn, error) {
-	limit := p.Idle
-	if p.Rest != nil {
-		limit = min(limit, p.Rest())
+	limit := p.IdleTimeout
+	if p.MaxIdleTime != nil {
+		limit = min(limit, p.MaxIdleTime())
 	}
 	for {
 		c := p.pop(addr)
 		if c == nil {
 			break
 		}
-		if c.Rested = time.Since(c.used); c.Rested < limit && c.alive() {
+		if c.IdleFor = time.Since(c.used); c.IdleFor < limit && c.alive() {
 			c.Reused = true
 			return c, nil
 		}
@@ -96,7 +96,7 @@
 // Dial makes a connection within the time given, unless ctx ends before.
 func (p *Pool) Dial(ctx context.Context, addr string, timeout time.Duration) (*ClientConn, error) {
 	if !p.enter() {
-		return nil, ErrNoRoom
+		return nil, ErrPoolFull
 	}
 	connect := p.Connect
 	if connect == nil {
@@ -155,7 +155,7 @@
 	defer p.mu.Unlock()
 	xs := p.idle[addr]
 	for i := len(xs) - 1; i >= 0; i-- {
-		if c := xs[i]; time.Since(c.used) >= p.Settle {
+		if c := xs[i]; time.Since(c.used) >= p.MinIdleTime {
 			p.idle[addr] = slices.Delete(xs, i, i+1)
 			return c
 		}
@@ -181,11 +181,11 @@
 	}
 }
 
-// Sweep closes connections that have been idle for too long; call it now and then.
-func (p *Pool) Sweep() {
-	limit := p.Idle
-	if p.Rest != nil {
-		limit = min(limit, p.Rest())
+// CloseExpired closes connections that have been idle for too long; call it now and then.
+func (p *Pool) CloseExpired() {
+	limit := p.IdleTimeout
+	if p.MaxIdleTime != nil {
+		limit = min(limit, p.MaxIdleTime())
 	}
 	var old []*ClientConn
 	defer func() { closeAll(old) }()
@@ -262,8 +262,8 @@
 	return c.nc.Close()
 }
 
-// Arrived tells whether the peer's machine has taken all that was written. A connection that cannot tell counts as one that has.
-func (c *ClientConn) Arrived() bool {
+// Delivered tells whether the peer's machine has taken all that was written. A connection that cannot tell counts as one that has.
+func (c *ClientConn) Delivered() bool {
 	sc, ok := c.nc.(syscall.Conn)
 	if !ok {
 		return true
@@ -282,7 +282,7 @@
 
 // Discard closes the connection. What has not arrived yet is dropped, so that it does not arrive once its sender has given it up.
 func (c *ClientConn) Discard() {
-	if tc, ok := c.nc.(interface{ SetLinger(int) error }); ok && !c.Arrived() {
+	if tc, ok := c.nc.(interface{ SetLinger(int) error }); ok && !c.Delivered() {
 		tc.SetLinger(0)
 	}
 	c.Close()
@@ -306,9 +306,9 @@
 	}
 }
 
-// Finish ends the use of the connection: what has come, and what comes within the time given, is still read. Unlike the other
+// ReadOnFor ends the use of the connection: what has come, and what comes within the time given, is still read. Unlike the other
 // methods but Close it may be called from any goroutine.
-func (c *ClientConn) Finish(within time.Duration) {
+func (c *ClientConn) ReadOnFor(within time.Duration) {
 	c.bounds.Lock()
 	defer c.bounds.Unlock()
 	if c.last.IsZero() {
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -34,12 +34,12 @@
 	ended
 )
 
-// ErrEnded tells that an exchange had its answer already.
-var ErrEnded = errors.New("http1: the exchange has ended")
+// ErrExchangeEnded tells that an exchange had its answer already.
+var ErrExchangeEnded = errors.New("http1: the exchange has ended")
 
-// OnHangup sets what is called, once, when the client has gone before the answer ended; at once if it has.
+// OnDisconnect sets what is called, once, when the client has gone before the answer ended; at once if it has.
 // half tells that its sending side ended in good order, so that it may still be reading.
-func (x *Exchange) OnHangup(f func(half bool)) {
+func (x *Exchange) OnDisconnect(f func(half bool)) {
 	x.mu.Lock()
 	x.onHangup = f
 	hung, half := x.hung, x.half
@@ -69,7 +69,7 @@
 // Reply gives a whole answer.
 func (x *Exchange) Reply(status int, fields []Field, body []byte) error {
 	if !x.state.CompareAndSwap(fresh, ended) {
-		return ErrEnded
+		return ErrExchangeEnded
 	}
 	x.close = x.closes()
 	err := x.write(appendReply(make([]byte, 0, 256+len(body)), status, fields, body, x.close, x.Method == "HEAD"))
@@ -80,7 +80,7 @@
 // Begin starts a streamed answer; its length is not known.
 func (x *Exchange) Begin(status int, fields []Field) error {
 	if !x.state.CompareAndSwap(fresh, begun) {
-		return ErrEnded
+		return ErrExchangeEnded
 	}
 	x.close = x.closes() || x.Minor == 0 // HTTP/1.0 has no chunks: the end is the end of the connection
 	b := appendStatus(make([]byte, 0, 256), status)
@@ -97,7 +97,7 @@
 // Write sends a part of a streamed answer at once, as one chunk.
 func (x *Exchange) Write(p []byte) (int, error) {
 	if x.state.Load() != begun {
-		return 0, ErrEnded
+		return 0, ErrExchangeEnded
 	}
 	if len(p) == 0 {
 		return 0, nil
@@ -121,7 +121,7 @@
 // End closes a streamed answer in good order.
 func (x *Exchange) End() error {
 	if !x.state.CompareAndSwap(begun, ended) {
-		return ErrEnded
+		return ErrExchangeEnded
 	}
 	var err error
 	if x.Minor == 1 {
@@ -131,9 +131,9 @@
 	return err
 }
 
-// Break ends a streamed answer that is not whole: its connection ends without the last chunk. What has been written still
+// AbortBody ends a streamed answer that is not whole: its connection ends without the last chunk. What has been written still
 // arrives, for the connection is shut down and read on for a moment before it closes.
-func (x *Exchange) Break() {
+func (x *Exchange) AbortBody() {
 	if !x.state.CompareAndSwap(begun, ended) {
 		return
 	}
@@ -141,16 +141,16 @@
 	x.finish(nil)
 }
 
-// Cut ends the exchange by closing the connection, whatever had been sent.
-func (x *Exchange) Cut() {
+// Abort ends the exchange by closing the connection, whatever had been sent.
+func (x *Exchange) Abort() {
 	if was := x.state.Swap(ended); was != ended {
 		x.unanswered = was == fresh
 		x.finish(errors.New("cut"))
 	}
 }
 
-// Gone looks whether the client has closed its connection, or its side of it, behind whatever it has sent.
-func (x *Exchange) Gone() bool {
+// ClientDisconnected looks whether the client has closed its connection, or its side of it, behind whatever it has sent.
+func (x *Exchange) ClientDisconnected() bool {
 	left, _ := hasLeft(x.c.nc)
 	return left
 }
@@ -161,7 +161,7 @@
 func (x *Exchange) closes() bool { return x.Request.close || x.c.srv.closing() }
 
 func (x *Exchange) write(b []byte) error {
-	x.c.nc.SetWriteDeadline(time.Now().Add(x.c.srv.Times.Write))
+	x.c.nc.SetWriteDeadline(time.Now().Add(x.c.srv.Timeouts.Write))
 	_, err := x.c.nc.Write(b)
 	return err
 }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -105,8 +105,8 @@
 		s.Limits = DefaultLimits
 		s.Limits.Body = 1000
 	}
-	if s.Times.Head == 0 {
-		s.Times = Times{Head: 300 * time.Millisecond, Body: 300 * time.Millisecond, Idle: time.Second, Write: 5 * time.Second}
+	if s.Timeouts.Head == 0 {
+		s.Timeouts = Timeouts{Head: 300 * time.Millisecond, Body: 300 * time.Millisecond, Idle: time.Second, Write: 5 * time.Second}
 	}
 	done := make(chan struct{})
 	go func() { defer close(done); s.Serve(l) }()
@@ -208,7 +208,7 @@
 		t.Run(how, func(t *testing.T) {
 			seen := make(chan bool, 1)
 			s := &Server{Handler: HandlerFunc(func(x *Exchange) {
-				x.OnHangup(func(half bool) { seen <- half; x.Cut() })
+				x.OnDisconnect(func(half bool) { seen <- half; x.Abort() })
 			})}
 			c := dial(t, serve(t, s))
 			io.WriteString(c, ok+"\r\n")
@@ -239,7 +239,7 @@
 				seen, taken := make(chan time.Time, 1), make(chan struct{}, 1)
 				s := &Server{Handler: HandlerFunc(func(x *Exchange) {
 					taken <- struct{}{}
-					x.OnHangup(func(bool) { seen <- time.Now(); x.Cut() })
+					x.OnDisconnect(func(bool) { seen <- time.Now(); x.Abort() })
 				})}
 				c := dial(t, serve(t, s))
 				sent := make(chan struct{})
@@ -318,13 +318,13 @@
 func TestBrokenStreamGivesAllThatWasWritten(t *testing.T) {
 	event := strings.Repeat("x", 1<<10)
 	for range 20 {
-		s := &Server{Times: Times{Head: time.Second, Body: time.Second, Idle: time.Second, Write: time.Second, Linger: time.Second},
+		s := &Server{Timeouts: Timeouts{Head: time.Second, Body: time.Second, Idle: time.Second, Write: time.Second, Linger: time.Second},
 			Handler: HandlerFunc(func(x *Exchange) {
 				x.Begin(200, nil)
 				for range 60 {
 					x.Write([]byte(event))
 				}
-				x.Break()
+				x.AbortBody()
 			})}
 		c := dial(t, serve(t, s))
 		io.WriteString(c, ok+"\r\n"+strings.Repeat(ok+"\r\n", 200))
@@ -342,7 +342,7 @@
 
 // A request that is there when the time of its connection runs out is answered.
 func TestRequestInTheMomentOfACloseIsAnswered(t *testing.T) {
-	s := &Server{Times: Times{First: time.Nanosecond, Head: time.Second, Body: time.Second, Idle: time.Nanosecond, Write: time.Second}}
+	s := &Server{Timeouts: Timeouts{First: time.Nanosecond, Head: time.Second, Body: time.Second, Idle: time.Nanosecond, Write: time.Second}}
 	answered := 0
 	addr := serve(t, s)
 	for range 20 {
@@ -363,7 +363,7 @@
 // What a client sends in the moment in which its connection has rested for too long meets no reset, which would make it look as
 // though the node had failed: the connection is shut down, and read on before it closes.
 func TestIdleConnectionsEndWithoutAReset(t *testing.T) {
-	s := &Server{Times: Times{Head: time.Second, Body: time.Second, Idle: 20 * time.Millisecond, Write: time.Second, Linger: 5 * time.Second}}
+	s := &Server{Timeouts: Timeouts{Head: time.Second, Body: time.Second, Idle: 20 * time.Millisecond, Write: time.Second, Linger: 5 * time.Second}}
 	c := dial(t, serve(t, s))
 	br := bufio.NewReader(c)
 	io.WriteString(c, ok+"\r\n")
@@ -383,7 +383,7 @@
 
 // A draining server ends an idle connection so that what its client sends just then meets no reset.
 func TestDrainEndsIdleConnectionsWithoutAReset(t *testing.T) {
-	s := &Server{Times: Times{Head: time.Second, Body: time.Second, Idle: 10 * time.Second, Write: time.Second, DrainIdle: 30 * time.Millisecond, Linger: time.Second}}
+	s := &Server{Timeouts: Timeouts{Head: time.Second, Body: time.Second, Idle: 10 * time.Second, Write: time.Second, DrainIdle: 30 * time.Millisecond, Linger: time.Second}}
 	c := dial(t, serve(t, s))
 	io.WriteString(c, ok+"\r\n")
 	br := bufio.NewReader(c)
@@ -414,7 +414,7 @@
 	c := dial(t, serve(t, s))
 	io.WriteString(c, ok+"Connection: close\r\n\r\n")
 	text, _ := io.ReadAll(c)
-	if strings.Count(string(text), "HTTP/1.1") != 1 || <-errs != nil || <-errs != ErrEnded || <-errs != ErrEnded || <-errs != ErrEnded {
+	if strings.Count(string(text), "HTTP/1.1") != 1 || <-errs != nil || <-errs != ErrExchangeEnded || <-errs != ErrExchangeEnded || <-errs != ErrExchangeEnded {
 		t.Fatalf("%q", text)
 	}
 }
@@ -495,7 +495,7 @@
 					io.Copy(io.Discard, c) // stay until the client goes
 				}
 			}()
-			p := &Pool{MaxIdle: 2, Idle: time.Minute, Limits: DefaultLimits}
+			p := &Pool{MaxIdle: 2, IdleTimeout: time.Minute, Limits: DefaultLimits}
 			c, err := p.Get(context.Background(), l.Addr().String(), time.Second)
 			if err != nil {
 				t.Fatal(err)
@@ -542,7 +542,7 @@
 			conns <- c
 		}
 	}()
-	p := &Pool{MaxIdle: 2, Idle: time.Minute, Limits: DefaultLimits}
+	p := &Pool{MaxIdle: 2, IdleTimeout: time.Minute, Limits: DefaultLimits}
 	defer p.Close()
 	c, err := p.Get(context.Background(), l.Addr().String(), time.Second)
 	if err != nil {
@@ -669,7 +669,7 @@
 // hundred times, in whatever order the scheduler has them.
 func TestConnectionsCrossTheEndOfTheServer(t *testing.T) {
 	for i := range 300 {
-		s := &Server{Handler: HandlerFunc(echo), Limits: DefaultLimits, Times: Times{Head: time.Second, Body: time.Second, Idle: time.Second,
+		s := &Server{Handler: HandlerFunc(echo), Limits: DefaultLimits, Timeouts: Timeouts{Head: time.Second, Body: time.Second, Idle: time.Second,
 			Write: time.Second, DrainAccept: time.Second, DrainIdle: time.Millisecond}}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -703,7 +703,7 @@
 // Close that waited for them never returned (seen in a fleet of 60 nodes under pressure).
 func TestCloseDoesNotWaitForAnExchangeThatNobodyAnswers(t *testing.T) {
 	taken := make(chan struct{})
-	s := &Server{Handler: HandlerFunc(func(*Exchange) { close(taken) }), Limits: DefaultLimits, Times: DefaultTimes}
+	s := &Server{Handler: HandlerFunc(func(*Exchange) { close(taken) }), Limits: DefaultLimits, Timeouts: DefaultTimeouts}
 	addr := serve(t, s)
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/internal/http1/reuse_test.go
+++ b/internal/http1/reuse_test.go
@@ -38,14 +38,14 @@
 
 // A connection carries no other request before a second answer to the one before would have come, nor after it has come.
 func TestConnectionSettlesBeforeItIsReused(t *testing.T) {
-	p := &Pool{MaxIdle: 2, Idle: time.Minute, Limits: DefaultLimits, Settle: time.Minute / 2}
+	p := &Pool{MaxIdle: 2, IdleTimeout: time.Minute, Limits: DefaultLimits, MinIdleTime: time.Minute / 2}
 	defer p.Close()
 	c, far := dialled(t, p)
 	answered(t, p, c, far)
 	if got := p.pop(c.addr); got != nil {
 		t.Fatal("a connection was given out that has not settled")
 	}
-	rested(p, c, p.Settle+time.Second)
+	rested(p, c, p.MinIdleTime+time.Second)
 	if got := p.pop(c.addr); got != c || !c.alive() {
 		t.Fatalf("got %v, want the connection that has settled", got)
 	}
@@ -54,7 +54,7 @@
 	for end := time.Now().Add(5 * time.Second); c.alive() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond) // until the bytes have crossed
 	}
-	rested(p, c, p.Settle+time.Second)
+	rested(p, c, p.MinIdleTime+time.Second)
 	got, err := p.Get(context.Background(), c.addr, time.Second) // the listener is gone: a new connection fails
 	if err == nil {
 		t.Fatalf("got a connection, reused %v, with a second answer unread", got.Reused)
@@ -63,7 +63,7 @@
 
 // The one that has settled is taken although a newer one has not.
 func TestSettledConnectionBehindANewerOne(t *testing.T) {
-	p := &Pool{MaxIdle: 4, Idle: time.Minute, Settle: 10 * time.Second}
+	p := &Pool{MaxIdle: 4, IdleTimeout: time.Minute, MinIdleTime: 10 * time.Second}
 	defer p.Close()
 	old, newer := &ClientConn{addr: "a", pool: p, used: time.Now().Add(-11 * time.Second)}, &ClientConn{addr: "a", pool: p, used: time.Now()}
 	p.idle = map[string][]*ClientConn{"a": {old, newer}}
@@ -91,12 +91,12 @@
 
 // A connection that is being finished still gives what had come, ends soon, and is not kept.
 func TestFinishedConnectionGivesWhatHadCome(t *testing.T) {
-	p := &Pool{MaxIdle: 2, Idle: time.Minute, Limits: DefaultLimits}
+	p := &Pool{MaxIdle: 2, IdleTimeout: time.Minute, Limits: DefaultLimits}
 	defer p.Close()
 	c, far := dialled(t, p)
 	c.SetDeadline(time.Now().Add(time.Minute))
 	io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhalf")
-	c.Finish(200 * time.Millisecond)
+	c.ReadOnFor(200 * time.Millisecond)
 	c.SetDeadline(time.Now().Add(time.Minute)) // does not move the end
 	resp, err := c.ReadResponse()
 	if err != nil {
@@ -111,7 +111,7 @@
 	}
 	d, _ := dialled(t, p)
 	start := time.Now()
-	d.Finish(20 * time.Millisecond)
+	d.ReadOnFor(20 * time.Millisecond)
 	if err := d.Await(); err == nil || time.Since(start) > 5*time.Second {
 		t.Errorf("got %v after %v, want the end of the time", err, time.Since(start))
 	}
--- a/internal/http1/room_test.go
+++ b/internal/http1/room_test.go
@@ -49,9 +49,9 @@
 				t.Fatal(err)
 			}
 			l := &heldListener{Listener: inner}
-			times := DefaultTimes
-			times.Rest, times.DrainIdle = time.Millisecond, 5*time.Millisecond
-			s := &Server{Handler: answersOK, Limits: DefaultLimits, Times: times}
+			times := DefaultTimeouts
+			times.EvictableAfter, times.DrainIdle = time.Millisecond, 5*time.Millisecond
+			s := &Server{Handler: answersOK, Limits: DefaultLimits, Timeouts: times}
 			go s.Serve(l)
 			defer s.Close()
 			c, err := net.Dial("tcp", l.Addr().String())
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// Times bound how long a peer may take.
-type Times struct {
-	First time.Duration // from the opening of a connection to its first byte; 0 = Head
-	Head  time.Duration // for a whole request head, from its first byte
-	Body  time.Duration // for a whole request body, from the end of its head
-	Whole time.Duration // for head and body together, from the first byte; 0 = no further bound
-	Idle  time.Duration // between requests
-	Rest  time.Duration // after which a connection without a request may be closed to make room; 0 = restedFor
-	Write time.Duration // for one write to be taken: a slower reader counts as gone
+// Timeouts bound how long a peer may take.
+type Timeouts struct {
+	First          time.Duration // from the opening of a connection to its first byte; 0 = Head
+	Head           time.Duration // for a whole request head, from its first byte
+	Body           time.Duration // for a whole request body, from the end of its head
+	Whole          time.Duration // for head and body together, from the first byte; 0 = no further bound
+	Idle           time.Duration // between requests
+	EvictableAfter time.Duration // after which a connection without a request may be closed to make room; 0 = restedFor
+	Write          time.Duration // for one write to be taken: a slower reader counts as gone
 	// A draining server goes on accepting, and reading idle connections, for so long; 0 = drainAccept, drainIdle. With
 	// DrainKeep connections stay in use until then; without, each ends with its next answer.
 	DrainAccept, DrainIdle time.Duration
 	DrainKeep              bool
-	Lobby                  time.Duration // for the first byte of a connection that is to be refused; 0 = lobbyWait
+	Rejection              time.Duration // for the first byte of a connection that is to be refused; 0 = lobbyWait
 	Linger                 time.Duration // that a closing connection is read on, so that its answer is not lost; 0 = lingerFor
 }
 
@@ -37,24 +37,24 @@
 	return b
 }
 
-// Takes is after which no request can come that was under way when the drain began.
-func (t Times) Takes() time.Duration {
+// AcceptsFor is after which no request can come that was under way when the drain began.
+func (t Timeouts) AcceptsFor() time.Duration {
 	if t.DrainKeep {
 		return max(t.DrainAccept, t.DrainIdle)
 	}
 	return orElse(t.DrainAccept, drainAccept) + orElse(t.DrainIdle, drainIdle)
 }
 
-// LeastRest is how long a connection has rested before it may be closed to make room.
-func (t Times) LeastRest() time.Duration { return orElse(t.Rest, restedFor) }
+// MinIdle is how long a connection has rested before it may be closed to make room.
+func (t Timeouts) MinIdle() time.Duration { return orElse(t.EvictableAfter, restedFor) }
 
 var processStart = time.Now()
 
 // sinceStart is the time since the start of the process in nanoseconds, by the monotonic clock: the wall clock may be stepped.
 func sinceStart() int64 { return int64(time.Since(processStart)) }
 
-// DefaultTimes suit clients on a wide-area network.
-var DefaultTimes = Times{Head: 10 * time.Second, Body: 30 * time.Second, Idle: 60 * time.Second, Write: 10 * time.Second}
+// DefaultTimeouts suit clients on a wide-area network.
+var DefaultTimeouts = Timeouts{Head: 10 * time.Second, Body: 30 * time.Second, Idle: 60 * time.Second, Write: 10 * time.Second}
 
 // Handler answers requests. Serve runs on the connection's goroutine, may return before the answer is given, and
 // must see to it that the Exchange is ended by Reply, End, Break or Cut, once, from any one goroutine.
@@ -68,23 +68,23 @@
 
 // Server serves connections.
 type Server struct {
-	Handler  Handler
-	Limits   Limits
-	Times    Times
-	MaxConns func() int // open at once, asked at each accept; further ones are answered 503 and closed; nil = no bound
-	Lobby    int        // connections that are refused at a time; 0 = lobbyMost
-	MaxBytes int64      // of request bodies held at once, over all connections; 0 = no bound
+	Handler        Handler
+	Limits         Limits
+	Timeouts       Timeouts
+	MaxConns       func() int // open at once, asked at each accept; further ones are answered 503 and closed; nil = no bound
+	RejectionQueue int        // connections that are refused at a time; 0 = lobbyMost
+	MaxBytes       int64      // of request bodies held at once, over all connections; 0 = no bound
 	// Shared tells that other processes accept from the very same socket: what waits in its queue is theirs, so a
 	// drain stops accepting at once.
 	Shared bool
-	// Short is told that a connection could not be accepted for want of descriptors, and how many are open; nil = nobody is.
-	Short func(open int)
-	// MayEnd says whether a connection that rests may be ended now; nil = where it is to make room, after Times.Rest, and else always.
-	MayEnd func(Resting) bool
-	// Closed is told of each connection that has ended, and why; nil = nobody is.
-	Closed func(Closing)
-	// Fault writes the body of an answer to a request that could not be parsed; nil = plain text.
-	Fault func(status int, reason string) (fields []Field, body []byte)
+	// OnDescriptorShortage is told that a connection could not be accepted for want of descriptors, and how many are open; nil = nobody is.
+	OnDescriptorShortage func(open int)
+	// MayCloseIdle says whether a connection that rests may be ended now; nil = where it is to make room, after Times.Rest, and else always.
+	MayCloseIdle func(IdleConn) bool
+	// OnClose is told of each connection that has ended, and why; nil = nobody is.
+	OnClose func(ConnClosed)
+	// ErrorBody writes the body of an answer to a request that could not be parsed; nil = plain text.
+	ErrorBody func(status int, reason string) (fields []Field, body []byte)
 
 	mu       sync.Mutex
 	conns    map[*conn]struct{}
@@ -107,7 +107,7 @@
 	said  atomic.Bool              // a request has begun to come
 	x     atomic.Pointer[Exchange] // the latest, which Close must not wait for
 	by    time.Time                // when the present request must have come whole; zero = not bounded
-	end   Closing                  // of its goroutine
+	end   ConnClosed               // of its goroutine
 
 	// The lock is held while another goroutine looks whether the connection rests and has it end: a request that begins meanwhile waits
 	// for that, and then sets the deadlines that are its own.
@@ -137,17 +137,17 @@
 }
 
 // resting tells whether the connection is between requests, and for how long.
-func (c *conn) resting() (r Resting, ok bool) {
+func (c *conn) resting() (r IdleConn, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Resting{For: time.Duration(sinceStart() - c.rest), MakesRoom: c.makesRoom}, c.idle
+	return IdleConn{IdleFor: time.Duration(sinceStart() - c.rest), Evicts: c.makesRoom}, c.idle
 }
 
 // endRest has the connection end soon if it rests and may be ended; it tells whether it does.
 func (c *conn) endRest(within time.Duration, makesRoom bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := Resting{For: time.Duration(sinceStart() - c.rest), MakesRoom: makesRoom}
+	r := IdleConn{IdleFor: time.Duration(sinceStart() - c.rest), Evicts: makesRoom}
 	if !c.idle || !c.srv.mayEnd(r) {
 		return false
 	}
@@ -156,14 +156,14 @@
 	return true
 }
 
-// Resting is a connection between requests that is to end.
-type Resting struct {
-	For       time.Duration // since it rests
-	MakesRoom bool          // another one needs its place; else its time is over, or the server is draining
+// IdleConn is a connection between requests that is to end.
+type IdleConn struct {
+	IdleFor time.Duration // since it rests
+	Evicts  bool          // another one needs its place; else its time is over, or the server is draining
 }
 
-// Closing is the end of a client's connection.
-type Closing struct {
+// ConnClosed is the end of a client's connection.
+type ConnClosed struct {
 	Reason     CloseReason
 	Requests   int  // that were read on it
 	Unanswered bool // the last of them has no answer, though its client has not been seen to leave
@@ -174,16 +174,16 @@
 
 // Reasons of an end.
 const (
-	PeerClosed  CloseReason = "the client closed it between requests"
-	ClientLeft  CloseReason = "the client left before its answer ended"
-	NothingCame CloseReason = "no request came on it in time"
-	RestedLong  CloseReason = "it rested for as long as it may"
-	MadeRoom    CloseReason = "it made room for another"
-	Drained     CloseReason = "the server is draining"
-	LastAnswer  CloseReason = "its answer was the last one"
-	NotReadable CloseReason = "its request could not be read"
-	NotComplete CloseReason = "its request did not come to its end"
-	NoPlace     CloseReason = "there was no place for it"
+	PeerClosed         CloseReason = "the client closed it between requests"
+	ClientDisconnected CloseReason = "the client left before its answer ended"
+	NoRequestInTime    CloseReason = "no request came on it in time"
+	IdleTimeout        CloseReason = "it rested for as long as it may"
+	Evicted            CloseReason = "it made room for another"
+	Drained            CloseReason = "the server is draining"
+	FinalResponse      CloseReason = "its answer was the last one"
+	MalformedRequest   CloseReason = "its request could not be read"
+	IncompleteRequest  CloseReason = "its request did not come to its end"
+	ConnectionLimit    CloseReason = "there was no place for it"
 )
 
 const readBuffer = 1 << 10 // small: thousands of connections wait with one each
@@ -223,11 +223,11 @@
 // acceptFailed deals with a connection that could not be accepted. Whatever the reason (a table that is full, memory that is short, a
 // network error of that one connection), it may pass, and others wait behind it: nobody stops accepting for it.
 func (s *Server) acceptFailed(err error) {
-	if NoFiles(err) {
+	if IsDescriptorShortage(err) {
 		s.CloseIdle(1) // others may close meanwhile
 	}
-	if OwnFilesSpent(err) && s.Short != nil {
-		s.Short(s.Conns())
+	if IsProcessDescriptorLimit(err) && s.OnDescriptorShortage != nil {
+		s.OnDescriptorShortage(s.Conns())
 	}
 	time.Sleep(acceptPause)
 }
@@ -295,8 +295,8 @@
 		}
 		nc.Close()
 		c.ahead.drop()
-		if s.Closed != nil {
-			s.Closed(c.end)
+		if s.OnClose != nil {
+			s.OnClose(c.end)
 		}
 		s.mu.Lock()
 		delete(s.conns, c)
@@ -317,17 +317,17 @@
 )
 
 func (s *Server) lobbySize() int {
-	if s.Lobby > 0 {
-		return s.Lobby
+	if s.RejectionQueue > 0 {
+		return s.RejectionQueue
 	}
 	return lobbyMost
 }
 
 // turnAway reads one request's head and refuses it.
 func (c *conn) turnAway() {
-	c.end.Reason = NoPlace
+	c.end.Reason = ConnectionLimit
 	c.br = bufio.NewReaderSize(c.ahead, readBuffer)
-	c.nc.SetReadDeadline(time.Now().Add(orElse(c.srv.Times.Lobby, lobbyWait)))
+	c.nc.SetReadDeadline(time.Now().Add(orElse(c.srv.Timeouts.Rejection, lobbyWait)))
 	if _, err := c.br.Peek(1); err != nil && !c.cameLate(err) {
 		return
 	}
@@ -363,10 +363,10 @@
 
 // oldestResting returns the connection that makes room next; nil = there is none. The lock is held.
 func (s *Server) oldestResting() (oldest *conn) {
-	var longest Resting
+	var longest IdleConn
 	for c := range s.conns {
 		r, ok := c.resting()
-		if !ok || r.MakesRoom || !s.mayEnd(Resting{r.For, true}) {
+		if !ok || r.Evicts || !s.mayEnd(IdleConn{r.IdleFor, true}) {
 			continue
 		}
 		if oldest == nil || goesBefore(c, r, oldest, longest) {
@@ -377,19 +377,19 @@
 }
 
 // goesBefore tells whether a connection makes room sooner than another.
-func goesBefore(c *conn, r Resting, o *conn, than Resting) bool {
+func goesBefore(c *conn, r IdleConn, o *conn, than IdleConn) bool {
 	if said := c.said.Load(); said != o.said.Load() {
 		return !said
 	}
-	return r.For > than.For
+	return r.IdleFor > than.IdleFor
 }
 
 // mayEnd tells whether a connection that rests may be ended.
-func (s *Server) mayEnd(r Resting) bool {
-	if s.MayEnd != nil {
-		return s.MayEnd(r)
+func (s *Server) mayEnd(r IdleConn) bool {
+	if s.MayCloseIdle != nil {
+		return s.MayCloseIdle(r)
 	}
-	return !r.MakesRoom || r.For > s.Times.LeastRest()
+	return !r.Evicts || r.IdleFor > s.Timeouts.MinIdle()
 }
 
 // restedFor is LeastRest where a protocol does not say otherwise.
@@ -398,12 +398,14 @@
 // Held returns the bytes of request bodies that are held, over all connections.
 func (s *Server) Held() int64 { return s.held.Load() }
 
-// NoFiles tells whether an error means that the process, or the machine, has no descriptor left.
-func NoFiles(err error) bool { return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) }
+// IsDescriptorShortage tells whether an error means that the process, or the machine, has no descriptor left.
+func IsDescriptorShortage(err error) bool {
+	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
+}
 
-// OwnFilesSpent tells whether an error means that the process has as many descriptors as it may. Where it is the machine that has none
+// IsProcessDescriptorLimit tells whether an error means that the process has as many descriptors as it may. Where it is the machine that has none
 // left, fewer connections of ours would change little.
-func OwnFilesSpent(err error) bool { return errors.Is(err, syscall.EMFILE) }
+func IsProcessDescriptorLimit(err error) bool { return errors.Is(err, syscall.EMFILE) }
 
 // Conns returns the number of open connections.
 func (s *Server) Conns() int {
@@ -416,21 +418,21 @@
 // connected or was being sent already is read: a connection that waits to be accepted, or a request on its way,
 // would else be met by a reset.
 func (s *Server) Drain() {
-	s.idleBy.Store(sinceStart() + int64(orElse(s.Times.DrainIdle, drainIdle)))
+	s.idleBy.Store(sinceStart() + int64(orElse(s.Timeouts.DrainIdle, drainIdle)))
 	s.draining.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.room.Broadcast()
 	s.stopAccepting()
 	for c := range s.conns {
-		c.endRest(orElse(s.Times.DrainIdle, drainIdle), false)
+		c.endRest(orElse(s.Timeouts.DrainIdle, drainIdle), false)
 	}
 }
 
 // stopAccepting ends the listener: soon, or at once where others accept from it too. The lock is held.
 func (s *Server) stopAccepting() {
 	if l, ok := s.listener.(interface{ SetDeadline(time.Time) error }); ok && !s.Shared {
-		l.SetDeadline(time.Now().Add(orElse(s.Times.DrainAccept, drainAccept)))
+		l.SetDeadline(time.Now().Add(orElse(s.Timeouts.DrainAccept, drainAccept)))
 	} else if s.listener != nil {
 		s.listener.Close()
 	}
@@ -445,15 +447,15 @@
 
 // drainLeft is for how long an idle connection of a draining server is still read.
 func (s *Server) drainLeft() time.Duration {
-	if !s.Times.DrainKeep {
-		return orElse(s.Times.DrainIdle, drainIdle)
+	if !s.Timeouts.DrainKeep {
+		return orElse(s.Timeouts.DrainIdle, drainIdle)
 	}
 	return max(time.Millisecond, time.Duration(s.idleBy.Load()-sinceStart()))
 }
 
 // closing tells whether connections end with the answer that is being given.
 func (s *Server) closing() bool {
-	return s.draining.Load() && (!s.Times.DrainKeep || sinceStart() >= s.idleBy.Load())
+	return s.draining.Load() && (!s.Timeouts.DrainKeep || sinceStart() >= s.idleBy.Load())
 }
 
 // Wait waits until all connections have ended, or the time has passed; it tells whether they have.
@@ -488,7 +490,7 @@
 	for c := range s.conns {
 		c.nc.Close()
 		if x := c.x.Load(); x != nil {
-			x.Cut()
+			x.Abort()
 		}
 	}
 	for len(s.conns) > 0 {
@@ -501,7 +503,7 @@
 func (c *conn) serve() {
 	s := c.srv
 	c.br = bufio.NewReaderSize(c.ahead, readBuffer)
-	wait := orElse(s.Times.First, s.Times.Head) // before the first request a connection gets no idle time
+	wait := orElse(s.Timeouts.First, s.Timeouts.Head) // before the first request a connection gets no idle time
 	for {
 		c.rests(wait)
 		if _, err := c.br.Peek(1); err != nil && !c.cameLate(err) {
@@ -511,10 +513,10 @@
 		c.busy()
 		arrived, begun := c.ahead.cameAt(c.br.Buffered()), time.Now()
 		c.by = time.Time{}
-		if s.Times.Whole > 0 {
-			c.by = begun.Add(s.Times.Whole)
+		if s.Timeouts.Whole > 0 {
+			c.by = begun.Add(s.Timeouts.Whole)
 		}
-		c.readBy(begun.Add(s.Times.Head))
+		c.readBy(begun.Add(s.Timeouts.Head))
 		q, err := ReadRequest(c.br, s.Limits)
 		if err == nil {
 			err = c.body(q)
@@ -532,15 +534,15 @@
 		gone := c.watch(x)
 		s.held.Add(-size)
 		if gone || x.last() {
-			c.end.Reason = LastAnswer
+			c.end.Reason = FinalResponse
 			if gone || x.gone() {
-				c.end.Reason = ClientLeft
+				c.end.Reason = ClientDisconnected
 			}
-			c.end.Unanswered = x.unanswered && c.end.Reason != ClientLeft
+			c.end.Unanswered = x.unanswered && c.end.Reason != ClientDisconnected
 			c.linger(gone)
 			return
 		}
-		wait = s.Times.Idle
+		wait = s.Timeouts.Idle
 	}
 }
 
@@ -548,18 +550,18 @@
 // client sends just then would meet a reset. One that makes room for others, or that its client has ended, is not.
 func (c *conn) endIdle(err error) {
 	r, _ := c.resting()
-	makesRoom := r.MakesRoom
+	makesRoom := r.Evicts
 	switch {
 	case makesRoom:
-		c.end.Reason = MadeRoom
+		c.end.Reason = Evicted
 	case !errors.Is(err, os.ErrDeadlineExceeded):
 		c.end.Reason = PeerClosed
 	case c.srv.draining.Load():
 		c.end.Reason = Drained
 	case c.end.Requests == 0:
-		c.end.Reason = NothingCame
+		c.end.Reason = NoRequestInTime
 	default:
-		c.end.Reason = RestedLong
+		c.end.Reason = IdleTimeout
 	}
 	c.linger(makesRoom || !errors.Is(err, os.ErrDeadlineExceeded))
 }
@@ -587,7 +589,7 @@
 func (c *conn) body(q *Request) error {
 	s := c.srv
 	if q.expects {
-		c.nc.SetWriteDeadline(time.Now().Add(s.Times.Write))
+		c.nc.SetWriteDeadline(time.Now().Add(s.Timeouts.Write))
 		if _, err := io.WriteString(c.nc, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return err
 		}
@@ -603,7 +605,7 @@
 		s.held.Add(-reserve)
 		return &Error{503, "too many bytes of requests are held"}
 	}
-	c.readBy(time.Now().Add(s.Times.Body))
+	c.readBy(time.Now().Add(s.Timeouts.Body))
 	err := q.ReadBody(c.br, s.Limits)
 	if err != nil {
 		s.held.Add(-reserve)
@@ -618,15 +620,15 @@
 	var e *Error
 	switch {
 	case errors.As(err, &e):
-		c.endedBy(NotReadable)
+		c.endedBy(MalformedRequest)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.endedBy(NotComplete)
+		c.endedBy(IncompleteRequest)
 		e = &Error{408, "the request did not arrive in time"}
 	default:
-		c.endedBy(NotComplete)
+		c.endedBy(IncompleteRequest)
 		return
 	}
-	c.nc.SetWriteDeadline(time.Now().Add(c.srv.Times.Write))
+	c.nc.SetWriteDeadline(time.Now().Add(c.srv.Timeouts.Write))
 	c.fault(e)
 	c.linger(false)
 }
@@ -640,8 +642,8 @@
 
 func (c *conn) fault(e *Error) {
 	fields, body := []Field{{"Content-Type", "text/plain; charset=utf-8"}}, []byte(e.Reason+"\n")
-	if c.srv.Fault != nil {
-		fields, body = c.srv.Fault(e.Status, e.Reason)
+	if c.srv.ErrorBody != nil {
+		fields, body = c.srv.ErrorBody(e.Status, e.Reason)
 	}
 	c.nc.Write(appendReply(nil, e.Status, fields, body, true, false))
 }
@@ -651,7 +653,7 @@
 func (c *conn) linger(gone bool) {
 	if tc, ok := c.nc.(interface{ CloseWrite() error }); ok && !gone {
 		tc.CloseWrite()
-		c.nc.SetReadDeadline(time.Now().Add(orElse(c.srv.Times.Linger, lingerFor)))
+		c.nc.SetReadDeadline(time.Now().Add(orElse(c.srv.Timeouts.Linger, lingerFor)))
 		io.CopyN(io.Discard, c.nc, 256<<10)
 	}
 }
--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -12,29 +12,29 @@
 
 // take enters a request in the book, if the node keeps up. Its client's time runs from its first byte, whatever has
 // passed since; our own lag is taken off.
-func (n *Node) take(now float64, x *http1.Exchange, asked protocol.Asked) {
-	q, whole, job := asked.Request, asked.Whole, asked.Job
+func (n *Node) take(now float64, x *http1.Exchange, asked protocol.RoutedRequest) {
+	q, whole, job := asked.Request, asked.WholeResponseTimeout, asked.Exchange
 	if n.endBy > 0 {
 		q.ClientTimeLeft = max(0, min(q.ClientTimeLeft, n.endBy-now+time.Since(x.Arrived).Seconds()))
 	}
 	patience := q.ClientTimeLeft
-	v := n.strain.take(now, overload.Request{Patience: patience, Spent: time.Since(x.Arrived).Seconds(), Held: n.server.Held()})
-	if !v.OK {
-		n.metrics.strained.WithLabelValues(v.Why).Inc()
+	v := n.strain.take(now, overload.Request{ClientTimeout: patience, Elapsed: time.Since(x.Arrived).Seconds(), HeldBytes: n.server.Held()})
+	if !v.Admitted {
+		n.metrics.strained.WithLabelValues(v.Reason).Inc()
 		n.metrics.answered("turned_away")
-		n.log.Debug("not taken", "request", q.ID, "why", v.Why, "after", v.RetryAfter)
-		n.turnAway(job, outcome.Answer{HTTP: 503, Code: "node_overloaded", Retry: true}, v.RetryAfter, "the node does not keep up now")
+		n.log.Debug("not taken", "request", q.ID, "why", v.Reason, "after", v.RetryAfter)
+		n.turnAway(job, outcome.Response{HTTPStatus: 503, Code: "node_overloaded", RetryIsSafe: true}, v.RetryAfter, "the node does not keep up now")
 		return
 	}
-	q.ClientTimeLeft = v.TimeLeft
+	q.ClientTimeLeft = v.ClientTimeLeft
 	if whole > 0 {
-		whole -= patience - v.TimeLeft
+		whole -= patience - v.ClientTimeLeft
 	}
 	no, ok := n.core.book.Request(now, q, whole)
 	if !ok {
 		n.metrics.answered("turned_away")
 		after := 0.0
-		if no.Retry {
+		if no.RetryIsSafe {
 			after = n.strain.back()
 		}
 		n.log.Debug("not taken", "request", q.ID, "why", no.Code, "after", after)
@@ -45,7 +45,7 @@
 	n.calls[c.id] = c
 	c.dueBy, _ = n.core.book.Deadline(c.id)
 	n.guard(c)
-	x.OnHangup(func(half bool) {
+	x.OnDisconnect(func(half bool) {
 		left := n.core.clock.Now()
 		n.core.post(func(now float64) {
 			if n.calls[c.id] == c {
@@ -58,9 +58,9 @@
 }
 
 // turnAway answers a request that is not taken.
-func (n *Node) turnAway(job protocol.Job, a outcome.Answer, after float64, reason string) {
-	w := job.Word(a, after, reason)
-	n.running.start(func() { job.Say(w) })
+func (n *Node) turnAway(job protocol.ClientExchange, a outcome.Response, after float64, reason string) {
+	w := job.NodeResponse(a, after, reason)
+	n.running.start(func() { job.Respond(w) })
 }
 
 // guard has the book look at a request when it says that it must, as long as it knows it.
--- a/internal/node/audit.go
+++ b/internal/node/audit.go
@@ -19,21 +19,21 @@
 
 // auditAttempt judges an attempt that has ended, if a byte of it was written.
 func (n *Node) auditAttempt(c *call, t try, r protocol.Result) {
-	if r.Wrote.IsZero() {
+	if r.FirstByteAt.IsZero() {
 		return
 	}
-	n.audit(c.id, permit.Written{At: n.core.clock.Of(r.Wrote), LeftAt: c.leftAt, EndsAt: t.endsAt, WindowBy: t.writeBy,
-		DrainsAt: n.core.book.LeavingSince(t.engine), Grace: n.plan.book.DrainGrace}.Violations())
+	n.audit(c.id, permit.Written{At: n.core.clock.Of(r.FirstByteAt), ClientDisconnectedAt: c.leftAt, ClientDeadline: t.endsAt, DedupWindowEnd: t.writeBy,
+		DrainingSince: n.core.book.LeavingSince(t.engine), DrainGrace: n.plan.book.DrainGrace}.Violations())
 }
 
 // mayEnd says whether a client's connection that rests may be ended.
-func (n *Node) mayEnd(r http1.Resting) bool {
-	ask := permit.Close{MakesRoom: r.MakesRoom, RestedFor: r.For.Seconds(), LeastRest: n.plan.times.LeastRest().Seconds()}
+func (n *Node) mayEnd(r http1.IdleConn) bool {
+	ask := permit.CloseIdle{Evicts: r.Evicts, IdleFor: r.IdleFor.Seconds(), MinIdle: n.plan.times.MinIdle().Seconds()}
 	return ask.Reason() == permit.Allowed
 }
 
 // noteClosing files the end of a client's connection.
-func (n *Node) noteClosing(c http1.Closing) {
+func (n *Node) noteClosing(c http1.ConnClosed) {
 	n.metrics.closes.WithLabelValues(string(c.Reason)).Inc()
 	n.log.Debug("connection closed", "reason", string(c.Reason), "requests", c.Requests)
 	n.audit("", permit.Closed{Unanswered: c.Unanswered}.Violations())
--- a/internal/node/collapse_test.go
+++ b/internal/node/collapse_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return relayProcess{n, cfg.Settings.Patience}, nil
+	return relayProcess{n, cfg.Settings.LongestClientTimeout}, nil
 }
 
 // playBoth plays a day on the product and by the plain policy, each on a clock of its own.
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -22,7 +22,7 @@
 	case requesttable.Abort:
 		n.log.Debug("attempt called off", "request", cmd.ID, "attempt", cmd.N, "cause", cmd.Cause)
 		if c := n.calls[cmd.ID]; c != nil && c.attempts[cmd.N].Attempt != nil {
-			c.attempts[cmd.N].Abort(cmd.Cause)
+			c.attempts[cmd.N].Cancel(cmd.Cause)
 		}
 	case requesttable.Grant:
 		n.log.Debug("answer begins", "request", cmd.ID, "attempt", cmd.N, "granted", cmd.OK)
@@ -31,7 +31,7 @@
 				n.core.wheel.Cancel(c.guard)
 				n.guard(c) // another deadline holds now, or none
 				c.granted = true
-				c.job.Granted()
+				c.job.ResponseGranted()
 			}
 			c.grants[cmd.N] <- cmd.OK
 		}
@@ -41,7 +41,7 @@
 		n.answer(cmd)
 	case requesttable.Pass:
 		if c := n.calls[cmd.ID]; c != nil {
-			n.respond(c, c.job.Judged(cmd.N))
+			n.respond(c, c.job.EngineResponse(cmd.N))
 			n.metrics.answered("judged")
 		}
 	case requesttable.Forget:
@@ -57,15 +57,15 @@
 	c := n.calls[cmd.ID]
 	if c == nil { // the book and the node disagree: say it, and end the attempt as never sent
 		n.log.Error("attempt for an unknown request", "request", cmd.ID)
-		n.core.book.Ended(now, cmd.ID, cmd.N, outcome.Facts{Cause: outcome.Overtaken}, nil)
+		n.core.book.Ended(now, cmd.ID, cmd.N, outcome.Evidence{Cause: outcome.RequestEnded}, nil)
 		return
 	}
 	limit, until := cmd.Timeout, now+cmd.Timeout
 	if at, ok := n.core.book.Deadline(cmd.ID); ok {
 		limit, until = within(limit, at-now), now+within(cmd.Timeout, at-now-n.plan.book.Slack)
 	}
-	call := protocol.Call{N: cmd.N, Address: n.addresses[cmd.Engine], Stage: cmd.Stage, State: cmd.State,
-		StateN: cmd.StateN, Timeout: max(time.Millisecond, seconds(limit)), Until: n.core.clock.At(until)}
+	call := protocol.AttemptSpec{Number: cmd.N, Address: n.addresses[cmd.Engine], Stage: cmd.Stage, FetchState: cmd.State,
+		StateAttempt: cmd.StateN, Timeout: max(time.Millisecond, seconds(limit)), ClientDeadline: n.core.clock.At(until)}
 	if cmd.WriteBy > 0 {
 		call.WriteBy = time.Now().Add(seconds(cmd.WriteBy - now))
 	}
@@ -86,7 +86,7 @@
 		if freed != nil {
 			select {
 			case <-freed:
-			case <-time.After(seconds(staterelease.Ahead)):
+			case <-time.After(seconds(staterelease.Lead)):
 			}
 		}
 		n.ended(cmd, a.Run(s))
@@ -101,14 +101,14 @@
 		return c != nil && !c.granted && c.attempts[cmd.N].Attempt == a
 	}
 	n.core.wheel.Add(staterelease.ReleaseAt(cmd.StateAt, n.plan.letGoBy), func(float64) {
-		if waits() && !a.Arrived() {
+		if waits() && !a.Delivered() {
 			n.log.Debug("attempt has not arrived", "request", cmd.ID, "attempt", cmd.N, "engine", cmd.Engine)
 			n.core.book.NotArrived(cmd.ID, cmd.N)
 		}
 	})
-	n.core.wheel.Add(staterelease.BesideAt(begun, cmd.HeldAt, n.plan.letGoBy), func(float64) {
+	n.core.wheel.Add(staterelease.SilentReleaseAt(begun, cmd.HeldAt, n.plan.letGoBy), func(float64) {
 		if waits() {
-			heard := staterelease.Heard(n.contacts[cmd.Engine].good, begun)
+			heard := staterelease.EngineResponded(n.contacts[cmd.Engine].good, begun)
 			n.log.Debug("attempt has not been heard of", "request", cmd.ID, "attempt", cmd.N, "engine", cmd.Engine, "engine_heard", heard)
 			n.core.book.Unheard(cmd.ID, cmd.N, heard)
 		}
@@ -126,12 +126,12 @@
 // ended reports the end of an attempt to the owner.
 func (n *Node) ended(cmd requesttable.Start, r protocol.Result) {
 	n.core.post(func(now float64) {
-		n.noteContact(now, cmd.Engine, r.Facts)
+		n.noteContact(now, cmd.Engine, r.Evidence)
 		c := n.calls[cmd.ID]
 		if c == nil {
 			return
 		}
-		if r.Err != nil && http1.OwnFilesSpent(r.Err) {
+		if r.Err != nil && http1.IsProcessDescriptorLimit(r.Err) {
 			n.noteShortage(n.server.Conns())
 		}
 		if n.log.Enabled(context.Background(), slog.LevelDebug) {
@@ -139,34 +139,34 @@
 			if r.Err != nil {
 				text = r.Err.Error()
 			}
-			n.log.Debug("attempt ended", "request", cmd.ID, "attempt", cmd.N, "engine", cmd.Engine, "progress", r.Facts.Progress,
-				"cause", r.Facts.Cause, "meaning", r.Facts.Meaning, "error", text, "report", r.Report)
+			n.log.Debug("attempt ended", "request", cmd.ID, "attempt", cmd.N, "engine", cmd.Engine, "progress", r.Evidence.Progress,
+				"cause", r.Evidence.Cause, "meaning", r.Evidence.ResponseKind, "error", text, "report", r.Report)
 		}
-		c.job.Ended(cmd.N, r)
+		c.job.AttemptEnded(cmd.N, r)
 		n.auditAttempt(c, c.attempts[cmd.N], r)
 		delete(c.attempts, cmd.N)
 		delete(c.grants, cmd.N)
-		if r.Facts.Cause == outcome.ClientLeft {
-			halfAtLeast := r.Wrote.IsZero() // its socket tells of the end of its sending, behind which it may wait for an answer
+		if r.Evidence.Cause == outcome.ClientDisconnected {
+			halfAtLeast := r.FirstByteAt.IsZero() // its socket tells of the end of its sending, behind which it may wait for an answer
 			n.core.book.Hangup(now, cmd.ID, halfAtLeast)
 		}
-		if r.Facts.Cause == outcome.Answered && r.Facts.Meaning == outcome.Done && cmd.Stage == outcome.Decode {
+		if r.Evidence.Cause == outcome.ResponseComplete && r.Evidence.ResponseKind == outcome.DecodeDone && cmd.Stage == outcome.Decode {
 			n.metrics.answered("served")
 		}
-		n.core.book.Ended(now, cmd.ID, cmd.N, r.Facts, r.Report)
+		n.core.book.Ended(now, cmd.ID, cmd.N, r.Evidence, r.Report)
 	})
 }
 
 // noteContact files whether an engine answered.
-func (n *Node) noteContact(now float64, engine string, f outcome.Facts) {
+func (n *Node) noteContact(now float64, engine string, f outcome.Evidence) {
 	if !n.plan.anyone || n.addresses[engine] == "" {
 		return
 	}
 	k := n.contacts[engine]
 	switch f.Cause {
-	case outcome.Answered:
+	case outcome.ResponseComplete:
 		k.good = now
-	case outcome.Broken, outcome.Expired, outcome.Stalled:
+	case outcome.ConnectionBroken, outcome.AttemptTimedOut, outcome.StreamStalled:
 		k.bad = now
 	}
 	n.contacts[engine] = k
@@ -176,9 +176,9 @@
 // once, in the order of the book's commands: an attempt that was begun in the same pass may take long to connect, and the time of
 // what is held runs on meanwhile. After an attempt that was broken off it waits a moment, and is then asked for again.
 func (n *Node) release(now float64, cmd requesttable.Release) {
-	plan := staterelease.Plan{By: now + n.plan.letGoBy, Any: n.plan.anyone}
+	plan := staterelease.RetrySchedule{Deadline: now + n.plan.letGoBy, AnyEngine: n.plan.anyone}
 	n.releasing++
-	if at := staterelease.Ready(now, cmd.CutAt); at > now {
+	if at := staterelease.EarliestRelease(now, cmd.CutAt); at > now {
 		n.core.wheel.Add(at, func(now float64) { n.releaseAgain(now, cmd, plan) })
 		return
 	}
@@ -190,7 +190,7 @@
 }
 
 // releaseAgain makes a call later than it was due, unless it would take what has come since.
-func (n *Node) releaseAgain(now float64, cmd requesttable.Release, plan staterelease.Plan) {
+func (n *Node) releaseAgain(now float64, cmd requesttable.Release, plan staterelease.RetrySchedule) {
 	if !n.core.book.Wanted(cmd) {
 		n.releasing--
 		return
@@ -199,20 +199,20 @@
 }
 
 // releaseBy makes one call that releases, and closes done when it has ended.
-func (n *Node) releaseBy(now float64, cmd requesttable.Release, plan staterelease.Plan, done chan struct{}) {
+func (n *Node) releaseBy(now float64, cmd requesttable.Release, plan staterelease.RetrySchedule, done chan struct{}) {
 	engine := cmd.Engine
 	if n.plan.anyone {
-		engine = n.releaser(cmd.Engine, plan.Tries)
+		engine = n.releaser(cmd.Engine, plan.Attempts)
 	}
-	address, within := n.addresses[engine], seconds(plan.Within(now))
+	address, within := n.addresses[engine], seconds(plan.CallTimeout(now))
 	n.running.start(func() {
 		err := n.caller.Release(address, cmd.ID, cmd.N, within)
 		close(done)
 		n.core.post(func(now float64) {
-			o, k := staterelease.Answered, n.contacts[engine]
+			o, k := staterelease.Acknowledged, n.contacts[engine]
 			if err != nil {
-				o, k.bad = staterelease.Lost, now
-				if http1.OwnFilesSpent(err) {
+				o, k.bad = staterelease.Unacknowledged, now
+				if http1.IsProcessDescriptorLimit(err) {
 					n.noteShortage(n.server.Conns())
 				}
 				n.log.Debug("state not released", "request", cmd.ID, "engine", engine, "error", err.Error())
@@ -222,10 +222,10 @@
 			if n.plan.anyone && n.addresses[engine] != "" {
 				n.contacts[engine] = k
 			}
-			n.log.Debug("release ended", "request", cmd.ID, "attempt", cmd.N, "engine", engine, "try", plan.Tries, "answered", err == nil)
-			if !plan.Late {
-				broken := permit.Held{Answered: err == nil, At: now, By: plan.By}.Violations()
-				plan.Late = len(broken) > 0
+			n.log.Debug("release ended", "request", cmd.ID, "attempt", cmd.N, "engine", engine, "try", plan.Attempts, "answered", err == nil)
+			if !plan.PastDeadline {
+				broken := permit.HeldState{Answered: err == nil, At: now, By: plan.Deadline}.Violations()
+				plan.PastDeadline = len(broken) > 0
 				n.audit(cmd.ID, broken)
 			}
 			if at, again := plan.Next(now, o); again {
@@ -242,12 +242,12 @@
 	var all []staterelease.Engine
 	for _, id := range sortedKeys(n.addresses) {
 		k := n.contacts[id]
-		all = append(all, staterelease.Engine{ID: id, Listed: n.core.book.Listed(id), Holder: id == holder, Good: k.good, Bad: k.bad})
+		all = append(all, staterelease.Engine{ID: id, Listed: n.core.book.Listed(id), Holder: id == holder, LastSuccess: k.good, LastFailure: k.bad})
 	}
 	if len(all) == 0 {
 		return holder
 	}
-	return staterelease.Order(all)[try%len(all)].ID
+	return staterelease.RankEngines(all)[try%len(all)].ID
 }
 
 // answer gives the node's own final answer: a whole one, or the end of a stream that had begun.
@@ -258,22 +258,22 @@
 	}
 	a := cmd.Answer
 	kind := "failed"
-	if a.Retry {
+	if a.RetryIsSafe {
 		kind = "refused"
 	}
 	n.metrics.answered(kind)
-	n.log.Debug("answered by the node", "request", c.id, "status", a.HTTP, "code", a.Code, "retry", a.Retry, "after", cmd.RetryAfter,
+	n.log.Debug("answered by the node", "request", c.id, "status", a.HTTPStatus, "code", a.Code, "retry", a.RetryIsSafe, "after", cmd.RetryAfter,
 		"reason", cmd.Reason)
-	n.respond(c, c.job.Word(a, cmd.RetryAfter, cmd.Reason))
+	n.respond(c, c.job.NodeResponse(a, cmd.RetryAfter, cmd.Reason))
 }
 
 // respond writes a final response on a goroutine of its own, for the client may be slow to take it.
-func (n *Node) respond(c *call, w protocol.Word) {
+func (n *Node) respond(c *call, w protocol.Response) {
 	c.answered = true
 	if !c.granted { // else a stream ends, whose first piece was in time
-		n.audit(c.id, permit.Answered{At: n.core.clock.Now(), DueBy: c.dueBy}.Violations())
+		n.audit(c.id, permit.Responded{At: n.core.clock.Now(), DueBy: c.dueBy}.Violations())
 	}
-	n.running.start(func() { c.job.Say(w) })
+	n.running.start(func() { c.job.Respond(w) })
 }
 
 // forget drops a call. A client that was promised nothing more, and has not had the end of its answer, is cut off.
@@ -286,7 +286,7 @@
 	n.log.Debug("request ended", "request", id, "answered", c.answered, "left", c.leftAt > 0)
 	n.core.wheel.Cancel(c.guard)
 	if !c.answered {
-		c.x.Cut()
+		c.x.Abort()
 	}
 }
 
@@ -299,8 +299,8 @@
 	grant  chan bool
 }
 
-// Load tells the module the engine's load when its answer begins, as the result of a probe would.
-func (s *stream) Load(r *scheduler.LoadReport) {
+// LoadReported tells the module the engine's load when its answer begins, as the result of a probe would.
+func (s *stream) LoadReported(r *scheduler.LoadReport) {
 	if r == nil {
 		return
 	}
@@ -309,10 +309,10 @@
 	})
 }
 
-// First asks the owner for the client's answer, which only one attempt gets.
-func (s *stream) First() bool {
+// RequestGrant asks the owner for the client's answer, which only one attempt gets.
+func (s *stream) RequestGrant() bool {
 	ok := s.node.core.post(func(now float64) {
-		s.node.noteContact(now, s.engine, outcome.Facts{Cause: outcome.Answered})
+		s.node.noteContact(now, s.engine, outcome.Evidence{Cause: outcome.ResponseComplete})
 		if s.node.calls[s.call.id] != s.call {
 			s.grant <- false
 			return
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -17,7 +17,7 @@
 // others reach it through post alone.
 type core struct {
 	clock  clock.Clock
-	beat   batching.Beat
+	beat   batching.DispatchInterval
 	router *scheduler.Scheduler
 	book   *requesttable.Ledger
 	wheel  *timerwheel.Wheel[func(now float64)]
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	r.publish()
-	n, err := node.Start(r.config(set), node.WithLogger(slog.New(slog.NewTextHandler(io.Discard, nil))), node.WithSeed(1))
+	n, err := node.StartChat(r.config(set), node.WithLogger(slog.New(slog.NewTextHandler(io.Discard, nil))), node.WithSeed(1))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -29,10 +29,10 @@
 	core    *core
 	plan    plan
 	front   protocol.Front
-	caller  protocol.Caller
+	caller  protocol.EngineClient
 	server  *http1.Server
 	admin   *http1.Server
-	lists   protocol.Lists
+	lists   protocol.EndpointSource
 	addr    net.Addr
 	aaddr   net.Addr
 	metrics *metrics
@@ -61,7 +61,7 @@
 	tick      float64
 	letGoBy   float64 // within which a state must be let go of
 	strain    overload.Limits
-	times     http1.Times
+	times     http1.Timeouts
 	limits    http1.Limits
 	lobby     int   // connections that are refused at a time; 0 = as the server has it
 	held      int64 // bytes of request bodies held at once; 0 = no bound
@@ -114,7 +114,7 @@
 		failed: make(chan error, 1), metrics: newMetrics()}
 	clk := clock.New()
 	n.strain = newKeeping(p.strain, clk)
-	n.core = &core{clock: clk, beat: batching.Beat{Tick: p.tick}, router: router, book: requesttable.New(p.book, p.scheduler.Kinds),
+	n.core = &core{clock: clk, beat: batching.DispatchInterval{Tick: p.tick}, router: router, book: requesttable.New(p.book, p.scheduler.Kinds),
 		wheel: timerwheel.New[func(float64)](clk.Now(), 0.001), wake: make(chan struct{}, 1), done: make(chan struct{}),
 		carry: n.carry, side: n.side, decide: n.metrics.decided, broken: n.moduleFailed, late: n.strain.late}
 	return n, nil
@@ -131,19 +131,19 @@
 // serveOn serves clients on a listener. Handed tells that other processes accept from the same socket.
 func (n *Node) serveOn(l net.Listener, handed bool) {
 	n.addr = l.Addr()
-	n.server = &http1.Server{Shared: handed, Limits: n.plan.limits, MaxConns: n.strain.connections, MaxBytes: n.plan.held, Lobby: n.plan.lobby,
-		Short: n.noteShortage, MayEnd: n.mayEnd, Closed: n.noteClosing, Times: n.plan.times,
+	n.server = &http1.Server{Shared: handed, Limits: n.plan.limits, MaxConns: n.strain.connections, MaxBytes: n.plan.held, RejectionQueue: n.plan.lobby,
+		OnDescriptorShortage: n.noteShortage, MayCloseIdle: n.mayEnd, OnClose: n.noteClosing, Timeouts: n.plan.times,
 		Handler: http1.HandlerFunc(func(x *http1.Exchange) {
-			n.front.Serve(x, func(q protocol.Asked) bool {
+			n.front.Serve(x, func(q protocol.RoutedRequest) bool {
 				return n.core.post(func(now float64) { n.take(now, x, q) })
 			})
 		}),
-		Fault: func(status int, reason string) ([]http1.Field, []byte) {
+		ErrorBody: func(status int, reason string) ([]http1.Field, []byte) {
 			after := 0.0
 			if status == 503 {
 				after = n.strain.back()
 			}
-			return n.front.Fault(status, reason, after)
+			return n.front.ErrorBody(status, reason, after)
 		}}
 	n.runLoop(func() { n.server.Serve(l) })
 }
@@ -165,7 +165,7 @@
 
 // takeList hands a list to the owner. Attempts at engines that it takes away, of which nothing has been written, go
 // elsewhere: the grace of a drain is no time to connect in.
-func (n *Node) takeList(l protocol.List) {
+func (n *Node) takeList(l protocol.EndpointList) {
 	n.log.Debug("engine list taken", "engines", len(l.Engines), "saved", l.Saved)
 	n.core.post(func(now float64) {
 		for id, a := range l.Addresses {
@@ -181,7 +181,7 @@
 		for _, c := range n.calls {
 			for _, a := range c.attempts {
 				if !n.core.book.Listed(a.engine) {
-					a.Withdraw()
+					a.CancelIfUnsent()
 				}
 			}
 		}
@@ -193,7 +193,7 @@
 	n.core.post(func(now float64) {
 		var again func(float64)
 		again = func(now float64) {
-			n.running.start(n.caller.Sweep)
+			n.running.start(n.caller.CloseExpired)
 			n.core.wheel.Add(now+1, again)
 		}
 		again(now)
@@ -247,9 +247,9 @@
 	ids, since := n.core.book.Streaming()
 	streams := make([]shutdown.Stream, len(ids))
 	for i := range ids {
-		streams[i] = shutdown.Stream{ID: ids[i], Since: since[i]}
+		streams[i] = shutdown.Stream{ID: ids[i], StartedAt: since[i]}
 	}
-	for _, m := range shutdown.Plan(now, n.endBy, n.plan.scheduler.NodeCount, streams) {
+	for _, m := range shutdown.CutoffSchedule(now, n.endBy, n.plan.scheduler.NodeCount, streams) {
 		n.core.wheel.Add(m.At, func(now float64) { n.core.book.Move(now, m.ID) })
 	}
 }
@@ -257,7 +257,7 @@
 // stopTaking drains the server; what is on its way is still taken, up to the deadline.
 func (n *Node) stopTaking(deadline time.Time) {
 	n.server.Drain()
-	for end := time.Now().Add(n.plan.times.Takes()); time.Now().Before(earlier(end, deadline)) && !n.hurry.Load(); {
+	for end := time.Now().Add(n.plan.times.AcceptsFor()); time.Now().Before(earlier(end, deadline)) && !n.hurry.Load(); {
 		time.Sleep(5 * time.Millisecond)
 	}
 	n.core.post(func(now float64) { n.core.book.Close() })
@@ -289,11 +289,11 @@
 	return b
 }
 
-// KeepNoState stops the writing of the state directory, so that a successor can hold it.
-func (n *Node) KeepNoState() { n.lists.Keep(false) }
+// StopSavingState stops the writing of the state directory, so that a successor can hold it.
+func (n *Node) StopSavingState() { n.lists.SaveState(false) }
 
-// Hurry makes a Shutdown that waits give its last answers now.
-func (n *Node) Hurry() { n.hurry.Store(true) }
+// RespondNow makes a Shutdown that waits give its last answers now.
+func (n *Node) RespondNow() { n.hurry.Store(true) }
 
 // Live returns how many requests wait for the end of their answer.
 func (n *Node) Live() int { return n.ask(func() int { return n.core.book.Live() }) }
@@ -329,9 +329,9 @@
 	n.core.post(func(now float64) {
 		for _, c := range n.calls {
 			for _, a := range c.attempts {
-				a.Abort(outcome.Overtaken)
+				a.Cancel(outcome.RequestEnded)
 			}
-			c.x.Cut()
+			c.x.Abort()
 		}
 		n.core.quit = true
 	})
@@ -373,7 +373,7 @@
 type call struct {
 	id       string
 	x        *http1.Exchange
-	job      protocol.Job
+	job      protocol.ClientExchange
 	attempts map[int]try
 	grants   map[int]chan bool
 	guard    *timerwheel.Timer[func(float64)]
--- a/internal/node/openai.go
+++ b/internal/node/openai.go
@@ -24,8 +24,8 @@
 	cfg   atomic.Pointer[config.Config]
 }
 
-// Start starts a node that speaks the published chat protocol. The engine list must be readable.
-func Start(cfg *config.Config, opts ...Option) (*ChatNode, error) {
+// StartChat starts a node that speaks the published chat protocol. The engine list must be readable.
+func StartChat(cfg *config.Config, opts ...Option) (*ChatNode, error) {
 	o := choose(opts)
 	n, err := newNode(chatPlan(cfg), o)
 	if err != nil {
@@ -35,7 +35,7 @@
 	c.cfg.Store(cfg)
 	engines := &engine.Client{Node: cfg.Node.Name, Key: cfg.Engines.Key, Connect: seconds(cfg.Limits.Connect),
 		Stall: func() time.Duration { return seconds(c.Config().Limits.Stall) }, MaxEvent: cfg.Limits.MaxEvent,
-		Pool: &http1.Pool{MaxIdle: cfg.Limits.EngineIdleConns, Idle: seconds(cfg.Limits.EngineIdle),
+		Pool: &http1.Pool{MaxIdle: cfg.Limits.EngineIdleConns, IdleTimeout: seconds(cfg.Limits.EngineIdle),
 			Limits: http1.DefaultLimits}}
 	c.front = openai.NewFront(cfg, engines, o.log)
 	n.front, n.caller = c.front, engines
@@ -57,20 +57,20 @@
 
 // chatPlan is the host's part of the configuration.
 func chatPlan(cfg *config.Config) plan {
-	p := plan{scheduler: cfg.Brain(), book: bookConfig(cfg), tick: cfg.Tick, letGoBy: cfg.Rules.LetGoBy, held: cfg.Limits.MaxHeld,
-		limits: http1.DefaultLimits, strain: overload.Limits{Files: cfg.Limits.Files, Connections: cfg.Limits.MaxConnections,
-			Bytes: cfg.Limits.MaxHeld, Slack: cfg.Rules.AnswerSlack},
-		times: http1.Times{Head: seconds(cfg.Limits.Head), Body: seconds(cfg.Limits.Body), Idle: seconds(cfg.Limits.Idle),
+	p := plan{scheduler: cfg.Scheduler(), book: bookConfig(cfg), tick: cfg.Tick, letGoBy: cfg.Rules.LetGoBy, held: cfg.Limits.MaxHeld,
+		limits: http1.DefaultLimits, strain: overload.Limits{Descriptors: cfg.Limits.Files, Connections: cfg.Limits.MaxConnections,
+			Bytes: cfg.Limits.MaxHeld, ResponseSlack: cfg.Rules.AnswerSlack},
+		times: http1.Timeouts{Head: seconds(cfg.Limits.Head), Body: seconds(cfg.Limits.Body), Idle: seconds(cfg.Limits.Idle),
 			Write: seconds(cfg.Limits.Write)}}
 	p.limits.Body = cfg.Limits.MaxBody
-	if p.strain.Files == 0 {
-		p.strain.Files = service.Files()
+	if p.strain.Descriptors == 0 {
+		p.strain.Descriptors = service.DescriptorLimit()
 	}
 	return p
 }
 
 func bookConfig(cfg *config.Config) requesttable.Config {
-	return requesttable.Config{Classes: cfg.Brain().Classes, MaxOpen: cfg.Limits.MaxOpen, MaxAttempts: cfg.Limits.MaxAttempts,
+	return requesttable.Config{Classes: cfg.Scheduler().Classes, MaxOpen: cfg.Limits.MaxOpen, MaxAttempts: cfg.Limits.MaxAttempts,
 		Slack: cfg.Rules.AnswerSlack, DrainGrace: cfg.Rules.DrainGrace}
 }
 
@@ -100,7 +100,7 @@
 	if al != nil {
 		n.aaddr = al.Addr()
 		n.admin = &http1.Server{Handler: http1.HandlerFunc(n.serveAdmin), Limits: http1.DefaultLimits,
-			Times: http1.DefaultTimes, MaxConns: func() int { return 100 }, MaxBytes: 1 << 20}
+			Timeouts: http1.DefaultTimeouts, MaxConns: func() int { return 100 }, MaxBytes: 1 << 20}
 		n.runLoop(func() { n.admin.Serve(al) })
 	}
 	n.serveOn(l, handed)
--- a/internal/node/overload.go
+++ b/internal/node/overload.go
@@ -13,7 +13,7 @@
 type keeping struct {
 	mu    sync.Mutex
 	clock clock.Clock
-	state *overload.State
+	state *overload.Controller
 }
 
 func newKeeping(lim overload.Limits, c clock.Clock) *keeping {
@@ -24,7 +24,7 @@
 func (k *keeping) late(now, lag float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.state.Late(now, lag)
+	k.state.ObserveLag(now, lag)
 }
 
 // connections is how many clients may be connected now.
@@ -38,22 +38,22 @@
 func (k *keeping) back() float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.state.Return(k.clock.Now(), rand.Float64())
+	return k.state.RetryAfter(k.clock.Now(), rand.Float64())
 }
 
 // short files that no descriptor was left.
 func (k *keeping) short(open int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.state.Short(k.clock.Now(), open)
+	k.state.ObserveDescriptorShortage(k.clock.Now(), open)
 }
 
 // take decides on a request.
-func (k *keeping) take(now float64, q overload.Request) overload.Verdict {
+func (k *keeping) take(now float64, q overload.Request) overload.Decision {
 	q.Draw = rand.Float64()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.state.Take(now, q)
+	return k.state.Admit(now, q)
 }
 
 // noteShortage is told that no descriptor was left: idle connections make room, above all for calls that let go of states.
