--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -35,7 +35,7 @@
 	}
 	n.serveOn(l, false)
 	r := &RelayNode{Node: n}
-	r.discovery = relay.Follow(cfg.Discovery, cfg.Known, cfg.Settings, n.core.clock, o.connect, func(l protocol.List) { n.takeList(l) }, o.log)
+	r.discovery = relay.Follow(cfg.Discovery, cfg.Known, cfg.Settings, n.core.clock, o.connect, func(l protocol.EndpointList) { n.takeList(l) }, o.log)
 	n.lists = r.discovery
 	n.begin()
 	return r, nil
@@ -47,15 +47,15 @@
 // relayPlan is the host's part of the configuration.
 func relayPlan(cfg *relay.Config) plan {
 	s, parts := cfg.Settings, cfg.Limits.Parts()
-	rules, decisions := s.Brain.Rules, s.Brain
+	rules, decisions := s.Scheduler.Rules, s.Scheduler
 	decisions.Limits.UnsentAttemptsAreFree = true // an attempt counts once its last byte has come (PROTOCOL, nodes to engines)
-	return plan{scheduler: decisions, tick: s.Brain.Tick, letGoBy: rules.StateReleaseLimit, held: parts.Bytes, anyone: true, resume: s.Resume,
-		book: requesttable.Config{Classes: s.Brain.Classes, MaxOpen: parts.Clients, MaxAttempts: s.Brain.Limits.MaxAttempts, UnsentFree: true,
-			Slack: rules.AnswerSlack + relay.Slack.Seconds()/2, DrainGrace: rules.DrainGrace, ReleaseAll: true},
-		strain: overload.Limits{Files: cfg.Limits.Sockets, Connections: parts.Clients, Bytes: parts.Bytes,
-			Slack: rules.AnswerSlack + relay.Slack.Seconds()/2},
-		times: relay.ServerTimes(s.Resume), limits: relay.RequestLimits, lobby: parts.Lobby}
+	return plan{scheduler: decisions, tick: s.Scheduler.Tick, letGoBy: rules.StateReleaseLimit, held: parts.BodyBytes, anyone: true, resume: s.ClientsResume,
+		book: requesttable.Config{Classes: s.Scheduler.Classes, MaxOpen: parts.Clients, MaxAttempts: s.Scheduler.Limits.MaxAttempts, UnsentFree: true,
+			Slack: rules.AnswerSlack + relay.SocketSlack.Seconds()/2, DrainGrace: rules.DrainGrace, ReleaseAll: true},
+		strain: overload.Limits{Descriptors: cfg.Limits.Sockets, Connections: parts.Clients, Bytes: parts.BodyBytes,
+			ResponseSlack: rules.AnswerSlack + relay.SocketSlack.Seconds()/2},
+		times: relay.ServerTimeouts(s.ClientsResume), limits: relay.RequestLimits, lobby: parts.RejectionQueue}
 }
 
-// LongestStop is how long a stop may wait for answers that run.
-const LongestStop = time.Minute
+// MaxStreamDrain is how long a stop may wait for answers that run.
+const MaxStreamDrain = time.Minute
--- a/internal/node/release_test.go
+++ b/internal/node/release_test.go
@@ -29,18 +29,18 @@
 	callTakes = 5 * time.Millisecond // to release
 )
 
-func (s *slowDials) Attempt(c protocol.Call) protocol.Attempt { return &slowDial{s: s, call: c} }
-func (s *slowDials) Ended(int, protocol.Result)               {}
-func (s *slowDials) Granted()                                 {}
-func (s *slowDials) Judged(int) protocol.Word                 { return protocol.Word{} }
-func (s *slowDials) Say(protocol.Word)                        { close(s.said) }
-func (s *slowDials) Word(outcome.Answer, float64, string) protocol.Word {
-	return protocol.Word{}
+func (s *slowDials) Attempt(c protocol.AttemptSpec) protocol.Attempt { return &slowDial{s: s, call: c} }
+func (s *slowDials) AttemptEnded(int, protocol.Result)               {}
+func (s *slowDials) ResponseGranted()                                {}
+func (s *slowDials) EngineResponse(int) protocol.Response            { return protocol.Response{} }
+func (s *slowDials) Respond(protocol.Response)                       { close(s.said) }
+func (s *slowDials) NodeResponse(outcome.Response, float64, string) protocol.Response {
+	return protocol.Response{}
 }
-func (s *slowDials) Sweep()     {}
-func (s *slowDials) CloseIdle() {}
-func (s *slowDials) Close()     {}
-func (s *slowDials) Keep(bool)  {}
+func (s *slowDials) CloseExpired()  {}
+func (s *slowDials) CloseIdle()     {}
+func (s *slowDials) Close()         {}
+func (s *slowDials) SaveState(bool) {}
 func (s *slowDials) Release(string, string, int, time.Duration) error {
 	time.Sleep(callTakes)
 	s.mu.Lock()
@@ -52,12 +52,12 @@
 }
 
 type slowDial struct {
-	protocol.Hold
+	protocol.AttemptControl
 	s    *slowDials
-	call protocol.Call
+	call protocol.AttemptSpec
 }
 
-func (a *slowDial) Run(protocol.Host) protocol.Result {
+func (a *slowDial) Run(protocol.AttemptObserver) protocol.Result {
 	a.s.mu.Lock()
 	if !a.s.released.IsZero() && a.s.began.IsZero() {
 		a.s.began = time.Now()
@@ -68,15 +68,15 @@
 		defer a.s.mu.Unlock()
 		if a.s.cut {
 			a.s.cut = false
-			return protocol.Result{Facts: outcome.Facts{Progress: outcome.Written, Cause: outcome.Broken}}
+			return protocol.Result{Evidence: outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.ConnectionBroken}}
 		}
 		if a.s.read.IsZero() {
 			a.s.read = time.Now()
 		}
-		return protocol.Result{Facts: outcome.Facts{Progress: outcome.Headed, Cause: outcome.Answered, Meaning: outcome.Read}}
+		return protocol.Result{Evidence: outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.PrefillDone}}
 	}
 	time.Sleep(connect)
-	return protocol.Result{Facts: outcome.Facts{Progress: outcome.Dialling, Cause: outcome.Broken}}
+	return protocol.Result{Evidence: outcome.Evidence{Progress: outcome.Connecting, Cause: outcome.ConnectionBroken}}
 }
 
 // A state is released as soon as it is let go of, though the next attempt goes out in the same pass and takes long to fail: while
@@ -103,7 +103,7 @@
 	n.caller, n.lists = s, s
 	n.runLoop(n.core.run)
 	defer func() { n.core.post(func(float64) { n.core.quit = true }); n.loops.Wait(); n.running.wait() }()
-	n.takeList(protocol.List{Form: scheduler.UpdateComplete, Addresses: map[string]string{"r0": "x", "r1": "x", "w0": "x", "w1": "x", "w2": "x"},
+	n.takeList(protocol.EndpointList{Form: scheduler.UpdateComplete, Addresses: map[string]string{"r0": "x", "r1": "x", "w0": "x", "w1": "x", "w2": "x"},
 		Engines: []scheduler.Engine{{ID: "r0", Kind: 0, Weight: 1}, {ID: "r1", Kind: 0, Weight: 1}, {ID: "w0", Kind: 1, Weight: 1}, {ID: "w1", Kind: 1, Weight: 1}, {ID: "w2", Kind: 1, Weight: 1}}})
 	n.core.post(func(now float64) {
 		n.core.book.Request(now, scheduler.Request{ID: "a", ClientTimeLeft: 4, PromptTokens: 1000, MaxOutputTokens: 100}, 0)
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -61,8 +61,8 @@
 	}
 	var classes []classify.Class
 	for _, c := range cfg.Classes {
-		classes = append(classes, classify.Class{Patience: c.Patience, PatiencePerK: c.PatiencePerK, MaxTokens: c.MaxTokens,
-			TokenAim: c.TokenAim})
+		classes = append(classes, classify.Class{ClientTimeout: c.Patience, ClientTimeoutPer1KTokens: c.PatiencePerK, MaxTokens: c.MaxTokens,
+			OutputTokenObjective: c.TokenAim})
 	}
 	var keys, hashes [][]string
 	for _, t := range cfg.Tenants {
@@ -71,8 +71,8 @@
 	f.view.Store(&view{cfg, classify.NewTable(classes, models, rules, keys, hashes), list.Bytes()})
 }
 
-// Fault words the answer to a request that could not be parsed, or for which there is no place.
-func (f *Front) Fault(status int, reason string, after float64) ([]http1.Field, []byte) {
+// ErrorBody words the answer to a request that could not be parsed, or for which there is no place.
+func (f *Front) ErrorBody(status int, reason string, after float64) ([]http1.Field, []byte) {
 	retry := status == 408 || status == 503
 	return append(front.RetryFields(retry, after), front.JSONType), front.ErrorJSON(status, faultCode(status), "", reason)
 }
@@ -109,7 +109,7 @@
 }
 
 // Serve answers one request of the public listener, or hands it on.
-func (f *Front) Serve(x *http1.Exchange, take func(protocol.Asked) bool) {
+func (f *Front) Serve(x *http1.Exchange, take func(protocol.RoutedRequest) bool) {
 	allowed := methods(x.Path)
 	allow := http1.Field{Name: "Allow", Value: strings.Join(append(allowed, "OPTIONS"), ", ")}
 	switch {
@@ -166,7 +166,7 @@
 }
 
 // chat takes a chat request.
-func (f *Front) chat(x *http1.Exchange, v *view, tenant int, take func(protocol.Asked) bool) {
+func (f *Front) chat(x *http1.Exchange, v *view, tenant int, take func(protocol.RoutedRequest) bool) {
 	if t := x.Header.Get("Content-Type"); t != "" && !strings.HasPrefix(strings.ToLower(t), "application/json") {
 		refuse(x, 415, false, "unsupported_media_type", "", "the body must be application/json")
 		return
@@ -201,9 +201,9 @@
 		stated = given / 1000
 	}
 	j := &job{front: f, x: x, chat: chat, extra: passOn(x), id: f.prefix + "-" + strconv.FormatUint(f.serial.Add(1), 36),
-		states: map[int]json.RawMessage{}, replies: map[int]protocol.Word{}}
+		states: map[int]json.RawMessage{}, replies: map[int]protocol.Response{}}
 	most := v.table.MaxTokens(class, chat.MaxTokens)
-	wait := v.table.Patience(class, chat.PromptTokens, most, stated, !chat.Stream)
+	wait := v.table.ClientWait(class, chat.PromptTokens, most, stated, !chat.Stream)
 	q := scheduler.Request{ID: j.id, Class: class, Tenant: tenant, Session: chat.Session, Prefix: chat.Prefix,
 		ClientTimeLeft: wait.First, PromptTokens: float64(chat.PromptTokens), PrefixTokens: float64(chat.PrefixTokens),
 		MaxOutputTokens: float64(most), Retry: retried(x)}
@@ -211,7 +211,7 @@
 		f.log.Debug("taken", "request", j.id, "client_request", clip(chosen), "class", v.cfg.Classes[class].Name)
 	}
 	x.Header = nil // all that is needed of it is in j and q
-	if !take(protocol.Asked{Request: q, Whole: wait.Whole, Job: j}) {
+	if !take(protocol.RoutedRequest{Request: q, WholeResponseTimeout: wait.Whole, Exchange: j}) {
 		refuse(x, 503, true, "node_stopping", "", "the node is stopping")
 	}
 }
--- a/internal/openai/job.go
+++ b/internal/openai/job.go
@@ -20,7 +20,7 @@
 	chat    *front.Chat
 	extra   []http1.Field
 	states  map[int]json.RawMessage // by the attempt that read them
-	replies map[int]protocol.Word
+	replies map[int]protocol.Response
 }
 
 // attempt is an attempt at an engine that knows what to do with its stream.
@@ -32,16 +32,16 @@
 }
 
 // Attempt prepares an attempt.
-func (j *job) Attempt(c protocol.Call) protocol.Attempt {
+func (j *job) Attempt(c protocol.AttemptSpec) protocol.Attempt {
 	a := &attempt{job: j, stage: c.Stage, whole: !j.chat.Stream}
-	a.Client, a.RequestID, a.Address = j.front.engines, engine.StateID(j.id, c.N), c.Address
+	a.Client, a.RequestID, a.Address = j.front.engines, engine.StateID(j.id, c.Number), c.Address
 	a.Extra, a.Timeout, a.WriteBy = j.extra, c.Timeout, c.WriteBy
 	switch {
 	case c.Stage == outcome.Prefill:
 		a.Body = j.chat.PrefillBody()
-	case c.State:
-		a.RequestID = engine.StateID(j.id, c.StateN)
-		a.Body = j.chat.DecodeBody(j.states[c.StateN])
+	case c.FetchState:
+		a.RequestID = engine.StateID(j.id, c.StateAttempt)
+		a.Body = j.chat.DecodeBody(j.states[c.StateAttempt])
 	default:
 		a.Body = j.chat.DecodeBody(nil)
 	}
@@ -49,53 +49,53 @@
 }
 
 // Run makes the attempt.
-func (a *attempt) Run(h protocol.Host) protocol.Result {
+func (a *attempt) Run(h protocol.AttemptObserver) protocol.Result {
 	var r engine.Result
 	if a.stage == outcome.Prefill {
 		r = a.Prefill()
 	} else {
-		s := &stream{Host: h, x: a.job.x, id: a.job.id}
+		s := &stream{AttemptObserver: h, x: a.job.x, id: a.job.id}
 		if a.whole {
 			s.gather = front.NewGather(a.job.front.view.Load().cfg.Limits.MaxAnswer)
 		}
 		r = a.Decode(s)
 	}
-	r.Extra = r
+	r.ProtocolData = r
 	return r.Result
 }
 
-// Ended keeps the state that was read, or the engine's own answer in case it is passed on.
-func (j *job) Ended(n int, res protocol.Result) {
-	r, ok := res.Extra.(engine.Result)
+// AttemptEnded keeps the state that was read, or the engine's own answer in case it is passed on.
+func (j *job) AttemptEnded(n int, res protocol.Result) {
+	r, ok := res.ProtocolData.(engine.Result)
 	switch {
 	case !ok:
-	case r.Facts.Meaning == outcome.Read:
+	case r.Evidence.ResponseKind == outcome.PrefillDone:
 		j.states[n] = r.State
 	case r.HTTP >= 400:
-		j.replies[n] = protocol.Word{Status: r.HTTP, Fields: append(front.RetryFields(false, 0), front.JSONType), Body: r.Reply}
+		j.replies[n] = protocol.Response{Status: r.HTTP, Fields: append(front.RetryFields(false, 0), front.JSONType), Body: r.Reply}
 	}
 }
 
-// Granted drops the prompt: a long stream need not hold it.
-func (j *job) Granted() { j.chat = nil }
+// ResponseGranted drops the prompt: a long stream need not hold it.
+func (j *job) ResponseGranted() { j.chat = nil }
 
-// Judged is the engine's own answer.
-func (j *job) Judged(n int) protocol.Word { return j.replies[n] }
+// EngineResponse is the engine's own answer.
+func (j *job) EngineResponse(n int) protocol.Response { return j.replies[n] }
 
-// Word words the node's own answer.
-func (j *job) Word(a outcome.Answer, after float64, reason string) protocol.Word {
-	return protocol.Word{Status: a.HTTP, Fields: append(front.RetryFields(a.Retry, after), front.JSONType),
-		Body: front.ErrorJSON(a.HTTP, a.Code, "", reason)}
+// NodeResponse words the node's own answer.
+func (j *job) NodeResponse(a outcome.Response, after float64, reason string) protocol.Response {
+	return protocol.Response{Status: a.HTTPStatus, Fields: append(front.RetryFields(a.RetryIsSafe, after), front.JSONType),
+		Body: front.ErrorJSON(a.HTTPStatus, a.Code, "", reason)}
 }
 
-// Say writes a last word: a whole answer, or an error event that ends a stream.
-func (j *job) Say(w protocol.Word) {
+// Respond writes a last word: a whole answer, or an error event that ends a stream.
+func (j *job) Respond(w protocol.Response) {
 	if !j.x.Begun() {
 		j.x.Reply(w.Status, append(w.Fields, http1.Field{Name: "X-Request-Id", Value: j.id}), w.Body) // an error: the client is gone
 		return
 	}
 	if _, err := j.x.Write(http1.AppendEvent(nil, w.Body)); err != nil {
-		j.x.Cut()
+		j.x.Abort()
 		return
 	}
 	j.x.End()
@@ -103,7 +103,7 @@
 
 // stream passes the answer of one attempt to the client. It belongs to the attempt's goroutine.
 type stream struct {
-	protocol.Host
+	protocol.AttemptObserver
 	x       *http1.Exchange
 	id      string
 	gather  *front.Gather // where the client asked for a whole answer
--- a/internal/protocol/hold.go
+++ b/internal/protocol/hold.go
@@ -12,9 +12,9 @@
 	"dillroute/internal/http1"
 )
 
-// Hold is the part of an attempt by which it can be ended from outside, whatever it waits for: the connection that it has,
+// AttemptControl is the part of an attempt by which it can be ended from outside, whatever it waits for: the connection that it has,
 // and why it was ended. Its methods may be called from any goroutine.
-type Hold struct {
+type AttemptControl struct {
 	mu        sync.Mutex
 	conn      *http1.ClientConn
 	dialing   context.CancelFunc // ends the making of a connection; nil = none is being made
@@ -30,7 +30,7 @@
 
 // Dial has a connection made by the function given, whose context ends when the attempt is called off: nothing needs to wait
 // for a connection that would carry nothing.
-func (h *Hold) Dial(get func(ctx context.Context) (*http1.ClientConn, error)) (*http1.ClientConn, error) {
+func (h *AttemptControl) Dial(get func(ctx context.Context) (*http1.ClientConn, error)) (*http1.ClientConn, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	h.mu.Lock()
@@ -46,16 +46,16 @@
 	return c, err
 }
 
-// Stream notes that the client gets what comes from now on.
-func (h *Hold) Stream() {
+// StreamingBegan notes that the client gets what comes from now on.
+func (h *AttemptControl) StreamingBegan() {
 	h.mu.Lock()
 	h.streaming = true
 	h.mu.Unlock()
 }
 
-// Abort ends the attempt, for the cause given, by closing its connection; one without a connection ends at once. A stream
+// Cancel ends the attempt, for the cause given, by closing its connection; one without a connection ends at once. A stream
 // that is ended by the node passes on what has come already.
-func (h *Hold) Abort(cause outcome.Cause) {
+func (h *AttemptControl) Cancel(cause outcome.Cause) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.aborted {
@@ -67,36 +67,36 @@
 	}
 	switch {
 	case h.conn == nil:
-	case h.streaming && cause == outcome.Overtaken:
-		h.conn.Finish(finishWithin)
+	case h.streaming && cause == outcome.RequestEnded:
+		h.conn.ReadOnFor(finishWithin)
 	default:
 		h.conn.Discard()
 	}
 }
 
-// Arrived tells whether the request has reached its engine, as far as can be seen: what waits for a connection, or in the kernel for a
+// Delivered tells whether the request has reached its engine, as far as can be seen: what waits for a connection, or in the kernel for a
 // peer that takes no more, has not.
-func (h *Hold) Arrived() bool {
+func (h *AttemptControl) Delivered() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.written && (h.conn == nil || h.conn.Arrived())
+	return h.written && (h.conn == nil || h.conn.Delivered())
 }
 
-// Withdraw ends the attempt if no byte of it has been written.
-func (h *Hold) Withdraw() {
+// CancelIfUnsent ends the attempt if no byte of it has been written.
+func (h *AttemptControl) CancelIfUnsent() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.written || h.aborted {
 		return
 	}
-	h.aborted, h.cause = true, outcome.Overtaken
+	h.aborted, h.cause = true, outcome.RequestEnded
 	if h.dialing != nil {
 		h.dialing()
 	}
 }
 
 // Attach gives the connection to Abort, and says that the request is about to be written; false = too late.
-func (h *Hold) Attach(c *http1.ClientConn) bool {
+func (h *AttemptControl) Attach(c *http1.ClientConn) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.conn, h.written = c, !h.aborted
@@ -104,23 +104,23 @@
 }
 
 // Detach takes the connection back, so that a late Abort cannot close one that others use.
-func (h *Hold) Detach() {
+func (h *AttemptControl) Detach() {
 	h.mu.Lock()
 	h.conn = nil
 	h.mu.Unlock()
 }
 
-// Stopped tells whether the attempt was ended, and why.
-func (h *Hold) Stopped() (outcome.Cause, bool) {
+// Canceled tells whether the attempt was ended, and why.
+func (h *AttemptControl) Canceled() (outcome.Cause, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.cause, h.aborted
 }
 
-// Failed names the cause of an error: the abort that made it, the time (as timeout says), what could not be read, or the
+// CauseOf names the cause of an error: the abort that made it, the time (as timeout says), what could not be read, or the
 // peer.
-func (h *Hold) Failed(err error, timeout outcome.Cause) outcome.Cause {
-	if cause, ok := h.Stopped(); ok {
+func (h *AttemptControl) CauseOf(err error, timeout outcome.Cause) outcome.Cause {
+	if cause, ok := h.Canceled(); ok {
 		return cause
 	}
 	var malformed *http1.Error
@@ -128,30 +128,30 @@
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, context.DeadlineExceeded): // not ETIMEDOUT, which is the peer's
 		return timeout
 	case errors.As(err, &malformed), errors.Is(err, http1.ErrEventTooLong):
-		return outcome.Unreadable
+		return outcome.MalformedResponse
 	}
-	return outcome.Broken
+	return outcome.ConnectionBroken
 }
 
-// Objects asks, in the last moment before a byte of an attempt is written, whether it may be. Where it may not, the attempt ends as one
+// RefusesWrite asks, in the last moment before a byte of an attempt is written, whether it may be. Where it may not, the attempt ends as one
 // that was never sent, r says why, and Objects is true.
-func (h *Hold) Objects(ask permit.Write, r *Result) bool {
-	_, ask.CalledOff = h.Stopped()
+func (h *AttemptControl) RefusesWrite(ask permit.Write, r *Result) bool {
+	_, ask.AttemptCanceled = h.Canceled()
 	why := ask.Reason()
 	if why == permit.Allowed {
 		return false
 	}
-	h.Withdraw()
-	r.Facts.Cause, _ = h.Stopped()
-	if why == permit.ClientGone {
-		r.Facts.Cause = outcome.ClientLeft
+	h.CancelIfUnsent()
+	r.Evidence.Cause, _ = h.Canceled()
+	if why == permit.ClientDisconnected {
+		r.Evidence.Cause = outcome.ClientDisconnected
 	}
 	r.Err = errors.New(string(why))
 	return true
 }
 
-// Window is what is left until a time (s), and whether there is such a time.
-func Window(by time.Time) (left float64, bound bool) {
+// TimeUntil is what is left until a time (s), and whether there is such a time.
+func TimeUntil(by time.Time) (left float64, bound bool) {
 	if by.IsZero() {
 		return 0, false
 	}
@@ -160,29 +160,29 @@
 
 // Exchange writes a request on a connection and reads the head of its answer, all by the time given. nil = it ended before
 // that: r says how far it came and why, and the connection is closed.
-func (h *Hold) Exchange(c *http1.ClientConn, until time.Time, method, target string, fields []http1.Field, body []byte, r *Result) *http1.Response {
-	r.Facts.Progress = outcome.Connected
+func (h *AttemptControl) Exchange(c *http1.ClientConn, until time.Time, method, target string, fields []http1.Field, body []byte, r *Result) *http1.Response {
+	r.Evidence.Progress = outcome.Connected
 	if !h.Attach(c) {
 		c.Close()
-		r.Facts.Cause, _ = h.Stopped()
+		r.Evidence.Cause, _ = h.Canceled()
 		return nil
 	}
 	c.SetDeadline(until)
-	r.Wrote = time.Now()
+	r.FirstByteAt = time.Now()
 	sent, all, err := c.Send(method, target, fields, body)
 	if sent == all {
-		r.Facts.Progress = outcome.Written
+		r.Evidence.Progress = outcome.RequestWritten
 	}
 	var resp *http1.Response
 	if err == nil {
 		resp, err = c.ReadResponse()
 	}
 	if err != nil {
-		r.Err, r.Facts.Cause = err, h.Failed(err, outcome.Expired)
+		r.Err, r.Evidence.Cause = err, h.CauseOf(err, outcome.AttemptTimedOut)
 		h.Detach()
 		c.Discard()
 		return nil
 	}
-	r.Facts.Progress = outcome.Headed
+	r.Evidence.Progress = outcome.HeaderReceived
 	return resp
 }
--- a/internal/protocol/hold_test.go
+++ b/internal/protocol/hold_test.go
@@ -17,22 +17,22 @@
 )
 
 func TestWithdrawSparesWhatIsWritten(t *testing.T) {
-	var h Hold
-	h.Withdraw()
-	if cause, ok := h.Stopped(); !ok || cause != outcome.Overtaken || h.Attach(nil) {
+	var h AttemptControl
+	h.CancelIfUnsent()
+	if cause, ok := h.Canceled(); !ok || cause != outcome.RequestEnded || h.Attach(nil) {
 		t.Error("one without a connection was not withdrawn")
 	}
-	var w Hold
+	var w AttemptControl
 	if !w.Attach(nil) {
 		t.Fatal("too late")
 	}
-	w.Withdraw()
-	if _, ok := w.Stopped(); ok {
+	w.CancelIfUnsent()
+	if _, ok := w.Canceled(); ok {
 		t.Error("one that is being written was withdrawn")
 	}
-	w.Abort(outcome.ClientLeft)
-	w.Abort(outcome.Stopped)
-	if cause, _ := w.Stopped(); cause != outcome.ClientLeft {
+	w.Cancel(outcome.ClientDisconnected)
+	w.Cancel(outcome.CanceledByScheduler)
+	if cause, _ := w.Canceled(); cause != outcome.ClientDisconnected {
 		t.Errorf("the first cause stands, not %v", cause)
 	}
 }
@@ -42,15 +42,15 @@
 		err  error
 		want outcome.Cause
 	}{
-		{os.ErrDeadlineExceeded, outcome.Expired}, {&http1.Error{Status: 502}, outcome.Unreadable}, {http1.ErrEventTooLong, outcome.Unreadable},
-		{fmt.Errorf("so: %w", http1.ErrEventTooLong), outcome.Unreadable}, {io.ErrUnexpectedEOF, outcome.Broken}, {nil, outcome.Broken},
+		{os.ErrDeadlineExceeded, outcome.AttemptTimedOut}, {&http1.Error{Status: 502}, outcome.MalformedResponse}, {http1.ErrEventTooLong, outcome.MalformedResponse},
+		{fmt.Errorf("so: %w", http1.ErrEventTooLong), outcome.MalformedResponse}, {io.ErrUnexpectedEOF, outcome.ConnectionBroken}, {nil, outcome.ConnectionBroken},
 	} {
-		var h Hold
-		if got := h.Failed(c.err, outcome.Expired); got != c.want {
+		var h AttemptControl
+		if got := h.CauseOf(c.err, outcome.AttemptTimedOut); got != c.want {
 			t.Errorf("%v: %v, wanted %v", c.err, got, c.want)
 		}
-		h.Abort(outcome.Stopped)
-		if got := h.Failed(c.err, outcome.Expired); got != outcome.Stopped {
+		h.Cancel(outcome.CanceledByScheduler)
+		if got := h.CauseOf(c.err, outcome.AttemptTimedOut); got != outcome.CanceledByScheduler {
 			t.Errorf("%v after an abort: %v", c.err, got)
 		}
 	}
@@ -58,22 +58,22 @@
 
 // An attempt whose time to be written is over is not written, and is known as never sent.
 func TestLateAttemptsAreNotWritten(t *testing.T) {
-	var h Hold
-	r := Result{Facts: outcome.Facts{Progress: outcome.Dialling}}
+	var h AttemptControl
+	r := Result{Evidence: outcome.Evidence{Progress: outcome.Connecting}}
 	write := func(by time.Time) permit.Write {
-		left, bound := Window(by)
-		return permit.Write{TimeLeft: 1, Keyed: bound, WindowLeft: left}
+		left, bound := TimeUntil(by)
+		return permit.Write{ClientTimeLeft: 1, HasDedupWindow: bound, DedupWindowLeft: left}
 	}
-	if h.Objects(write(time.Time{}), &r) || h.Objects(write(time.Now().Add(time.Minute)), &r) {
+	if h.RefusesWrite(write(time.Time{}), &r) || h.RefusesWrite(write(time.Now().Add(time.Minute)), &r) {
 		t.Fatal("one that has time is late")
 	}
-	if !h.Objects(write(time.Now().Add(-time.Millisecond)), &r) {
+	if !h.RefusesWrite(write(time.Now().Add(-time.Millisecond)), &r) {
 		t.Fatal("one whose time is over is not late")
 	}
 	if h.Attach(nil) {
 		t.Error("it may be written all the same")
 	}
-	if v := outcome.Judge(r.Facts); v.Status != scheduler.NotSent || v.Ran {
+	if v := outcome.Classify(r.Evidence); v.Status != scheduler.NotSent || v.MayHaveRun {
 		t.Errorf("got %+v, want that it was never sent", v)
 	}
 }
@@ -81,13 +81,13 @@
 // What calls an attempt off ends the making of its connection, before it has begun as well.
 func TestAbortEndsDialling(t *testing.T) {
 	for _, early := range []bool{true, false} {
-		var h Hold
+		var h AttemptControl
 		if early {
-			h.Abort(outcome.ClientLeft)
+			h.Cancel(outcome.ClientDisconnected)
 		}
 		_, err := h.Dial(func(ctx context.Context) (*http1.ClientConn, error) {
 			if !early {
-				go h.Abort(outcome.ClientLeft)
+				go h.Cancel(outcome.ClientDisconnected)
 			}
 			select {
 			case <-ctx.Done():
@@ -104,15 +104,15 @@
 
 // An attempt whose client has gone is not written, and its request is known to have lost its client.
 func TestAttemptsOfClientsThatLeftAreNotWritten(t *testing.T) {
-	var h Hold
-	r := Result{Facts: outcome.Facts{Progress: outcome.Dialling}}
-	if !h.Objects(permit.Write{ClientGone: true, TimeLeft: 1}, &r) || h.Attach(nil) {
+	var h AttemptControl
+	r := Result{Evidence: outcome.Evidence{Progress: outcome.Connecting}}
+	if !h.RefusesWrite(permit.Write{ClientDisconnected: true, ClientTimeLeft: 1}, &r) || h.Attach(nil) {
 		t.Error("it may be written all the same")
 	}
-	if r.Facts.Cause != outcome.ClientLeft {
-		t.Errorf("got cause %d, want that the client left", r.Facts.Cause)
+	if r.Evidence.Cause != outcome.ClientDisconnected {
+		t.Errorf("got cause %d, want that the client left", r.Evidence.Cause)
 	}
-	if v := outcome.Judge(r.Facts); v.Status != scheduler.NotSent || v.Ran {
+	if v := outcome.Classify(r.Evidence); v.Status != scheduler.NotSent || v.MayHaveRun {
 		t.Errorf("got %+v, want that it was never sent", v)
 	}
 }
@@ -127,14 +127,14 @@
 		err  error
 		want outcome.Cause
 	}{
-		{read(syscall.ETIMEDOUT), outcome.Broken},
-		{read(syscall.EHOSTUNREACH), outcome.Broken},
-		{read(syscall.ECONNRESET), outcome.Broken},
-		{&net.OpError{Op: "read", Net: "tcp", Err: os.ErrDeadlineExceeded}, outcome.Expired},
-		{context.DeadlineExceeded, outcome.Expired},
+		{read(syscall.ETIMEDOUT), outcome.ConnectionBroken},
+		{read(syscall.EHOSTUNREACH), outcome.ConnectionBroken},
+		{read(syscall.ECONNRESET), outcome.ConnectionBroken},
+		{&net.OpError{Op: "read", Net: "tcp", Err: os.ErrDeadlineExceeded}, outcome.AttemptTimedOut},
+		{context.DeadlineExceeded, outcome.AttemptTimedOut},
 	} {
-		var h Hold
-		if got := h.Failed(c.err, outcome.Expired); got != c.want {
+		var h AttemptControl
+		if got := h.CauseOf(c.err, outcome.AttemptTimedOut); got != c.want {
 			t.Errorf("%v: got cause %d, want %d", c.err, got, c.want)
 		}
 	}
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -29,7 +29,9 @@
 }
 
 // Parts divides the limits.
-func (l Limits) Parts() overload.Parts { return overload.Divide(l.Sockets, int64(l.MemoryMB*(1<<20))) }
+func (l Limits) Parts() overload.Budget {
+	return overload.DivideLimits(l.Sockets, int64(l.MemoryMB*(1<<20)))
+}
 
 // file mirrors the configuration file.
 type file struct {
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -52,7 +52,7 @@
 	kinds map[string]int
 	zones map[string]int
 	roles []scheduler.Kind
-	take  func(protocol.List)
+	take  func(protocol.EndpointList)
 	wg    sync.WaitGroup
 
 	clock   clock.Clock
@@ -101,20 +101,20 @@
 
 // Follow starts following discovery at an address, from what was known before (may be empty).
 // clk is the clock of the node, in whose times lists are told; connect makes connections (nil = on the network).
-func Follow(addr string, known []byte, s *settings.Settings, clk clock.Clock, connect http1.DialFunc, take func(protocol.List), log *slog.Logger) *Discovery {
+func Follow(addr string, known []byte, s *settings.Settings, clk clock.Clock, connect http1.DialFunc, take func(protocol.EndpointList), log *slog.Logger) *Discovery {
 	return follow(addr, known, s, paceOf(s), clk, connect, take, log)
 }
 
 // paceOf is the pace at which the discovery of the settings is followed.
 func paceOf(s *settings.Settings) endpoints.Pace {
-	if s.Brain.PollsDiscovery {
-		return endpoints.SharedPace(toldAfter, s.Brain.Rules.PollInterval, rand.Float64)
+	if s.Scheduler.PollsDiscovery {
+		return endpoints.SharedPace(toldAfter, s.Scheduler.Rules.PollInterval, rand.Float64)
 	}
 	return endpoints.AgentPace(toldAfter, rand.Float64)
 }
 
-func follow(addr string, known []byte, s *settings.Settings, times endpoints.Pace, clk clock.Clock, connect http1.DialFunc, take func(protocol.List), log *slog.Logger) *Discovery {
-	d := &Discovery{log: log, times: times, kinds: index(s.Kinds), zones: index(s.Zones), roles: s.Brain.Kinds, take: take,
+func follow(addr string, known []byte, s *settings.Settings, times endpoints.Pace, clk clock.Clock, connect http1.DialFunc, take func(protocol.EndpointList), log *slog.Logger) *Discovery {
+	d := &Discovery{log: log, times: times, kinds: index(s.Kinds), zones: index(s.Zones), roles: s.Scheduler.Kinds, take: take,
 		told: newTold(), starts: endpoints.NewStarts(), clock: clk, connect: connect}
 	var a answer
 	if len(known) > 0 {
@@ -132,8 +132,8 @@
 // newTold returns the list of which every word counts.
 func newTold() *endpoints.Told { return endpoints.NewTold() }
 
-// Keep is of no use here: no disk survives the node.
-func (d *Discovery) Keep(bool) {}
+// SaveState is of no use here: no disk survives the node.
+func (d *Discovery) SaveState(bool) {}
 
 // Move follows another address from now on. The one before is given up once the new one has answered.
 func (d *Discovery) Move(addr string) {
@@ -425,9 +425,9 @@
 }
 
 // list turns changes into what the host takes. The lock is held.
-func (d *Discovery) list(changes []endpoints.Word, known bool) protocol.List {
+func (d *Discovery) list(changes []endpoints.Word, known bool) protocol.EndpointList {
 	now, wall := d.clock.Now(), d.clock.Wall()
-	l := protocol.List{Form: scheduler.UpdateIncremental, Addresses: map[string]string{}, Saved: known}
+	l := protocol.EndpointList{Form: scheduler.UpdateIncremental, Addresses: map[string]string{}, Saved: known}
 	for _, w := range changes {
 		e := scheduler.Engine{ID: w.ID, Kind: w.Kind, Cell: w.Cell, Zone: w.Zone, Weight: w.Weight,
 			BootTime: d.starts.Own(w.ID, w.Boot, now, wall, d.heard)}
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -135,7 +135,7 @@
 	up, drained atomic.Int64 // Unix nanoseconds
 }
 
-func (h *heard) take(l protocol.List) {
+func (h *heard) take(l protocol.EndpointList) {
 	for _, e := range l.Engines {
 		switch now := time.Now().UnixNano(); e.State {
 		case scheduler.EngineDraining:
@@ -351,8 +351,8 @@
 	s := given(t)
 	const ahead = 3600.0
 	boots := map[string]float64{}
-	d := &Discovery{log: slog.New(slog.NewTextHandler(io.Discard, nil)), kinds: index(s.Kinds), zones: index(s.Zones), roles: s.Brain.Kinds,
-		starts: endpoints.NewStarts(), clock: clock.New(), told: newTold(), take: func(l protocol.List) {
+	d := &Discovery{log: slog.New(slog.NewTextHandler(io.Discard, nil)), kinds: index(s.Kinds), zones: index(s.Zones), roles: s.Scheduler.Kinds,
+		starts: endpoints.NewStarts(), clock: clock.New(), told: newTold(), take: func(l protocol.EndpointList) {
 			for _, e := range l.Engines {
 				boots[e.ID] = e.BootTime
 			}
--- a/internal/relay/engines.go
+++ b/internal/relay/engines.go
@@ -24,19 +24,19 @@
 	connect time.Duration // most time for a connection
 
 	mu    sync.Mutex
-	reuse *connreuse.State
+	reuse *connreuse.Policy
 	start time.Time // of its clock
 }
 
 // NewEngines returns a client of engines that holds at most so many connections, made by connect (nil = on the network).
 func NewEngines(s *settings.Settings, most int, connect http1.DialFunc) *Engines {
-	e := &Engines{connect: 250 * time.Millisecond, reuse: connreuse.New(s.Idle), start: time.Now(),
-		pool: &http1.Pool{MaxIdle: 16, MaxOpen: most, Idle: 10 * time.Second, Settle: settle, Limits: answerLimits, Chunk: maxChunk,
+	e := &Engines{connect: 250 * time.Millisecond, reuse: connreuse.New(s.EngineIdleTimeout), start: time.Now(),
+		pool: &http1.Pool{MaxIdle: 16, MaxOpen: most, IdleTimeout: 10 * time.Second, MinIdleTime: settle, Limits: answerLimits, Chunk: maxChunk,
 			Connect: connect}}
-	if s.Connect > 0 {
-		e.connect = seconds(s.Connect)
+	if s.ConnectTimeout > 0 {
+		e.connect = seconds(s.ConnectTimeout)
 	}
-	e.pool.Head, e.pool.Rest = 2*e.connect, e.rest
+	e.pool.Head, e.pool.MaxIdleTime = 2*e.connect, e.rest
 	return e
 }
 
@@ -46,7 +46,7 @@
 func (e *Engines) rest() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return seconds(e.reuse.Limit(e.now()))
+	return seconds(e.reuse.MaxIdle(e.now()))
 }
 
 // lost files that a kept connection broke under its next request.
@@ -56,7 +56,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.reuse.Lost(e.now(), c.Rested.Seconds())
+	e.reuse.ObserveLoss(e.now(), c.IdleFor.Seconds())
 }
 
 // get returns a connection for an attempt, unless ctx ends before; fresh = one that has carried nothing yet.
@@ -78,10 +78,10 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Sweep closes connections that have rested for too long, CloseIdle all that rest, Close for good.
-func (e *Engines) Sweep()     { e.pool.Sweep() }
-func (e *Engines) CloseIdle() { e.pool.CloseIdle() }
-func (e *Engines) Close()     { e.pool.Close() }
+// CloseExpired closes connections that have rested for too long, CloseIdle all that rest, Close for good.
+func (e *Engines) CloseExpired() { e.pool.CloseExpired() }
+func (e *Engines) CloseIdle()    { e.pool.CloseIdle() }
+func (e *Engines) Close()        { e.pool.Close() }
 
 // Release lets go of all that any engine holds for a request; whichever is asked sees to it.
 func (e *Engines) Release(address, id string, _ int, within time.Duration) error {
@@ -121,7 +121,7 @@
 		if err != nil || !(x >= 0 && x < 1e9) {
 			return nil
 		}
-		settings.File(rep, name, x)
+		settings.SetReportField(rep, name, x)
 	}
 	if rep.Has == 0 {
 		return nil
--- a/internal/relay/front.go
+++ b/internal/relay/front.go
@@ -59,15 +59,15 @@
 	effects []scheduler.Effect // by class
 
 	mu     sync.Mutex
-	recent *classify.Recent
+	recent *classify.RecentIDs
 	start  time.Time // of the clock of recent
 }
 
 // NewFront returns a front that makes its attempts by the engines' client given.
 func NewFront(s *settings.Settings, engines *Engines, ready func() bool, log *slog.Logger) *Front {
 	f := &Front{log: log, engines: engines, ready: ready, classes: index(s.Classes), tenants: index(s.Tenants),
-		recent: classify.NewRecent(recentIDs, repeatWindow(s)), start: time.Now()}
-	for _, c := range s.Brain.Classes {
+		recent: classify.NewRecentIDs(recentIDs, repeatWindow(s)), start: time.Now()}
+	for _, c := range s.Scheduler.Classes {
 		f.effects = append(f.effects, c.Effect)
 	}
 	return f
@@ -77,7 +77,7 @@
 // as engines know its repeats.
 func repeatWindow(s *settings.Settings) float64 {
 	window := 0.0
-	for _, c := range s.Brain.Classes {
+	for _, c := range s.Scheduler.Classes {
 		window = max(window, c.ClientTimeout+c.DedupWindow)
 	}
 	return window
@@ -91,8 +91,8 @@
 	return m
 }
 
-// Fault words the answer to a request that could not be read, or for which there is no place.
-func (f *Front) Fault(status int, reason string, after float64) ([]http1.Field, []byte) {
+// ErrorBody words the answer to a request that could not be read, or for which there is no place.
+func (f *Front) ErrorBody(status int, reason string, after float64) ([]http1.Field, []byte) {
 	return retryFields(after), []byte(reason + "\n")
 }
 
@@ -106,7 +106,7 @@
 }
 
 // Serve answers one request, or hands it on.
-func (f *Front) Serve(x *http1.Exchange, take func(protocol.Asked) bool) {
+func (f *Front) Serve(x *http1.Exchange, take func(protocol.RoutedRequest) bool) {
 	say := func(status int, reason string) {
 		f.log.Debug("not taken", "status", status, "reason", reason)
 		x.Reply(status, []http1.Field{textType}, []byte(reason+"\n"))
@@ -143,7 +143,7 @@
 	j := &job{front: f, id: q.ID, x: x, method: x.Method, target: x.Target(), body: x.Body,
 		fields: http1.EndToEnd(x.Header, headID, headBudget), effect: f.effects[q.Class]}
 	x.Body, x.Header = nil, nil // j and q hold what is needed
-	if !take(protocol.Asked{Request: q, Job: j}) {
+	if !take(protocol.RoutedRequest{Request: q, Exchange: j}) {
 		say(503, "the node is stopping")
 	}
 }
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -30,40 +30,42 @@
 }
 
 // Attempt prepares an attempt.
-func (j *job) Attempt(c protocol.Call) protocol.Attempt {
+func (j *job) Attempt(c protocol.AttemptSpec) protocol.Attempt {
 	return &attempt{engines: j.front.engines, call: c, id: j.id, method: j.method, target: j.target, fields: j.fields, body: j.body,
-		x: j.x, fresh: !connreuse.Kept(j.effect, c.Stage == outcome.Prefill)}
+		x: j.x, fresh: !connreuse.ReuseAllowed(j.effect, c.Stage == outcome.Prefill)}
 }
 
-// Ended, Granted and Judged: nothing of an engine's is kept, and no engine judges requests in this protocol.
-func (j *job) Ended(int, protocol.Result) {}
+// AttemptEnded, Granted and Judged: nothing of an engine's is kept, and no engine judges requests in this protocol.
+func (j *job) AttemptEnded(int, protocol.Result) {}
 
-// Granted drops what engines are sent: a long stream need not hold it.
-func (j *job) Granted() { j.body, j.fields = nil, nil }
+// ResponseGranted drops what engines are sent: a long stream need not hold it.
+func (j *job) ResponseGranted() { j.body, j.fields = nil, nil }
 
-// Judged is not met in this protocol.
-func (j *job) Judged(int) protocol.Word { return protocol.Word{Status: 500, Fields: retryFields(0)} }
+// EngineResponse is not met in this protocol.
+func (j *job) EngineResponse(int) protocol.Response {
+	return protocol.Response{Status: 500, Fields: retryFields(0)}
+}
 
-// Word words the node's own answer: 429 and 503 say that a retry is harmless, whoever worded them.
-func (j *job) Word(a outcome.Answer, after float64, reason string) protocol.Word {
-	status := a.HTTP
+// NodeResponse words the node's own answer: 429 and 503 say that a retry is harmless, whoever worded them.
+func (j *job) NodeResponse(a outcome.Response, after float64, reason string) protocol.Response {
+	status := a.HTTPStatus
 	refusal := status == 429 || status == 503
 	switch {
-	case a.Retry && !refusal:
+	case a.RetryIsSafe && !refusal:
 		status = 503
-	case !a.Retry && refusal:
+	case !a.RetryIsSafe && refusal:
 		status = 500
 	}
-	if !a.Retry {
+	if !a.RetryIsSafe {
 		after = 0
 	}
-	return protocol.Word{Status: status, Fields: retryFields(after), Body: []byte(reason + "\n")}
+	return protocol.Response{Status: status, Fields: retryFields(after), Body: []byte(reason + "\n")}
 }
 
-// Say writes a last word. A stream that has begun ends with its connection, without the last chunk.
-func (j *job) Say(w protocol.Word) {
+// Respond writes a last word. A stream that has begun ends with its connection, without the last chunk.
+func (j *job) Respond(w protocol.Response) {
 	if j.x.Begun() {
-		j.x.Break()
+		j.x.AbortBody()
 		return
 	}
 	j.x.Reply(w.Status, w.Fields, w.Body) // an error: the client is gone
@@ -71,9 +73,9 @@
 
 // attempt is one attempt at an engine.
 type attempt struct {
-	protocol.Hold
+	protocol.AttemptControl
 	engines            *Engines
-	call               protocol.Call
+	call               protocol.AttemptSpec
 	id, method, target string
 	fields             []http1.Field // of the request, beside its id and the time that is left
 	fresh              bool          // on a connection that has carried nothing yet
@@ -83,7 +85,7 @@
 }
 
 // Run makes the attempt.
-func (a *attempt) Run(h protocol.Host) protocol.Result {
+func (a *attempt) Run(h protocol.AttemptObserver) protocol.Result {
 	r := protocol.Result{}
 	c, resp := a.open(&r)
 	if c == nil {
@@ -101,7 +103,7 @@
 func (a *attempt) open(r *protocol.Result) (*http1.ClientConn, *http1.Response) {
 	start := time.Now()
 	until := start.Add(a.call.Timeout)
-	r.Facts.Progress = outcome.Dialling
+	r.Evidence.Progress = outcome.Connecting
 	connect := a.call.Timeout
 	if !a.call.WriteBy.IsZero() {
 		connect = max(time.Millisecond, min(connect, time.Until(a.call.WriteBy)))
@@ -110,23 +112,23 @@
 		return a.engines.get(ctx, a.call.Address, connect, a.fresh)
 	})
 	if err != nil {
-		r.Err, r.Facts.Cause = err, a.Failed(err, outcome.Broken)
-		if errors.Is(err, http1.ErrNoRoom) {
-			r.Facts.Progress = outcome.Unsent
+		r.Err, r.Evidence.Cause = err, a.CauseOf(err, outcome.ConnectionBroken)
+		if errors.Is(err, http1.ErrPoolFull) {
+			r.Evidence.Progress = outcome.NotStarted
 		}
 		return nil, nil
 	}
-	window, keyed := protocol.Window(a.call.WriteBy)
-	if a.Objects(permit.Write{ClientGone: a.x != nil && a.x.Gone(), TimeLeft: time.Until(a.call.Until).Seconds(), Keyed: keyed, WindowLeft: window}, r) {
+	window, keyed := protocol.TimeUntil(a.call.WriteBy)
+	if a.RefusesWrite(permit.Write{ClientDisconnected: a.x != nil && a.x.ClientDisconnected(), ClientTimeLeft: time.Until(a.call.ClientDeadline).Seconds(), HasDedupWindow: keyed, DedupWindowLeft: window}, r) {
 		c.Close()
 		return nil, nil
 	}
 	fields := []http1.Field{{Name: headID, Value: a.id},
-		{Name: headBudget, Value: strconv.FormatFloat(max(0.001, time.Until(a.call.Until).Seconds()), 'f', 3, 64)}}
+		{Name: headBudget, Value: strconv.FormatFloat(max(0.001, time.Until(a.call.ClientDeadline).Seconds()), 'f', 3, 64)}}
 	resp := a.Exchange(c, until, a.method, a.target, append(fields, a.fields...), a.body, r)
 	a.body, a.fields = nil, nil // a long stream need not hold them
 	if resp == nil {
-		if r.Facts.Cause == outcome.Broken {
+		if r.Evidence.Cause == outcome.ConnectionBroken {
 			a.engines.lost(c)
 		}
 		return nil, nil
@@ -143,13 +145,13 @@
 	rejected := resp.Header.Get(headNotRun) == "1"
 	switch {
 	case resp.Status == 202:
-		r.Facts.Meaning = outcome.Read
+		r.Evidence.ResponseKind = outcome.PrefillDone
 	case resp.Status == 410 && rejected:
-		r.Facts.Meaning = outcome.NoState
+		r.Evidence.ResponseKind = outcome.StateMissing
 	case (resp.Status == 503 || resp.Status == 504) && rejected:
-		r.Facts.Meaning = outcome.Turned
+		r.Evidence.ResponseKind = outcome.EngineRejected
 	default:
-		r.Facts.Meaning = outcome.Error
+		r.Evidence.ResponseKind = outcome.EngineError
 	}
 	c.Within(a.engines.pool.Head) // the head has said what matters; its body is not to use up the request's time
 	body, err := resp.ReadAll(maxReply)
@@ -157,15 +159,15 @@
 	if err != nil {
 		c.Close()
 		r.Err = err
-		if r.Facts.Meaning == outcome.Error {
-			r.Facts.Cause = a.Failed(err, outcome.Expired)
+		if r.Evidence.ResponseKind == outcome.EngineError {
+			r.Evidence.Cause = a.CauseOf(err, outcome.AttemptTimedOut)
 		}
 		return
 	}
 	a.engines.pool.Done(c, resp)
-	if r.Facts.Meaning == outcome.Read {
-		r.Facts.Kept = readCached(body)
-	} else if r.Facts.Meaning == outcome.Error {
+	if r.Evidence.ResponseKind == outcome.PrefillDone {
+		r.Evidence.CachedTokens = readCached(body)
+	} else if r.Evidence.ResponseKind == outcome.EngineError {
 		r.Err = fmt.Errorf("status %d: %s", resp.Status, clip(strings.TrimSpace(string(body))))
 	}
 }
@@ -184,14 +186,14 @@
 )
 
 // stream passes the answer on.
-func (a *attempt) stream(c *http1.ClientConn, resp *http1.Response, h protocol.Host, r *protocol.Result) {
-	r.Facts.Cause, r.Err = a.pass(c, resp, h, r)
+func (a *attempt) stream(c *http1.ClientConn, resp *http1.Response, h protocol.AttemptObserver, r *protocol.Result) {
+	r.Evidence.Cause, r.Err = a.pass(c, resp, h, r)
 	a.Detach()
-	if r.Facts.Cause != outcome.Answered {
+	if r.Evidence.Cause != outcome.ResponseComplete {
 		c.Close()
 		return
 	}
-	r.Facts.Meaning = outcome.Done
+	r.Evidence.ResponseKind = outcome.DecodeDone
 	if rep := parseLoad(a.load); rep != nil {
 		r.Report = rep
 	}
@@ -199,9 +201,9 @@
 }
 
 // pass passes events until the last chunk.
-func (a *attempt) pass(c *http1.ClientConn, resp *http1.Response, h protocol.Host, r *protocol.Result) (outcome.Cause, error) {
+func (a *attempt) pass(c *http1.ClientConn, resp *http1.Response, h protocol.AttemptObserver, r *protocol.Result) (outcome.Cause, error) {
 	if a.call.Stage != outcome.Decode || !resp.Chunked || !strings.HasPrefix(strings.ToLower(resp.Header.Get("Content-Type")), "text/event-stream") {
-		return outcome.Unreadable, errors.New("relay: status 200 without a stream")
+		return outcome.MalformedResponse, errors.New("relay: status 200 without a stream")
 	}
 	events := http1.NewEventReader(resp.Body, maxEvent)
 	defer events.Close()
@@ -219,26 +221,26 @@
 		final = string(data) == finalEvent
 		if !begun {
 			if !isEvent(data) {
-				return outcome.Unreadable, errNoEvent
+				return outcome.MalformedResponse, errNoEvent
 			}
-			if !h.First() {
-				return a.Failed(nil, outcome.Broken), nil
+			if !h.RequestGrant() {
+				return a.CauseOf(nil, outcome.ConnectionBroken), nil
 			}
-			r.Facts.Progress = outcome.Streaming
-			a.Stream()
+			r.Evidence.Progress = outcome.Streaming
+			a.StreamingBegan()
 			if err := a.x.Begin(200, []http1.Field{{Name: "Content-Type", Value: "text/event-stream"}}); err != nil {
-				return outcome.ClientLeft, err
+				return outcome.ClientDisconnected, err
 			}
 		}
 		c.SetDeadline(time.Now().Add(silence))
 		if kept, ok := readUsage(data); ok {
-			r.Facts.Kept = kept
+			r.Evidence.CachedTokens = kept
 		}
 		if pending = append(pending, raw...); events.More() && len(pending) < maxTogether {
 			continue
 		}
 		if _, err := a.x.Write(pending); err != nil {
-			return outcome.ClientLeft, err
+			return outcome.ClientDisconnected, err
 		}
 		pending = pending[:0]
 	}
@@ -254,23 +256,23 @@
 func (a *attempt) over(err error, begun bool, pending []byte) (outcome.Cause, error) {
 	if begun && len(pending) > 0 {
 		if _, werr := a.x.Write(pending); werr != nil {
-			return outcome.ClientLeft, werr
+			return outcome.ClientDisconnected, werr
 		}
 	}
 	if err != io.EOF {
-		timeout := outcome.Expired
+		timeout := outcome.AttemptTimedOut
 		if begun {
-			timeout = outcome.Stalled
+			timeout = outcome.StreamStalled
 		}
-		return a.Failed(err, timeout), err
+		return a.CauseOf(err, timeout), err
 	}
 	if !begun {
-		return outcome.Unreadable, errNoEvent
+		return outcome.MalformedResponse, errNoEvent
 	}
 	if err := a.x.End(); err != nil {
-		return outcome.ClientLeft, err
+		return outcome.ClientDisconnected, err
 	}
-	return outcome.Answered, nil
+	return outcome.ResponseComplete, nil
 }
 
 // comment keeps a load report that a stream carries.
--- a/internal/relay/job_test.go
+++ b/internal/relay/job_test.go
@@ -37,12 +37,12 @@
 		time.Sleep(connecting)
 		return network.Dialer("n0")(ctx, kind, address)
 	}
-	engines := NewEngines(&settings.Settings{Connect: 1}, 8, dial)
+	engines := NewEngines(&settings.Settings{ConnectTimeout: 1}, 8, dial)
 	a := &attempt{engines: engines, id: "1eff", method: "POST", target: pathChat, fresh: true, body: []byte("{}"),
-		call: protocol.Call{Address: "e0:5000", Stage: outcome.Prefill, Timeout: 2 * time.Second, Until: time.Now().Add(until)}}
+		call: protocol.AttemptSpec{Address: "e0:5000", Stage: outcome.Prefill, Timeout: 2 * time.Second, ClientDeadline: time.Now().Add(until)}}
 	r := a.Run(nil)
 	l.Close()
-	if told = <-asked; told == "" && r.Facts.Progress >= outcome.Written {
+	if told = <-asked; told == "" && r.Evidence.Progress >= outcome.RequestWritten {
 		t.Errorf("the attempt counts as written, its engine got nothing")
 	}
 	engines.Close()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -54,16 +54,16 @@
 func TestWordsSayWhatTheyMay(t *testing.T) {
 	j := &job{}
 	for _, c := range []struct {
-		a      outcome.Answer
+		a      outcome.Response
 		after  float64
 		status int
 		header bool
 	}{
-		{outcome.Refused(), 0.25, 503, true}, {outcome.Refused(), 0, 503, false}, {outcome.Failed(), 0.25, 500, false},
-		{outcome.Answer{HTTP: 409}, 0, 409, false}, {outcome.Answer{HTTP: 429, Retry: true}, 1, 429, true},
-		{outcome.Answer{HTTP: 503}, 0, 500, false}, {outcome.Answer{HTTP: 400, Retry: true}, 0, 503, false},
+		{outcome.RejectedResponse(), 0.25, 503, true}, {outcome.RejectedResponse(), 0, 503, false}, {outcome.FailedResponse(), 0.25, 500, false},
+		{outcome.Response{HTTPStatus: 409}, 0, 409, false}, {outcome.Response{HTTPStatus: 429, RetryIsSafe: true}, 1, 429, true},
+		{outcome.Response{HTTPStatus: 503}, 0, 500, false}, {outcome.Response{HTTPStatus: 400, RetryIsSafe: true}, 0, 503, false},
 	} {
-		w := j.Word(c.a, c.after, "x")
+		w := j.NodeResponse(c.a, c.after, "x")
 		has := false
 		for _, f := range w.Fields {
 			has = has || f.Name == "Retry-After"
@@ -121,9 +121,9 @@
 		if err != nil {
 			return
 		}
-		d := &Discovery{log: slog.New(slog.NewTextHandler(io.Discard, nil)), kinds: index(s.Kinds), zones: index(s.Zones), roles: s.Brain.Kinds,
+		d := &Discovery{log: slog.New(slog.NewTextHandler(io.Discard, nil)), kinds: index(s.Kinds), zones: index(s.Zones), roles: s.Scheduler.Kinds,
 			starts: endpoints.NewStarts(), clock: clock.New(),
-			told: newTold(), take: func(l protocol.List) {
+			told: newTold(), take: func(l protocol.EndpointList) {
 				for _, e := range l.Engines {
 					if e.ID == "" || e.Kind < 0 || e.Kind >= len(s.Kinds) || e.Zone < 0 || e.Zone >= len(s.Zones) {
 						t.Fatalf("%+v", e)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -26,9 +26,9 @@
 	AdminSocket  = "admin"
 )
 
-// Handed returns the listeners that were handed over by LISTEN_FDS, by name. The variables are taken out of the
+// InheritedListeners returns the listeners that were handed over by LISTEN_FDS, by name. The variables are taken out of the
 // environment, so that a child does not take them for its own.
-func Handed() (client, admin net.Listener, err error) {
+func InheritedListeners() (client, admin net.Listener, err error) {
 	named, err := activation.ListenersWithNames()
 	if err != nil {
 		return nil, nil, fmt.Errorf("LISTEN_FDS: %w", err)
@@ -76,8 +76,8 @@
 	return lc.Listen(context.Background(), "tcp", address)
 }
 
-// Tell sends a word to the service manager (sd_notify), if there is one. It must not fail the program.
-func Tell(words ...string) { daemon.SdNotify(false, strings.Join(words, "\n")) }
+// Notify sends a word to the service manager (sd_notify), if there is one. It must not fail the program.
+func Notify(words ...string) { daemon.SdNotify(false, strings.Join(words, "\n")) }
 
 // Words for Tell.
 const (
@@ -86,25 +86,25 @@
 	Reloading = daemon.SdNotifyReloading
 )
 
-// State is a state directory that this process holds.
-type State struct {
+// StateDir is a state directory that this process holds.
+type StateDir struct {
 	Dir  string
 	lock *os.File
 }
 
-// Take holds a directory as Hold does, but waits for its present holder to let go.
-func Take(dir string, wait time.Duration) (*State, error) {
+// AwaitStateDir holds a directory as Hold does, but waits for its present holder to let go.
+func AwaitStateDir(dir string, wait time.Duration) (*StateDir, error) {
 	for end := time.Now().Add(wait); ; time.Sleep(2 * time.Millisecond) {
-		s, err := Hold(dir)
+		s, err := AcquireStateDir(dir)
 		if err == nil || time.Now().After(end) {
 			return s, err
 		}
 	}
 }
 
-// Hold makes the directory if need be and locks it. The lock ends with the process, however it ends, so a killed one
+// AcquireStateDir makes the directory if need be and locks it. The lock ends with the process, however it ends, so a killed one
 // leaves nothing that its successor would have to clear; the number in the file is for people.
-func Hold(dir string) (*State, error) {
+func AcquireStateDir(dir string) (*StateDir, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
@@ -125,14 +125,14 @@
 	if err := f.Truncate(0); err == nil { // a full disk is no reason not to start
 		f.WriteAt([]byte(strconv.Itoa(os.Getpid())+"\n"), 0)
 	}
-	return &State{dir, f}, nil
+	return &StateDir{dir, f}, nil
 }
 
 // Release lets another process hold the directory.
-func (s *State) Release() error { return s.lock.Close() }
+func (s *StateDir) Release() error { return s.lock.Close() }
 
-// Files returns how many descriptors the process may hold; 0 = not known, or without bound.
-func Files() int {
+// DescriptorLimit returns how many descriptors the process may hold; 0 = not known, or without bound.
+func DescriptorLimit() int {
 	var r unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &r); err != nil || r.Cur > 1<<30 {
 		return 0
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -12,15 +12,15 @@
 
 func TestStateDirectoryIsHeldByOne(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	s, err := Hold(dir)
+	s, err := AcquireStateDir(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Hold(dir); err == nil || !strings.Contains(err.Error(), "held by process "+strconv.Itoa(os.Getpid())) {
+	if _, err := AcquireStateDir(dir); err == nil || !strings.Contains(err.Error(), "held by process "+strconv.Itoa(os.Getpid())) {
 		t.Fatal(err)
 	}
 	s.Release()
-	again, err := Hold(dir)
+	again, err := AcquireStateDir(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "file"), nil, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Hold(filepath.Join(dir, "file")); err == nil {
+	if _, err := AcquireStateDir(filepath.Join(dir, "file")); err == nil {
 		t.Fatal("a file is no directory")
 	}
 }
@@ -58,7 +58,7 @@
 	}
 	defer l.Close()
 	t.Setenv("NOTIFY_SOCKET", path)
-	Tell(Ready, "STATUS=serving")
+	Notify(Ready, "STATUS=serving")
 	l.SetReadDeadline(time.Now().Add(5 * time.Second))
 	b := make([]byte, 100)
 	n, err := l.Read(b)
@@ -66,5 +66,5 @@
 		t.Fatalf("%q, %v", b[:n], err)
 	}
 	os.Unsetenv("NOTIFY_SOCKET")
-	Tell(Ready) // nobody listens: no harm
+	Notify(Ready) // nobody listens: no harm
 }
--- a/internal/service/transient.go
+++ b/internal/service/transient.go
@@ -24,14 +24,14 @@
 
 // Pauses between tries: doubled from the first to the longest.
 const (
-	FirstPause   = 20 * time.Millisecond
-	LongestPause = 200 * time.Millisecond
+	MinBackoff = 20 * time.Millisecond
+	MaxBackoff = 200 * time.Millisecond
 )
 
-// Persist does a thing again for as long as it fails for a transient reason, within a time.
-func Persist(within time.Duration, do func() error) error {
-	pause := FirstPause
-	for end := time.Now().Add(within); ; pause = min(2*pause, LongestPause) {
+// RetryTransient does a thing again for as long as it fails for a transient reason, within a time.
+func RetryTransient(within time.Duration, do func() error) error {
+	pause := MinBackoff
+	for end := time.Now().Add(within); ; pause = min(2*pause, MaxBackoff) {
 		err := do()
 		if err == nil || !Transient(err) || time.Now().Add(pause).After(end) {
 			return err
--- a/internal/service/transient_test.go
+++ b/internal/service/transient_test.go
@@ -31,7 +31,7 @@
 
 func TestPersist(t *testing.T) {
 	tries := 0
-	err := Persist(10*time.Second, func() error {
+	err := RetryTransient(10*time.Second, func() error {
 		if tries++; tries < 4 {
 			return syscall.ENOBUFS
 		}
@@ -41,10 +41,10 @@
 		t.Errorf("got %v after %d tries, want success at the fourth", err, tries)
 	}
 	tries = 0
-	if err := Persist(10*time.Second, func() error { tries++; return syscall.EACCES }); !errors.Is(err, syscall.EACCES) || tries != 1 {
+	if err := RetryTransient(10*time.Second, func() error { tries++; return syscall.EACCES }); !errors.Is(err, syscall.EACCES) || tries != 1 {
 		t.Errorf("got %v after %d tries, want what does not pass at once", err, tries)
 	}
-	if err := Persist(0, func() error { return syscall.ENFILE }); !errors.Is(err, syscall.ENFILE) {
+	if err := RetryTransient(0, func() error { return syscall.ENFILE }); !errors.Is(err, syscall.ENFILE) {
 		t.Errorf("got %v when the time is over", err)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,16 +11,16 @@
 
 // Settings are the object as far as it is used. Times are in seconds.
 type Settings struct {
-	Brain    scheduler.Config
-	Classes  []string // names, in the order of Brain's
-	Tenants  []string
-	Zones    []string
-	Kinds    []string
-	MaxOpen  int
-	Idle     float64 // after which an idle connection is closed by an engine at the latest; 0 = not told
-	Connect  float64 // within which a connection must be made; 0 = not told
-	Patience float64 // the longest that a client of any class waits
-	Resume   bool    // clients come again for the rest of a stream that broke
+	Scheduler            scheduler.Config
+	Classes              []string // names, in the order of Brain's
+	Tenants              []string
+	Zones                []string
+	Kinds                []string
+	MaxOpen              int
+	EngineIdleTimeout    float64 // after which an idle connection is closed by an engine at the latest; 0 = not told
+	ConnectTimeout       float64 // within which a connection must be made; 0 = not told
+	LongestClientTimeout float64 // the longest that a client of any class waits
+	ClientsResume        bool    // clients come again for the rest of a stream that broke
 }
 
 // facts mirrors the object, as far as it is used.
@@ -117,11 +117,11 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Settings{Brain: c, Zones: f.Localities, Kinds: f.MachineTypes, MaxOpen: f.Limits.MaxOpen,
-		Idle: f.Limits.KeepAlive, Connect: f.Limits.Connect, Resume: f.Family.Resume}
+	s := &Settings{Scheduler: c, Zones: f.Localities, Kinds: f.MachineTypes, MaxOpen: f.Limits.MaxOpen,
+		EngineIdleTimeout: f.Limits.KeepAlive, ConnectTimeout: f.Limits.Connect, ClientsResume: f.Family.Resume}
 	for _, k := range f.Classes {
 		s.Classes = append(s.Classes, k.Name)
-		s.Patience = max(s.Patience, k.HardLimit)
+		s.LongestClientTimeout = max(s.LongestClientTimeout, k.HardLimit)
 	}
 	for _, a := range f.Accounts {
 		s.Tenants = append(s.Tenants, a.Name)
@@ -179,9 +179,9 @@
 	return c, err
 }
 
-// File puts a figure of a load report where its name belongs, by the settings' names and by those of the users' pages;
+// SetReportField puts a figure of a load report where its name belongs, by the settings' names and by those of the users' pages;
 // a name that is not known is passed over.
-func File(rep *scheduler.LoadReport, name string, x float64) {
+func SetReportField(rep *scheduler.LoadReport, name string, x float64) {
 	switch name {
 	case "active", "inflight":
 		rep.Active, rep.Has = x, rep.Has|scheduler.HasActive
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return node.Start(cfg, node.WithLogger(slog.New(slog.NewTextHandler(io.Discard, nil))))
+	return node.StartChat(cfg, node.WithLogger(slog.New(slog.NewTextHandler(io.Discard, nil))))
 }
 
 func TestShortBadDayKeepsTheRules(t *testing.T) {
