--- /dev/null
+++ b/scheduler/golden_test.go
@@ -0,0 +1,556 @@
+package scheduler
+
+import (
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"hash/fnv"
+	"math/rand"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// Sizes of a recording: so many steps, of which the first are kept in full and the others as a running hash.
+const (
+	goldenSteps = 1500
+	goldenFull  = 140
+	goldenEvery = 50
+)
+
+// goldenCrowded is the setting whose streams are long.
+const goldenCrowded = "crowded"
+
+// goldenSetting is one setting that is recorded, from two seeds.
+type goldenSetting struct {
+	name   string
+	rate   float64 // chance of a request in each step
+	prompt float64 // most tokens of a prompt
+	boots  int     // a change of an engine is drawn from so many steps
+	change func(c *Config)
+	kinds  []int
+}
+
+var ordinaryFleet = []int{0, 0, 0, 1, 1, 1, 1, 2}
+
+func goldenSettings() []goldenSetting {
+	return []goldenSetting{
+		{"plain", 0.5, 4000, 40, func(c *Config) {}, ordinaryFleet},
+		{"inline", 0.6, 4000, 40, func(c *Config) { c.ReportStyle, c.DecodeEnginesPrefill = ReportInline, true }, ordinaryFleet},
+		{"on-probe", 0.5, 4000, 40, func(c *Config) {
+			c.ReportStyle, c.Limits.Probe, c.Prices.Probe = ReportOnProbe, true, 1e-4
+		}, ordinaryFleet},
+		{"ahead", 0.5, 30000, 40, func(c *Config) {
+			c.ReservationOffered, c.Prices = true, Prices{Waste: 0.1, CrossZone: 0.2, LateFailure: 0.5, Transfer: 1e-3}
+		}, ordinaryFleet},
+		{"on-request", 0.5, 4000, 20, func(c *Config) { c.PollsDiscovery = true }, ordinaryFleet},
+		{"unsent-free", 0.5, 4000, 40, func(c *Config) { c.Limits.UnsentAttemptsAreFree, c.Limits.StateTimeRunsDuringConnects = true, true }, ordinaryFleet},
+		{"no-cancel", 0.9, 8000, 20, func(c *Config) {
+			c.Limits.Cancel, c.Limits.RetryAfter, c.Limits.MaxRetryAfter = false, true, 5
+		}, []int{0, 1}},
+		{"quotas", 0.8, 4000, 40, func(c *Config) {
+			c.NodeCount, c.NodeIndex, c.Tenants = 3, 1, []Tenant{{0}, {5}, {30}}
+			c.Limits.RetryAfter, c.Limits.MaxRetryAfter = true, 2
+		}, ordinaryFleet},
+		{"mixed", 0.6, 4000, 40, func(c *Config) { c.ReportStyle, c.DecodeEnginesPrefill = ReportInline, true }, []int{2, 2, 2, 1}},
+		{"cold", 0.7, 4000, 6, func(c *Config) { c.NodeCount, c.Rules.SlowStartWindow = 2, 1.5 }, ordinaryFleet},
+		{goldenCrowded, 0.6, 1500, 200, func(c *Config) {}, []int{0, 0, 0, 1, 1, 1}},
+		{"all", 0.7, 12000, 20, func(c *Config) {
+			c.ReportStyle, c.Limits.Probe, c.Prices = ReportInline, true, Prices{1e-4, 0.1, 0.2, 0.5, 1e-4}
+			c.PollsDiscovery, c.ReservationOffered, c.DecodeEnginesPrefill, c.NodeCount, c.NodeIndex = true, true, true, 2, 1
+			c.Limits.HedgedRequests, c.Limits.UnsentAttemptsAreFree, c.Limits.StateTimeRunsDuringConnects = true, true, true
+			c.Limits.RetryAfter, c.Limits.MaxRetryAfter, c.Tenants = true, 3, []Tenant{{0}, {10}}
+		}, ordinaryFleet},
+	}
+}
+
+func goldenConfig(s goldenSetting) Config {
+	c := testConfig()
+	c.ZoneCount = 2
+	c.Classes = append(c.Classes,
+		Class{Effect: IdempotentByKey, DedupScope: DedupFleet, DedupWindow: 1, FirstTokenObjective: 0.5, ObjectivePerHintSecond: 0.1, ClientTimeout: 3, OutputTokenObjective: 0.05, PriorityWeight: 3, LateValue: 0.1},
+		Class{Effect: IdempotentByKey, DedupScope: DedupZone, DedupWindow: 3, FirstTokenObjective: 2, ObjectivePer1KTokens: 0.1, ClientTimeout: 8, OutputTokenObjective: 0.1, PriorityWeight: 1, LateValue: 0.5})
+	s.change(&c)
+	return c
+}
+
+// goldenAttempt is an attempt that has not ended.
+type goldenAttempt struct {
+	id, engine string
+	n          int
+	role       Role
+	at         float64
+	flowing    bool
+}
+
+// goldenHost makes random events for a router and carries out what it asks for. Whatever it goes through is in a slice, so that
+// the same seed gives the same events.
+type goldenHost struct {
+	s       goldenSetting
+	cfg     Config
+	r       *Scheduler
+	rnd     *rand.Rand
+	now     float64
+	engines []Engine
+	roles   map[string]Role
+	open    []string // requests without an answer
+	sent    map[string]int
+	out     []goldenAttempt
+	timers  []SetTimer
+	due     []Event // answers to what the router asked
+}
+
+func newGoldenHost(t *testing.T, s goldenSetting, seed int64) *goldenHost {
+	h := &goldenHost{s: s, cfg: goldenConfig(s), rnd: rand.New(rand.NewSource(seed)), now: 1, roles: map[string]Role{},
+		sent: map[string]int{}}
+	r, err := New(h.cfg, uint64(seed))
+	if err != nil {
+		t.Fatal(err)
+	}
+	h.r = r
+	for i, kind := range s.kinds {
+		e := eng(fmt.Sprint("e", i), kind, i%2)
+		e.Zone = i / 2 % 2
+		h.engines, h.roles[e.ID] = append(h.engines, e), h.cfg.Kinds[kind].Role
+	}
+	return h
+}
+
+func (h *goldenHost) chance(p float64) bool { return h.rnd.Float64() < p }
+
+// request makes a request with all fields.
+func (h *goldenHost) request(i int) Event {
+	q := ask(fmt.Sprint("q", i), h.rnd.Intn(len(h.cfg.Classes)))
+	q.Tenant = h.rnd.Intn(len(h.cfg.Tenants))
+	q.Session, q.Prefix = fmt.Sprint("s", h.rnd.Intn(30)), fmt.Sprint("p", h.rnd.Intn(5))
+	switch h.rnd.Intn(8) {
+	case 0:
+		q.Prefix = ""
+	case 1:
+		q.Session = ""
+	case 2:
+		q.DurationHint = h.rnd.Float64() * 10
+	case 3:
+		q.Retry = true
+	case 4:
+		q.Returned = true
+	}
+	q.ClientTimeLeft, q.PromptTokens = 0.02+h.rnd.Float64()*4, 100+h.rnd.Float64()*h.s.prompt
+	q.PrefixTokens, q.MaxOutputTokens = q.PromptTokens*h.rnd.Float64(), float64(20+h.rnd.Intn(400))
+	h.open = append(h.open, q.ID)
+	return q
+}
+
+// report makes a report of some of the figures, or none.
+func (h *goldenHost) report() *LoadReport {
+	if h.cfg.ReportStyle == ReportOff && !h.chance(0.05) || h.chance(0.2) {
+		return nil
+	}
+	return &LoadReport{Active: float64(h.rnd.Intn(20)), Waiting: float64(h.rnd.Intn(3)), Utilization: h.rnd.Float64(),
+		LatencyMS: h.rnd.Float64() * 200, MemoryShare: h.rnd.Float64(), TokensWaiting: float64(h.rnd.Intn(5000)),
+		Has: LoadReportField(h.rnd.Intn(int(HasTokensWaiting) * 2))}
+}
+
+var goldenStatuses = []Status{ServerError, Rejected, TimedOut, ConnectFailed, ConnectionLost, Canceled, NotSent, Prefilled, Completed}
+
+// ends ends an attempt, or starts its stream.
+func (h *goldenHost) ends(i int) Event {
+	a := h.out[i]
+	spent := h.now - a.at
+	if a.role != Prefill && !a.flowing && h.chance(0.75) {
+		h.out[i].flowing = true
+		return FirstToken{ID: a.id, Attempt: a.n, Engine: a.engine, Spent: spent}
+	}
+	h.out = append(h.out[:i:i], h.out[i+1:]...)
+	o := Outcome{ID: a.id, Attempt: a.n, Engine: a.engine, Spent: spent, Report: h.report()}
+	switch {
+	case a.flowing && h.chance(0.9):
+		o.Status = Completed
+	case a.role == Prefill && h.chance(0.8):
+		o.Status = Prefilled
+	default:
+		o.Status = goldenStatuses[h.rnd.Intn(len(goldenStatuses))]
+		if o.Status == Prefilled && a.role != Prefill { // hosts tell this of reads alone
+			o.Status = ServerError
+		}
+	}
+	if o.Status == Prefilled || o.Status == Completed {
+		o.Info = h.rnd.Intn(2000)
+	} else if o.Status == Rejected {
+		o.Info = h.rnd.Intn(2)
+	}
+	o.Closed = a.flowing || o.Status == Completed || !h.isOpen(a.id)
+	if o.Closed {
+		h.close(a.id)
+	}
+	return o
+}
+
+func (h *goldenHost) isOpen(id string) bool {
+	for _, x := range h.open {
+		if x == id {
+			return true
+		}
+	}
+	return false
+}
+
+func (h *goldenHost) close(id string) {
+	for i, x := range h.open {
+		if x == id {
+			h.open = append(h.open[:i:i], h.open[i+1:]...)
+			return
+		}
+	}
+}
+
+// listed makes a list of engines: a change of one, or a whole list in one of its forms.
+func (h *goldenHost) listed() Event {
+	i := h.rnd.Intn(len(h.engines))
+	e := &h.engines[i]
+	e.State = EngineState(h.rnd.Intn(3))
+	if h.chance(0.6) {
+		e.State = EngineReady
+	}
+	if e.State == EngineReady && h.chance(0.5) {
+		e.BootTime = h.now - h.rnd.Float64()
+	}
+	e.Weight = 1 + float64(h.rnd.Intn(2))
+	switch h.rnd.Intn(8) {
+	case 0:
+		return EndpointUpdate{Form: UpdateComplete, Engines: append([]Engine(nil), h.engines...)}
+	case 1:
+		return EndpointUpdate{Form: UpdateStale, Engines: append([]Engine(nil), h.engines[:len(h.engines)-h.rnd.Intn(2)]...)}
+	case 2:
+		return EndpointUpdate{Form: UpdateFailed}
+	}
+	return EndpointUpdate{Form: UpdateIncremental, Engines: []Engine{*e}}
+}
+
+// events makes the events of a step and moves the time.
+func (h *goldenHost) events(i int) (evs []Event) {
+	if i == 0 {
+		return []Event{EndpointUpdate{Form: UpdateComplete, Engines: append([]Engine(nil), h.engines...)}}
+	}
+	at, due := h.now+h.rnd.Float64()*0.04, -1
+	for j, tm := range h.timers {
+		if tm.At <= at {
+			at, due = tm.At, j
+		}
+	}
+	h.now = max(h.now, at)
+	if due >= 0 {
+		evs = append(evs, TimerFired{h.timers[due].Token})
+		h.timers = append(h.timers[:due:due], h.timers[due+1:]...)
+	}
+	for len(h.due) > 0 && h.chance(0.7) {
+		evs, h.due = append(evs, h.due[0]), h.due[1:]
+	}
+	rate := h.s.rate
+	if i/300%3 == 2 { // a lull
+		rate /= 5
+	}
+	if h.chance(rate) {
+		evs = append(evs, h.request(i))
+	}
+	if h.rnd.Intn(h.s.boots) == 0 {
+		evs = append(evs, h.listed())
+	}
+	if len(h.open) > 0 && h.chance(0.02) {
+		id := h.open[h.rnd.Intn(len(h.open))]
+		h.close(id)
+		evs = append(evs, ClientDisconnected{id})
+	}
+	if h.chance(0.01) {
+		evs = append(evs, PeerMessage{From: h.rnd.Intn(3), Data: []byte{byte(h.rnd.Intn(256)), 7}})
+	}
+	if h.chance(0.01) {
+		evs = append(evs, ProbeResult{Engine: h.engines[h.rnd.Intn(len(h.engines))].ID, Status: TimedOut, Spent: 0.1})
+	}
+	for j := len(h.out) - 1; j >= 0; j-- {
+		p := 0.12
+		if h.out[j].flowing && h.s.name == goldenCrowded { // long streams: writers are full
+			p = 0.01
+		}
+		if h.chance(p) {
+			evs = append(evs, h.ends(j))
+		}
+	}
+	return evs
+}
+
+// carryOut takes the actions of a step.
+func (h *goldenHost) carryOut(acts []Action) {
+	for _, a := range acts {
+		switch a := a.(type) {
+		case Send:
+			h.out = append(h.out, goldenAttempt{id: a.ID, engine: a.Engine, n: h.sent[a.ID], role: h.roles[a.Engine], at: h.now})
+			h.sent[a.ID]++
+		case Cancel:
+			for j, x := range h.out {
+				if x.id == a.ID && x.n == a.Attempt {
+					h.out = append(h.out[:j:j], h.out[j+1:]...)
+					h.due = append(h.due, Outcome{ID: x.id, Attempt: x.n, Engine: x.engine, Status: Canceled,
+						Spent: h.now - x.at, Closed: !h.isOpen(x.id)})
+					break
+				}
+			}
+		case Reserve:
+			h.due = append(h.due, ReserveResult{ID: a.ID, Attempt: h.sent[a.ID] - 1, Engine: a.Engine, OK: h.chance(0.7)})
+		case Reject:
+			h.close(a.ID)
+		case Fail:
+			h.close(a.ID)
+		case SetTimer:
+			h.timers = append(h.timers, a)
+		case Probe:
+			p := ProbeResult{Engine: a.Engine, Status: Completed, Spent: h.rnd.Float64() * 0.05, Report: h.report()}
+			if h.chance(0.1) {
+				p.Status, p.Report = goldenStatuses[h.rnd.Intn(len(goldenStatuses))], nil
+			}
+			h.due = append(h.due, p)
+		case WatchEndpoints, FetchEndpoints:
+			h.due = append(h.due, EndpointUpdate{Form: UpdateComplete, Engines: append([]Engine(nil), h.engines...)})
+		}
+	}
+}
+
+// The words and texts below are the stored form: they stay as they are, whatever the code calls its things.
+
+func num(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
+
+func statusWord(s Status) string {
+	return map[Status]string{Completed: "served", ServerError: "server-error", Rejected: "turned-away", TimedOut: "no-answer",
+		ConnectFailed: "no-connection", ConnectionLost: "connection-lost", Canceled: "called-off", NotSent: "not-sent",
+		Prefilled: "parsed"}[s]
+}
+
+func formWord(f UpdateForm) string {
+	return map[UpdateForm]string{UpdateIncremental: "changes", UpdateComplete: "full", UpdateStale: "warm", UpdateFailed: "lost"}[f]
+}
+
+func stateWord(s EngineState) string {
+	return map[EngineState]string{EngineReady: "ready", EngineDraining: "draining", EngineRemoved: "removed"}[s]
+}
+
+func whyWord(w GiveUpReason) string {
+	return map[GiveUpReason]string{"": "none", DeadlineNear: "time-is-up", ObjectiveUnreachable: "too-late", AttemptsExhausted: "no-attempt-left",
+		RepeatUnsafe: "may-run-twice"}[w]
+}
+
+func reportText(r *LoadReport) string {
+	if r == nil {
+		return "none"
+	}
+	has := ""
+	for _, f := range []struct {
+		bit  LoadReportField
+		word string
+	}{{HasActive, "a"}, {HasWaiting, "w"}, {HasUtilization, "u"}, {HasLatency, "l"}, {HasMemoryShare, "m"}, {HasTokensWaiting, "t"}} {
+		if r.Has&f.bit != 0 {
+			has += f.word
+		}
+	}
+	return "(" + strings.Join([]string{num(r.Active), num(r.Waiting), num(r.Utilization), num(r.LatencyMS), num(r.MemoryShare),
+		num(r.TokensWaiting), "has:" + has}, ",") + ")"
+}
+
+func eventText(ev Event) string {
+	switch v := ev.(type) {
+	case Request:
+		return fmt.Sprintf("request id=%s class=%d tenant=%d session=%q prefix=%q left=%s hint=%s prompt=%s shared=%s out=%s "+
+			"retry=%t returned=%t", v.ID, v.Class, v.Tenant, v.Session, v.Prefix, num(v.ClientTimeLeft), num(v.DurationHint), num(v.PromptTokens), num(v.PrefixTokens),
+			num(v.MaxOutputTokens), v.Retry, v.Returned)
+	case Outcome:
+		return fmt.Sprintf("outcome id=%s n=%d engine=%s status=%s info=%d spent=%s closed=%t report=%s", v.ID, v.Attempt, v.Engine,
+			statusWord(v.Status), v.Info, num(v.Spent), v.Closed, reportText(v.Report))
+	case FirstToken:
+		return fmt.Sprintf("first id=%s n=%d engine=%s spent=%s", v.ID, v.Attempt, v.Engine, num(v.Spent))
+	case ClientDisconnected:
+		return "gone id=" + v.ID
+	case ReserveResult:
+		return fmt.Sprintf("held id=%s n=%d engine=%s ok=%t", v.ID, v.Attempt, v.Engine, v.OK)
+	case EndpointUpdate:
+		s := "members form=" + formWord(v.Form)
+		for _, e := range v.Engines {
+			s += fmt.Sprintf(" (%s,cell:%d,zone:%d,kind:%d,%s,weight:%s,boot:%s)", e.ID, e.Cell, e.Zone, e.Kind, stateWord(e.State),
+				num(e.Weight), num(e.BootTime))
+		}
+		return s
+	case ProbeResult:
+		return fmt.Sprintf("probed engine=%s status=%s spent=%s report=%s", v.Engine, statusWord(v.Status), num(v.Spent),
+			reportText(v.Report))
+	case TimerFired:
+		return fmt.Sprintf("wake token=%d", v.Token)
+	case PeerMessage:
+		return fmt.Sprintf("peer from=%d data=%s", v.From, hex.EncodeToString(v.Data))
+	}
+	return "unknown event"
+}
+
+// actionText writes an action; words is what it says to people alone.
+func actionText(a Action) (text, words string) {
+	switch v := a.(type) {
+	case Send:
+		return fmt.Sprintf("send id=%s engine=%s timeout=%s", v.ID, v.Engine, num(v.Timeout)), ""
+	case Cancel:
+		return fmt.Sprintf("cancel id=%s n=%d", v.ID, v.Attempt), ""
+	case Reserve:
+		return fmt.Sprintf("reserve id=%s engine=%s", v.ID, v.Engine), ""
+	case Release:
+		return "release id=" + v.ID, ""
+	case Reject:
+		return fmt.Sprintf("refuse id=%s after=%s why=%s", v.ID, num(v.RetryAfter), whyWord(v.Reason)), string(v.Reason)
+	case Fail:
+		return fmt.Sprintf("fail id=%s why=%s", v.ID, whyWord(v.Reason)), string(v.Reason)
+	case SetTimer:
+		return fmt.Sprintf("timer at=%s token=%d", num(v.At), v.Token), ""
+	case Probe:
+		return "probe engine=" + v.Engine, ""
+	case WatchEndpoints:
+		return fmt.Sprintf("watch on=%t", v.On), ""
+	case FetchEndpoints:
+		return "fetch", ""
+	case Log:
+		return "log", v.Text
+	}
+	return "unknown action", ""
+}
+
+// goldenTape is the text of a recording: first steps in full, then a running hash; and the same of the words meant for people, apart,
+// so that a change of wording does not hide one of a decision.
+type goldenTape struct {
+	lines, words []string
+	steps, full  int
+	sum, wordSum uint64
+	counts       map[string]int
+}
+
+func (g *goldenTape) step(line string, words []string) {
+	h := fnv.New64a()
+	fmt.Fprintf(h, "%016x%s\n", g.sum, line)
+	g.sum = h.Sum64()
+	if g.steps < g.full {
+		g.lines = append(g.lines, line)
+	} else if (g.steps+1)%goldenEvery == 0 {
+		g.lines = append(g.lines, fmt.Sprintf("hash up to step %d: %016x", g.steps, g.sum))
+	}
+	g.steps++
+	for _, w := range words {
+		h := fnv.New64a()
+		fmt.Fprintf(h, "%016x%s\n", g.wordSum, w)
+		g.wordSum = h.Sum64()
+		if len(g.words) < 20 {
+			g.words = append(g.words, "words: "+w)
+		}
+	}
+}
+
+func (g *goldenTape) text() string {
+	return strings.Join(g.lines, "\n") + "\n" + strings.Join(g.words, "\n") + fmt.Sprintf("\nhash of all words: %016x\n", g.wordSum)
+}
+
+func record(t *testing.T, s goldenSetting, seed int64) *goldenTape {
+	h, g := newGoldenHost(t, s, seed), &goldenTape{full: goldenFull, counts: map[string]int{}}
+	if seed > 1 || s.name == goldenCrowded { // the first steps of one seed are enough in full
+		g.full = 10
+	}
+	for i := range goldenSteps {
+		evs := h.events(i)
+		in, out, words := []string{}, []string{}, []string{}
+		for _, ev := range evs {
+			in = append(in, eventText(ev))
+			g.count(in[len(in)-1])
+		}
+		acts := h.r.Step(h.now, evs)
+		for _, a := range acts {
+			text, w := actionText(a)
+			out = append(out, text)
+			if g.count(text); w != "" {
+				words = append(words, w)
+			}
+		}
+		h.carryOut(acts)
+		g.step(fmt.Sprintf("step %d at %s: %s => %s", i, num(h.now), strings.Join(in, "; "), strings.Join(out, "; ")), words)
+	}
+	return g
+}
+
+// count counts what a line tells of, with the words that stand for a status, form or reason.
+func (g *goldenTape) count(text string) {
+	fields := strings.Fields(text)
+	g.counts[fields[0]]++
+	for _, f := range fields[1:] {
+		if strings.HasPrefix(f, "status=") || strings.HasPrefix(f, "form=") || strings.HasPrefix(f, "why=") {
+			g.counts[fields[0]+" "+f]++
+		}
+	}
+}
+
+// compareGolden compares a recording with its file, or writes the file.
+func compareGolden(t *testing.T, name string, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name+".txt")
+	if *update {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, have := strings.Split(string(data), "\n"), strings.Split(got, "\n")
+	for i := range max(len(want), len(have)) {
+		w, h := "(end)", "(end)"
+		if i < len(want) {
+			w = want[i]
+		}
+		if i < len(have) {
+			h = have[i]
+		}
+		if w != h {
+			t.Fatalf("%s (setting-seed), line %d differs (a hash covers the %d steps up to its own):\nwant %s\ngot  %s", name, i+1,
+				goldenEvery, w, h)
+		}
+	}
+}
+
+// What the router does on the same events stays the same, to the last digit.
+func TestDecisionsAreAsRecorded(t *testing.T) {
+	all, ran := map[string]int{}, 0
+	for _, s := range goldenSettings() {
+		for _, seed := range []int64{1, 2} {
+			name := fmt.Sprintf("%s-%d", s.name, seed)
+			t.Run(name, func(t *testing.T) {
+				g := record(t, s, seed)
+				ran++
+				for k, n := range g.counts {
+					all[k] += n
+				}
+				compareGolden(t, name, g.text())
+			})
+		}
+	}
+	if ran < 2*len(goldenSettings()) { // -run picked some of them
+		return
+	}
+	for _, k := range []string{"request", "outcome", "first", "gone", "held", "members form=changes", "members form=full",
+		"members form=warm", "members form=lost", "probed", "wake", "peer", "send", "cancel", "reserve", "release", "refuse", "fail",
+		"timer", "probe", "watch", "log", "outcome status=served", "outcome status=server-error", "outcome status=turned-away",
+		"outcome status=no-answer", "outcome status=no-connection", "outcome status=connection-lost", "outcome status=called-off",
+		"outcome status=not-sent", "outcome status=parsed"} {
+		if all[k] == 0 {
+			t.Errorf("no recording has %q", k)
+		}
+	}
+	t.Log(all)
+}
