--- /dev/null
+++ b/internal/node/golden_chat_test.go
@@ -0,0 +1,178 @@
+package node_test
+
+import (
+	"fmt"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"dillroute/lab/emulator"
+	"dillroute/lab/fleet"
+)
+
+// newGoldenRig is newRig with a tap before each engine.
+func newGoldenRig(t *testing.T, ms []fleet.Member) (*rig, goldenTaps) {
+	t.Helper()
+	taps := goldenTaps{}
+	t.Cleanup(taps.close) // after the rig's own end
+	r := newRig(t, ms, func(m map[string]any) {
+		engines := m["engines"].(map[string]any)
+		engines["file"] = tapList(t, engines["file"].(string), taps)
+	})
+	r.eventually("the node is ready", r.node.Ready)
+	return r, taps
+}
+
+// goldenBody is the body of a request whose answer has three tokens.
+func goldenBody(model, stream, more string) string {
+	return fmt.Sprintf(`{"model":%q,"messages":[{"role":"system","content":"You help."},{"role":"user","content":"Who covers?"}],`+
+		`"stream":%s,"max_completion_tokens":20%s,"x_lab":{"op":"op1","try":0,"class":%q,"answer":3}}`, model, stream, more, model)
+}
+
+// goldenChat is a request in good order with the body given, and further lines of its head.
+func goldenChat(body, lines string) string {
+	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer %s\r\nContent-Type: application/json\r\n%sContent-Length: %d\r\n\r\n%s",
+		testKey, lines, len(body), body)
+}
+
+// goldenGet is a request without a body.
+func goldenGet(method, path, lines string) string {
+	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer %s\r\n%s\r\n", method, path, testKey, lines)
+}
+
+func init() {
+	goldenMasks = append(goldenMasks,
+		goldenMask{"id that the node gives", regexp.MustCompile(`node-0-[0-9a-z]+(-[0-9a-z]+)*`), `node-0-ID`},
+		goldenMask{"time left, as chat engines are told", regexp.MustCompile(`(?m)^(X-Request-Timeout-Ms: )\d+(\r?)$`), `${1}MILLISECONDS${2}`})
+}
+
+// Requests that engines answer in good order.
+func TestGoldenChatServed(t *testing.T) {
+	r, taps := newGoldenRig(t, engines(1, 1, 0, nil))
+	good := goldenBody("chat", "true", "")
+	var b strings.Builder
+	goldenRun(t, &b, r.node.Addr().String(), taps, []goldenCase{
+		{name: "streamed", request: goldenChat(good, "")},
+		{name: "streamed, with usage", request: goldenChat(goldenBody("chat", "true", `,"stream_options":{"include_usage":true}`), "")},
+		{name: "not streamed", request: goldenChat(goldenBody("chat", "false", ""), "")},
+		{name: "class that runs once", request: goldenChat(goldenBody("commit", "true", ""), "")},
+		{name: "class that runs once, not streamed", request: goldenChat(goldenBody("commit", "false", ""), "")},
+		{name: "further members", request: goldenChat(goldenBody("chat", "true", `,"temperature":0.5,"seed":1,"x_more":{"a":[1, 2]}`), "")},
+		{name: "session", request: goldenChat(goldenBody("chat", "true", `,"prompt_cache_key":"abc"`), "")},
+		{name: "further fields", request: goldenChat(good, "Traceparent: 00-1-2-3\r\nTracestate: a=b\r\nIdempotency-Key: k1\r\nX-Request-Id: mine\r\n"+
+			"X-Other: 1\r\nCookie: c=1\r\nX-Stainless-Retry-Count: 1\r\nX-Request-Timeout-Ms: 3000\r\n")},
+		{name: "connection that is to close", request: goldenChat(good, "Connection: close\r\n")},
+		{name: "HTTP 1.0", request: strings.Replace(goldenChat(good, ""), "HTTP/1.1", "HTTP/1.0", 1)},
+		{name: "chunked request", request: goldenChunked(goldenChat(good, ""))},
+		{name: "models", request: goldenGet("GET", "/v1/models", "")},
+		{name: "models, head alone", request: goldenGet("HEAD", "/v1/models", "")},
+		{name: "one model", request: goldenGet("GET", "/v1/models/commit", "")},
+		{name: "options of a path", request: goldenGet("OPTIONS", "/v1/chat/completions", "")},
+		{name: "options of the node", request: goldenGet("OPTIONS", "*", "")},
+	})
+	compareGolden(t, "chat_served", b.String())
+}
+
+// Requests that are not in order.
+func TestGoldenChatNotInOrder(t *testing.T) {
+	r, taps := newGoldenRig(t, engines(1, 1, 0, nil))
+	good := goldenBody("chat", "true", "")
+	edit := func(old, new string) string { return strings.Replace(goldenChat(good, ""), old, new, 1) }
+	body := func(old, new string) string { return goldenChat(strings.Replace(good, old, new, 1), "") }
+	var cases []goldenCase
+	for _, c := range [][2]string{
+		{"no key", edit("Authorization: Bearer "+testKey+"\r\n", "")},
+		{"unknown key", edit(testKey, "other")},
+		{"two keys", edit("Host", "Authorization: Bearer x\r\nHost")},
+		{"key of another scheme", edit("Bearer", "Basic")},
+		{"unknown model", body(`"chat"`, `"nothing"`)},
+		{"model is missing", body(`"model"`, `"modal"`)},
+		{"model is a number", body(`"chat"`, `7`)},
+		{"model given twice", body(`"stream"`, `"model":"chat","stream"`)},
+		{"no messages", goldenChat(`{"model":"chat","messages":[]}`, "")},
+		{"messages are missing", goldenChat(`{"model":"chat"}`, "")},
+		{"messages are text", goldenChat(`{"model":"chat","messages":"hello"}`, "")},
+		{"message without a role", body(`"role":"system",`, ``)},
+		{"content is a number", body(`"You help."`, `7`)},
+		{"stream is text", body(`true`, `"yes"`)},
+		{"most tokens is negative", body(`:20`, `:-1`)},
+		{"most tokens is text", body(`:20`, `:"20"`)},
+		{"two choices", body(`"stream"`, `"n":2,"stream"`)},
+		{"stream options are text", body(`"stream"`, `"stream_options":"x","stream"`)},
+		{"a member of the engines' protocol", body(`"stream"`, `"kv_transfer_params":{"x":1},"stream"`)},
+		{"no JSON", body(`{"model"`, `<"model"`)},
+		{"JSON that ends early", goldenChat(`{"model":"chat","messages":[`, "")},
+		{"more after the JSON", goldenChat(good+"}", "")},
+		{"a list", goldenChat("[]", "")},
+		{"an empty body", goldenChat("", "")},
+		{"a body that is not UTF-8", body("Who", "Wh\xff")},
+		{"other content type", edit("application/json", "text/plain")},
+		{"encoded body", edit("Host", "Content-Encoding: gzip\r\nHost")},
+		{"time-out in words", edit("Host", "X-Request-Timeout-Ms: soon\r\nHost")},
+		{"time-out of nothing", edit("Host", "X-Request-Timeout-Ms: 0\r\nHost")},
+		{"two lengths", edit("Content-Length:", "Content-Length: 1\r\nContent-Length:")},
+		{"length and chunks", edit("Content-Length:", "Transfer-Encoding: chunked\r\nContent-Length:")},
+		{"unknown coding", edit("Content-Length:", "Transfer-Encoding: gzip\r\nX-Length:")},
+		{"negative length", edit("Content-Length: ", "Content-Length: -")},
+		{"body too large", "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 629145600\r\n\r\n"},
+		{"head of 100 kB", goldenChat(good, "X-Long: "+strings.Repeat("x", 100_000)+"\r\n")},
+		{"target of 100 kB", goldenGet("GET", "/"+strings.Repeat("x", 100_000), "")},
+		{"bare LF", strings.ReplaceAll(goldenChat(good, ""), "\r\n", "\n")},
+		{"no host", edit("Host: h\r\n", "")},
+		{"version 2", edit("HTTP/1.1", "HTTP/2.0")},
+		{"unknown path", goldenGet("GET", "/v1/embeddings", "")},
+		{"unknown method", goldenGet("PUT", "/v1/chat/completions", "Content-Length: 0\r\n")},
+		{"unknown method of models", goldenGet("DELETE", "/v1/models/chat", "")},
+		{"unknown model by its path", goldenGet("GET", "/v1/models/nothing", "")},
+		{"models without a key", "GET /v1/models HTTP/1.1\r\nHost: h\r\n\r\n"},
+		{"noise", "\x16\x03\x01\x02\x00\x01\x00\r\n\r\n"},
+	} {
+		cases = append(cases, goldenCase{name: c[0], request: c[1]})
+	}
+	var b strings.Builder
+	goldenRun(t, &b, r.node.Addr().String(), taps, cases)
+	compareGolden(t, "chat_not_in_order", b.String())
+}
+
+// Engines that fail: each case has a node and engines of its own.
+func TestGoldenChatFaults(t *testing.T) {
+	var b strings.Builder
+	one, none := 1, 0
+	for _, c := range []struct {
+		name, class, stream string
+		faults              emulator.Faults
+	}{
+		{"error", "commit", "true", emulator.Faults{Errors: 1}},
+		{"judged 400", "commit", "true", emulator.Faults{Reject: 400}},
+		{"judged 400, not streamed", "chat", "false", emulator.Faults{Reject: 400}},
+		{"garbage", "commit", "true", emulator.Faults{Garbage: true}},
+		{"lying chunk", "commit", "true", emulator.Faults{LyingChunk: true}},
+		{"cut body, not streamed", "commit", "false", emulator.Faults{CutBody: true}},
+		{"cut before the first event", "commit", "true", emulator.Faults{CutAfter: &none}},
+		{"cut after an event", "commit", "true", emulator.Faults{CutAfter: &one}},
+		{"cut after an event", "chat", "true", emulator.Faults{CutAfter: &one}},
+		{"cut after an event, not streamed", "commit", "false", emulator.Faults{CutAfter: &one}},
+		{"sending side closes after an event", "commit", "true", emulator.Faults{HalfClose: 1}},
+	} {
+		t.Run(c.class+" "+c.name, func(t *testing.T) {
+			r, taps := newGoldenRig(t, engines(1, 1, 0, nil))
+			r.fleet.Engine("decode-1").SetFaults(c.faults)
+			goldenRun(t, &b, r.node.Addr().String(), taps, []goldenCase{{name: "engine fails, " + c.class + ": " + c.name,
+				request: goldenChat(goldenBody(c.class, c.stream, ""), "X-Request-Timeout-Ms: 3000\r\n")}})
+		})
+	}
+	compareGolden(t, "chat_faults", b.String())
+}
+
+// Requests for which there is no node any more. The answer where there is no engine is left out: beside load it may come from the
+// request table instead of the scheduler, with another text.
+func TestGoldenChatRefused(t *testing.T) {
+	var b strings.Builder
+	t.Run("stop", func(t *testing.T) {
+		r, taps := newGoldenRig(t, engines(1, 1, 0, nil))
+		goldenStop(t, &b, r.node.Addr().String(), goldenChat(goldenBody("chat", "true", ""), ""), taps,
+			func() { r.node.Shutdown(2 * time.Second) }, r.node.Ready)
+	})
+	compareGolden(t, "chat_refused", b.String())
+}
--- /dev/null
+++ b/internal/node/golden_relay_test.go
@@ -0,0 +1,226 @@
+package node_test
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"dillroute/internal/node"
+	"dillroute/internal/relay"
+	"dillroute/lab/platform"
+	"dillroute/lab/record"
+
+	"go.uber.org/goleak"
+)
+
+// newGoldenStage is newStage with a tap before each engine.
+func newGoldenStage(t *testing.T, memoryMB int, engines ...string) (*stage, map[string]*platform.Engine, goldenTaps) {
+	t.Helper()
+	s := &stage{t: t, log: &record.Log{}, settings: platform.Settings, file: filepath.Join(t.TempDir(), "config.json")}
+	s.p = platform.New("n0", s.log)
+	byID, taps := map[string]*platform.Engine{}, goldenTaps{}
+	s.d = s.p.Discover()
+	for _, e := range engines {
+		id, role, _ := strings.Cut(e, " ")
+		byID[id] = s.p.Add(id, role)
+		taps[id] = newGoldenTap(t, byID[id].Addr())
+		s.d.Set(id, func(x *platform.Server) {
+			*x = platform.Server{ID: id, Addr: taps[id].addr(), Zone: "z", Kind: role, State: "up", Weight: 1}
+		})
+	}
+	s.write(memoryMB, 256)
+	s.node = startGoldenRelay(t, s.file)
+	t.Cleanup(func() {
+		if !s.stopped {
+			s.node.Shutdown(0)
+		}
+		s.d.Close()
+		taps.close()
+		s.p.Stop()
+		goleak.VerifyNone(t, goleak.IgnoreCurrent())
+	})
+	s.eventually("the node is ready", s.node.Ready)
+	return s, byID, taps
+}
+
+// startGoldenRelay starts a node by its configuration file.
+func startGoldenRelay(t *testing.T, file string) *node.RelayNode {
+	t.Helper()
+	cfg, err := relay.Load(func(name string) string { return map[string]string{"RELAY_CONFIG": file}[name] })
+	if err != nil {
+		t.Fatal(err)
+	}
+	n, err := node.StartRelay(cfg, node.WithLogger(slog.New(slog.NewTextHandler(io.Discard, nil))))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return n
+}
+
+// goldenRelayRequest is a request in good order, whose id the platform knows.
+func (s *stage) goldenRelayRequest(id, class string) string {
+	a := platform.Ask{Op: "op" + id, Class: class, Tenant: "branch", Session: "abc", Tokens: 3, Patience: 4 * time.Second, ID: id}
+	s.p.Call(id, platform.Op{Name: a.Op, Class: class, Tokens: a.Tokens})
+	return a.Request()
+}
+
+// Requests that engines answer in good order.
+func TestGoldenRelayServed(t *testing.T) {
+	s, e, taps := newGoldenStage(t, 64, "r0 read", "w0 write")
+	head := func(id, lines string) string {
+		return strings.Replace(s.goldenRelayRequest(id, "chat"), "X-Caller", lines+"X-Caller", 1)
+	}
+	whole := strings.Replace(s.goldenRelayRequest("a9", "chat"), `"stream":true`, `"stream":null`, 1)
+	var b strings.Builder
+	goldenRun(t, &b, s.node.Addr().String(), taps, []goldenCase{
+		{name: "repeatable class", request: s.goldenRelayRequest("a1", "chat")},
+		{name: "class that runs once", request: s.goldenRelayRequest("a2", "commit")},
+		{name: "id that was taken before", request: s.goldenRelayRequest("a1", "chat")},
+		{name: "again by the client", request: head("a3", "X-Again: 1\r\n")},
+		{name: "again after a node's end", request: head("a4", "X-Again: again\r\n")},
+		{name: "further fields", request: head("a5", "Traceparent: 00-1-2-3\r\nX-Other: one\r\nX-Other: two\r\nCookie: c=1\r\nAuthorization: Bearer k\r\n")},
+		{name: "fields of the connection", request: head("a6", "Connection: close, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: 5\r\nTE: trailers\r\n")},
+		{name: "path with a query", request: strings.Replace(s.goldenRelayRequest("a7", "chat"), "completions HTTP", "completions?x=1&y=%20 HTTP", 1)},
+		{name: "HTTP 1.0", request: strings.Replace(s.goldenRelayRequest("a8", "chat"), "HTTP/1.1", "HTTP/1.0", 1)},
+		{name: "stream is not asked for", request: whole},
+		{name: "chunked request", request: goldenChunked(s.goldenRelayRequest("b1", "chat"))},
+		{name: "no session and no information", request: goldenWithout(s.goldenRelayRequest("b2", "chat"), "X-Route-Hash", "X-Call-Info")},
+		{name: "interim answers of the engine", request: s.goldenRelayRequest("b3", "chat"), before: func() { e["w0"].Next(platform.Interim) }},
+		{name: "load report that cannot be read", request: s.goldenRelayRequest("b4", "chat"), before: func() { e["w0"].Next(platform.BadReport) }},
+		{name: "readiness", request: "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"},
+		{name: "readiness, head alone", request: "HEAD /healthz HTTP/1.1\r\nHost: h\r\n\r\n"},
+	})
+	compareGolden(t, "relay_served", b.String())
+}
+
+// goldenChunked sends the body of a request in one chunk.
+func goldenChunked(request string) string {
+	head, body, _ := strings.Cut(request, "\r\n\r\n")
+	return contentLength.ReplaceAllString(head+"\r\n", "Transfer-Encoding: chunked\r") + "\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body)
+}
+
+// goldenWithout drops fields of a request.
+func goldenWithout(request string, fields ...string) string {
+	var kept []string
+	for _, l := range strings.SplitAfter(request, "\r\n") {
+		name, _, _ := strings.Cut(l, ":")
+		drop := false
+		for _, f := range fields {
+			drop = drop || name == f
+		}
+		if !drop {
+			kept = append(kept, l)
+		}
+	}
+	return strings.Join(kept, "")
+}
+
+// Requests that are not in order.
+func TestGoldenRelayNotInOrder(t *testing.T) {
+	s, _, taps := newGoldenStage(t, 64, "r0 read", "w0 write")
+	n := 0
+	edit := func(old, new string) string {
+		n++
+		return strings.Replace(s.goldenRelayRequest(fmt.Sprintf("ab%d", n), "chat"), old, new, 1)
+	}
+	body := func(text string) string {
+		return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nX-Call-Id: l%d\r\nX-Call-Class: chat\r\nX-Caller: branch\r\nX-Budget: 1\r\n"+
+			"Content-Length: %d\r\n\r\n%s", len(text), len(text), text)
+	}
+	var cases []goldenCase
+	for _, c := range [][2]string{
+		{"no id", edit("X-Call-Id:", "X-Other:")},
+		{"two ids", edit("X-Caller", "X-Call-Id: 77\r\nX-Caller")},
+		{"id with a slash", edit("X-Call-Id: ab", "X-Call-Id: ../ab")},
+		{"id too long", edit("X-Call-Id: ab", "X-Call-Id: "+strings.Repeat("ab", 40))},
+		{"unknown class", edit("X-Call-Class: chat", "X-Call-Class: gossip")},
+		{"no class", edit("X-Call-Class:", "X-Other:")},
+		{"unknown tenant", edit("X-Caller: branch", "X-Caller: nobody")},
+		{"no tenant", edit("X-Caller:", "X-Other:")},
+		{"session too long", edit("X-Route-Hash: abc", "X-Route-Hash: "+strings.Repeat("x", 300))},
+		{"no budget", edit("X-Budget:", "X-Other:")},
+		{"budget in words", edit("X-Budget: 4.000", "X-Budget: soon")},
+		{"budget not a number", edit("X-Budget: 4.000", "X-Budget: NaN")},
+		{"budget infinite", edit("X-Budget: 4.000", "X-Budget: Inf")},
+		{"budget negative", edit("X-Budget: 4.000", "X-Budget: -1")},
+		{"budget zero", edit("X-Budget: 4.000", "X-Budget: 0")},
+		{"budget beyond an hour", edit("X-Budget: 4.000", "X-Budget: 3601")},
+		{"length negative", edit("prompt_len=20", "prompt_len=-20")},
+		{"length huge", edit("prompt_len=20", "prompt_len=1e300")},
+		{"length in words", edit("max_out=3", "max_out=many")},
+		{"prefix beyond", edit("prefix_len=0", "prefix_len=21")},
+		{"info malformed", edit("prompt_len=20", "prompt_len")},
+		{"unknown retry mark", edit("X-Budget", "X-Again: perhaps\r\nX-Budget")},
+		{"no JSON", edit(`{"model"`, `<"model"`)},
+		{"a list", body("[]")},
+		{"an empty body", body("")},
+		{"two lengths", edit("Content-Length:", "Content-Length: 1\r\nContent-Length:")},
+		{"length and chunks", edit("Content-Length:", "Transfer-Encoding: chunked\r\nContent-Length:")},
+		{"unknown coding", edit("Content-Length:", "Transfer-Encoding: gzip\r\nX-Length:")},
+		{"chunk size that is none", "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"},
+		{"negative length", edit("Content-Length: ", "Content-Length: -")},
+		{"huge length", edit("Content-Length: ", "Content-Length: 99999999999999999999")},
+		{"60 MB", "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 62914560\r\n\r\n"},
+		{"head of 100 kB", "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nX-Long: " + strings.Repeat("x", 100_000) + "\r\n\r\n"},
+		{"bare LF", strings.ReplaceAll(edit("", ""), "\r\n", "\n")},
+		{"no host", edit("Host: origin.svc\r\n", "")},
+		{"space in a name", edit("X-Caller:", "X-Caller :")},
+		{"folded line", edit("X-Caller:", "X-Fold: a\r\n b\r\nX-Caller:")},
+		{"version 2", edit("HTTP/1.1", "HTTP/2.0")},
+		{"expectation that is not known", edit("X-Caller", "Expect: wonders\r\nX-Caller")},
+		{"other path", "GET /v1/servers HTTP/1.1\r\nHost: h\r\n\r\n"},
+		{"path with dots", "GET /../healthz HTTP/1.1\r\nHost: h\r\n\r\n"},
+		{"other method", edit("POST", "PUT")},
+		{"method of the readiness path", "POST /healthz HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"},
+		{"noise", "\x16\x03\x01\x02\x00\x01\x00\r\n\r\n"},
+	} {
+		cases = append(cases, goldenCase{name: c[0], request: c[1]})
+	}
+	var b strings.Builder
+	goldenRun(t, &b, s.node.Addr().String(), taps, cases)
+	compareGolden(t, "relay_not_in_order", b.String())
+}
+
+// Engines that fail: each case has a node and engines of its own.
+func TestGoldenRelayFaults(t *testing.T) {
+	var b strings.Builder
+	for _, c := range []struct {
+		class string
+		fault platform.Fault
+	}{
+		{"commit", platform.Error500}, {"commit", platform.Plain503}, {"commit", platform.CutBefore}, {"commit", platform.BadHead},
+		{"commit", platform.Noise}, {"commit", platform.CutStream}, {"commit", platform.BadChunk}, {"commit", platform.MisfitChunk},
+		{"commit", platform.NoFinal}, {"commit", platform.CutLast}, {"chat", platform.CutStream}, {"chat", platform.BadChunk},
+		{"chat", platform.NoFinal}, {"chat", platform.SecondAnswer},
+	} {
+		t.Run(c.class+" "+string(c.fault), func(t *testing.T) {
+			s, e, taps := newGoldenStage(t, 64, "r0 read", "w0 write")
+			e["w0"].Next(c.fault)
+			goldenRun(t, &b, s.node.Addr().String(), taps, []goldenCase{
+				{name: "engine fails, " + c.class + ": " + string(c.fault), request: s.goldenRelayRequest("f1", c.class)}})
+		})
+	}
+	compareGolden(t, "relay_faults", b.String())
+}
+
+// Requests for which there is no node any more. The answer where there is no engine is left out: beside load it has one of two texts.
+func TestGoldenRelayRefused(t *testing.T) {
+	var b strings.Builder
+	t.Run("stop", func(t *testing.T) {
+		s, _, taps := newGoldenStage(t, 64, "r0 read", "w0 write")
+		s.stopped = true
+		goldenStop(t, &b, s.node.Addr().String(), s.goldenRelayRequest("s1", "chat"), taps,
+			func() { s.node.Shutdown(2 * time.Second) }, s.node.Ready)
+	})
+	t.Run("short stop", func(t *testing.T) {
+		s, _, taps := newGoldenStage(t, 64, "r0 read", "w0 write")
+		s.stopped = true
+		goldenStop(t, &b, s.node.Addr().String(), s.goldenRelayRequest("s2", "chat"), taps,
+			func() { s.node.Shutdown(200 * time.Millisecond) }, s.node.Ready)
+	})
+	compareGolden(t, "relay_refused", b.String())
+}
