--- a/lab/emulator/listserver.go
+++ b/lab/emulator/listserver.go
@@ -10,7 +10,6 @@
 	"net/http"
 	"strconv"
 	"sync"
-	"sync/atomic"
 	"time"
 )
 
@@ -42,7 +41,6 @@
 	server   *http.Server
 	address  string
 	cancel   context.CancelFunc
-	calls    atomic.Int64
 }
 
 // NewListServer returns one that does not run yet, with an index to begin from.
@@ -87,9 +85,6 @@
 // Address is where it listens, from its first start on.
 func (s *ListServer) Address() string { return s.address }
 
-// Calls returns how many calls came.
-func (s *ListServer) Calls() int64 { return s.calls.Load() }
-
 // Set replaces the list and answers the calls that wait.
 func (s *ListServer) Set(list []Instance) {
 	s.mu.Lock()
@@ -120,7 +115,6 @@
 }
 
 func (s *ListServer) health(w http.ResponseWriter, q *http.Request) {
-	s.calls.Add(1)
 	asked, _ := strconv.ParseUint(q.URL.Query().Get("index"), 10, 64)
 	wait, err := time.ParseDuration(q.URL.Query().Get("wait"))
 	if err != nil {
--- a/lab/platform/discovery.go
+++ b/lab/platform/discovery.go
@@ -34,7 +34,6 @@
 	news    chan struct{}  // closed at a change
 	bad     string         // what it answers in place of lists
 	silent  bool
-	calls   int
 	server  *http.Server
 	l       net.Listener
 }
@@ -105,13 +104,6 @@
 	d.mu.Unlock()
 }
 
-// Calls is how many calls came.
-func (d *Discovery) Calls() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.calls
-}
-
 // List is the whole list in discovery's form.
 func (d *Discovery) List() []byte {
 	d.mu.Lock()
@@ -139,7 +131,6 @@
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
 	end := time.After(time.Duration(hold) * time.Millisecond)
 	d.mu.Lock()
-	d.calls++
 	for from >= d.version && d.bad == "" && !d.silent {
 		news := d.news
 		d.mu.Unlock()
--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -51,7 +51,6 @@
 type Op struct {
 	Name, Class string
 	Try, Tokens int
-	ran         bool
 }
 
 // Budget is what an attempt told its engine of the time that is left (s), and when (Unix s).
--- a/lab/simulation/day.go
+++ b/lab/simulation/day.go
@@ -195,13 +195,12 @@
 	name string
 	zone int
 
-	mu      sync.Mutex
-	node    Node
-	l       *memnet.Listener
-	since   time.Time // when it was last ready
-	ended   time.Time // when it last ended; zero = it has not
-	idle    []net.Conn
-	waiting int // starts under way
+	mu    sync.Mutex
+	node  Node
+	l     *memnet.Listener
+	since time.Time // when it was last ready
+	ended time.Time // when it last ended; zero = it has not
+	idle  []net.Conn
 }
 
 func nodeName(i int) string { return fmt.Sprintf("n%d:5000", i) }
--- a/lab/simulation/engine.go
+++ b/lab/simulation/engine.go
@@ -56,7 +56,6 @@
 	fallen   bool          // it was sent more than it bears while cold
 	kept     map[string]bool
 	listener *memnet.Listener
-	handled  int
 }
 
 func (e *engine) address() string { return e.ID + ":5000" }
--- a/lab/soak/node.go
+++ b/lab/soak/node.go
@@ -208,13 +208,6 @@
 	}
 }
 
-// lasted is how long the last stop took.
-func (n *Node) lasted() time.Duration {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.proc.at.Sub(n.term)
-}
-
 // suspect are lines of a node's log that nobody wants to see.
 var suspect = regexp.MustCompile(`level=ERROR|^panic:|^fatal error:|DATA RACE|rule violated`)
 
--- a/lab/soak/scenario_test.go
+++ b/lab/soak/scenario_test.go
@@ -295,3 +295,10 @@
 		}
 	}
 }
+
+// lasted is how long the last stop took.
+func (n *Node) lasted() time.Duration {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.proc.at.Sub(n.term)
+}
