--- a/api/api.go
+++ b/api/api.go
@@ -13,12 +13,12 @@
 //go:embed list.schema.json
 var ListSchema []byte
 
-// EngineSchema describes the settings of one stand-in engine.
+// EngineSchema describes the settings of one emulated engine.
 //
 //go:embed engine.schema.json
 var EngineSchema []byte
 
-// BaddaySchema describes a scripted bad day.
+// ScenarioSchema describes a scripted fault scenario.
 //
-//go:embed badday.schema.json
-var BaddaySchema []byte
+//go:embed scenario.schema.json
+var ScenarioSchema []byte
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -30,8 +30,8 @@
 	os.Exit(m.Run())
 }
 
-// program starts the program as a process.
-func program(t *testing.T, args ...string) (*exec.Cmd, *bufio.Scanner, *bytes.Buffer) {
+// startProgram starts the program as a process.
+func startProgram(t *testing.T, args ...string) (*exec.Cmd, *bufio.Scanner, *bytes.Buffer) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(cancel)
@@ -49,8 +49,8 @@
 	return cmd, bufio.NewScanner(out), &errOut
 }
 
-// line reads output up to a line that holds a text.
-func line(t *testing.T, sc *bufio.Scanner, want string) string {
+// awaitLine reads output up to a line that holds a text.
+func awaitLine(t *testing.T, sc *bufio.Scanner, want string) string {
 	t.Helper()
 	for sc.Scan() {
 		if strings.Contains(sc.Text(), want) {
@@ -69,13 +69,18 @@
 		code int
 		says string
 	}{
-		{[]string{"version"}, ExitOK, "dillroute "}, {[]string{"--help"}, ExitOK, "badday"},
+		{[]string{"version"}, ExitOK, "dillroute "}, {[]string{"--help"}, ExitOK, "scenario"},
 		{[]string{"nonsense"}, ExitUsage, `unknown command "nonsense"`}, {[]string{"serve"}, ExitUsage, "needs --config"},
 		{[]string{"serve", "--config", bad}, ExitConfig, `did you mean "listen"?`},
 		{[]string{"config", "check", bad}, ExitConfig, "/listen: is missing"},
 		{[]string{"config", "check", "../../examples/node.json"}, ExitOK, "good"},
 		{[]string{"config", "schema", "list"}, ExitOK, "Engine list"}, {[]string{"config", "schema", "x"}, ExitUsage, "invalid argument"},
+		{[]string{"scenario", bad}, ExitConfig, "/name: is missing"}, {[]string{"scenario", "none.json"}, ExitConfig, "none.json"},
+		{[]string{"scenario", "convert", bad}, ExitConfig, "not a day"},
+		{[]string{"scenario", "--loud"}, ExitUsage, "unknown flag: --loud"},
 		{[]string{"badday", bad}, ExitConfig, "/name: is missing"}, {[]string{"badday", "none.json"}, ExitConfig, "none.json"},
+		{[]string{"config", "schema", "scenario"}, ExitOK, "fault scenario"},
+		{[]string{"config", "schema", "badday"}, ExitOK, "fault scenario"},
 		{[]string{"badday", "convert", bad}, ExitConfig, "not a day"}, {[]string{"engine", "--config", bad}, ExitConfig, "/id: is missing"},
 		{[]string{"demo", "--once"}, ExitOK, "0 "},
 	} {
@@ -97,8 +102,8 @@
 	}
 }
 
-// ask sends one streamed question and returns the answer's text.
-func ask(url, key string) (int, string, error) {
+// askStreamed sends one streamed question and returns the answer's text.
+func askStreamed(url, key string) (int, string, error) {
 	q, err := http.NewRequest("POST", url+"/v1/chat/completions",
 		strings.NewReader(`{"model":"roster-chat","stream":true,"messages":[{"role":"user","content":"Who?"}]}`))
 	if err != nil {
@@ -145,9 +150,9 @@
 		}
 	}
 	write("first-key", "127.0.0.1:0")
-	cmd, out, logs := program(t, "serve", "--config", file)
-	_, url, _ := strings.Cut(line(t, out, "listening on "), "listening on ")
-	_, admin, _ := strings.Cut(line(t, out, "admin on "), "admin on ")
+	cmd, out, logs := startProgram(t, "serve", "--config", file)
+	_, url, _ := strings.Cut(awaitLine(t, out, "listening on "), "listening on ")
+	_, admin, _ := strings.Cut(awaitLine(t, out, "admin on "), "admin on ")
 	for path, want := range map[string]int{"/healthz": 200, "/readyz": 200, "/metrics": 200, "/x": 404} {
 		if resp, err := http.Get(admin + path); err != nil || resp.StatusCode != want {
 			t.Errorf("%s: %v %v", path, resp, err)
@@ -155,39 +160,39 @@
 			resp.Body.Close()
 		}
 	}
-	if code, text, err := ask(url, "first-key"); code != 200 || !strings.Contains(text, "[DONE]") {
+	if code, text, err := askStreamed(url, "first-key"); code != 200 || !strings.Contains(text, "[DONE]") {
 		t.Fatal(code, text, err)
 	}
 	write("second-key", "127.0.0.1:1")
 	cmd.Process.Signal(syscall.SIGHUP)
 	code := 0
 	for end := time.Now().Add(10 * time.Second); code != 200 && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		code, _, _ = ask(url, "second-key")
+		code, _, _ = askStreamed(url, "second-key")
 	}
-	if old, _, _ := ask(url, "first-key"); code != 200 || old != 401 {
+	if old, _, _ := askStreamed(url, "first-key"); code != 200 || old != 401 {
 		t.Fatal("the key was not changed", code, old)
 	}
-	held := make(chan string, 1)
+	inFlight := make(chan string, 1)
 	go func() {
-		_, text, err := ask(url, "second-key")
-		held <- fmt.Sprint(text, err)
+		_, text, err := askStreamed(url, "second-key")
+		inFlight <- fmt.Sprint(text, err)
 	}()
 	time.Sleep(100 * time.Millisecond) // so that most runs have it held; either way it is answered
 	cmd.Process.Signal(syscall.SIGTERM)
-	if text := <-held; !strings.Contains(text, "[DONE]") && !strings.Contains(text, "node_draining") {
+	if text := <-inFlight; !strings.Contains(text, "[DONE]") && !strings.Contains(text, "node_draining") {
 		t.Errorf("the held request got %q", text)
 	}
 	if err := cmd.Wait(); err != nil {
 		t.Fatalf("%v\n%s", err, logs)
 	}
-	if !strings.Contains(logs.String(), "needs_restart=[/listen") {
+	if !strings.Contains(logs.String(), "restart_required=[/listen") {
 		t.Errorf("the log does not say that /listen needs a restart:\n%s", logs)
 	}
 }
 
 // A node is replaced while clients ask on and on: the socket belongs to the manager, here the test, and every request
 // is served by the old node or by the new one.
-func TestRollingRestartLosesNothing(t *testing.T) {
+func TestRollingRestartLosesNoRequest(t *testing.T) {
 	dir := t.TempDir()
 	f := fleet.New(demoFleet(), nil)
 	if err := f.Start(); err != nil {
@@ -228,7 +233,8 @@
 		t.Helper()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		t.Cleanup(cancel)
-		cmd := exec.CommandContext(ctx, "/bin/sh", "-c", `LISTEN_PID=$$ exec "$0" serve --config "$1" --takeover 30s`, os.Args[0], file)
+		cmd := exec.CommandContext(ctx, "/bin/sh", "-c",
+			`LISTEN_PID=$$ exec "$0" serve --config "$1" --takeover 30s`, os.Args[0], file)
 		cmd.Env = append(os.Environ(), "DILLROUTE_AS_PROGRAM=1", "LISTEN_FDS=1", "LISTEN_FDNAMES=client")
 		cmd.ExtraFiles = []*os.File{socket}
 		out, err := cmd.StdoutPipe()
@@ -241,7 +247,7 @@
 		return cmd, bufio.NewScanner(out)
 	}
 	old, out := start()
-	line(t, out, "listening on ")
+	awaitLine(t, out, "listening on ")
 	url := "http://" + l.Addr().String()
 	stop, failed := make(chan struct{}), make(chan string, 100)
 	var clients sync.WaitGroup
@@ -259,7 +265,8 @@
 				default:
 				}
 				q, _ := http.NewRequest("POST", url+"/v1/chat/completions",
-					strings.NewReader(`{"model":"roster-commit","stream":true,"max_tokens":4,"messages":[{"role":"user","content":"Who?"}]}`))
+					strings.NewReader(`{"model":"roster-commit","stream":true,"max_tokens":4,`+
+						`"messages":[{"role":"user","content":"Who?"}]}`))
 				q.Header.Set("Authorization", "Bearer "+demoKey)
 				resp, err := c.Do(q)
 				if err != nil {
@@ -286,7 +293,7 @@
 		wait(served.Load() + 10)
 		next, out := start()
 		old.Process.Signal(syscall.SIGTERM)
-		line(t, out, "listening on ")
+		awaitLine(t, out, "listening on ")
 		if err := old.Wait(); err != nil {
 			t.Fatal(err)
 		}
@@ -307,8 +314,8 @@
 	}
 }
 
-// limited starts a node under a limit of the shell, before its engines.
-func limited(t *testing.T, limit string) (url string, stop func() string) {
+// startUnderLimit starts a node under a limit of the shell, before its engines.
+func startUnderLimit(t *testing.T, limit string) (url string, stop func() string) {
 	t.Helper()
 	dir := t.TempDir()
 	f := fleet.New(demoFleet(), nil)
@@ -319,8 +326,9 @@
 		t.Fatal(err)
 	}
 	file := filepath.Join(dir, "node.json")
-	text := fmt.Sprintf(`{"listen":"127.0.0.1:0","node":{"name":"n"},"kinds":[{"name":"prefill","role":"prefill"},{"name":"decode","role":"decode"},
- {"name":"mixed","role":"mixed"}],"classes":[{"name":"c","effect":"once","aim_s":1,"patience_s":5,"token_aim_s":0.06}],
+	text := fmt.Sprintf(`{"listen":"127.0.0.1:0","node":{"name":"n"},
+ "kinds":[{"name":"prefill","role":"prefill"},{"name":"decode","role":"decode"},{"name":"mixed","role":"mixed"}],
+ "classes":[{"name":"c","effect":"once","aim_s":1,"patience_s":5,"token_aim_s":0.06}],
  "models":[{"name":"roster-chat","class":"c"}],"tenants":[{"name":"t","keys":[%q]}],"engines":{"file":"list.json","poll_s":0.02},
  "state_dir":"state","limits":{"idle_s":5}}`, demoKey)
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
@@ -338,7 +346,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	_, url, _ = strings.Cut(line(t, bufio.NewScanner(out), "listening on "), "listening on ")
+	_, url, _ = strings.Cut(awaitLine(t, bufio.NewScanner(out), "listening on "), "listening on ")
 	return url, func() string {
 		cmd.Process.Signal(syscall.SIGTERM)
 		cmd.Wait()
@@ -348,9 +356,9 @@
 	}
 }
 
-func TestFullFileTableIsOutlived(t *testing.T) {
+func TestServeRecoversFromDescriptorExhaustion(t *testing.T) {
 	defer http.DefaultClient.CloseIdleConnections()
-	url, stop := limited(t, "ulimit -n 60")
+	url, stop := startUnderLimit(t, "ulimit -n 60")
 	defer stop()
 	var conns []net.Conn
 	for range 80 { // more than the node can open
@@ -365,17 +373,17 @@
 	}
 	code, text := 0, ""
 	for end := time.Now().Add(20 * time.Second); code != 200 && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		code, text, _ = ask(url, demoKey)
+		code, text, _ = askStreamed(url, demoKey)
 	}
 	if code != 200 || !strings.Contains(text, "[DONE]") {
 		t.Fatalf("once the connections have gone it serves: %d %s", code, text)
 	}
 }
 
-func TestFullDiskIsNoReasonNotToServe(t *testing.T) {
+func TestServeGoesOnWithAFullDisk(t *testing.T) {
 	defer http.DefaultClient.CloseIdleConnections()
-	url, stop := limited(t, "ulimit -f 0") // not one block may be written
-	code, text, err := ask(url, demoKey)
+	url, stop := startUnderLimit(t, "ulimit -f 0") // not one block may be written
+	code, text, err := askStreamed(url, demoKey)
 	logs := stop()
 	if code != 200 || !strings.Contains(text, "[DONE]") {
 		t.Errorf("%d %s %v", code, text, err)
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -19,7 +19,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			cfg, err := config.Load(args[0])
 			if err != nil {
-				return withCode(ExitConfig, err)
+				return withExitCode(ExitConfig, err)
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: good; %d classes, %d models, %d tenants, %d kinds of engine\n",
 				args[0], len(cfg.Classes), len(cfg.Models), len(cfg.Tenants), len(cfg.Kinds))
@@ -31,12 +31,12 @@
 
 func schemaCommand() *cobra.Command {
 	schemas := map[string][]byte{"config": api.ConfigSchema, "list": api.ListSchema, "engine": api.EngineSchema,
-		"badday": api.BaddaySchema}
+		"scenario": api.ScenarioSchema, "badday": api.ScenarioSchema} // badday: the name until December 2026
 	return &cobra.Command{
-		Use:       "schema [config|list|engine|badday]",
+		Use:       "schema [config|list|engine|scenario]",
 		Short:     "Print the JSON Schema of a file that the program reads; config by default",
 		Example:   "  dillroute config schema list > list.schema.json",
-		ValidArgs: []string{"config", "list", "engine", "badday"},
+		ValidArgs: []string{"config", "list", "engine", "scenario", "badday"},
 		Args:      cobra.MatchAll(cobra.MaximumNArgs(1), cobra.OnlyValidArgs),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			name := "config"
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -31,15 +31,15 @@
 	var once bool
 	c := &cobra.Command{
 		Use:   "demo",
-		Short: "Run a small fleet of stand-in engines and a node, all on loopback",
-		Long: `Run two prefill, two decode and one mixed stand-in engine in two cells, and a node before them, until SIGINT. The
-answers are made up. Models: roster-chat, safe to repeat; roster-commit, which must never run twice.`,
+		Short: "Run a small fleet of emulated engines and a node, all on loopback",
+		Long: `Run two prefill, two decode and one mixed emulated engine in two cells, and a node before them, until SIGINT. The
+answers are made up. Models: roster-chat, idempotent; roster-commit, which must never run twice.`,
 		Example: "  dillroute demo\n  dillroute demo --listen 127.0.0.1:8080\n  dillroute demo --once",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			return withCode(ExitRun, demo(ctx, listen, once, cmd.OutOrStdout(), cmd.ErrOrStderr()))
+			return withExitCode(ExitRun, demo(ctx, listen, once, cmd.OutOrStdout(), cmd.ErrOrStderr()))
 		},
 	}
 	c.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "where the node listens; port 0 picks a free one")
@@ -113,9 +113,9 @@
 	for _, m := range f.Members() {
 		fmt.Fprintf(out, "engine %-10s cell %s on %s\n", m.ID, m.Cell, f.Engine(m.ID).Address())
 	}
-	fmt.Fprintf(out, "\ncurl -N %s/v1/chat/completions -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' \\\n"+
-		"  -d '{\"model\":\"roster-chat\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"Who can cover a sick call?\"}]}'\n",
+	fmt.Fprintf(out, "\ncurl -N %s/v1/chat/completions -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' \\\n",
 		url, demoKey)
+	fmt.Fprintln(out, `  -d '{"model":"roster-chat","stream":true,"messages":[{"role":"user","content":"Who can cover a sick call?"}]}'`)
 	fmt.Fprintf(out, "\nbreak an engine: curl %s/lab/fault -d '{\"cut_after\":3}'   (mend it with '{}')\n",
 		"http://"+f.Engine("decode-a").Address())
 	<-ctx.Done()
--- a/internal/cli/engine.go
+++ b/internal/cli/engine.go
@@ -17,26 +17,26 @@
 	var file string
 	c := &cobra.Command{
 		Use:   "engine --config FILE",
-		Short: "Run one stand-in engine, for trials",
-		Long: `Run one stand-in engine until SIGTERM or SIGINT. It speaks the protocol of separate prefill and decode serving and
+		Short: "Run one emulated engine, for trials",
+		Long: `Run one emulated engine until SIGTERM or SIGINT. It speaks the protocol of separate prefill and decode serving and
 makes up its answers. POST /lab/fault with a JSON object breaks it on command, as {"errors":0.5} or {"silent":true};
 {} mends it.`,
 		Example: "  dillroute engine --config examples/engine-prefill.json",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if file == "" {
-				return withCode(ExitUsage, fmt.Errorf("engine needs --config FILE"))
+				return withExitCode(ExitUsage, fmt.Errorf("engine needs --config FILE"))
 			}
 			var s emulator.Settings
 			if err := config.MustSchema(api.EngineSchema).DecodeFile(file, &s); err != nil {
-				return withCode(ExitConfig, fmt.Errorf("%s:\n%w", file, err))
+				return withExitCode(ExitConfig, fmt.Errorf("%s:\n%w", file, err))
 			}
 			e := emulator.New(s, nil)
 			signals := make(chan os.Signal, 2)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 			defer signal.Stop(signals)
 			if err := e.Start(s.ColdS > 0); err != nil {
-				return withCode(ExitRun, err)
+				return withExitCode(ExitRun, err)
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s engine %s on %s\n", s.Role, s.ID, e.Address())
 			<-signals
--- a/internal/cli/logwriter_test.go
+++ b/internal/cli/logwriter_test.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// stuck is a log that takes nothing until it is released.
-type stuck struct {
+// stuckWriter is a log that takes nothing until it is released.
+type stuckWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	got     bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *stuckWriter) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.got.Write(p)
 }
 
-func TestLogWriterNeverWaits(t *testing.T) {
-	s := &stuck{release: make(chan struct{})}
+func TestLogWriterNeverBlocks(t *testing.T) {
+	s := &stuckWriter{release: make(chan struct{})}
 	w := newLogWriter(s)
 	begun := time.Now()
 	for i := range 2 * logLines {
@@ -53,7 +53,7 @@
 }
 
 func TestLogWriterEndsThoughItsLogIsStuck(t *testing.T) {
-	s := &stuck{release: make(chan struct{})}
+	s := &stuckWriter{release: make(chan struct{})}
 	w := newLogWriter(s)
 	fmt.Fprintln(w, "a line")
 	begun := time.Now()
--- a/internal/cli/overhead.go
+++ b/internal/cli/overhead.go
@@ -26,14 +26,14 @@
 	c := &cobra.Command{
 		Use:   "overhead",
 		Short: "Measure what the node adds, against a plain reverse proxy",
-		Long: `Start a stand-in engine, a node and a plain httputil.ReverseProxy, each in a process of its own on loopback, load each in
+		Long: `Start an emulated engine, a node and a plain httputil.ReverseProxy, each in a process of its own on loopback, load each in
 turn with the same requests, and print latency, rates for each core and memory. It takes about a minute.`,
 		Example: "  dillroute overhead\n  dillroute overhead --streams 1000 --report out.json",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			return withCode(ExitRun, measureOverhead(ctx, plan, report, cmd.OutOrStdout()))
+			return withExitCode(ExitRun, measureOverhead(ctx, plan, report, cmd.OutOrStdout()))
 		},
 	}
 	c.Flags().IntVar(&plan.Streams, "streams", plan.Streams, "connections and streams held open for the memory figures")
@@ -99,6 +99,30 @@
 	return cmd, addresses, nil
 }
 
+// overheadChildren are the processes that a measurement starts.
+type overheadChildren struct {
+	ctx      context.Context
+	commands []*exec.Cmd
+}
+
+// start starts this program with other arguments; it returns its process id and the addresses that it prints.
+func (c *overheadChildren) start(lines int, args ...string) (pid int, addresses []string, err error) {
+	cmd, addresses, err := child(c.ctx, lines, args...)
+	if err != nil {
+		return 0, nil, err
+	}
+	c.commands = append(c.commands, cmd)
+	return cmd.Process.Pid, addresses, nil
+}
+
+// wait returns once all have ended; the context ends them.
+func (c *overheadChildren) wait() {
+	for _, cmd := range c.commands {
+		cmd.Wait()
+	}
+}
+
+// measureOverhead starts an engine, a proxy and two nodes, measures each of them, and prints and reports the figures.
 func measureOverhead(ctx context.Context, plan overhead.Plan, report string, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "dillroute-overhead-")
 	if err != nil {
@@ -106,73 +130,77 @@
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
+	children := &overheadChildren{ctx: ctx}
+	defer children.wait()
 	defer cancel()
-	var children []*exec.Cmd
-	defer func() {
-		cancel()
-		for _, c := range children {
-			c.Wait()
-		}
-	}()
-	start := func(lines int, args ...string) (int, []string, error) {
-		c, addresses, err := child(ctx, lines, args...)
-		if err != nil {
-			return 0, nil, err
-		}
-		children = append(children, c)
-		return c.Process.Pid, addresses, nil
-	}
-	_, engine, err := start(1, "overhead", "engine")
+	targets, err := overheadTargets(children, dir)
 	if err != nil {
 		return err
 	}
-	proxyPID, proxy, err := start(1, "overhead", "proxy", engine[0])
-	if err != nil {
-		return err
-	}
-	targets := []overhead.Target{{Name: "engine alone", Address: engine[0]},
-		{Name: "reverse proxy", Address: proxy[0], PID: proxyPID}}
-	for _, way := range []string{"one hop", "prefill and decode"} {
-		file, err := overheadConfig(dir, way, engine[0])
-		if err != nil {
-			return err
-		}
-		pid, node, err := start(2, "serve", "--config", file)
-		if err != nil {
-			return err
-		}
-		targets = append(targets, overhead.Target{Name: "dillroute, " + way, Address: node[0], PID: pid, Admin: node[1]})
-	}
-	var results []overhead.Result
-	for _, t := range targets {
-		p := plan
-		if t.PID == 0 {
-			p.Streams = 1
+	results := make([]overhead.Result, 0, len(targets))
+	for _, target := range targets {
+		targetPlan := plan
+		if target.PID == 0 {
+			targetPlan.Streams = 1
 		}
-		r, err := overhead.Measure(ctx, t, p, demoKey, out)
+		result, err := overhead.Measure(ctx, target, targetPlan, demoKey, out)
 		if err != nil {
 			return err
 		}
-		results = append(results, r)
+		results = append(results, result)
 	}
 	printOverhead(out, results)
 	if report == "" {
 		return nil
 	}
-	b, err := json.MarshalIndent(results, "", " ")
+	text, err := json.MarshalIndent(results, "", " ")
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(report, append(b, '\n'), 0o644)
+	return os.WriteFile(report, append(text, '\n'), 0o644)
 }
 
+// overheadTargets starts what is measured: the engine alone, a plain reverse proxy, and a node on one hop and on two.
+func overheadTargets(children *overheadChildren, dir string) ([]overhead.Target, error) {
+	_, engine, err := children.start(1, "overhead", "engine")
+	if err != nil {
+		return nil, err
+	}
+	proxyPID, proxy, err := children.start(1, "overhead", "proxy", engine[0])
+	if err != nil {
+		return nil, err
+	}
+	targets := []overhead.Target{
+		{Name: "engine alone", Address: engine[0]},
+		{Name: "reverse proxy", Address: proxy[0], PID: proxyPID},
+	}
+	for _, hops := range []string{oneHop, twoHops} {
+		file, err := overheadConfig(dir, hops, engine[0])
+		if err != nil {
+			return nil, err
+		}
+		pid, node, err := children.start(2, "serve", "--config", file)
+		if err != nil {
+			return nil, err
+		}
+		targets = append(targets, overhead.Target{Name: "dillroute, " + hops, Address: node[0], PID: pid, Admin: node[1]})
+	}
+	return targets, nil
+}
+
+// The two paths of a request that are measured.
+const (
+	oneHop  = "one hop"            // a mixed engine prefills and decodes
+	twoHops = "prefill and decode" // on engines of their own
+)
+
 // overheadConfig writes the configuration of a node before the engine. On one hop the engine is listed as many mixed
 // ones, for the module has each read one prompt of ours at a time; on two, as prefill and decode engines.
-func overheadConfig(dir, way, engine string) (string, error) {
+func overheadConfig(dir, hops, engine string) (string, error) {
 	var engines []any
 	for i := range 32 {
 		kind := "mixed"
-		if way != "one hop" {
+		if hops != oneHop {
 			kind = []string{"prefill", "decode"}[i%2]
 		}
 		engines = append(engines, map[string]any{"id": fmt.Sprint("e", i), "address": engine, "kind": kind})
@@ -181,7 +209,7 @@
 	for _, role := range []string{"prefill", "decode", "mixed"} {
 		kinds = append(kinds, map[string]any{"name": role, "role": role})
 	}
-	folder := filepath.Join(dir, strings.ReplaceAll(way, " ", "-"))
+	folder := filepath.Join(dir, strings.ReplaceAll(hops, " ", "-"))
 	cfg := map[string]any{"listen": "127.0.0.1:0", "admin": "127.0.0.1:0", "node": map[string]any{"name": "n"}, "kinds": kinds,
 		"classes": []any{map[string]any{"name": "c", "effect": "repeatable", "aim_s": 30, "patience_s": 60, "token_aim_s": 10}},
 		"models":  []any{map[string]any{"name": "m", "class": "c"}},
@@ -202,12 +230,14 @@
 	return filepath.Join(folder, "node.json"), nil
 }
 
-func printOverhead(out io.Writer, rs []overhead.Result) {
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "\tp50\tp99\trequests/s\tper core\tevents/s\tper core\ttyped per core\tbytes/idle\tbytes/stream\tdecide p99\terrors\t")
-	for _, r := range rs {
-		fmt.Fprintf(t, "%s\t%.2f ms\t%.2f ms\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.3f ms\t%d\t\n", r.Name, r.P50ms, r.P99ms, r.RequestsPerS,
-			r.RequestsPerCore, r.EventsPerS, r.EventsPerCore, r.TypedPerCore, r.BytesPerIdle, r.BytesPerStream, r.DecideP99ms, r.Errors)
-	}
-	t.Flush()
+func printOverhead(out io.Writer, results []overhead.Result) {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "\tp50\tp99\trequests/s\tper core\tevents/s\tper core\ttyped per core\t"+
+		"bytes/idle\tbytes/stream\tdecide p99\terrors\t")
+	for _, r := range results {
+		fmt.Fprintf(table, "%s\t%.2f ms\t%.2f ms\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.3f ms\t%d\t\n",
+			r.Name, r.P50ms, r.P99ms, r.RequestsPerS, r.RequestsPerCore, r.EventsPerS, r.EventsPerCore, r.TypedPerCore,
+			r.BytesPerIdle, r.BytesPerStream, r.DecideP99ms, r.Errors)
+	}
+	table.Flush()
 }
--- a/internal/cli/relay.go
+++ b/internal/cli/relay.go
@@ -8,8 +8,6 @@
 	"os"
 	"runtime"
 	"runtime/debug"
-	"syscall"
-	"time"
 
 	"dillroute/internal/config"
 	"dillroute/internal/node"
@@ -17,97 +15,77 @@
 	"dillroute/internal/service"
 )
 
-// startFor is for how long a start is tried that fails for a reason which may pass: a node is to be ready within 10 s (STANDING, what
-// has to hold).
-const startFor = 8 * time.Second
-
 // serveRelay runs a node on the users' platform until SIGTERM or SIGINT.
 func serveRelay(level string, errOut io.Writer) error {
-	told := takeSignals() // before all else: a signal that comes early must not end the program
-	defer told.giveBack()
+	signals := notifySignals() // before all else: a signal that comes early must not end the program
+	defer signals.stop()
 	if new(slog.LevelVar).UnmarshalText([]byte(level)) != nil {
-		return withCode(ExitUsage, fmt.Errorf("--log %s: it is debug, info, warn or error", level))
+		return withExitCode(ExitUsage, fmt.Errorf("--log %s: it is debug, info, warn or error", level))
 	}
-	var cfg *relay.Config
-	err := service.RetryTransient(startFor, func() (err error) {
-		cfg, err = relay.Load(os.Getenv)
-		return err
-	})
+	cfg, err := loadRelayConfig()
 	if err != nil {
-		return withCode(ExitConfig, err)
+		return withExitCode(ExitConfig, err)
 	}
-	lines := newLogWriter(errOut)
-	defer lines.Close()
-	log, _ := newLogger(lines, config.Log{Level: level, Format: "text"})
-	bindLimits(cfg.Limits)
-	var n *node.RelayNode
-	err = service.RetryTransient(startFor, func() (err error) {
-		n, err = node.StartRelay(cfg, node.WithLogger(log))
-		return err
-	})
+	logWriter := newLogWriter(errOut)
+	defer logWriter.Close()
+	log, _ := newLogger(logWriter, config.Log{Level: level, Format: "text"})
+	boundRuntime(cfg.Limits)
+	n, err := startRelayNode(cfg, log)
 	if err != nil {
-		return withCode(ExitRun, err)
+		return withExitCode(ExitRun, err)
 	}
-	log.Info("serving", "name", cfg.Name, "listen", cfg.Listen, "discovery", cfg.Discovery, "cores", cfg.Limits.Cores,
+	log.Info("relay node started", "name", cfg.Name, "listen", cfg.Listen, "discovery", cfg.Discovery, "cores", cfg.Limits.Cores,
 		"memory_mb", cfg.Limits.MemoryMB, "sockets", cfg.Limits.Sockets)
-	reload := newReloader(log, func() error { return reloadRelay(n, log) })
-	failure := waitRelay(n, told, reload, log)
-	stopped := make(chan struct{})
-	go func() {
-		n.ShutdownBy(relay.StopBy(cfg.Settings.LongestClientTimeout), node.MaxStreamDrain)
-		close(stopped)
-	}()
-	for {
-		select {
-		case <-stopped:
-			log.Info("stopped")
-			return withCode(ExitRun, failure)
-		case s := <-told.stop:
-			if s == syscall.SIGINT {
+	s := &supervisor{signals: signals, failed: n.Failed(), notify: func(...string) {},
+		reload: newReloader(log, func() error { return reloadRelay(n, log) })}
+	signal, failure := s.serve()
+	if signal != nil {
+		log.Info("graceful shutdown started", "signal", signal.String())
+	}
+	s.shutdown(shutdownHooks{
+		run: func() { n.ShutdownBy(relay.StopBy(cfg.Settings.LongestClientTimeout), node.MaxStreamDrain) },
+		signal: func(s os.Signal) {
+			if isInterrupt(s) {
 				n.RespondNow()
 			}
-		case <-told.reload: // what drains is told at the new address, while attempts are still made
-			reload.Ask()
-		case <-reload.Due():
-			reload.Try()
-		case err := <-reload.Ended():
-			reload.Conclude(err)
-		}
-	}
+		},
+		reloads: true, // which engines drain is learned at discovery's new address, while attempts are still made
+	})
+	log.Info("shutdown completed")
+	return withExitCode(ExitRun, failure)
 }
 
-// waitRelay serves until the node is to stop; the error is the module's, if that is why.
-func waitRelay(n *node.RelayNode, told *signals, reload *reloader, log *slog.Logger) error {
-	for {
-		select {
-		case err := <-n.Failed():
-			return err
-		case s := <-told.stop:
-			log.Info("stopping", "signal", s.String())
-			return nil
-		case <-told.reload:
-			reload.Ask()
-		case <-reload.Due():
-			reload.Try()
-		case err := <-reload.Ended():
-			reload.Conclude(err)
-		}
-	}
+// loadRelayConfig reads the configuration, again for a while where a system call fails for a moment.
+func loadRelayConfig() (cfg *relay.Config, err error) {
+	err = service.RetryTransient(startTimeout, func() (err error) {
+		cfg, err = relay.Load(os.Getenv)
+		return err
+	})
+	return cfg, err
+}
+
+// startRelayNode starts the node, again for a while where a system call fails for a moment.
+func startRelayNode(cfg *relay.Config, log *slog.Logger) (n *node.RelayNode, err error) {
+	err = service.RetryTransient(startTimeout, func() (err error) {
+		n, err = node.StartRelay(cfg, node.WithLogger(log))
+		return err
+	})
+	return n, err
 }
 
-// reloadRelay takes the configuration as it is now.
+// reloadRelay applies the configuration as it is now.
 func reloadRelay(n *node.RelayNode, log *slog.Logger) error {
 	next, err := relay.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
 	n.Reload(next)
-	log.Info("configuration read again", "discovery", next.Discovery)
+	log.Info("configuration reloaded", "discovery", next.Discovery)
 	return nil
 }
 
-// bindLimits keeps the runtime within what the platform allows.
-func bindLimits(l relay.Limits) {
+// boundRuntime keeps the Go runtime within the cores and the memory that the platform allows.
+func boundRuntime(l relay.Limits) {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
 	}
--- a/internal/cli/relay_test.go
+++ b/internal/cli/relay_test.go
@@ -22,7 +22,7 @@
 // A day of the program on the stand-in of the users' platform: clients all the while, spoilt streams, a drain, a new
 // configuration by SIGHUP (one that cannot be read first, and two at once), a stop by SIGTERM. The rules are judged by
 // what passed on the sockets.
-func TestServeRelayThroughADay(t *testing.T) {
+func TestServeRelayThroughFaultsDrainReloadAndStop(t *testing.T) {
 	log := &record.Log{}
 	p := platform.New("n0", log)
 	var engines []*platform.Engine
@@ -75,11 +75,12 @@
 	}
 	pause := func() { time.Sleep(250 * time.Millisecond) }
 	pause()
-	for _, f := range []platform.Fault{platform.Noise, platform.BadChunk, platform.EndlessHead, platform.HugeChunk, platform.CutStream, platform.SecondAnswer} {
-		meet(t, f, engines[2:]...)
-		meet(t, f, engines[2:]...)
+	for _, f := range []platform.Fault{platform.Noise, platform.BadChunk, platform.EndlessHead, platform.HugeChunk, platform.CutStream,
+		platform.SecondAnswer} {
+		showFault(t, f, engines[2:]...)
+		showFault(t, f, engines[2:]...)
 	}
-	meet(t, platform.CutBefore, engines[0])
+	showFault(t, platform.CutBefore, engines[0])
 	d.State("write2", "draining")
 	pause()
 	write([]byte("{"))
@@ -121,8 +122,9 @@
 	if seen[record.Served] < 50 || seen[record.Cut]+seen[record.Unmet] > 0 {
 		t.Errorf("outcomes %v\n%s", seen, logs.String())
 	}
-	c := rules.Config{Classes: map[string]rules.Class{"chat": {Effect: "repeatable", Group: "all"}, "commit": {Effect: "once", Group: "all"}},
-		AnswerSlack: 0.058, DrainGrace: 0.25, FallMultiple: 4, TipAfter: 1.5, LetGoBy: 1.3, Skew: 0.3}
+	classes := map[string]rules.Class{"chat": {Effect: "repeatable", Group: "all"}, "commit": {Effect: "once", Group: "all"}}
+	c := rules.Config{Classes: classes,
+		AnswerSlack: 0.058, DrainGrace: 0.25, OverloadMultiple: 4, SlowStartWindow: 1.5, StateReleaseLimit: 1.3, Skew: 0.3}
 	for _, v := range rules.Check(log.All(), c) {
 		t.Error(v)
 	}
@@ -133,9 +135,9 @@
 	}
 }
 
-// meet has the next answer of one of the engines be spoilt, and waits for it. No fault is left behind: an engine that is kept away for a
-// while would show it to a request of a later part of the test.
-func meet(t *testing.T, f platform.Fault, engines ...*platform.Engine) {
+// showFault has one of the engines show a fault in its next answer, and waits for it. No fault is left behind: an engine that is
+// ejected for a while would show it to a request of a later part of the test.
+func showFault(t *testing.T, f platform.Fault, engines ...*platform.Engine) {
 	t.Helper()
 	for _, e := range engines {
 		e.Next(f)
@@ -200,7 +202,7 @@
 func (p *relayProcess) awaitReady(t *testing.T) { t.Helper(); p.await(t, 200) }
 
 // A stop is one stop, however it is told: before the first list, twice, or beside a new configuration, under a stream that runs on.
-func TestServeRelayStopsHoweverItIsTold(t *testing.T) {
+func TestServeRelayStopsAfterAnySignals(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
 		"once": {syscall.SIGTERM}, "twice": {syscall.SIGTERM, syscall.SIGTERM},
 		"with a new configuration": {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP},
@@ -262,7 +264,7 @@
 	}
 }
 
-func TestServeRelayTellsWhatIsWrong(t *testing.T) {
+func TestServeRelayReportsBadArguments(t *testing.T) {
 	t.Setenv("RELAY_CONFIG", filepath.Join(t.TempDir(), "none.json"))
 	for _, c := range []struct {
 		args []string
@@ -282,7 +284,7 @@
 
 // A node stops in time, and ends its streams well, though a new configuration can be opened but not read (its file system hangs), and
 // though it was told of it so often that signals wait.
-func TestServeRelayStopsThoughItsConfigurationHangs(t *testing.T) {
+func TestServeRelayStopsWhileReloadHangs(t *testing.T) {
 	p := platform.New("n0", &record.Log{})
 	r, w := p.Add("r0", "read"), p.Add("w0", "write")
 	w.Step = 60 * time.Millisecond
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -21,20 +21,20 @@
 3 a configuration, list or script is not what it should be; 4 a rule was broken.`
 )
 
-// coded is an error with an exit code.
-type coded struct {
+// exitError is an error with an exit code.
+type exitError struct {
 	code int
 	err  error
 }
 
-func (c *coded) Error() string { return c.err.Error() }
-func (c *coded) Unwrap() error { return c.err }
+func (c *exitError) Error() string { return c.err.Error() }
+func (c *exitError) Unwrap() error { return c.err }
 
-func withCode(code int, err error) error {
+func withExitCode(code int, err error) error {
 	if err == nil {
 		return nil
 	}
-	return &coded{code, err}
+	return &exitError{code, err}
 }
 
 // Run executes a command line and returns the exit code.
@@ -48,7 +48,7 @@
 		return ExitOK
 	}
 	fmt.Fprintln(errOut, "dillroute:", err)
-	var c *coded
+	var c *exitError
 	if errors.As(err, &c) {
 		return c.code
 	}
@@ -59,13 +59,14 @@
 	root := &cobra.Command{
 		Use:   "dillroute",
 		Short: "A router for language-model serving with separate prefill and decode engines",
-		Long: "dillroute takes OpenAI-style chat requests, has prompts read by prefill engines and answers made by decode\n" +
-			"engines, and streams them back.\n\n" + exitCodesDoc,
+		Long: "dillroute takes OpenAI-style chat requests, has their prompts prefilled and their answers decoded on separate\n" +
+			"engines, and streams the answers back.\n\n" + exitCodesDoc,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
 	root.CompletionOptions.DisableDefaultCmd = true
-	root.AddCommand(serveCommand(), engineCommand(), demoCommand(), baddayCommand(), fleetCommand(), overheadCommand(), configCommand(), versionCommand())
+	root.AddCommand(serveCommand(), engineCommand(), demoCommand(), scenarioCommand(), fleetCommand(), overheadCommand(),
+		configCommand(), versionCommand())
 	return root
 }
 
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -19,32 +19,34 @@
 	"github.com/spf13/cobra"
 )
 
-func baddayCommand() *cobra.Command {
+func scenarioCommand() *cobra.Command {
 	var report, logTo string
 	var seed uint64
 	c := &cobra.Command{
-		Use:   "badday SCRIPT",
-		Short: "Play a scripted bad day through real nodes on loopback and judge the rules",
-		Long: `Play a script of load and troubles through real nodes, stand-in engines and scripted clients, all on loopback. The
-five rules are judged from what passed on the sockets. A broken rule ends with code 4.
+		Use:     "scenario SCRIPT",
+		Aliases: []string{"badday"}, // the name until December 2026
+		Short:   "Play a scripted fault scenario through real nodes on loopback and check the rules",
+		Long: `Play a script of load and faults through real nodes, emulated engines and scripted clients, all on loopback. The five
+rules are checked from what passed on the sockets. A broken rule ends with code 4.
 
 ` + exitCodesDoc,
-		Example: "  dillroute badday examples/badday/sunday.json\n  dillroute badday examples/badday/sunday.json --seed 7 --report out.json\n" +
-			"  dillroute badday convert DAY.json > examples/badday/day.json",
+		Example: "  dillroute scenario examples/scenario/sunday.json\n" +
+			"  dillroute scenario examples/scenario/sunday.json --seed 7 --report out.json\n" +
+			"  dillroute scenario convert DAY.json > examples/scenario/day.json",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
-				return withCode(ExitConfig, err)
+				return withExitCode(ExitConfig, err)
 			}
 			s, err := scenario.Parse(text)
 			if err != nil {
-				return withCode(ExitConfig, fmt.Errorf("%s:\n%w", args[0], err))
+				return withExitCode(ExitConfig, fmt.Errorf("%s:\n%w", args[0], err))
 			}
 			if cmd.Flags().Changed("seed") {
 				s.Seed = seed
 			}
-			return playDay(s, report, logTo, cmd.OutOrStdout())
+			return playScenario(s, report, logTo, cmd.OutOrStdout())
 		},
 	}
 	c.Flags().StringVar(&report, "report", "", "write the report as JSON to this file")
@@ -54,8 +56,8 @@
 	return c
 }
 
-// launcher starts nodes of this program within this process.
-func launcher(log io.Writer) scenario.Launch {
+// inProcessLauncher starts nodes of this program within this process.
+func inProcessLauncher(log io.Writer) scenario.Launch {
 	return func(name string, text []byte) (scenario.Node, error) {
 		cfg, err := config.Parse(text)
 		if err != nil {
@@ -69,22 +71,22 @@
 	}
 }
 
-func playDay(s *scenario.Script, report, logTo string, out io.Writer) error {
+func playScenario(s *scenario.Script, report, logTo string, out io.Writer) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	var log io.Writer = io.Discard
 	if logTo != "" {
 		f, err := os.Create(logTo)
 		if err != nil {
-			return withCode(ExitRun, err)
+			return withExitCode(ExitRun, err)
 		}
 		defer f.Close()
 		log = f
 	}
 	start := time.Now()
-	r, err := scenario.Run(ctx, s, scenario.Options{Launch: launcher(log), Out: out, Files: service.DescriptorLimit()})
+	r, err := scenario.Run(ctx, s, scenario.Options{Launch: inProcessLauncher(log), Out: out, Files: service.DescriptorLimit()})
 	if err != nil {
-		return withCode(ExitRun, err)
+		return withExitCode(ExitRun, err)
 	}
 	fmt.Fprintf(out, "\nplayed in %.1f s\n", time.Since(start).Seconds())
 	r.Print(out)
@@ -94,19 +96,19 @@
 			err = os.WriteFile(report, append(b, '\n'), 0o644)
 		}
 		if err != nil {
-			return withCode(ExitRun, err)
+			return withExitCode(ExitRun, err)
 		}
 	}
-	return verdict(r)
+	return reportError(r)
 }
 
-// verdict turns what a day came to into the command's end.
-func verdict(r *scenario.Report) error {
+// reportError turns what a day came to into the command's end.
+func reportError(r *scenario.Report) error {
 	switch {
 	case r.Broken > 0:
-		return withCode(ExitRules, fmt.Errorf("%d breaches of the rules", r.Broken))
+		return withExitCode(ExitRules, fmt.Errorf("%d breaches of the rules", r.Broken))
 	case r.Unfinished != "":
-		return withCode(ExitRun, errors.New("the day did not end in time"))
+		return withExitCode(ExitRun, errors.New("the day did not end in time"))
 	}
 	return nil
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -1,9 +1,12 @@
 package cli
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
+	"os"
+	"syscall"
 	"time"
 
 	"dillroute/internal/config"
@@ -13,49 +16,71 @@
 	"github.com/spf13/cobra"
 )
 
+// startTimeout is for how long a start is retried that fails for a reason which may pass: a node is to be ready within 10 s
+// (the platform's standing test).
+const startTimeout = 8 * time.Second
+
+// readyPollInterval is how often a starting node is asked whether it may serve.
+const readyPollInterval = 10 * time.Millisecond
+
+// serveOptions are the flags of serve.
+type serveOptions struct {
+	file     string
+	takeover time.Duration
+	relay    bool
+	logLevel string // with relay
+}
+
 func serveCommand() *cobra.Command {
-	var file string
-	var takeover time.Duration
-	var platform bool
-	var level string
+	var options serveOptions
 	c := &cobra.Command{
 		Use:   "serve --config FILE | --relay",
 		Short: "Run a node",
-		Long: `Run a node until SIGTERM or SIGINT. The first one stops the taking of requests and lets those held end, for
-limits.shutdown_s at most; a second one answers what is held at once. SIGHUP reads the configuration again and
-logs what was taken and what needs a restart.
+		Long: `Run a node until SIGTERM or SIGINT. The first one begins a graceful shutdown: no request is admitted any more and those
+in flight may end, for limits.shutdown_s at most; a second one answers them at once. SIGHUP reloads the configuration and
+logs what was applied and what requires a restart.
 
-Sockets handed over by a service manager (LISTEN_FDS, names client and admin) are used in place of listen and admin, and
-readiness is told to it (sd_notify). With state_dir, one process at a time holds that folder; --takeover waits for a predecessor,
-which lets go of it as soon as it is told to stop.
+Sockets inherited from a service manager (LISTEN_FDS, names client and admin) are used in place of listen and admin, and
+readiness is reported to it (sd_notify). With state_dir, one process at a time holds that directory; --takeover waits for a
+predecessor, which releases it as soon as its shutdown begins.
 
-With --relay the node speaks the protocol of the users' platform, and takes its configuration from there (RELAY_CONFIG,
-RELAY_NAME, RELAY_LISTEN, RELAY_DISCOVERY). Admin listener, state directory and handed sockets are off then.
+With --relay the node speaks the relay protocol of the users' platform, and takes its configuration from there (RELAY_CONFIG,
+RELAY_NAME, RELAY_LISTEN, RELAY_DISCOVERY). Admin listener, state directory and inherited sockets are off then.
 
 ` + exitCodesDoc,
-		Example: "  dillroute serve --config examples/node.json\n  dillroute serve --config examples/node.json --takeover 1m\n  dillroute serve --relay",
-		Args:    cobra.NoArgs,
+		Example: "  dillroute serve --config examples/node.json\n" +
+			"  dillroute serve --config examples/node.json --takeover 1m\n" +
+			"  dillroute serve --relay",
+		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if platform && (file != "" || takeover > 0) {
-				return withCode(ExitUsage, fmt.Errorf("--relay takes its configuration from the platform: --config and --takeover do not go with it"))
-			}
-			if platform {
-				return serveRelay(level, cmd.ErrOrStderr())
+			if err := options.check(); err != nil {
+				return withExitCode(ExitUsage, err)
 			}
-			if file == "" {
-				return withCode(ExitUsage, fmt.Errorf("serve needs --config FILE, or --relay"))
+			if options.relay {
+				return serveRelay(options.logLevel, cmd.ErrOrStderr())
 			}
-			return serve(file, takeover, cmd.OutOrStdout(), cmd.ErrOrStderr())
+			return serveChat(options, cmd.OutOrStdout(), cmd.ErrOrStderr())
 		},
 	}
-	c.Flags().DurationVar(&takeover, "takeover", 0, "wait this long for a predecessor to let go of state_dir")
-	c.Flags().BoolVar(&platform, "relay", false, "speak the protocol of the users' platform")
-	c.Flags().StringVar(&level, "log", "info", "with --relay: log level (debug, info, warn, error)")
-	c.Flags().StringVar(&file, "config", "", "the node's configuration (JSON; see dillroute config schema)")
+	c.Flags().DurationVar(&options.takeover, "takeover", 0, "wait this long for a predecessor to release state_dir")
+	c.Flags().BoolVar(&options.relay, "relay", false, "speak the relay protocol of the users' platform")
+	c.Flags().StringVar(&options.logLevel, "log", "info", "with --relay: log level (debug, info, warn, error)")
+	c.Flags().StringVar(&options.file, "config", "", "the node's configuration (JSON; see dillroute config schema)")
 	return c
 }
 
-// newLogger logs as the configuration says; level can be changed in service.
+// check returns an error for flags that do not go together.
+func (o serveOptions) check() error {
+	switch {
+	case o.relay && (o.file != "" || o.takeover > 0):
+		return errors.New("--relay takes its configuration from the platform: --config and --takeover do not go with it")
+	case !o.relay && o.file == "":
+		return errors.New("serve needs --config FILE, or --relay")
+	}
+	return nil
+}
+
+// newLogger logs as the configuration says; the level can be changed in service.
 func newLogger(w io.Writer, l config.Log) (*slog.Logger, *slog.LevelVar) {
 	level := &slog.LevelVar{}
 	setLevel(level, l)
@@ -66,94 +91,94 @@
 }
 
 func setLevel(level *slog.LevelVar, l config.Log) {
-	level.UnmarshalText([]byte(l.Level)) // the schema allows the four names alone
+	level.UnmarshalText([]byte(l.Level)) // the schema allows only the four names
+}
+
+// serveChat runs a node that speaks the OpenAI-style chat API, until it is stopped by a signal or the scheduler fails.
+func serveChat(options serveOptions, out, errOut io.Writer) error {
+	cfg, err := loadConfig(options.file)
+	if err != nil {
+		return withExitCode(ExitConfig, err)
+	}
+	logWriter := newLogWriter(errOut)
+	defer logWriter.Close()
+	log, level := newLogger(logWriter, cfg.Log)
+	signals := notifySignals()
+	defer signals.stop()
+	releaseState, err := holdStateDir(cfg.StateDir, options.takeover)
+	if err != nil {
+		return withExitCode(ExitRun, err)
+	}
+	defer releaseState()
+	n, err := startChat(cfg, log)
+	if err != nil {
+		return withExitCode(ExitRun, err)
+	}
+	ended := make(chan struct{})
+	defer close(ended)
+	go notifyReady(n, ended)
+	printAddresses(out, n)
+	s := &supervisor{signals: signals, failed: n.Failed(), notify: service.Notify,
+		reload: newReloader(log, func() error { return reloadChat(n, options.file, log, level) })}
+	signal, failure := s.serve()
+	if signal != nil {
+		service.Notify(service.Stopping)
+		n.StopSavingState()
+		releaseState()
+		log.Info("graceful shutdown started", "signal", signal.String(), "drain_limit_s", n.Config().Limits.Shutdown)
+	}
+	s.shutdown(shutdownHooks{
+		run:    func() { n.Shutdown(time.Duration(n.Config().Limits.Shutdown * float64(time.Second))) },
+		signal: func(os.Signal) { n.RespondNow() },
+	})
+	log.Info("shutdown completed")
+	return withExitCode(ExitRun, failure)
 }
 
-func serve(file string, takeover time.Duration, out, errOut io.Writer) error {
-	var cfg *config.Config
-	err := service.RetryTransient(startFor, func() (err error) {
+// loadConfig reads the configuration, again for a while where a system call fails for a moment.
+func loadConfig(file string) (cfg *config.Config, err error) {
+	err = service.RetryTransient(startTimeout, func() (err error) {
 		cfg, err = config.Load(file)
 		return err
 	})
-	if err != nil {
-		return withCode(ExitConfig, err)
+	return cfg, err
+}
+
+// holdStateDir acquires the state directory, if there is one, and returns the function that releases it. It may be called twice.
+func holdStateDir(dir string, takeover time.Duration) (release func(), err error) {
+	if dir == "" {
+		return func() {}, nil
 	}
-	lines := newLogWriter(errOut)
-	defer lines.Close()
-	log, level := newLogger(lines, cfg.Log)
-	told := takeSignals()
-	defer told.giveBack()
-	letGo := func() {}
-	if cfg.StateDir != "" {
-		state, err := service.AwaitStateDir(cfg.StateDir, takeover)
-		if err != nil {
-			return withCode(ExitRun, fmt.Errorf("/state_dir: %w", err))
-		}
-		letGo = func() { state.Release() }
+	state, err := service.AwaitStateDir(dir, takeover)
+	if err != nil {
+		return nil, fmt.Errorf("/state_dir: %w", err)
 	}
-	defer letGo()
+	return func() { state.Release() }, nil
+}
+
+// startChat starts the node on inherited listeners, where there are any, again for a while where a system call fails for a moment.
+func startChat(cfg *config.Config, log *slog.Logger) (n *node.ChatNode, err error) {
 	client, admin, err := service.InheritedListeners()
 	if err != nil {
-		return withCode(ExitRun, err)
+		return nil, err
 	}
-	var n *node.ChatNode
-	err = service.RetryTransient(startFor, func() (err error) {
+	err = service.RetryTransient(startTimeout, func() (err error) {
 		n, err = node.StartChat(cfg, node.WithLogger(log), node.WithListener(client), node.WithAdminListener(admin))
 		return err
 	})
-	if err != nil {
-		return withCode(ExitRun, err)
-	}
-	again := newReloader(log, func() error { return reload(n, file, log, level) })
-	ended := make(chan struct{})
-	defer close(ended)
-	go tellReady(n, ended)
+	return n, err
+}
+
+func printAddresses(out io.Writer, n *node.ChatNode) {
 	fmt.Fprintf(out, "listening on http://%s\n", n.Addr())
 	if n.Admin() != nil {
 		fmt.Fprintf(out, "admin on http://%s\n", n.Admin())
 	}
-	var failure error
-	for {
-		select {
-		case failure = <-n.Failed():
-		case <-again.Due():
-			again.Try()
-			continue
-		case err := <-again.Ended():
-			again.Conclude(err)
-			service.Notify(service.Ready)
-			continue
-		case <-told.reload:
-			service.Notify(service.Reloading)
-			again.Ask()
-			continue
-		case s := <-told.stop:
-			service.Notify(service.Stopping)
-			n.StopSavingState()
-			letGo()
-			log.Info("stopping", "signal", s.String(), "held_s", n.Config().Limits.Shutdown)
-		}
-		break
-	}
-	stopped := make(chan struct{})
-	go func() {
-		n.Shutdown(time.Duration(n.Config().Limits.Shutdown * float64(time.Second)))
-		close(stopped)
-	}()
-	for {
-		select {
-		case <-stopped:
-			log.Info("stopped")
-			return withCode(ExitRun, failure)
-		case <-told.stop:
-			n.RespondNow()
-		}
-	}
 }
 
-// tellReady tells the service manager once the node may serve: with no engine listed it may not.
-func tellReady(n *node.ChatNode, ended <-chan struct{}) {
-	tick := time.NewTicker(10 * time.Millisecond)
+// notifyReady reports readiness to the service manager once the node may serve: with no engine listed it may not.
+func notifyReady(n *node.ChatNode, ended <-chan struct{}) {
+	tick := time.NewTicker(readyPollInterval)
 	defer tick.Stop()
 	for !n.Ready() {
 		select {
@@ -165,14 +190,17 @@
 	service.Notify(service.Ready)
 }
 
-// reload takes what may change of the file, and says what may not.
-func reload(n *node.ChatNode, file string, log *slog.Logger, level *slog.LevelVar) error {
+// reloadChat applies what may change in service of the file, and logs what requires a restart.
+func reloadChat(n *node.ChatNode, file string, log *slog.Logger, level *slog.LevelVar) error {
 	next, err := config.Load(file)
 	if err != nil {
 		return err
 	}
-	taken, refused := n.Reload(next)
+	applied, restartRequired := n.Reload(next)
 	setLevel(level, n.Config().Log)
-	log.Info("configuration read again", "taken", taken, "needs_restart", refused)
+	log.Info("configuration reloaded", "applied", applied, "restart_required", restartRequired)
 	return nil
 }
+
+// isInterrupt tells SIGINT from SIGTERM: on the platform only the former cuts a graceful shutdown short.
+func isInterrupt(s os.Signal) bool { return s == syscall.SIGINT }
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -173,5 +173,5 @@
 func ruleConfig() rules.Config {
 	return rules.Config{Classes: map[string]rules.Class{"chat": {Effect: "repeatable", Group: "all"},
 		"commit": {Effect: "once", Group: "all"}}, Engines: map[string]rules.Engine{}, AnswerSlack: 0.05, DrainGrace: 0.25,
-		ListLag: 0.5, FallMultiple: 4, TipAfter: 1.5, LetGoBy: 1, Skew: 0.5}
+		ListLag: 0.5, OverloadMultiple: 4, SlowStartWindow: 1.5, StateReleaseLimit: 1, Skew: 0.5}
 }
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -123,7 +123,7 @@
 	s.t.Helper()
 	s.eventually("nothing is held", func() bool { return s.p.Held() == 0 })
 	c := rules.Config{Classes: map[string]rules.Class{"chat": {Effect: "repeatable", Group: "all"}, "commit": {Effect: "once", Group: "all"}},
-		AnswerSlack: 0.058, DrainGrace: 0.25, FallMultiple: 4, TipAfter: 1.5, LetGoBy: 1.3, Skew: 0.3}
+		AnswerSlack: 0.058, DrainGrace: 0.25, OverloadMultiple: 4, SlowStartWindow: 1.5, StateReleaseLimit: 1.3, Skew: 0.3}
 	for _, v := range rules.Check(s.log.All(), c) {
 		s.t.Error(v)
 	}
--- a/lab/rules/rules.go
+++ b/lab/rules/rules.go
@@ -14,16 +14,16 @@
 
 // Config holds the figures of the rules and what is known of the run's engines and classes. Times are in seconds.
 type Config struct {
-	Classes      map[string]Class
-	Engines      map[string]Engine
-	AnswerSlack  float64 // rule 1: after the client's patience
-	ToldSlack    float64 // rule 1: by how much engines may be told more time than the client has left; 0 = not judged
-	DrainGrace   float64 // rule 3
-	ListLag      float64 // rule 3: for a node to read its list once it has been given it
-	FallMultiple float64 // rule 4
-	TipAfter     float64
-	LetGoBy      float64 // rule 5
-	Skew         float64 // what clocks, scheduling and the socket may add
+	Classes           map[string]Class
+	Engines           map[string]Engine
+	AnswerSlack       float64 // rule 1: after the client's patience
+	ToldSlack         float64 // rule 1: by how much engines may be told more time than the client has left; 0 = not judged
+	DrainGrace        float64 // rule 3
+	ListLag           float64 // rule 3: for a node to read its list once it has been given it
+	OverloadMultiple  float64 // rule 4
+	SlowStartWindow   float64
+	StateReleaseLimit float64 // rule 5
+	Skew              float64 // what clocks, scheduling and the socket may add
 }
 
 // Class is what a rule needs of a class.
@@ -449,7 +449,7 @@
 	}
 	weight := w.sum / w.n
 	sent := append(j.sent[x.Engine], push{x.T, weight, j.knows[pair{x.Node, x.Engine}]})
-	sent = slices.DeleteFunc(sent, func(p push) bool { return p.t <= x.T-j.cfg.TipAfter })
+	sent = slices.DeleteFunc(sent, func(p push) bool { return p.t <= x.T-j.cfg.SlowStartWindow })
 	j.sent[x.Engine] = sent
 	sum, told := 0.0, 0.0
 	for _, p := range sent {
@@ -463,14 +463,14 @@
 		rate = e.ReadPerS
 	}
 	age := min(1, max(0, x.T-at)/max(1e-9, e.ColdS))
-	can := rate * min(1, e.ColdShare+(1-e.ColdShare)*age) * j.cfg.TipAfter
-	limit := j.cfg.FallMultiple*can + 2*weight
+	can := rate * min(1, e.ColdShare+(1-e.ColdShare)*age) * j.cfg.SlowStartWindow
+	limit := j.cfg.OverloadMultiple*can + 2*weight
 	if share := sum / limit; share > j.most.Share {
 		j.most = ColdUse{share, x.Engine, x.T}
 	}
 	if sum > limit && told*3 >= sum*2 {
 		j.breach(4, x.T, "%s, %.1f s after its start, was sent %.0f tokens in %.1f s, %.1f times what it can do",
-			x.Engine, x.T-at, sum, j.cfg.TipAfter, sum/can)
+			x.Engine, x.T-at, sum, j.cfg.SlowStartWindow, sum/can)
 	}
 }
 
@@ -502,7 +502,7 @@
 
 // waited judges how long a state has waited with no attempt out.
 func (j *Judge) waited(h *hold, t float64) {
-	if h.out == 0 && !h.told && t-h.since > j.cfg.LetGoBy+j.cfg.Skew && !j.killed(h.Node, h.T, t) {
+	if h.out == 0 && !h.told && t-h.since > j.cfg.StateReleaseLimit+j.cfg.Skew && !j.killed(h.Node, h.T, t) {
 		h.told = true
 		j.breach(5, t, "the state of %s try %d waited at %s for %.3f s with no attempt out", h.Op, h.Try, h.Engine, t-h.since)
 	}
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -105,7 +105,7 @@
 	}
 	return rules.Check(log.All(), rules.Config{Classes: map[string]rules.Class{"commit": {Effect: "once", Group: "all"}},
 		Engines:     map[string]rules.Engine{"decode-1": {ReadPerS: 1e5, WriteS: 4 / 0.0024, ColdShare: 0.3, ColdS: 30}},
-		AnswerSlack: 0.02, DrainGrace: 0.25, ListLag: 0.1, FallMultiple: 2, TipAfter: 1, LetGoBy: 1, Skew: 0.1})
+		AnswerSlack: 0.02, DrainGrace: 0.25, ListLag: 0.1, OverloadMultiple: 2, SlowStartWindow: 1, StateReleaseLimit: 1, Skew: 0.1})
 }
 
 // Every wrong node must be caught by the rule that it breaks, and the honest one by none.
--- a/lab/scenario/report.go
+++ b/lab/scenario/report.go
@@ -18,23 +18,23 @@
 
 // Report is what a day came to.
 type Report struct {
-	Name       string             `json:"name"`
-	Seed       uint64             `json:"seed"`
-	Began      float64            `json:"began"` // Unix seconds
-	Length     float64            `json:"length_s"`
-	Rows       []Row              `json:"rows"`
-	Violations []rules.Violation  `json:"violations"`
-	Records    int                `json:"records"`
-	Broken     int                `json:"broken"` // breaches; Violations holds the first of each rule
-	ByRule     map[int]int        `json:"broken_by_rule"`
-	Machine    Machine            `json:"machine"`
-	Unfinished string             `json:"unfinished,omitempty"` // what still ran when the day was cut off
-	Cold       rules.ColdUse      `json:"cold_use"`
-	Fairness   map[string]float64 `json:"fairness"`    // Jain's index of work over the engines of a kind
-	ReadyP99   float64            `json:"ready_p99_s"` // from the start of a node until it is ready
-	Starts     int                `json:"node_starts"`
-	Series     []Point            `json:"series"`
-	Lost       map[string]int     `json:"lost_why"` // tries that had no answer, by what the client saw
+	Name         string             `json:"name"`
+	Seed         uint64             `json:"seed"`
+	Began        float64            `json:"began"` // Unix seconds
+	Length       float64            `json:"length_s"`
+	Rows         []Row              `json:"rows"`
+	Violations   []rules.Violation  `json:"violations"`
+	Records      int                `json:"records"`
+	Broken       int                `json:"broken"` // breaches; Violations holds the first of each rule
+	ByRule       map[int]int        `json:"broken_by_rule"`
+	Machine      Machine            `json:"machine"`
+	Unfinished   string             `json:"unfinished,omitempty"` // what still ran when the day was cut off
+	SlowStartUse rules.ColdUse      `json:"cold_use"`
+	Fairness     map[string]float64 `json:"fairness"`    // Jain's index of work over the engines of a kind
+	ReadyP99     float64            `json:"ready_p99_s"` // from the start of a node until it is ready
+	Starts       int                `json:"node_starts"`
+	Series       []Point            `json:"series"`
+	Lost         map[string]int     `json:"lost_why"` // tries that had no answer, by what the client saw
 }
 
 // Row is what happened to the operations of a class that were first asked while a trouble was on.
--- a/lab/scenario/run.go
+++ b/lab/scenario/run.go
@@ -94,7 +94,7 @@
 
 // Run plays a script and reports. The context ends it early.
 func Run(ctx context.Context, s *Script, o Options) (*Report, error) {
-	dir, err := os.MkdirTemp("", "dillroute-badday-")
+	dir, err := os.MkdirTemp("", "dillroute-scenario-")
 	if err != nil {
 		return nil, err
 	}
@@ -193,7 +193,7 @@
 			}
 			var p Progress
 			d.log.Hold(func() {
-				p = Progress{T: time.Since(d.start).Seconds(), Length: d.s.Length, Broken: judge.Broken(), Cold: judge.Cold().Share}
+				p = Progress{T: time.Since(d.start).Seconds(), Length: d.s.Length, Broken: judge.Broken(), SlowStartUse: judge.Cold().Share}
 				for k, r := range counts.rows {
 					if k[0] == "all" {
 						p.Ended += r.Asked
@@ -223,14 +223,14 @@
 	Records       int
 	Up, Starts    int // nodes
 	Broken        int
-	Cold          float64 // greatest part of a cold budget that was used
+	SlowStartUse  float64 // greatest part of a cold budget that was used
 }
 
 // report sums a day up.
 func (d *day) report(judge *rules.Judge, counts *tally) *Report {
 	rep := &Report{Name: d.s.Name, Seed: d.s.Seed, Length: d.s.Length, Violations: judge.Close(),
 		Fairness: map[string]float64{}, Starts: d.starts}
-	rep.Rows, rep.Broken, rep.ByRule, rep.Cold = counts.close(), judge.Broken(), judge.ByRule(), judge.Cold()
+	rep.Rows, rep.Broken, rep.ByRule, rep.SlowStartUse = counts.close(), judge.Broken(), judge.ByRule(), judge.Cold()
 	rep.Began = counts.start
 	rep.ReadyP99 = float64(d.ready.ValueAtQuantile(99)) / 1e6
 	byKind := map[string][]float64{}
@@ -298,7 +298,7 @@
 func (d *day) ruleConfig() rules.Config {
 	c := rules.Config{Classes: map[string]rules.Class{}, Engines: map[string]rules.Engine{},
 		AnswerSlack: d.s.Rules.AnswerSlack, DrainGrace: d.s.Rules.DrainGrace, ListLag: 0.2,
-		FallMultiple: d.s.Rules.FallMultiple, TipAfter: d.s.Rules.TipAfter, LetGoBy: d.s.Rules.LetGoBy, Skew: d.o.Skew}
+		OverloadMultiple: d.s.Rules.FallMultiple, SlowStartWindow: d.s.Rules.TipAfter, StateReleaseLimit: d.s.Rules.LetGoBy, Skew: d.o.Skew}
 	for _, k := range d.s.Classes {
 		c.Classes[k.Name] = rules.Class{Effect: k.Effect, Group: k.Group, KeyTTL: k.KeyWindow}
 	}
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestShortBadDayKeepsTheRules(t *testing.T) {
-	text, err := os.ReadFile("../../examples/badday/short.json")
+	text, err := os.ReadFile("../../examples/scenario/short.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 }
 
 func TestScriptsAreChecked(t *testing.T) {
-	files, _ := filepath.Glob("../../examples/badday/*.json")
+	files, _ := filepath.Glob("../../examples/scenario/*.json")
 	for _, f := range files {
 		text, err := os.ReadFile(f)
 		if err != nil {
@@ -63,7 +63,7 @@
 			t.Errorf("%s: %v", f, err)
 		}
 	}
-	text, _ := os.ReadFile("../../examples/badday/short.json")
+	text, _ := os.ReadFile("../../examples/scenario/short.json")
 	for old, c := range map[string][2]string{
 		`"kind": "crash"`: {`"kind": "crush"`, `/troubles/0/kind: "crush" is not known`},
 		`"name": "short"`: {`"nam": "short"`, `did you mean "name"?`},
@@ -109,7 +109,7 @@
 // play runs a script made from the short one.
 func play(t *testing.T, change func(*scenario.Script)) *scenario.Report {
 	t.Helper()
-	text, err := os.ReadFile("../../examples/badday/short.json")
+	text, err := os.ReadFile("../../examples/scenario/short.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,8 +156,8 @@
 		}
 		s.Troubles = []scenario.Trouble{{Kind: "crash", At: 2, Len: 1.5, Engines: []string{"decode-a-1", "prefill-a-1"}}}
 	})
-	if r.Cold.Share > 1 || r.Cold.Share == 0 {
-		t.Errorf("sends to cold engines came to %.2f of their budget", r.Cold.Share)
+	if r.SlowStartUse.Share > 1 || r.SlowStartUse.Share == 0 {
+		t.Errorf("sends to cold engines came to %.2f of their budget", r.SlowStartUse.Share)
 	}
 }
 
--- a/lab/scenario/script.go
+++ b/lab/scenario/script.go
@@ -13,7 +13,7 @@
 	"dillroute/internal/config"
 )
 
-// Script is a bad day. api/badday.schema.json describes each field; times are in seconds from the start.
+// Script is a bad day. api/scenario.schema.json describes each field; times are in seconds from the start.
 type Script struct {
 	Name     string    `json:"name"`
 	Seed     uint64    `json:"seed"`
@@ -128,7 +128,7 @@
 	LocalRead   bool `json:"local_read"`
 }
 
-// Trouble is something that goes wrong. The meaning of Size, Part and Extra depends on Kind; see docs/operate/badday.md.
+// Trouble is something that goes wrong. The meaning of Size, Part and Extra depends on Kind; see docs/operate/scenario.md.
 type Trouble struct {
 	Kind    string   `json:"kind"`
 	At      float64  `json:"at_s"`
@@ -142,7 +142,7 @@
 	To      string   `json:"to,omitempty"` // role_change: the kind that engines become
 }
 
-var schema = config.MustSchema(api.BaddaySchema)
+var schema = config.MustSchema(api.ScenarioSchema)
 
 // Parse reads a script, fills defaults and checks names.
 func Parse(text []byte) (*Script, error) {
--- a/lab/simulation/day.go
+++ b/lab/simulation/day.go
@@ -542,7 +542,7 @@
 // report judges the rules and gathers the results.
 func (p *play) report() *Report {
 	c := rules.Config{Classes: map[string]rules.Class{}, Engines: map[string]rules.Engine{}, AnswerSlack: 0.058, DrainGrace: p.site.DrainGrace,
-		ListLag: 0.05, FallMultiple: 1e6, TipAfter: p.site.TipAfter, LetGoBy: p.site.LetGoBy + 0.05, Skew: 0.3}
+		ListLag: 0.05, OverloadMultiple: 1e6, SlowStartWindow: p.site.TipAfter, StateReleaseLimit: p.site.LetGoBy + 0.05, Skew: 0.3}
 	for i, x := range p.site.Classes {
 		c.Classes[className(i)] = rules.Class{Effect: x.Effect, Group: x.Group, KeyTTL: x.KeyTTL}
 	}
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -102,7 +102,7 @@
 func (f *Fleet) rulesConfig() rules.Config {
 	c := rules.Config{Classes: map[string]rules.Class{"chat": {Effect: "repeatable", Group: "all"}, "commit": {Effect: "once", Group: "all"},
 		"keyed": {Effect: "by_key", Group: "cell", KeyTTL: keyedWindow}}, Engines: map[string]rules.Engine{},
-		AnswerSlack: 0.058, ToldSlack: 0.15 + lateBy.Seconds(), DrainGrace: 0.3, LetGoBy: 1.3, Skew: 0.25}
+		AnswerSlack: 0.058, ToldSlack: 0.15 + lateBy.Seconds(), DrainGrace: 0.3, StateReleaseLimit: 1.3, Skew: 0.25}
 	for _, id := range f.order {
 		c.Engines[id] = rules.Engine{Cell: fmt.Sprint(cellOf(id))}
 	}
--- a/lab/soak/node.go
+++ b/lab/soak/node.go
@@ -212,7 +212,7 @@
 var suspect = regexp.MustCompile(`level=ERROR|^panic:|^fatal error:|DATA RACE|rule violated`)
 
 // expected are those of them that a trouble asks for: a configuration that cannot be read.
-var expected = regexp.MustCompile(`configuration not taken`)
+var expected = regexp.MustCompile(`configuration rejected`)
 
 // reviewLogs looks through the logs of all processes of the node, and returns the requests that it has read.
 func (n *Node) reviewLogs(read map[string]string) {
