--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"net/http"
 	"strconv"
 	"sync"
 	"sync/atomic"
@@ -180,35 +179,3 @@
 
 // last tells whether the connection ends with this answer. Call it after done.
 func (x *Exchange) last() bool { return x.close }
-
-func appendStatus(b []byte, status int) []byte {
-	b = append(b, "HTTP/1.1 "...)
-	b = strconv.AppendInt(b, int64(status), 10)
-	b = append(b, ' ')
-	b = append(b, http.StatusText(status)...)
-	b = append(b, "\r\nDate: "...)
-	b = time.Now().UTC().AppendFormat(b, http.TimeFormat)
-	return append(b, "\r\n"...)
-}
-
-func appendClose(b []byte, close bool) []byte {
-	if close {
-		return append(b, "Connection: close\r\n"...)
-	}
-	return b
-}
-
-// appendReply writes a whole answer; that to HEAD has no body.
-func appendReply(b []byte, status int, fields []Field, body []byte, close, head bool) []byte {
-	b = appendHeader(appendStatus(b, status), fields)
-	if status != http.StatusNoContent {
-		b = append(b, "Content-Length: "...)
-		b = strconv.AppendInt(b, int64(len(body)), 10)
-		b = append(b, "\r\n"...)
-	}
-	b = append(appendClose(b, close), "\r\n"...)
-	if head {
-		return b
-	}
-	return append(b, body...)
-}
