--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -166,7 +166,7 @@
 		r.Err, r.Evidence.Cause = err, a.CauseOf(err, outcome.AttemptTimedOut)
 		return nil, false
 	}
-	a.Client.Pool.Done(c, resp)
+	a.Client.Pool.PutAfter(c, resp)
 	if resp.Status != 200 {
 		var e struct {
 			Error struct {
@@ -204,7 +204,7 @@
 	a.Detach()
 	if cause == outcome.ResponseComplete {
 		r.Evidence.ResponseKind = outcome.DecodeDone
-		a.Client.Pool.Done(c, resp)
+		a.Client.Pool.PutAfter(c, resp)
 	} else {
 		c.Close()
 	}
@@ -336,7 +336,7 @@
 		var resp *http1.Response
 		if resp, err = c.ReadResponse(); err == nil {
 			if _, err = resp.ReadAll(maxReply); err == nil {
-				cl.Pool.Done(c, resp)
+				cl.Pool.PutAfter(c, resp)
 				return nil
 			}
 		}
--- a/internal/http1/accept.go
+++ b/internal/http1/accept.go
@@ -14,13 +14,13 @@
 	s.listener = l
 	if s.conns == nil {
 		s.conns = map[*conn]struct{}{}
-		s.room.L, s.ended.L = &s.mu, &s.mu
+		s.queueFree.L, s.connEnded.L = &s.mu, &s.mu
 	}
 	if s.closed {
 		s.mu.Unlock()
 		return l.Close()
 	}
-	if s.draining.Load() { // told before it had begun
+	if s.draining.Load() { // Drain was called before Serve
 		s.stopAccepting()
 	}
 	s.mu.Unlock()
@@ -28,7 +28,7 @@
 		nc, err := l.Accept()
 		switch {
 		case err == nil:
-			s.start(nc)
+			s.startConn(nc)
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case s.draining.Load() && errors.Is(err, os.ErrDeadlineExceeded):
@@ -40,8 +40,8 @@
 	}
 }
 
-// acceptFailed deals with a connection that could not be accepted. Whatever the reason (a table that is full, memory that is short, a
-// network error of that one connection), it may pass, and others wait behind it: nobody stops accepting for it.
+// acceptFailed handles a failed accept. Whatever the reason (a full descriptor table, a shortage of memory, a network error of that
+// one connection), it may pass and further connections wait, so that the server goes on accepting.
 func (s *Server) acceptFailed(err error) {
 	if IsDescriptorShortage(err) {
 		s.CloseIdle(1) // others may close meanwhile
@@ -49,29 +49,29 @@
 	if IsProcessDescriptorLimit(err) && s.OnDescriptorShortage != nil {
 		s.OnDescriptorShortage(s.Conns())
 	}
-	time.Sleep(acceptPause)
+	time.Sleep(acceptRetryPause)
 }
 
-// Times of an accept that fails, and of the last ones.
+// Intervals of accepting.
 const (
-	acceptPause = 5 * time.Millisecond
-	acceptLook  = time.Millisecond       // a look whether a connection waits
-	acceptLast  = 100 * time.Millisecond // for what waits when the time to accept is over
+	acceptRetryPause = 5 * time.Millisecond   // after a failed accept
+	acceptPoll       = time.Millisecond       // for one accept, once the listener is to stop
+	acceptTail       = 100 * time.Millisecond // for all connections that wait when the listener is to stop
 )
 
-// acceptWaiting accepts what waits when a drain stops accepting: an accept whose deadline has passed fails, whatever waits, and what
-// waits when the listener closes is reset with all that it has sent.
+// acceptWaiting accepts the connections that wait in the listen queue when a drain stops accepting: an accept whose deadline has passed
+// fails whatever the queue holds, and what the queue holds when the listener closes is reset with all that it has sent.
 func (s *Server) acceptWaiting(l net.Listener) {
 	d, ok := l.(interface{ SetDeadline(time.Time) error })
 	if !ok {
 		return
 	}
-	for end := time.Now().Add(acceptLast); time.Now().Before(end); {
-		d.SetDeadline(time.Now().Add(acceptLook))
+	for end := time.Now().Add(acceptTail); time.Now().Before(end); {
+		d.SetDeadline(time.Now().Add(acceptPoll))
 		nc, err := l.Accept()
 		switch {
 		case err == nil:
-			s.start(nc)
+			s.startConn(nc)
 		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, net.ErrClosed):
 			return
 		default:
@@ -80,51 +80,51 @@
 	}
 }
 
-// start gives a connection its goroutine. Where no place is free it gets one in the lobby, which is for no longer than
-// it takes to read a head and refuse: a refusal written before the request had been read would be lost to a reset. Where
-// the lobby is full too, nothing more is accepted until somebody leaves it.
-func (s *Server) start(nc net.Conn) {
-	c := &conn{srv: s, nc: nc, ahead: &aheadReader{nc: nc, held: &s.held}}
+// startConn gives a connection its goroutine. Over the connection limit it goes to the rejection queue, for no longer than it takes to
+// read a head and to reject the request: a rejection written before the request was read would be lost to a reset. Where the
+// rejection queue is full too, nothing more is accepted until one of its connections has ended.
+func (s *Server) startConn(nc net.Conn) {
+	c := &conn{server: s, netConn: nc, ahead: &readAhead{netConn: nc, heldBytes: &s.heldBytes}}
 	s.mu.Lock()
-	full := s.MaxConns != nil && len(s.conns)-s.lobby >= s.MaxConns()
+	full := s.MaxConns != nil && len(s.conns)-s.rejecting >= s.MaxConns()
 	if full {
-		full = s.closeIdle(1) == 0 // one that rests makes room for one that asks
+		full = s.closeIdle(1) == 0 // an idle connection is evicted for the new one
 	}
 	if full {
-		for s.lobby >= s.lobbySize() && !s.draining.Load() {
-			s.room.Wait()
+		for s.rejecting >= s.rejectionQueueSize() && !s.draining.Load() {
+			s.queueFree.Wait()
 		}
-		s.lobby++
+		s.rejecting++
 	}
 	if s.closed {
 		if full {
-			s.lobby--
+			s.rejecting--
 		}
 		s.mu.Unlock()
 		nc.Close()
 		return
 	}
-	c.idle, c.rest = !full, sinceStart() // one that is to be refused does not make room
+	c.idle, c.idleSince = !full, sinceStart() // one in the rejection queue is not evicted
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
 	go func() {
 		if full {
-			c.turnAway()
+			c.rejectOverLimit()
 		} else {
 			c.serve()
 		}
 		nc.Close()
 		c.ahead.drop()
 		if s.OnClose != nil {
-			s.OnClose(c.end)
+			s.OnClose(c.closed)
 		}
 		s.mu.Lock()
 		delete(s.conns, c)
 		if full {
-			s.lobby--
-			s.room.Signal()
+			s.rejecting--
+			s.queueFree.Signal()
 		}
-		s.ended.Broadcast()
+		s.connEnded.Broadcast()
 		s.mu.Unlock()
 	}()
 }
@@ -134,6 +134,6 @@
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// IsProcessDescriptorLimit tells whether an error means that the process has as many descriptors as it may. Where it is the machine that has none
-// left, fewer connections of ours would change little.
+// IsProcessDescriptorLimit tells whether an error means that the process has as many descriptors as it may. A shortage of the whole
+// machine is none: fewer connections of this process would change little.
 func IsProcessDescriptorLimit(err error) bool { return errors.Is(err, syscall.EMFILE) }
--- a/internal/http1/accept_test.go
+++ b/internal/http1/accept_test.go
@@ -62,14 +62,16 @@
 var answersOK = HandlerFunc(func(x *Exchange) { x.Reply(200, nil, nil) })
 
 // An accept that fails, for whatever reason, is made again; only a process that has spent its own descriptors is told so.
-func TestAcceptOutlivesFailures(t *testing.T) {
+func TestAcceptRetriesAfterFailures(t *testing.T) {
 	for _, c := range []struct {
 		err   syscall.Errno
 		short bool
-	}{{syscall.EMFILE, true}, {syscall.ENFILE, false}, {syscall.ENOBUFS, false}, {syscall.EPROTO, false}, {syscall.EPERM, false}, {syscall.ENETDOWN, false}} {
+	}{{syscall.EMFILE, true}, {syscall.ENFILE, false}, {syscall.ENOBUFS, false}, {syscall.EPROTO, false}, {syscall.EPERM, false},
+		{syscall.ENETDOWN, false}} {
 		l := newFailingListener(t, 3, c.err)
 		var short atomic.Bool
-		s := &Server{Handler: answersOK, Limits: DefaultLimits, Timeouts: DefaultTimeouts, OnDescriptorShortage: func(int) { short.Store(true) }}
+		s := &Server{Handler: answersOK, Limits: DefaultLimits, Timeouts: DefaultTimeouts,
+			OnDescriptorShortage: func(int) { short.Store(true) }}
 		done := make(chan error, 1)
 		go func() { done <- s.Serve(l) }()
 		if status, err := get(l.Addr().String()); status != 200 {
@@ -87,23 +89,23 @@
 }
 
 // What waits to be accepted when a drain stops accepting is answered, though the process was held up, or accept failed, until then.
-func TestDrainAnswersWhatWaitsToBeAccepted(t *testing.T) {
+func TestDrainServesConnectionsWaitingToBeAccepted(t *testing.T) {
 	for _, failures := range []int32{0, 3} {
-		held, release := make(chan struct{}), make(chan struct{})
+		gated, release := make(chan struct{}), make(chan struct{})
 		var once sync.Once
 		l := newFailingListener(t, 0, syscall.ENFILE)
 		s := &Server{Handler: answersOK, Limits: DefaultLimits, Timeouts: Timeouts{Head: time.Second, Body: time.Second, Idle: time.Second,
 			Write: time.Second, DrainAccept: 20 * time.Millisecond, DrainIdle: 200 * time.Millisecond}}
 		l.hold = func() {
 			once.Do(func() {
-				close(held)
+				close(gated)
 				<-release
 				l.failures.Store(failures)
 			})
 		}
 		done := make(chan error, 1)
 		go func() { done <- s.Serve(l) }()
-		<-held
+		<-gated
 		const clients = 8
 		statuses := make(chan int, clients)
 		var connected sync.WaitGroup
--- a/internal/http1/clientconn.go
+++ b/internal/http1/clientconn.go
@@ -15,32 +15,32 @@
 
 // ClientConn is a connection to a server. It belongs to one goroutine, but for Close.
 type ClientConn struct {
-	addr  string
-	pool  *Pool
-	once  sync.Once // of Close
-	nc    net.Conn
-	br    *bufio.Reader
-	lim   Limits
-	used  time.Time
-	until time.Time // the bound on reads and writes; zero = none
-
-	bounds sync.Mutex // of last, and of the order in which deadlines are set
-	last   time.Time  // beyond which no deadline is set any more; zero = Finish was not called
-
-	drained int // bytes that were read when the time of Finish was over
+	address   string
+	pool      *Pool
+	once      sync.Once // of Close
+	netConn   net.Conn
+	buffered  *bufio.Reader
+	limits    Limits
+	idleSince time.Time
+	deadline  time.Time // of reads and writes; zero = none
+
+	deadlineMu  sync.Mutex // guards readOnUntil and the order in which deadlines are set
+	readOnUntil time.Time  // the latest deadline that may be set; zero = ReadOnFor was not called
+
+	readPastDeadline int // bytes read after readOnUntil
 	// Reused tells that the connection has carried an exchange before.
 	Reused bool
-	// IdleFor is for how long it had rested then.
+	// IdleFor is for how long it was idle before this use.
 	IdleFor time.Duration
 }
 
-// alive looks, without waiting, for a close or for bytes that nobody asked for. Without it a request would be
-// written to a connection that the server has closed, and nobody could tell whether it ran.
-func (c *ClientConn) alive() bool {
-	if teller, ok := c.nc.(interface{ Unread() bool }); ok {
-		return !teller.Unread()
+// isReusable looks, without waiting, for a close or for unexpected bytes. Without it a request would be written to a connection that
+// the server has closed, and whether the request ran would be unknown.
+func (c *ClientConn) isReusable() bool {
+	if prober, ok := c.netConn.(interface{ Unread() bool }); ok {
+		return !prober.Unread()
 	}
-	sc, ok := c.nc.(syscall.Conn)
+	sc, ok := c.netConn.(syscall.Conn)
 	if !ok {
 		return true
 	}
@@ -60,13 +60,13 @@
 
 // Close closes the connection; it may be called from any goroutine and ends a read or write that waits.
 func (c *ClientConn) Close() error {
-	c.once.Do(c.pool.leave)
-	return c.nc.Close()
+	c.once.Do(c.pool.release)
+	return c.netConn.Close()
 }
 
 // Delivered tells whether the peer's machine has taken all that was written. A connection that cannot tell counts as one that has.
 func (c *ClientConn) Delivered() bool {
-	sc, ok := c.nc.(syscall.Conn)
+	sc, ok := c.netConn.(syscall.Conn)
 	if !ok {
 		return true
 	}
@@ -74,79 +74,79 @@
 	if err != nil {
 		return true
 	}
-	arrived := true
+	delivered := true
 	raw.Control(func(fd uintptr) {
 		waiting, err := unix.IoctlGetInt(int(fd), unix.SIOCOUTQ)
-		arrived = err != nil || waiting == 0
+		delivered = err != nil || waiting == 0
 	})
-	return arrived
+	return delivered
 }
 
-// Discard closes the connection. What has not arrived yet is dropped, so that it does not arrive once its sender has given it up.
+// Discard closes the connection and drops what has not been delivered, so that a request that was given up does not arrive later.
 func (c *ClientConn) Discard() {
-	if tc, ok := c.nc.(interface{ SetLinger(int) error }); ok && !c.Delivered() {
+	if tc, ok := c.netConn.(interface{ SetLinger(int) error }); ok && !c.Delivered() {
 		tc.SetLinger(0)
 	}
 	c.Close()
 }
 
-// SetDeadline bounds all reads and writes to come; the zero time lifts the bound.
+// SetDeadline sets the deadline of reads and writes; the zero time removes it.
 func (c *ClientConn) SetDeadline(t time.Time) {
-	c.until = t
-	c.bounds.Lock()
-	defer c.bounds.Unlock()
-	if !c.last.IsZero() && (t.IsZero() || t.After(c.last)) {
-		t = c.last
+	c.deadline = t
+	c.deadlineMu.Lock()
+	defer c.deadlineMu.Unlock()
+	if !c.readOnUntil.IsZero() && (t.IsZero() || t.After(c.readOnUntil)) {
+		t = c.readOnUntil
 	}
-	c.nc.SetDeadline(t)
+	c.netConn.SetDeadline(t)
 }
 
-// Within bounds all reads and writes to come by a time from now, unless they are bounded to end before.
+// Within sets the deadline of reads and writes to a time from now, unless an earlier one is set.
 func (c *ClientConn) Within(d time.Duration) {
-	if by := time.Now().Add(d); c.until.IsZero() || by.Before(c.until) {
+	if by := time.Now().Add(d); c.deadline.IsZero() || by.Before(c.deadline) {
 		c.SetDeadline(by)
 	}
 }
 
-// ReadOnFor ends the use of the connection: what has come, and what comes within the time given, is still read. Unlike the other
-// methods but Close it may be called from any goroutine.
+// ReadOnFor ends the use of the connection: what has arrived, and what arrives within the time given, is still read. Like Close it may
+// be called from any goroutine.
 func (c *ClientConn) ReadOnFor(within time.Duration) {
-	c.bounds.Lock()
-	defer c.bounds.Unlock()
-	if c.last.IsZero() {
-		c.last = time.Now().Add(within)
-		c.nc.SetDeadline(c.last)
+	c.deadlineMu.Lock()
+	defer c.deadlineMu.Unlock()
+	if c.readOnUntil.IsZero() {
+		c.readOnUntil = time.Now().Add(within)
+		c.netConn.SetDeadline(c.readOnUntil)
 	}
 }
 
-// finishing tells whether Finish was called.
-func (c *ClientConn) finishing() bool {
-	c.bounds.Lock()
-	defer c.bounds.Unlock()
-	return !c.last.IsZero()
+// readingOn tells whether ReadOnFor was called.
+func (c *ClientConn) readingOn() bool {
+	c.deadlineMu.Lock()
+	defer c.deadlineMu.Unlock()
+	return !c.readOnUntil.IsZero()
 }
 
-// afterFinish bounds what is read of a connection once the time of Finish is over, in bytes: what the kernel held by then.
-const afterFinish = 256 << 10
+// maxReadPastDeadline bounds what is read of a connection after readOnUntil, in bytes: what the kernel held by then.
+const maxReadPastDeadline = 256 << 10
 
-// arrived reads a connection. Once the time of Finish is over it gives what has come, which a read whose deadline has passed
-// does not. It belongs to the connection's goroutine.
-type arrived struct{ c *ClientConn }
+// deadlineReader reads a connection. After readOnUntil it returns what has arrived, which a read whose deadline has passed does not.
+// It belongs to the connection's goroutine.
+type deadlineReader struct{ c *ClientConn }
 
-func (a arrived) Read(p []byte) (int, error) {
-	n, err := a.c.nc.Read(p)
-	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !a.c.finishing() || a.c.drained >= afterFinish {
+func (a deadlineReader) Read(p []byte) (int, error) {
+	n, err := a.c.netConn.Read(p)
+	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !a.c.readingOn() || a.c.readPastDeadline >= maxReadPastDeadline {
 		return n, err
 	}
-	if n = readNow(a.c.nc, p); n > 0 {
-		a.c.drained += n
+	if n = readNonBlocking(a.c.netConn, p); n > 0 {
+		a.c.readPastDeadline += n
 		return n, nil
 	}
 	return 0, err
 }
 
-// readNow reads what a connection holds, without waiting; 0 = nothing, or it cannot tell.
-func readNow(nc net.Conn, p []byte) (n int) {
+// readNonBlocking reads what a connection holds, without waiting; 0 = nothing, or the connection has no file descriptor.
+func readNonBlocking(nc net.Conn, p []byte) (n int) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return 0
@@ -165,15 +165,14 @@
 	return max(0, n)
 }
 
-// Send writes a request with a body and returns how many of all its bytes were handed to the connection, and
-// how many there were.
+// Send writes a request with a body. It returns how many bytes were handed to the connection, and how many the request has.
 func (c *ClientConn) Send(method, path string, fields []Field, body []byte) (sent, all int, err error) {
 	b := make([]byte, 0, 256+len(body))
 	b = append(b, method...)
 	b = append(b, ' ')
 	b = append(b, path...)
 	b = append(b, " HTTP/1.1\r\nHost: "...)
-	b = append(b, c.addr...)
+	b = append(b, c.address...)
 	b = append(b, "\r\n"...)
 	b = appendHeader(b, fields)
 	if len(body) > 0 || method == "POST" {
@@ -182,6 +181,6 @@
 		b = append(b, "\r\n"...)
 	}
 	b = append(append(b, "\r\n"...), body...)
-	sent, err = c.nc.Write(b)
+	sent, err = c.netConn.Write(b)
 	return sent, len(b), err
 }
--- a/internal/http1/answers_test.go
+++ b/internal/http1/clientconn_test.go
@@ -15,12 +15,13 @@
 
 // FuzzBoundedChunks: what is read of chunks is what the plain reader reads, or less and an error; never more.
 func FuzzBoundedChunks(f *testing.F) {
-	for _, s := range []string{"3\r\nabc\r\n0\r\n\r\n", "3;x=y\r\nabc\r\n0\r\n\r\n", "zz\r\n", "4\r\nabcdef\r\n", "c0000000\r\nabc", "0\r\n\r\n",
+	for _, s := range []string{"3\r\nabc\r\n0\r\n\r\n", "3;x=y\r\nabc\r\n0\r\n\r\n", "zz\r\n", "4\r\nabcdef\r\n",
+		"c0000000\r\nabc", "0\r\n\r\n",
 		"-1\r\n", "3\nabc\n0\n\n", "10000000000000000\r\n", ""} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		got, err := io.ReadAll(&boundedChunks{br: bufio.NewReader(bytes.NewReader(text)), max: 1 << 10})
+		got, err := io.ReadAll(&boundedChunks{buffered: bufio.NewReader(bytes.NewReader(text)), max: 1 << 10})
 		want, werr := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(text)))
 		if err == nil && (werr != nil || !bytes.Equal(got, want)) {
 			t.Fatalf("%q: %q, the plain reader %q, %v", text, got, want, werr)
@@ -31,8 +32,8 @@
 	})
 }
 
-// dialled returns a connection of a pool and its far end.
-func dialled(t *testing.T, p *Pool) (*ClientConn, net.Conn) {
+// dialedConn returns a connection of a pool and its far end.
+func dialedConn(t *testing.T, p *Pool) (*ClientConn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,25 +44,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	far, err := l.Accept()
+	peer, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close(); far.Close() })
-	return c, far
+	t.Cleanup(func() { c.Close(); peer.Close() })
+	return c, peer
 }
 
 // What cannot be the opening of an answer is told at once, though the connection stays open and says no more; a head that
 // has begun and does not end, soon.
-func TestSpoiltOpeningsAreNotWaitedFor(t *testing.T) {
+func TestMalformedStatusLinesFailAtOnce(t *testing.T) {
 	for text, limit := range map[string]time.Duration{
 		"\x16\x03\x01": 100 * time.Millisecond, "HTTP/2 200": 100 * time.Millisecond, "HTTP/1.1 999 x\r\n": 100 * time.Millisecond,
 		"HTTP/1.1 200 OK\r\nno colon\r\n": 100 * time.Millisecond, "HT": 400 * time.Millisecond,
-		"HTTP/1.1 200 OK\r\nX-More: ": 400 * time.Millisecond, "HTTP/1.1 200 OK\r\nX-More: " + strings.Repeat("x", 40<<10): 100 * time.Millisecond,
+		"HTTP/1.1 200 OK\r\nX-More: ":                               400 * time.Millisecond,
+		"HTTP/1.1 200 OK\r\nX-More: " + strings.Repeat("x", 40<<10): 100 * time.Millisecond,
 	} {
-		c, far := dialled(t, &Pool{Limits: DefaultLimits, Head: 150 * time.Millisecond})
+		c, peer := dialedConn(t, &Pool{Limits: DefaultLimits, Head: 150 * time.Millisecond})
 		c.SetDeadline(time.Now().Add(5 * time.Second))
-		io.WriteString(far, text)
+		io.WriteString(peer, text)
 		start := time.Now()
 		_, err := c.ReadResponse()
 		var e *Error
@@ -72,46 +74,25 @@
 }
 
 // A head in time leaves the rest of the answer the connection's own bound.
-func TestBoundOnTheHeadEndsWithIt(t *testing.T) {
-	c, far := dialled(t, &Pool{Limits: DefaultLimits, Head: 50 * time.Millisecond, Chunk: 1 << 10})
+func TestHeadTimeoutEndsWithTheHead(t *testing.T) {
+	c, peer := dialedConn(t, &Pool{Limits: DefaultLimits, Head: 50 * time.Millisecond, Chunk: 1 << 10})
 	c.SetDeadline(time.Now().Add(5 * time.Second))
-	io.WriteString(far, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+	io.WriteString(peer, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	resp, err := c.ReadResponse()
 	if err != nil {
 		t.Fatal(err)
 	}
 	go func() {
 		time.Sleep(150 * time.Millisecond)
-		io.WriteString(far, "2\r\nok\r\n0\r\n\r\n")
+		io.WriteString(peer, "2\r\nok\r\n0\r\n\r\n")
 	}()
 	if b, err := resp.ReadAll(10); string(b) != "ok" || err != nil {
 		t.Errorf("%q, %v", b, err)
 	}
 }
 
-// A full pool closes a connection that rests, and tells where none does.
-func TestPoolHoldsNoMoreThanItMay(t *testing.T) {
-	p := &Pool{MaxIdle: 4, MaxOpen: 2, IdleTimeout: time.Minute, Limits: DefaultLimits}
-	a, _ := dialled(t, p)
-	b, _ := dialled(t, p)
-	if _, err := p.Get(context.Background(), "127.0.0.1:1", time.Second); !errors.Is(err, ErrPoolFull) {
-		t.Errorf("%v", err)
-	}
-	p.Put(a)
-	c, _ := dialled(t, p)
-	if _, err := a.nc.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("the one that rested is open: %v", err)
-	}
-	b.Close()
-	b.Close()
-	c.Close()
-	if p.open != 0 {
-		t.Errorf("%d are counted open", p.open)
-	}
-}
-
 // A handler may take the body away: its bytes are given back all the same.
-func TestBytesAreGivenBackWhenTheBodyIsTaken(t *testing.T) {
+func TestHeldBytesAreReleasedWhenTheBodyIsTaken(t *testing.T) {
 	s := &Server{Limits: DefaultLimits, Timeouts: DefaultTimeouts, MaxBytes: 1 << 20, Handler: HandlerFunc(func(x *Exchange) {
 		x.Body = nil
 		x.Reply(200, nil, nil)
@@ -142,7 +123,7 @@
 	c.Close()
 	s.Close()
 	<-done
-	if n := s.Held(); n != 0 {
+	if n := s.HeldBytes(); n != 0 {
 		t.Errorf("%d bytes are held", n)
 	}
 }
--- a/internal/http1/closereason.go
+++ b/internal/http1/closereason.go
@@ -1,25 +1,25 @@
 package http1
 
-// ConnClosed is the end of a client's connection.
+// ConnClosed describes a client connection that has ended.
 type ConnClosed struct {
 	Reason     CloseReason
-	Requests   int  // that were read on it
-	Unanswered bool // the last of them has no answer, though its client has not been seen to leave
+	Requests   int  // requests that were read on it
+	Unanswered bool // the last one got no response, although its client was not seen to disconnect
 }
 
-// CloseReason says why a client's connection has ended.
+// CloseReason says why a client connection has ended. It is a log value and a metric label.
 type CloseReason string
 
-// Reasons of an end.
+// Reasons of a close.
 const (
-	PeerClosed         CloseReason = "the client closed it between requests"
-	ClientDisconnected CloseReason = "the client left before its answer ended"
-	NoRequestInTime    CloseReason = "no request came on it in time"
-	IdleTimeout        CloseReason = "it rested for as long as it may"
-	Evicted            CloseReason = "it made room for another"
-	Drained            CloseReason = "the server is draining"
-	FinalResponse      CloseReason = "its answer was the last one"
-	MalformedRequest   CloseReason = "its request could not be read"
-	IncompleteRequest  CloseReason = "its request did not come to its end"
-	ConnectionLimit    CloseReason = "there was no place for it"
+	PeerClosed         CloseReason = "client closed idle connection"
+	ClientDisconnected CloseReason = "client disconnected before the response ended"
+	NoRequestInTime    CloseReason = "no request in time"
+	IdleTimeout        CloseReason = "idle timeout"
+	Evicted            CloseReason = "evicted while idle"
+	Drained            CloseReason = "server draining"
+	FinalResponse      CloseReason = "final response"
+	MalformedRequest   CloseReason = "malformed request"
+	IncompleteRequest  CloseReason = "incomplete request"
+	ConnectionLimit    CloseReason = "connection limit"
 )
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -11,152 +11,158 @@
 	"time"
 )
 
-// conn is one client connection. br belongs to its goroutine; out to whoever ends the present exchange.
+// conn is one client connection. Its goroutine owns the fields above mu, but for those that are atomic; whoever ends the present
+// exchange writes to netConn.
 type conn struct {
-	srv   *Server
-	nc    net.Conn
-	ahead *aheadReader
-	br    *bufio.Reader            // of ahead
-	said  atomic.Bool              // a request has begun to come
-	x     atomic.Pointer[Exchange] // the latest, which Close must not wait for
-	by    time.Time                // when the present request must have come whole; zero = not bounded
-	end   ConnClosed               // of its goroutine
+	server          *Server
+	netConn         net.Conn
+	ahead           *readAhead
+	buffered        *bufio.Reader            // reads from ahead
+	requestBegan    atomic.Bool              // the first byte of a request was read
+	exchange        atomic.Pointer[Exchange] // the latest one, which Close must not wait for
+	requestDeadline time.Time                // of the whole present request; zero = none
+	closed          ConnClosed               // what OnClose is told
 
-	// The lock is held while another goroutine looks whether the connection rests and has it end: a request that begins meanwhile waits
-	// for that, and then sets the deadlines that are its own.
+	// mu is held while another goroutine checks that the connection is idle and sets its deadline: a request that begins meanwhile
+	// waits for that and then sets deadlines of its own.
 	mu        sync.Mutex
 	idle      bool  // between requests
-	rest      int64 // since when it is idle, as sinceStart has it
-	makesRoom bool  // it is to end so that another one can be served
+	idleSince int64 // nanoseconds since the process start (sinceStart)
+	evicted   bool  // it is closed so that another one can be served
 }
 
-const readBuffer = 1 << 10 // small: thousands of connections wait with one each
+// readBuffer is the size of a connection's read buffer in bytes. It is small, since thousands of connections may be idle.
+const readBuffer = 1 << 10
 
-// serve reads requests one after another; each is answered before the next is parsed, so that pipelined
-// answers leave in order.
+// serve reads requests one after another; each is answered before the next is parsed, so that pipelined requests are answered in
+// order (RFC 9112, section 9.3.2).
 func (c *conn) serve() {
-	s := c.srv
-	c.br = bufio.NewReaderSize(c.ahead, readBuffer)
-	wait := orElse(s.Timeouts.First, s.Timeouts.Head) // before the first request a connection gets no idle time
+	server := c.server
+	c.buffered = bufio.NewReaderSize(c.ahead, readBuffer)
+	wait := orElse(server.Timeouts.First, server.Timeouts.Head) // the idle timeout begins with the first request
 	for {
-		c.rests(wait)
-		if _, err := c.br.Peek(1); err != nil && !c.cameLate(err) {
-			c.endIdle(err)
+		c.becomeIdle(wait)
+		if _, err := c.buffered.Peek(1); err != nil && !c.arrivedAtDeadline(err) {
+			c.closeIdle(err)
 			return
 		}
-		c.busy()
-		arrived, begun := c.ahead.cameAt(c.br.Buffered()), time.Now()
-		c.by = time.Time{}
-		if s.Timeouts.Whole > 0 {
-			c.by = begun.Add(s.Timeouts.Whole)
+		c.becomeBusy()
+		arrived, begun := c.ahead.nextArrivedAt(c.buffered.Buffered()), time.Now()
+		c.requestDeadline = time.Time{}
+		if server.Timeouts.Whole > 0 {
+			c.requestDeadline = begun.Add(server.Timeouts.Whole)
 		}
-		c.readBy(begun.Add(s.Timeouts.Head))
-		q, err := ReadRequest(c.br, s.Limits)
+		c.readBy(begun.Add(server.Timeouts.Head))
+		request, err := ReadRequest(c.buffered, server.Limits)
 		if err == nil {
-			err = c.body(q)
+			err = c.readBody(request)
 		}
 		if err != nil {
-			c.reject(err)
+			c.rejectRequest(err)
 			return
 		}
-		c.end.Requests++
-		x := &Exchange{Request: q, Arrived: arrived, c: c, done: make(chan struct{})}
-		c.x.Store(x)
-		c.nc.SetReadDeadline(time.Time{})
-		size := int64(len(q.Body)) // the handler may take the body away
-		s.Handler.Serve(x)
-		gone := c.watch(x)
-		s.held.Add(-size)
-		if gone || x.last() {
-			c.end.Reason = FinalResponse
-			if gone || x.gone() {
-				c.end.Reason = ClientDisconnected
+		c.closed.Requests++
+		exchange := &Exchange{Request: request, Arrived: arrived, conn: c, done: make(chan struct{})}
+		c.exchange.Store(exchange)
+		c.netConn.SetReadDeadline(time.Time{})
+		size := int64(len(request.Body)) // the handler may set Body to nil
+		server.Handler.Serve(exchange)
+		disconnected := c.watchDisconnect(exchange)
+		server.heldBytes.Add(-size)
+		if disconnected || exchange.closesConnection() {
+			c.closed.Reason = FinalResponse
+			if disconnected || exchange.disconnectSeen() {
+				c.closed.Reason = ClientDisconnected
 			}
-			c.end.Unanswered = x.unanswered && c.end.Reason != ClientDisconnected
-			c.linger(gone)
+			c.closed.Unanswered = exchange.unanswered && c.closed.Reason != ClientDisconnected
+			c.linger(disconnected)
 			return
 		}
-		wait = s.Timeouts.Idle
+		wait = server.Timeouts.Idle
 	}
 }
 
-// readBy bounds the reads of a request: by the time given and, if it is bounded, by that of the whole request.
+// readBy sets the read deadline of a request: the time given, or the deadline of the whole request if that is earlier.
 func (c *conn) readBy(at time.Time) {
-	if !c.by.IsZero() && c.by.Before(at) {
-		at = c.by
+	if !c.requestDeadline.IsZero() && c.requestDeadline.Before(at) {
+		at = c.requestDeadline
 	}
-	c.nc.SetReadDeadline(at)
+	c.netConn.SetReadDeadline(at)
 }
 
-// body reads the request's body, within the bytes that all connections together may hold.
-func (c *conn) body(q *Request) error {
-	s := c.srv
-	if q.expects {
-		c.nc.SetWriteDeadline(time.Now().Add(s.Timeouts.Write))
-		if _, err := io.WriteString(c.nc, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
+// readBody reads the request's body, within the bytes that all connections together may hold (Server.MaxBytes).
+func (c *conn) readBody(request *Request) error {
+	server := c.server
+	if request.expectsContinue {
+		c.netConn.SetWriteDeadline(time.Now().Add(server.Timeouts.Write))
+		if _, err := io.WriteString(c.netConn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return err
 		}
 	}
-	if !q.frame.chunked && q.frame.length <= 0 {
+	if !request.frame.chunked && request.frame.length <= 0 {
 		return nil
 	}
-	reserve := q.frame.length
-	if q.frame.chunked {
-		reserve = s.Limits.Body // what it may come to
+	reserve := request.frame.length
+	if request.frame.chunked {
+		reserve = server.Limits.Body // the largest size that it may have
 	}
-	if held := s.held.Add(reserve); s.MaxBytes > 0 && held > s.MaxBytes {
-		s.held.Add(-reserve)
+	if total := server.heldBytes.Add(reserve); server.MaxBytes > 0 && total > server.MaxBytes {
+		server.heldBytes.Add(-reserve)
 		return &Error{503, "too many bytes of requests are held"}
 	}
-	c.readBy(time.Now().Add(s.Timeouts.Body))
-	err := q.ReadBody(c.br, s.Limits)
+	c.readBy(time.Now().Add(server.Timeouts.Body))
+	err := request.ReadBody(c.buffered, server.Limits)
 	if err != nil {
-		s.held.Add(-reserve)
+		server.heldBytes.Add(-reserve)
 		return err
 	}
-	s.held.Add(int64(len(q.Body)) - reserve)
+	server.heldBytes.Add(int64(len(request.Body)) - reserve)
 	return nil
 }
 
-// reject answers a request that could not be read.
-func (c *conn) reject(err error) {
+// rejectRequest answers a request that could not be read.
+func (c *conn) rejectRequest(err error) {
 	var e *Error
 	switch {
 	case errors.As(err, &e):
-		c.endedBy(MalformedRequest)
+		c.setCloseReason(MalformedRequest)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.endedBy(IncompleteRequest)
+		c.setCloseReason(IncompleteRequest)
 		e = &Error{408, "the request did not arrive in time"}
 	default:
-		c.endedBy(IncompleteRequest)
+		c.setCloseReason(IncompleteRequest)
 		return
 	}
-	c.nc.SetWriteDeadline(time.Now().Add(c.srv.Timeouts.Write))
-	c.fault(e)
+	c.netConn.SetWriteDeadline(time.Now().Add(c.server.Timeouts.Write))
+	c.writeError(e)
 	c.linger(false)
 }
 
-// endedBy notes why the connection ends, unless that is known already.
-func (c *conn) endedBy(why CloseReason) {
-	if c.end.Reason == "" {
-		c.end.Reason = why
+// setCloseReason records why the connection ends; the first reason stands.
+func (c *conn) setCloseReason(reason CloseReason) {
+	if c.closed.Reason == "" {
+		c.closed.Reason = reason
 	}
 }
 
-func (c *conn) fault(e *Error) {
+// writeError writes the response to a request that could not be read; the connection closes after it.
+func (c *conn) writeError(e *Error) {
 	fields, body := []Field{{"Content-Type", "text/plain; charset=utf-8"}}, []byte(e.Reason+"\n")
-	if c.srv.ErrorBody != nil {
-		fields, body = c.srv.ErrorBody(e.Status, e.Reason)
+	if c.server.ErrorBody != nil {
+		fields, body = c.server.ErrorBody(e.Status, e.Reason)
 	}
-	c.nc.Write(appendReply(nil, e.Status, fields, body, true, false))
+	c.netConn.Write(appendReply(nil, e.Status, fields, body, true, false))
 }
 
-// linger closes the sending side and reads on for a moment, so that the answer is not lost to a reset that
-// unread bytes would cause (RFC 9112, section 9.6).
-func (c *conn) linger(gone bool) {
-	if tc, ok := c.nc.(interface{ CloseWrite() error }); ok && !gone {
+// lingerBytes bounds what is read of a closing connection, in bytes.
+const lingerBytes = 256 << 10
+
+// linger closes the sending side and reads on for a moment, so that the response is not lost to a reset, which unread bytes would
+// cause (RFC 9112, section 9.6).
+func (c *conn) linger(disconnected bool) {
+	if tc, ok := c.netConn.(interface{ CloseWrite() error }); ok && !disconnected {
 		tc.CloseWrite()
-		c.nc.SetReadDeadline(time.Now().Add(orElse(c.srv.Timeouts.Linger, lingerFor)))
-		io.CopyN(io.Discard, c.nc, 256<<10)
+		c.netConn.SetReadDeadline(time.Now().Add(orElse(c.server.Timeouts.Linger, defaultLinger)))
+		io.CopyN(io.Discard, c.netConn, lingerBytes)
 	}
 }
--- a/internal/http1/room_test.go
+++ b/internal/http1/eviction_test.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// heldListener gives connections whose next read deadline may be held up.
-type heldListener struct {
+// gatedListener gives connections whose next read deadline may be held up.
+type gatedListener struct {
 	net.Listener
 	hold atomic.Pointer[func()]
 }
 
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *gatedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &heldConn{c.(*net.TCPConn), l}, nil
+	return &gatedConn{c.(*net.TCPConn), l}, nil
 }
 
-type heldConn struct {
+type gatedConn struct {
 	*net.TCPConn
-	l *heldListener
+	l *gatedListener
 }
 
-func (c *heldConn) SetReadDeadline(t time.Time) error {
+func (c *gatedConn) SetReadDeadline(t time.Time) error {
 	if hold := c.l.hold.Swap(nil); hold != nil {
 		(*hold)()
 	}
@@ -38,7 +38,7 @@
 
 // A request that begins to come on a resting connection in the very moment in which that is chosen to be ended, to make room or by a
 // drain, is answered, though its body comes a little later.
-func TestARequestCrossesTheEndOfARestingConnection(t *testing.T) {
+func TestRequestCrossesTheCloseOfAnIdleConnection(t *testing.T) {
 	for name, end := range map[string]func(s *Server){
 		"to make room": func(s *Server) { s.CloseIdle(1) },
 		"drain":        func(s *Server) { s.Drain() },
@@ -48,7 +48,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l := &heldListener{Listener: inner}
+			l := &gatedListener{Listener: inner}
 			times := DefaultTimeouts
 			times.EvictableAfter, times.DrainIdle = time.Millisecond, 5*time.Millisecond
 			s := &Server{Handler: answersOK, Limits: DefaultLimits, Timeouts: times}
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -8,66 +8,69 @@
 	"time"
 )
 
-// Exchange is one request and its answer. Reply, or Begin, Write and End, or Break or Cut are called by one goroutine at
-// a time; Hangup may come at any moment.
+// Exchange is one request and its response. Reply, or Begin, Write and End, or AbortBody or Abort are called by one goroutine at a
+// time; the client may disconnect at any moment.
 type Exchange struct {
 	*Request
-	Arrived time.Time // when its first byte came, though others were answered first
-	c       *conn
-	done    chan struct{}
-	state   atomic.Int32 // one of the phases below
-	close   bool         // set by the answer, read after done
-	waking  atomic.Bool  // the answer has ended; done is about to close
-	// unanswered tells that the exchange was cut before its answer had begun; it is read after done.
+	Arrived   time.Time // when its first byte was read, although earlier requests were answered first
+	conn      *conn
+	done      chan struct{}
+	phase     atomic.Int32 // one of the phases below
+	close     bool         // the connection closes after the response; set by the response, read after done
+	finishing atomic.Bool  // the response has ended; done is about to close
+	// unanswered tells that the exchange was aborted before its response began; it is read after done.
 	unanswered bool
 
-	mu       sync.Mutex
-	onHangup func(half bool)
-	hung     bool
-	half     bool
+	mu           sync.Mutex
+	onDisconnect func(half bool)
+	disconnected bool
+	halfClosed   bool
 }
 
 const (
-	fresh int32 = iota
-	begun
-	ended
+	phaseFresh int32 = iota
+	phaseBegun
+	phaseEnded
 )
 
-// ErrExchangeEnded tells that an exchange had its answer already.
+// errAborted closes the connection of an aborted exchange.
+var errAborted = errors.New("http1: exchange aborted")
+
+// ErrExchangeEnded is returned where the exchange has had its response already.
 var ErrExchangeEnded = errors.New("http1: the exchange has ended")
 
-// OnDisconnect sets what is called, once, when the client has gone before the answer ended; at once if it has.
-// half tells that its sending side ended in good order, so that it may still be reading.
+// OnDisconnect sets the function that is called, once, when the client disconnects before the response has ended; at once if it has
+// disconnected. half tells that the client closed only its sending side, so that it may still be reading.
 func (x *Exchange) OnDisconnect(f func(half bool)) {
 	x.mu.Lock()
-	x.onHangup = f
-	hung, half := x.hung, x.half
+	x.onDisconnect = f
+	hung, half := x.disconnected, x.halfClosed
 	x.mu.Unlock()
 	if hung {
 		f(half)
 	}
 }
 
-// gone tells whether the client's leaving has been seen.
-func (x *Exchange) gone() bool {
+// disconnectSeen tells whether the client was seen to disconnect.
+func (x *Exchange) disconnectSeen() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.hung
+	return x.disconnected
 }
 
-func (x *Exchange) hangup(half bool) {
+func (x *Exchange) clientDisconnected(half bool) {
 	x.mu.Lock()
-	x.hung, x.half = true, half
-	f := x.onHangup
+	x.disconnected, x.halfClosed = true, half
+	f := x.onDisconnect
 	x.mu.Unlock()
-	if f != nil && x.state.Load() != ended {
+	if f != nil && x.phase.Load() != phaseEnded {
 		f(half)
 	}
 }
 
-// Reply gives a whole answer.
+// Reply writes a complete response.
 func (x *Exchange) Reply(status int, fields []Field, body []byte) error {
-	if !x.state.CompareAndSwap(fresh, ended) {
+	if !x.phase.CompareAndSwap(phaseFresh, phaseEnded) {
 		return ErrExchangeEnded
 	}
 	x.close = x.closes()
@@ -76,12 +79,12 @@
 	return err
 }
 
-// Begin starts a streamed answer; its length is not known.
+// Begin starts a streamed response, whose length is not known.
 func (x *Exchange) Begin(status int, fields []Field) error {
-	if !x.state.CompareAndSwap(fresh, begun) {
+	if !x.phase.CompareAndSwap(phaseFresh, phaseBegun) {
 		return ErrExchangeEnded
 	}
-	x.close = x.closes() || x.Minor == 0 // HTTP/1.0 has no chunks: the end is the end of the connection
+	x.close = x.closes() || x.Minor == 0 // HTTP/1.0 has no chunks: the end of the connection delimits the body
 	b := appendStatus(make([]byte, 0, 256), status)
 	b = appendHeader(b, fields)
 	if x.Minor == 1 {
@@ -90,12 +93,12 @@
 	return x.write(append(appendClose(b, x.close), "\r\n"...))
 }
 
-// scratch holds buffers for chunks; an event is framed and written in one go.
+// scratch holds buffers for chunks: an event is framed and written in one write.
 var scratch = sync.Pool{New: func() any { b := make([]byte, 0, 1<<10); return &b }}
 
-// Write sends a part of a streamed answer at once, as one chunk.
+// Write sends a part of a streamed response at once, as one chunk.
 func (x *Exchange) Write(p []byte) (int, error) {
-	if x.state.Load() != begun {
+	if x.phase.Load() != phaseBegun {
 		return 0, ErrExchangeEnded
 	}
 	if len(p) == 0 {
@@ -117,9 +120,9 @@
 	return len(p), err
 }
 
-// End closes a streamed answer in good order.
+// End completes a streamed response.
 func (x *Exchange) End() error {
-	if !x.state.CompareAndSwap(begun, ended) {
+	if !x.phase.CompareAndSwap(phaseBegun, phaseEnded) {
 		return ErrExchangeEnded
 	}
 	var err error
@@ -130,52 +133,54 @@
 	return err
 }
 
-// AbortBody ends a streamed answer that is not whole: its connection ends without the last chunk. What has been written still
-// arrives, for the connection is shut down and read on for a moment before it closes.
+// AbortBody ends a streamed response that is not complete: its connection closes without the last chunk. What was written still
+// arrives, since the connection is shut down and read on for a moment before it closes.
 func (x *Exchange) AbortBody() {
-	if !x.state.CompareAndSwap(begun, ended) {
+	if !x.phase.CompareAndSwap(phaseBegun, phaseEnded) {
 		return
 	}
 	x.close = true
 	x.finish(nil)
 }
 
-// Abort ends the exchange by closing the connection, whatever had been sent.
+// Abort ends the exchange by closing the connection, whatever was sent.
 func (x *Exchange) Abort() {
-	if was := x.state.Swap(ended); was != ended {
-		x.unanswered = was == fresh
-		x.finish(errors.New("cut"))
+	if was := x.phase.Swap(phaseEnded); was != phaseEnded {
+		x.unanswered = was == phaseFresh
+		x.finish(errAborted)
 	}
 }
 
-// ClientDisconnected looks whether the client has closed its connection, or its side of it, behind whatever it has sent.
+// ClientDisconnected tells whether the client has closed its connection, or its sending side, behind whatever it has sent.
 func (x *Exchange) ClientDisconnected() bool {
-	left, _ := hasLeft(x.c.nc)
+	left, _ := peerClosed(x.conn.netConn)
 	return left
 }
 
-// Begun tells whether a byte of the answer may have left.
-func (x *Exchange) Begun() bool { return x.state.Load() != fresh }
+// Begun tells whether a byte of the response may have been sent.
+func (x *Exchange) Begun() bool { return x.phase.Load() != phaseFresh }
 
-func (x *Exchange) closes() bool { return x.Request.close || x.c.srv.closing() }
+func (x *Exchange) closes() bool {
+	return x.Request.closesConnection || x.conn.server.closesConnections()
+}
 
 func (x *Exchange) write(b []byte) error {
-	x.c.nc.SetWriteDeadline(time.Now().Add(x.c.srv.Timeouts.Write))
-	_, err := x.c.nc.Write(b)
+	x.conn.netConn.SetWriteDeadline(time.Now().Add(x.conn.server.Timeouts.Write))
+	_, err := x.conn.netConn.Write(b)
 	return err
 }
 
-// finish wakes the connection's goroutine out of its read. The deadline is set before done closes, so that it
-// cannot strike the next request, and waking tells watch what the deadline means.
+// finish wakes the connection's goroutine from its read. The deadline is set before done closes, so that it cannot affect the next
+// request; finishing tells watchDisconnect what the deadline means.
 func (x *Exchange) finish(err error) {
 	if err != nil {
 		x.close = true
-		x.c.nc.Close()
+		x.conn.netConn.Close()
 	}
-	x.waking.Store(true)
-	x.c.nc.SetReadDeadline(time.Unix(1, 0))
+	x.finishing.Store(true)
+	x.conn.netConn.SetReadDeadline(time.Unix(1, 0))
 	close(x.done)
 }
 
-// last tells whether the connection ends with this answer. Call it after done.
-func (x *Exchange) last() bool { return x.close }
+// closesConnection tells whether the connection closes after this response. Call it after done.
+func (x *Exchange) closesConnection() bool { return x.close }
--- a/internal/http1/forward.go
+++ b/internal/http1/forward.go
@@ -20,7 +20,7 @@
 func EndToEnd(h textproto.MIMEHeader, except ...string) []Field {
 	var fields []Field
 	for _, name := range slices.Sorted(maps.Keys(h)) {
-		if hopFields[name] || slices.Contains(except, name) || hasWord(h["Connection"], strings.ToLower(name)) {
+		if hopFields[name] || slices.Contains(except, name) || hasListToken(h["Connection"], strings.ToLower(name)) {
 			continue
 		}
 		for _, value := range h[name] {
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -5,44 +5,52 @@
 	"strings"
 )
 
-// framing says how a body is delimited.
+// framing is how a body is delimited.
 type framing struct {
 	chunked bool
 	length  int64 // -1 = none stated
 }
 
-// readFraming settles the length of a body from Transfer-Encoding and Content-Length, and rejects any message
-// for which two readers could settle it differently (RFC 9112, section 6.3).
+// readFraming determines the length of a body from Transfer-Encoding and Content-Length, and rejects any message for which two readers
+// could determine it differently (RFC 9112, section 6.3).
 func readFraming(h textproto.MIMEHeader, minor int) (framing, error) {
-	te, hasTE := h["Transfer-Encoding"]
-	cl, hasCL := h["Content-Length"]
-	if hasTE {
-		if hasCL {
-			return framing{}, bad(400, "both Content-Length and Transfer-Encoding")
-		}
-		if minor == 0 {
-			return framing{}, bad(400, "Transfer-Encoding in HTTP/1.0")
-		}
-		if len(te) != 1 || !strings.EqualFold(te[0], "chunked") {
-			if len(te) == 1 && isToken(te[0]) {
-				return framing{}, bad(501, "transfer coding %q is not known", clip(te[0]))
-			}
-			return framing{}, bad(400, "Transfer-Encoding is not one final chunked")
-		}
-		return framing{chunked: true, length: -1}, nil
+	codings, hasCoding := h["Transfer-Encoding"]
+	lengths, hasLength := h["Content-Length"]
+	switch {
+	case hasCoding && hasLength:
+		return framing{}, newError(400, "both Content-Length and Transfer-Encoding")
+	case hasCoding:
+		return codingFraming(codings, minor)
+	case hasLength:
+		return lengthFraming(lengths)
 	}
-	if !hasCL {
-		return framing{length: -1}, nil
+	return framing{length: -1}, nil
+}
+
+// codingFraming reads Transfer-Encoding, which must be chunked and nothing else.
+func codingFraming(codings []string, minor int) (framing, error) {
+	switch {
+	case minor == 0:
+		return framing{}, newError(400, "Transfer-Encoding in HTTP/1.0")
+	case len(codings) == 1 && strings.EqualFold(codings[0], "chunked"):
+		return framing{chunked: true, length: -1}, nil
+	case len(codings) == 1 && isToken(codings[0]):
+		return framing{}, newError(501, "transfer coding %q is not known", truncate(codings[0]))
 	}
+	return framing{}, newError(400, "Transfer-Encoding is not one final chunked")
+}
+
+// lengthFraming reads Content-Length, whose values must be one number, perhaps repeated.
+func lengthFraming(fields []string) (framing, error) {
 	length := int64(-1)
-	for _, field := range cl {
+	for _, field := range fields {
 		for _, v := range strings.Split(field, ",") {
 			n, ok := decimal(textproto.TrimString(v))
 			if !ok {
-				return framing{}, bad(400, "Content-Length %q is not a number", clip(v))
+				return framing{}, newError(400, "Content-Length %q is not a number", truncate(v))
 			}
 			if length >= 0 && n != length {
-				return framing{}, bad(400, "Content-Length given twice, differently")
+				return framing{}, newError(400, "Content-Length given twice, differently")
 			}
 			length = n
 		}
@@ -65,11 +73,11 @@
 	return n, true
 }
 
-// hasWord tells whether a comma-separated header names a word, whatever its case.
-func hasWord(values []string, word string) bool {
+// hasListToken tells whether a comma-separated header field has a token, whatever its case.
+func hasListToken(values []string, token string) bool {
 	for _, v := range values {
-		for _, w := range strings.Split(v, ",") {
-			if strings.EqualFold(textproto.TrimString(w), word) {
+		for _, listed := range strings.Split(v, ",") {
+			if strings.EqualFold(textproto.TrimString(listed), token) {
 				return true
 			}
 		}
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -1,6 +1,8 @@
-// Package http1 speaks HTTP/1.1 (RFC 9112, RFC 9110) on net connections, as a server and as a client, with
-// server-sent events. Header types and names are those of net/textproto. It is strict where message framing
-// can be read in two ways, because a router in front of other servers is attacked there.
+// Package http1 implements HTTP/1.1 (RFC 9112, RFC 9110) on net connections, as a server and as a client with a connection pool, and
+// server-sent events. Header types and names are those of net/textproto. It is strict where message framing can be read in two ways,
+// because a router in front of other servers is attacked there. It knows nothing of routing: hooks of [Server] and [Pool] leave the
+// decisions on closing and reusing connections to the caller. Node and protocols use it in place of net/http, which hides the state
+// of a connection that the platform's rules depend on (was a byte sent, did the client disconnect).
 package http1
 
 import (
@@ -30,15 +32,15 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("http1: %s (%d)", e.Reason, e.Status) }
 
-func bad(status int, format string, args ...any) error {
+func newError(status int, format string, args ...any) error {
 	return &Error{status, fmt.Sprintf(format, args...)}
 }
 
-// errLineTooLong is turned into the status that fits the line.
+// errLineTooLong is turned into the status that fits the kind of line.
 var errLineTooLong = errors.New("http1: line too long")
 
-// readLine reads up to CRLF and returns the line without it. A bare LF or CR is an error: it is where two
-// parsers disagree.
+// readLine reads up to CRLF and returns the line without it. A bare LF or CR is an error, since two parsers
+// may disagree about it.
 func readLine(br *bufio.Reader, limit int) ([]byte, error) {
 	var whole []byte
 	for {
@@ -50,30 +52,35 @@
 			whole = append(whole, part...)
 			continue
 		}
+		if err != nil && len(whole)+len(part) == 0 {
+			return nil, err
+		}
 		if err != nil {
-			if len(whole)+len(part) == 0 {
-				return nil, err
-			}
 			return nil, &cutError{err}
 		}
 		if whole != nil {
 			part = append(whole, part...)
 		}
-		n := len(part)
-		if n < 2 || part[n-2] != '\r' {
-			return nil, bad(400, "line ends in a bare LF")
-		}
-		line := part[:n-2]
-		for _, c := range line {
-			if c == '\r' || c == 0 {
-				return nil, bad(400, "control byte %#02x in a line", c)
-			}
+		return checkLine(part)
+	}
+}
+
+// checkLine returns a line without its CRLF, or an error for a bare LF, CR or NUL.
+func checkLine(line []byte) ([]byte, error) {
+	n := len(line)
+	if n < 2 || line[n-2] != '\r' {
+		return nil, newError(400, "line ends in a bare LF")
+	}
+	line = line[:n-2]
+	for _, c := range line {
+		if c == '\r' || c == 0 {
+			return nil, newError(400, "control byte %#02x in a line", c)
 		}
-		return line, nil
 	}
+	return line, nil
 }
 
-// cutError tells that the peer went away, or a time-out struck, within a message rather than before it.
+// cutError is an error of the connection, or a timeout, within a message rather than before it.
 type cutError struct{ err error }
 
 func (e *cutError) Error() string { return "http1: message cut short: " + e.err.Error() }
@@ -87,7 +94,7 @@
 	for {
 		line, err := readLine(br, left)
 		if err == errLineTooLong {
-			return nil, bad(431, "header fields exceed %d bytes", lim.Header)
+			return nil, newError(431, "header fields exceed %d bytes", lim.Header)
 		}
 		if err != nil {
 			return nil, err
@@ -97,21 +104,21 @@
 		}
 		left -= len(line) + 2
 		if fields++; fields > lim.Headers {
-			return nil, bad(431, "over %d header fields", lim.Headers)
+			return nil, newError(431, "over %d header fields", lim.Headers)
 		}
 		if line[0] == ' ' || line[0] == '\t' {
-			return nil, bad(400, "folded header line")
+			return nil, newError(400, "folded header line")
 		}
 		name, value, ok := strings.Cut(string(line), ":")
 		if !ok {
-			return nil, bad(400, "header line without a colon")
+			return nil, newError(400, "header line without a colon")
 		}
 		if !isToken(name) {
-			return nil, bad(400, "header name %q is not a token", clip(name))
+			return nil, newError(400, "header name %q is not a token", truncate(name))
 		}
 		value = textproto.TrimString(value)
 		if i := strings.IndexFunc(value, isControl); i >= 0 {
-			return nil, bad(400, "control byte in header %q", clip(name))
+			return nil, newError(400, "control byte in header %q", truncate(name))
 		}
 		key := textproto.CanonicalMIMEHeaderKey(name)
 		h[key] = append(h[key], value)
@@ -134,7 +141,7 @@
 	return true
 }
 
-func clip(s string) string {
+func truncate(s string) string {
 	if len(s) > 40 {
 		return s[:40] + "…"
 	}
--- a/internal/http1/idle.go
+++ b/internal/http1/idle.go
@@ -6,131 +6,132 @@
 	"time"
 )
 
-// IdleConn is a connection between requests that is to end.
+// IdleConn is a connection between requests that may be closed.
 type IdleConn struct {
-	IdleFor time.Duration // since it rests
-	Evicts  bool          // another one needs its place; else its time is over, or the server is draining
+	IdleFor time.Duration // since its last response, or since it was opened
+	Evicts  bool          // its place is needed; otherwise its idle timeout is over, or the server is draining
 }
 
-// rests notes that the connection waits for a request, for so long at the most. A drain either finds it resting or is seen here.
-func (c *conn) rests(wait time.Duration) {
+// becomeIdle records that the connection waits for a request, for the time given at most. A drain either finds it idle or is seen here.
+func (c *conn) becomeIdle(wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.srv.draining.Load() {
-		wait = min(wait, c.srv.drainLeft())
+	if c.server.draining.Load() {
+		wait = min(wait, c.server.drainLeft())
 	}
-	c.idle, c.rest, c.makesRoom = true, sinceStart(), false
-	c.nc.SetReadDeadline(time.Now().Add(wait))
+	c.idle, c.idleSince, c.evicted = true, sinceStart(), false
+	c.netConn.SetReadDeadline(time.Now().Add(wait))
 }
 
-// busy notes that a request has begun to come.
-func (c *conn) busy() {
+// becomeBusy records that a request has begun to arrive.
+func (c *conn) becomeBusy() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = false
-	c.said.Store(true)
+	c.requestBegan.Store(true)
 }
 
-// resting tells whether the connection is between requests, and for how long.
-func (c *conn) resting() (r IdleConn, ok bool) {
+// idleState tells whether the connection is between requests, and for how long.
+func (c *conn) idleState() (r IdleConn, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return IdleConn{IdleFor: time.Duration(sinceStart() - c.rest), Evicts: c.makesRoom}, c.idle
+	return IdleConn{IdleFor: time.Duration(sinceStart() - c.idleSince), Evicts: c.evicted}, c.idle
 }
 
-// endRest has the connection end soon if it rests and may be ended; it tells whether it does.
-func (c *conn) endRest(within time.Duration, makesRoom bool) bool {
+// expireIdle lets the connection's wait for a request end within the time given, if it is idle and may be closed; it tells whether
+// that is so.
+func (c *conn) expireIdle(within time.Duration, evicts bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := IdleConn{IdleFor: time.Duration(sinceStart() - c.rest), Evicts: makesRoom}
-	if !c.idle || !c.srv.mayEnd(r) {
+	r := IdleConn{IdleFor: time.Duration(sinceStart() - c.idleSince), Evicts: evicts}
+	if !c.idle || !c.server.mayCloseIdle(r) {
 		return false
 	}
-	c.makesRoom = makesRoom
-	c.nc.SetReadDeadline(time.Now().Add(within))
+	c.evicted = evicts
+	c.netConn.SetReadDeadline(time.Now().Add(within))
 	return true
 }
 
-// CloseIdle closes up to n connections that have rested longest between requests, and tells how many.
+// CloseIdle closes up to n of the connections that have been idle longest, and returns how many.
 func (s *Server) CloseIdle(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.closeIdle(n)
 }
 
-// closeIdle is CloseIdle under the lock. Only what has rested for a while is closed: a request may be on its way to the
-// others. Those that have never asked anything go first.
+// closeIdle is CloseIdle with s.mu held. Only connections that have been idle for a while are closed: a request may be on its way on the
+// others. Those on which no request has ever come go first.
 func (s *Server) closeIdle(n int) (closed int) {
 	for closed < n {
-		oldest := s.oldestResting()
+		oldest := s.evictionCandidate()
 		if oldest == nil {
 			return closed
 		}
-		if oldest.endRest(0, true) { // else a request has begun meanwhile
+		if oldest.expireIdle(0, true) { // otherwise a request has begun meanwhile
 			closed++
 		}
 	}
 	return closed
 }
 
-// oldestResting returns the connection that makes room next; nil = there is none. The lock is held.
-func (s *Server) oldestResting() (oldest *conn) {
+// evictionCandidate returns the connection that is evicted next; nil = there is none. s.mu is held.
+func (s *Server) evictionCandidate() (oldest *conn) {
 	var longest IdleConn
 	for c := range s.conns {
-		r, ok := c.resting()
-		if !ok || r.Evicts || !s.mayEnd(IdleConn{r.IdleFor, true}) {
+		r, ok := c.idleState()
+		if !ok || r.Evicts || !s.mayCloseIdle(IdleConn{IdleFor: r.IdleFor, Evicts: true}) {
 			continue
 		}
-		if oldest == nil || goesBefore(c, r, oldest, longest) {
+		if oldest == nil || evictsBefore(c, r, oldest, longest) {
 			oldest, longest = c, r
 		}
 	}
 	return oldest
 }
 
-// goesBefore tells whether a connection makes room sooner than another.
-func goesBefore(c *conn, r IdleConn, o *conn, than IdleConn) bool {
-	if said := c.said.Load(); said != o.said.Load() {
-		return !said
+// evictsBefore tells whether a connection is evicted before another.
+func evictsBefore(c *conn, idle IdleConn, other *conn, otherIdle IdleConn) bool {
+	if began := c.requestBegan.Load(); began != other.requestBegan.Load() {
+		return !began
 	}
-	return r.IdleFor > than.IdleFor
+	return idle.IdleFor > otherIdle.IdleFor
 }
 
-// mayEnd tells whether a connection that rests may be ended.
-func (s *Server) mayEnd(r IdleConn) bool {
+// mayCloseIdle tells whether an idle connection may be closed.
+func (s *Server) mayCloseIdle(r IdleConn) bool {
 	if s.MayCloseIdle != nil {
 		return s.MayCloseIdle(r)
 	}
 	return !r.Evicts || r.IdleFor > s.Timeouts.MinIdle()
 }
 
-// endIdle ends a connection between requests, on which a read has failed. One whose time is over is read on for a moment: what its
-// client sends just then would meet a reset. One that makes room for others, or that its client has ended, is not.
-func (c *conn) endIdle(err error) {
-	r, _ := c.resting()
-	makesRoom := r.Evicts
+// closeIdle closes a connection between requests on which a read has failed. After an idle timeout it is read on for a moment: what its
+// client sends just then would be reset otherwise. An evicted one, or one that its client has closed, is not read on.
+func (c *conn) closeIdle(err error) {
+	r, _ := c.idleState()
+	evicted := r.Evicts
 	switch {
-	case makesRoom:
-		c.end.Reason = Evicted
+	case evicted:
+		c.closed.Reason = Evicted
 	case !errors.Is(err, os.ErrDeadlineExceeded):
-		c.end.Reason = PeerClosed
-	case c.srv.draining.Load():
-		c.end.Reason = Drained
-	case c.end.Requests == 0:
-		c.end.Reason = NoRequestInTime
+		c.closed.Reason = PeerClosed
+	case c.server.draining.Load():
+		c.closed.Reason = Drained
+	case c.closed.Requests == 0:
+		c.closed.Reason = NoRequestInTime
 	default:
-		c.end.Reason = IdleTimeout
+		c.closed.Reason = IdleTimeout
 	}
-	c.linger(makesRoom || !errors.Is(err, os.ErrDeadlineExceeded))
+	c.linger(evicted || !errors.Is(err, os.ErrDeadlineExceeded))
 }
 
-// cameLate tells whether a request came in the very moment in which the time of an idle connection ran out: a read whose deadline has
-// passed fails, whatever is there. A close over it would be a reset.
-func (c *conn) cameLate(err error) bool {
+// arrivedAtDeadline tells whether a request arrived in the moment in which the idle timeout ended: a read whose deadline has passed fails
+// whatever has arrived, and a close over unread bytes is a reset.
+func (c *conn) arrivedAtDeadline(err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
-	c.nc.SetReadDeadline(time.Now().Add(time.Millisecond))
-	_, err = c.br.Peek(1)
+	c.netConn.SetReadDeadline(time.Now().Add(time.Millisecond))
+	_, err = c.buffered.Peek(1)
 	return err == nil
 }
--- a/internal/http1/pool.go
+++ b/internal/http1/pool.go
@@ -13,21 +13,21 @@
 
 // Pool keeps idle connections to servers, by address. It is safe for concurrent use.
 type Pool struct {
-	MaxIdle     int           // kept for each address
-	MaxOpen     int           // open at once, idle ones included, which make room; 0 = no bound
-	IdleTimeout time.Duration // after which an idle connection closes
+	MaxIdle     int           // idle connections kept for each address
+	MaxOpen     int           // open at once; idle ones count and are evicted; 0 = no bound
+	IdleTimeout time.Duration // after which an idle connection is closed
 	Limits      Limits
-	// MaxIdleTime is asked how long a connection may have rested that Get returns; nil = Idle.
+	// MaxIdleTime returns how long a connection that Get returns may have been idle; nil = IdleTimeout.
 	MaxIdleTime func() time.Duration
-	// MinIdleTime is how long a connection rests at least before it carries another request; 0 = no such time. A server may send a
-	// second answer to a request some moments after the first. It shows as unread bytes, which end the use of a connection, but
-	// only once it has come: read later, it would be taken for the answer to the next request.
+	// MinIdleTime is how long a connection is idle at least before it carries another request; 0 = no such time. A faulty server may
+	// send a second response to a request some moments after the first. It shows as unread bytes, which end the use of a connection,
+	// but only once it has arrived: read later, it would be taken for the response to the next request.
 	MinIdleTime time.Duration
-	// Chunk bounds the size of one chunk of an answer; 0 = no bound. Head bounds the time from the first byte of an answer
-	// to the end of its head; 0 = no bound but the connection's.
+	// Chunk bounds the size in bytes of one chunk of a response; 0 = no bound. Head bounds the time from the first byte of a response
+	// to the end of its head; 0 = no bound but the connection's deadline.
 	Chunk int64
 	Head  time.Duration
-	// Connect makes connections; nil = a net.Dialer does.
+	// Connect makes connections; nil = net.Dialer.
 	Connect DialFunc
 
 	mu     sync.Mutex
@@ -39,21 +39,21 @@
 // DialFunc makes a connection, as net.Dialer.DialContext does; ctx bounds its time.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// ErrPoolFull tells that the pool has as many connections open as it may.
-var ErrPoolFull = errors.New("http1: no room for another connection")
+// ErrPoolFull is returned where as many connections are open as may be and none of them is idle.
+var ErrPoolFull = errors.New("http1: connection limit reached")
 
-// Get returns an idle connection that is still open, or makes one within the time given, unless ctx ends before.
+// Get returns an idle connection that is still open, or dials one within the timeout, unless ctx ends before.
 func (p *Pool) Get(ctx context.Context, addr string, timeout time.Duration) (*ClientConn, error) {
 	limit := p.IdleTimeout
 	if p.MaxIdleTime != nil {
 		limit = min(limit, p.MaxIdleTime())
 	}
 	for {
-		c := p.pop(addr)
+		c := p.takeIdle(addr)
 		if c == nil {
 			break
 		}
-		if c.IdleFor = time.Since(c.used); c.IdleFor < limit && c.alive() {
+		if c.IdleFor = time.Since(c.idleSince); c.IdleFor < limit && c.isReusable() {
 			c.Reused = true
 			return c, nil
 		}
@@ -62,9 +62,9 @@
 	return p.Dial(ctx, addr, timeout)
 }
 
-// Dial makes a connection within the time given, unless ctx ends before.
+// Dial makes a connection within the timeout, unless ctx ends before.
 func (p *Pool) Dial(ctx context.Context, addr string, timeout time.Duration) (*ClientConn, error) {
-	if !p.enter() {
+	if !p.reserve() {
 		return nil, ErrPoolFull
 	}
 	connect := p.Connect
@@ -78,23 +78,23 @@
 	}
 	nc, err := connect(ctx, "tcp", addr)
 	if err != nil {
-		p.leave()
+		p.release()
 		return nil, err
 	}
-	c := &ClientConn{addr: addr, pool: p, nc: nc, lim: p.Limits}
-	c.br = bufio.NewReaderSize(arrived{c}, 1<<10)
+	c := &ClientConn{address: addr, pool: p, netConn: nc, limits: p.Limits}
+	c.buffered = bufio.NewReaderSize(deadlineReader{c}, 1<<10)
 	return c, nil
 }
 
-// enter counts one more connection, closing one that rests if there is no room.
-func (p *Pool) enter() bool {
+// reserve counts one more connection; at the limit it evicts the one that has been idle longest. It returns false where none is idle.
+func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.MaxOpen > 0 && p.open >= p.MaxOpen {
 		var oldest *ClientConn
 		for _, xs := range p.idle {
 			for _, c := range xs {
-				if oldest == nil || c.used.Before(oldest.used) {
+				if oldest == nil || c.idleSince.Before(oldest.idleSince) {
 					oldest = c
 				}
 			}
@@ -102,29 +102,29 @@
 		if oldest == nil {
 			return false
 		}
-		xs := p.idle[oldest.addr]
-		p.idle[oldest.addr] = slices.DeleteFunc(xs, func(c *ClientConn) bool { return c == oldest })
-		oldest.nc.Close()
+		xs := p.idle[oldest.address]
+		p.idle[oldest.address] = slices.DeleteFunc(xs, func(c *ClientConn) bool { return c == oldest })
+		oldest.netConn.Close()
 		oldest.once.Do(func() { p.open-- })
 	}
 	p.open++
 	return true
 }
 
-func (p *Pool) leave() {
+func (p *Pool) release() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// pop takes out the connection that has rested the shortest of those that have settled; nil = there is none. Connections stand
-// in the order in which they were put back.
-func (p *Pool) pop(addr string) *ClientConn {
+// takeIdle removes and returns the connection that has been idle shortest of those idle for MinIdleTime; nil = there is none. The
+// connections of an address are in the order in which they were put back.
+func (p *Pool) takeIdle(addr string) *ClientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	xs := p.idle[addr]
 	for i := len(xs) - 1; i >= 0; i-- {
-		if c := xs[i]; time.Since(c.used) >= p.MinIdleTime {
+		if c := xs[i]; time.Since(c.idleSince) >= p.MinIdleTime {
 			p.idle[addr] = slices.Delete(xs, i, i+1)
 			return c
 		}
@@ -132,17 +132,17 @@
 	return nil
 }
 
-// Put gives a connection back after a whole exchange.
+// Put returns a connection to the pool after a complete exchange.
 func (p *Pool) Put(c *ClientConn) {
 	c.SetDeadline(time.Time{})
-	c.used = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
-	keep := !p.closed && !c.finishing() && len(p.idle[c.addr]) < p.MaxIdle && c.br.Buffered() == 0
+	keep := !p.closed && !c.readingOn() && len(p.idle[c.address]) < p.MaxIdle && c.buffered.Buffered() == 0
 	if keep {
 		if p.idle == nil {
 			p.idle = map[string][]*ClientConn{}
 		}
-		p.idle[c.addr] = append(p.idle[c.addr], c)
+		p.idle[c.address] = append(p.idle[c.address], c)
 	}
 	p.mu.Unlock()
 	if !keep {
@@ -150,9 +150,9 @@
 	}
 }
 
-// Done gives the connection back to the pool if the answer allows it and its body has been read to the end;
-// else it closes it.
-func (p *Pool) Done(c *ClientConn, r *Response) {
+// PutAfter returns the connection to the pool if the response allows its reuse and its body has been read to the end; otherwise it
+// closes the connection.
+func (p *Pool) PutAfter(c *ClientConn, r *Response) {
 	if r.keep {
 		var one [1]byte
 		if n, err := r.Body.Read(one[:]); n == 0 && err == io.EOF {
@@ -163,7 +163,7 @@
 	c.Close()
 }
 
-// CloseExpired closes connections that have been idle for too long; call it now and then.
+// CloseExpired closes connections whose idle timeout is over. The owner calls it periodically.
 func (p *Pool) CloseExpired() {
 	limit := p.IdleTimeout
 	if p.MaxIdleTime != nil {
@@ -176,7 +176,7 @@
 	for addr, xs := range p.idle {
 		keep := xs[:0]
 		for _, c := range xs {
-			if time.Since(c.used) < limit {
+			if time.Since(c.idleSince) < limit {
 				keep = append(keep, c)
 			} else {
 				old = append(old, c)
@@ -192,12 +192,12 @@
 }
 
 // CloseIdle closes the idle connections.
-func (p *Pool) CloseIdle() { p.drop(false) }
+func (p *Pool) CloseIdle() { p.closeAllIdle(false) }
 
-// Close closes the idle connections and keeps no more.
-func (p *Pool) Close() { p.drop(true) }
+// Close closes the idle connections; connections that are put back later are closed.
+func (p *Pool) Close() { p.closeAllIdle(true) }
 
-func (p *Pool) drop(last bool) {
+func (p *Pool) closeAllIdle(last bool) {
 	p.mu.Lock()
 	var all []*ClientConn
 	for _, xs := range p.idle {
--- a/internal/http1/reuse_test.go
+++ b/internal/http1/pool_reuse_test.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// answered makes one exchange on a connection of which the far end is given, and puts the connection back.
-func answered(t *testing.T, p *Pool, c *ClientConn, far net.Conn) {
+// exchangeOnce makes one exchange on a connection of which the far end is given, and puts the connection back.
+func exchangeOnce(t *testing.T, p *Pool, c *ClientConn, peer net.Conn) {
 	t.Helper()
 	if _, _, err := c.Send("GET", "/", nil, nil); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := far.Read(make([]byte, 1<<10)); err != nil {
+	if _, err := peer.Read(make([]byte, 1<<10)); err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	io.WriteString(peer, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	resp, err := c.ReadResponse()
 	if err != nil {
 		t.Fatal(err)
@@ -26,51 +26,52 @@
 	if _, err := resp.ReadAll(10); err != nil {
 		t.Fatal(err)
 	}
-	p.Done(c, resp)
+	p.PutAfter(c, resp)
 }
 
-// rested makes a connection look as though it had rested for so long.
-func rested(p *Pool, c *ClientConn, d time.Duration) {
+// markIdle makes a connection look as though it had rested for so long.
+func markIdle(p *Pool, c *ClientConn, d time.Duration) {
 	p.mu.Lock()
-	c.used = time.Now().Add(-d)
+	c.idleSince = time.Now().Add(-d)
 	p.mu.Unlock()
 }
 
 // A connection carries no other request before a second answer to the one before would have come, nor after it has come.
-func TestConnectionSettlesBeforeItIsReused(t *testing.T) {
+func TestConnectionIsIdleForMinIdleTimeBeforeReuse(t *testing.T) {
 	p := &Pool{MaxIdle: 2, IdleTimeout: time.Minute, Limits: DefaultLimits, MinIdleTime: time.Minute / 2}
 	defer p.Close()
-	c, far := dialled(t, p)
-	answered(t, p, c, far)
-	if got := p.pop(c.addr); got != nil {
+	c, peer := dialedConn(t, p)
+	exchangeOnce(t, p, c, peer)
+	if got := p.takeIdle(c.address); got != nil {
 		t.Fatal("a connection was given out that has not settled")
 	}
-	rested(p, c, p.MinIdleTime+time.Second)
-	if got := p.pop(c.addr); got != c || !c.alive() {
+	markIdle(p, c, p.MinIdleTime+time.Second)
+	if got := p.takeIdle(c.address); got != c || !c.isReusable() {
 		t.Fatalf("got %v, want the connection that has settled", got)
 	}
 	p.Put(c)
-	io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno")
-	for end := time.Now().Add(5 * time.Second); c.alive() && time.Now().Before(end); {
+	io.WriteString(peer, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno")
+	for end := time.Now().Add(5 * time.Second); c.isReusable() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond) // until the bytes have crossed
 	}
-	rested(p, c, p.MinIdleTime+time.Second)
-	got, err := p.Get(context.Background(), c.addr, time.Second) // the listener is gone: a new connection fails
+	markIdle(p, c, p.MinIdleTime+time.Second)
+	got, err := p.Get(context.Background(), c.address, time.Second) // the listener is gone: a new connection fails
 	if err == nil {
 		t.Fatalf("got a connection, reused %v, with a second answer unread", got.Reused)
 	}
 }
 
 // The one that has settled is taken although a newer one has not.
-func TestSettledConnectionBehindANewerOne(t *testing.T) {
+func TestPoolSkipsConnectionsIdleTooBriefly(t *testing.T) {
 	p := &Pool{MaxIdle: 4, IdleTimeout: time.Minute, MinIdleTime: 10 * time.Second}
 	defer p.Close()
-	old, newer := &ClientConn{addr: "a", pool: p, used: time.Now().Add(-11 * time.Second)}, &ClientConn{addr: "a", pool: p, used: time.Now()}
+	old := &ClientConn{address: "a", pool: p, idleSince: time.Now().Add(-11 * time.Second)}
+	newer := &ClientConn{address: "a", pool: p, idleSince: time.Now()}
 	p.idle = map[string][]*ClientConn{"a": {old, newer}}
-	if got := p.pop("a"); got != old {
+	if got := p.takeIdle("a"); got != old {
 		t.Fatal("want the one that has settled")
 	}
-	if got := p.pop("a"); got != nil {
+	if got := p.takeIdle("a"); got != nil {
 		t.Fatal("want none")
 	}
 	p.idle = nil
@@ -90,12 +91,12 @@
 }
 
 // A connection that is being finished still gives what had come, ends soon, and is not kept.
-func TestFinishedConnectionGivesWhatHadCome(t *testing.T) {
+func TestReadOnForDeliversWhatHadArrived(t *testing.T) {
 	p := &Pool{MaxIdle: 2, IdleTimeout: time.Minute, Limits: DefaultLimits}
 	defer p.Close()
-	c, far := dialled(t, p)
+	c, peer := dialedConn(t, p)
 	c.SetDeadline(time.Now().Add(time.Minute))
-	io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhalf")
+	io.WriteString(peer, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhalf")
 	c.ReadOnFor(200 * time.Millisecond)
 	c.SetDeadline(time.Now().Add(time.Minute)) // does not move the end
 	resp, err := c.ReadResponse()
@@ -105,11 +106,11 @@
 	if body, err := resp.ReadAll(10); err != nil || string(body) != "half" {
 		t.Fatalf("got %q, %v", body, err)
 	}
-	p.Done(c, resp)
-	if len(p.idle[c.addr]) != 0 {
+	p.PutAfter(c, resp)
+	if len(p.idle[c.address]) != 0 {
 		t.Error("it was kept")
 	}
-	d, _ := dialled(t, p)
+	d, _ := dialedConn(t, p)
 	start := time.Now()
 	d.ReadOnFor(20 * time.Millisecond)
 	if err := d.Await(); err == nil || time.Since(start) > 5*time.Second {
--- a/internal/http1/rejection.go
+++ b/internal/http1/rejection.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// The lobby: connections that are refused at a time, and how long their heads may take.
+// Bounds of the rejection queue, the connections over the limit that are being rejected.
 const (
-	lobbyMost = 64
-	lobbyWait = 250 * time.Millisecond // for the first byte: clients open connections ahead and never use some
-	lobbyTime = time.Second
+	defaultRejectionQueue     = 64
+	defaultRejectionFirstByte = 250 * time.Millisecond // for the first byte: clients open connections ahead and never use some of them
+	rejectionHeadTimeout      = time.Second
 )
 
-func (s *Server) lobbySize() int {
+func (s *Server) rejectionQueueSize() int {
 	if s.RejectionQueue > 0 {
 		return s.RejectionQueue
 	}
-	return lobbyMost
+	return defaultRejectionQueue
 }
 
-// turnAway reads one request's head and refuses it.
-func (c *conn) turnAway() {
-	c.end.Reason = ConnectionLimit
-	c.br = bufio.NewReaderSize(c.ahead, readBuffer)
-	c.nc.SetReadDeadline(time.Now().Add(orElse(c.srv.Timeouts.Rejection, lobbyWait)))
-	if _, err := c.br.Peek(1); err != nil && !c.cameLate(err) {
+// rejectOverLimit reads the head of one request and rejects it.
+func (c *conn) rejectOverLimit() {
+	c.closed.Reason = ConnectionLimit
+	c.buffered = bufio.NewReaderSize(c.ahead, readBuffer)
+	c.netConn.SetReadDeadline(time.Now().Add(orElse(c.server.Timeouts.Rejection, defaultRejectionFirstByte)))
+	if _, err := c.buffered.Peek(1); err != nil && !c.arrivedAtDeadline(err) {
 		return
 	}
-	c.nc.SetReadDeadline(time.Now().Add(lobbyTime))
-	if _, err := ReadRequest(c.br, c.srv.Limits); err != nil {
-		c.reject(err)
+	c.netConn.SetReadDeadline(time.Now().Add(rejectionHeadTimeout))
+	if _, err := ReadRequest(c.buffered, c.server.Limits); err != nil {
+		c.rejectRequest(err)
 		return
 	}
-	c.reject(&Error{503, "too many connections"})
+	c.rejectRequest(&Error{503, "too many connections"})
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -9,26 +9,26 @@
 	"strings"
 )
 
-// Request is a parsed request. Its body is read apart.
+// Request is a parsed request. ReadBody reads its body.
 type Request struct {
 	Method, Path, Query string
 	Minor               int // of HTTP/1.x
 	Header              textproto.MIMEHeader
 	Body                []byte
-	close               bool // the connection ends with the answer
-	expects             bool // 100-continue
+	closesConnection    bool // the connection closes after the response
+	expectsContinue     bool // 100-continue
 	frame               framing
 }
 
-// ReadRequest reads a request up to the end of its header. An *Error names the status that answers it; any
-// other error means that the peer or the time was gone.
+// ReadRequest reads a request up to the end of its header. An *Error has the status to respond with; any other error is one of the
+// connection, or a timeout.
 func ReadRequest(br *bufio.Reader, lim Limits) (*Request, error) {
 	line, err := readLine(br, lim.Line)
 	if err == nil && len(line) == 0 { // RFC 9112, section 2.2: one empty line before it is passed over
 		line, err = readLine(br, lim.Line)
 	}
 	if err == errLineTooLong {
-		return nil, bad(414, "request line exceeds %d bytes", lim.Line)
+		return nil, newError(414, "request line exceeds %d bytes", lim.Line)
 	}
 	if err != nil {
 		return nil, err
@@ -40,18 +40,18 @@
 	if q.Header, err = readHeader(br, lim); err != nil {
 		return nil, err
 	}
-	return q, q.settle(lim)
+	return q, q.checkHeader(lim)
 }
 
 // parseLine reads the method, the target and the version.
 func (q *Request) parseLine(line string) error {
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 {
-		return bad(400, "request line has not three parts")
+		return newError(400, "request line has not three parts")
 	}
 	method, target, version := parts[0], parts[1], parts[2]
 	if !isToken(method) {
-		return bad(400, "method is not a token")
+		return newError(400, "method is not a token")
 	}
 	switch version {
 	case "HTTP/1.1":
@@ -59,19 +59,19 @@
 	case "HTTP/1.0":
 	default:
 		if strings.HasPrefix(version, "HTTP/") && len(version) == len("HTTP/1.1") {
-			return bad(505, "version %q is not spoken", clip(version))
+			return newError(505, "version %q is not spoken", truncate(version))
 		}
-		return bad(400, "version %q is malformed", clip(version))
+		return newError(400, "version %q is malformed", truncate(version))
 	}
 	if strings.IndexFunc(target, func(r rune) bool { return r <= ' ' || r >= 0x7f || r == '#' }) >= 0 {
-		return bad(400, "target holds a byte that it may not")
+		return newError(400, "target holds a byte that it may not")
 	}
 	if rest, ok := cutScheme(target); ok { // absolute form, RFC 9112, section 3.2.2
 		_, path, _ := strings.Cut(rest, "/")
 		target = "/" + path
 	}
 	if !strings.HasPrefix(target, "/") && !(target == "*" && method == "OPTIONS") {
-		return bad(400, "target is neither a path nor an absolute address")
+		return newError(400, "target is neither a path nor an absolute address")
 	}
 	q.Method = method
 	q.Path, q.Query, _ = strings.Cut(target, "?")
@@ -87,31 +87,31 @@
 	return "", false
 }
 
-// settle checks what the header says of the connection and the body.
-func (q *Request) settle(lim Limits) error {
+// checkHeader checks the header fields of the connection and the body.
+func (q *Request) checkHeader(lim Limits) error {
 	hosts := q.Header["Host"]
 	if len(hosts) > 1 || len(hosts) == 0 && q.Minor == 1 {
-		return bad(400, "%d Host fields, one is wanted", len(hosts))
+		return newError(400, "%d Host fields, one is wanted", len(hosts))
 	}
 	if len(hosts) == 1 && strings.IndexFunc(hosts[0], func(r rune) bool {
 		return r <= ' ' || r >= 0x7f || strings.ContainsRune(`/?#@\,`, r)
 	}) >= 0 {
-		return bad(400, "Host is malformed")
+		return newError(400, "Host is malformed")
 	}
 	var err error
 	if q.frame, err = readFraming(q.Header, q.Minor); err != nil {
 		return err
 	}
 	if q.frame.length > lim.Body {
-		return bad(413, "body of %d bytes exceeds %d", q.frame.length, lim.Body)
+		return newError(413, "body of %d bytes exceeds %d", q.frame.length, lim.Body)
 	}
 	connection := q.Header["Connection"]
-	q.close = hasWord(connection, "close") || q.Minor == 0 && !hasWord(connection, "keep-alive")
+	q.closesConnection = hasListToken(connection, "close") || q.Minor == 0 && !hasListToken(connection, "keep-alive")
 	if expect, ok := q.Header["Expect"]; ok {
 		if len(expect) != 1 || !strings.EqualFold(expect[0], "100-continue") {
-			return bad(417, "expectation %q is not known", clip(expect[0]))
+			return newError(417, "expectation %q is not known", truncate(expect[0]))
 		}
-		q.expects = q.Minor == 1 && (q.frame.chunked || q.frame.length > 0)
+		q.expectsContinue = q.Minor == 1 && (q.frame.chunked || q.frame.length > 0)
 	}
 	return nil
 }
@@ -136,33 +136,33 @@
 func readChunked(br *bufio.Reader, lim Limits) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(br), lim.Body+1))
 	if int64(len(body)) > lim.Body {
-		return nil, bad(413, "chunked body exceeds %d bytes", lim.Body)
+		return nil, newError(413, "chunked body exceeds %d bytes", lim.Body)
 	}
 	if err != nil {
-		if isPeer(err) {
+		if isConnectionError(err) {
 			return nil, &cutError{err}
 		}
-		return nil, bad(400, "chunked body: %v", err)
+		return nil, newError(400, "chunked body: %v", err)
 	}
 	return body, readTrailer(br, lim)
 }
 
 func readTrailer(br *bufio.Reader, lim Limits) error {
 	_, err := readHeader(br, lim)
-	if err != nil && isPeer(err) {
+	if err != nil && isConnectionError(err) {
 		return &cutError{err}
 	}
 	return err
 }
 
-// isPeer tells errors of the connection from errors of what came over it.
-func isPeer(err error) bool {
+// isConnectionError tells errors of the connection from errors in the bytes that came over it.
+func isConnectionError(err error) bool {
 	var timeout interface{ Timeout() bool }
 	var cut *cutError
 	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) || errors.As(err, &timeout) || errors.As(err, &cut)
 }
 
-// Target is the request's target as its line had it, but for the host of an absolute one.
+// Target is the request target as it was sent, without the host of an absolute one.
 func (q *Request) Target() string {
 	if q.Query == "" {
 		return q.Path
--- a/internal/http1/responsewriter.go
+++ b/internal/http1/responsewriter.go
@@ -23,7 +23,7 @@
 	return b
 }
 
-// appendReply writes a whole answer; that to HEAD has no body.
+// appendReply writes a complete response; the one to HEAD has no body.
 func appendReply(b []byte, status int, fields []Field, body []byte, close, head bool) []byte {
 	b = appendHeader(appendStatus(b, status), fields)
 	if status != http.StatusNoContent {
@@ -38,7 +38,7 @@
 	return append(b, body...)
 }
 
-// appendHeader writes fields in the order given. Values that could split the message are dropped bytes.
+// appendHeader writes fields in the order given. Control bytes, which could split the message, are left out of values.
 func appendHeader(b []byte, fields []Field) []byte {
 	for _, f := range fields {
 		b = append(b, f.Name...)
--- a/internal/http1/timeouts.go
+++ b/internal/http1/timeouts.go
@@ -10,18 +10,18 @@
 	Head           time.Duration // for a whole request head, from its first byte
 	Body           time.Duration // for a whole request body, from the end of its head
 	Whole          time.Duration // for head and body together, from the first byte; 0 = no further bound
-	Idle           time.Duration // between requests
-	EvictableAfter time.Duration // after which a connection without a request may be closed to make room; 0 = restedFor
-	Write          time.Duration // for one write to be taken: a slower reader counts as gone
-	// A draining server goes on accepting, and reading idle connections, for so long; 0 = drainAccept, drainIdle. With
-	// DrainKeep connections stay in use until then; without, each ends with its next answer.
+	Idle           time.Duration // between two requests of a connection
+	EvictableAfter time.Duration // idle time after which a connection may be evicted; 0 = defaultEvictableAfter
+	Write          time.Duration // for one write: a slower reader counts as disconnected
+	// A draining server goes on accepting for DrainAccept, and reading idle connections for DrainIdle; 0 = the defaults below. With
+	// DrainKeep connections stay in use until then; without, each ends with its next response.
 	DrainAccept, DrainIdle time.Duration
 	DrainKeep              bool
-	Rejection              time.Duration // for the first byte of a connection that is to be refused; 0 = lobbyWait
-	Linger                 time.Duration // that a closing connection is read on, so that its answer is not lost; 0 = lingerFor
+	Rejection              time.Duration // for the first byte of a connection over the limit; 0 = defaultRejectionFirstByte
+	Linger                 time.Duration // for which a closing connection is read on, so that its response is not lost; 0 = defaultLinger
 }
 
-// orElse returns the first of two times that is not 0.
+// orElse returns the first of two durations that is not 0.
 func orElse(a, b time.Duration) time.Duration {
 	if a > 0 {
 		return a
@@ -29,29 +29,29 @@
 	return b
 }
 
-// AcceptsFor is after which no request can come that was under way when the drain began.
+// AcceptsFor is the time from the start of a drain after which no further request can arrive.
 func (t Timeouts) AcceptsFor() time.Duration {
 	if t.DrainKeep {
 		return max(t.DrainAccept, t.DrainIdle)
 	}
-	return orElse(t.DrainAccept, drainAccept) + orElse(t.DrainIdle, drainIdle)
+	return orElse(t.DrainAccept, defaultDrainAccept) + orElse(t.DrainIdle, defaultDrainIdle)
 }
 
-// MinIdle is how long a connection has rested before it may be closed to make room.
-func (t Timeouts) MinIdle() time.Duration { return orElse(t.EvictableAfter, restedFor) }
+// MinIdle is how long a connection is idle before it may be evicted.
+func (t Timeouts) MinIdle() time.Duration { return orElse(t.EvictableAfter, defaultEvictableAfter) }
 
 // DefaultTimeouts suit clients on a wide-area network.
 var DefaultTimeouts = Timeouts{Head: 10 * time.Second, Body: 30 * time.Second, Idle: 60 * time.Second, Write: 10 * time.Second}
 
-// Times that a protocol may set otherwise.
+// Defaults of timeouts that are 0.
 const (
-	drainAccept = 50 * time.Millisecond
-	drainIdle   = 200 * time.Millisecond
-	lingerFor   = 500 * time.Millisecond
+	defaultDrainAccept = 50 * time.Millisecond
+	defaultDrainIdle   = 200 * time.Millisecond
+	defaultLinger      = 500 * time.Millisecond
 )
 
-// restedFor is LeastRest where a protocol does not say otherwise.
-const restedFor = time.Second
+// defaultEvictableAfter is the default of Timeouts.EvictableAfter.
+const defaultEvictableAfter = time.Second
 
 var processStart = time.Now()
 
--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -18,7 +18,7 @@
 		q.ClientTimeLeft = max(0, min(q.ClientTimeLeft, n.endBy-now+time.Since(x.Arrived).Seconds()))
 	}
 	patience := q.ClientTimeLeft
-	v := n.strain.take(now, overload.Request{ClientTimeout: patience, Elapsed: time.Since(x.Arrived).Seconds(), HeldBytes: n.server.Held()})
+	v := n.strain.take(now, overload.Request{ClientTimeout: patience, Elapsed: time.Since(x.Arrived).Seconds(), HeldBytes: n.server.HeldBytes()})
 	if !v.Admitted {
 		n.metrics.strained.WithLabelValues(v.Reason).Inc()
 		n.metrics.answered("turned_away")
--- a/internal/relay/engines.go
+++ b/internal/relay/engines.go
@@ -94,7 +94,7 @@
 		var resp *http1.Response
 		if resp, err = c.ReadResponse(); err == nil {
 			if _, err = resp.ReadAll(maxReply); err == nil {
-				e.pool.Done(c, resp)
+				e.pool.PutAfter(c, resp)
 				if resp.Status/100 != 2 {
 					return fmt.Errorf("relay: release answered %d", resp.Status)
 				}
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -164,7 +164,7 @@
 		}
 		return
 	}
-	a.engines.pool.Done(c, resp)
+	a.engines.pool.PutAfter(c, resp)
 	if r.Evidence.ResponseKind == outcome.PrefillDone {
 		r.Evidence.CachedTokens = readCached(body)
 	} else if r.Evidence.ResponseKind == outcome.EngineError {
@@ -197,7 +197,7 @@
 	if rep := parseLoad(a.load); rep != nil {
 		r.Report = rep
 	}
-	a.engines.pool.Done(c, resp)
+	a.engines.pool.PutAfter(c, resp)
 }
 
 // pass passes events until the last chunk.
--- a/lab/memnet/memnet.go
+++ b/lab/memnet/memnet.go
@@ -315,8 +315,8 @@
 	c.Close()
 }
 
-// Gone tells whether the other end has closed the connection, or its sending side, whatever is unread.
-func (c *Conn) Gone() (left, half bool) {
+// PeerClosed tells whether the other end has closed the connection, or its sending side, whatever is unread.
+func (c *Conn) PeerClosed() (closed, halfClosed bool) {
 	c.in.mu.Lock()
 	defer c.in.mu.Unlock()
 	return c.in.ended || c.in.reset, c.in.ended && !c.in.reset
