--- a/internal/relay/job_test.go
+++ b/internal/relay/attempt_test.go
@@ -16,9 +16,9 @@
 	"dillroute/lab/memnet"
 )
 
-// attemptThrough makes an attempt whose connection comes up after some time, and returns what its engine was told of the time
+// recordedTimeLeft makes an attempt whose connection comes up after some time, and returns what its engine was told of the time
 // that is left, or "" where nothing reached it.
-func attemptThrough(t *testing.T, until, connecting time.Duration) (told string) {
+func recordedTimeLeft(t *testing.T, until, connecting time.Duration) (timeLeft string) {
 	network := memnet.New()
 	l := network.Listen("e0:5000")
 	asked := make(chan string, 1)
@@ -30,7 +30,7 @@
 		}
 		defer c.Close()
 		if r, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-			asked <- r.Header.Get(headBudget)
+			asked <- r.Header.Get(headerTimeLeft)
 		}
 	}()
 	dial := func(ctx context.Context, kind, address string) (net.Conn, error) {
@@ -38,29 +38,30 @@
 		return network.Dialer("n0")(ctx, kind, address)
 	}
 	engines := NewEngines(&settings.Settings{ConnectTimeout: 1}, 8, dial)
-	a := &attempt{engines: engines, id: "1eff", method: "POST", target: pathChat, fresh: true, body: []byte("{}"),
-		call: protocol.AttemptSpec{Address: "e0:5000", Stage: outcome.Prefill, Timeout: 2 * time.Second, ClientDeadline: time.Now().Add(until)}}
+	a := &attempt{engines: engines, id: "1eff", method: "POST", target: pathChat, newConnection: true, body: []byte("{}"),
+		spec: protocol.AttemptSpec{Address: "e0:5000", Stage: outcome.Prefill, Timeout: 2 * time.Second,
+			ClientDeadline: time.Now().Add(until)}}
 	r := a.Run(nil)
 	l.Close()
-	if told = <-asked; told == "" && r.Evidence.Progress >= outcome.RequestWritten {
+	if timeLeft = <-asked; timeLeft == "" && r.Evidence.Progress >= outcome.RequestWritten {
 		t.Errorf("the attempt counts as written, its engine got nothing")
 	}
 	engines.Close()
-	return told
+	return timeLeft
 }
 
 // An engine is told what its client has left when the request is written, however long the connection took to come up; where
 // nothing is left, nothing is begun.
-func TestEnginesAreToldWhatIsLeftWhenTheRequestIsWritten(t *testing.T) {
+func TestEnginesGetTheTimeLeftAtTheWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		told, err := strconv.ParseFloat(attemptThrough(t, 800*time.Millisecond, 300*time.Millisecond), 64)
-		if err != nil || told > 0.501 || told < 0.49 {
-			t.Errorf("0.8 s were left 0.3 s ago, the engine was told %g s (%v)", told, err)
+		timeLeft, err := strconv.ParseFloat(recordedTimeLeft(t, 800*time.Millisecond, 300*time.Millisecond), 64)
+		if err != nil || timeLeft > 0.501 || timeLeft < 0.49 {
+			t.Errorf("0.8 s were left 0.3 s ago, the engine was told %g s (%v)", timeLeft, err)
 		}
-		if got := attemptThrough(t, 200*time.Millisecond, 300*time.Millisecond); got != "" {
+		if got := recordedTimeLeft(t, 200*time.Millisecond, 300*time.Millisecond); got != "" {
 			t.Errorf("the time was up 0.1 s ago, the engine was sent the request and told %q", got)
 		}
-		if got := attemptThrough(t, -time.Millisecond, 0); got != "" {
+		if got := recordedTimeLeft(t, -time.Millisecond, 0); got != "" {
 			t.Errorf("the time was up, the engine was sent the request and told %q", got)
 		}
 	})
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -1,5 +1,6 @@
-// Package relay speaks the protocol of the users' platform: their clients, engines and discovery. It turns bytes into the
-// neutral facts of internal/protocol and back, and decides nothing. docs/design/relay.md weighs its ways.
+// Package relay implements the relay protocol of the users' platform: its clients (Front), engines (Engines) and discovery (Discovery).
+// It turns bytes into the types of internal/protocol and back, and decides nothing. The host (internal/node) uses it;
+// docs/design/relay.md has the design.
 package relay
 
 import (
@@ -12,28 +13,28 @@
 	"dillroute/internal/settings"
 )
 
-// Config is what the platform tells a node at its start.
+// Config is the configuration that the platform gives a node at its start.
 type Config struct {
 	Name, Listen, Discovery string
 	Seed                    uint64
 	Limits                  Limits
-	Known                   []byte // the list as this node had it last, in discovery's form; empty = none
+	Known                   []byte // last endpoint list of this node, in discovery's form; empty = none
 	Settings                *settings.Settings
 }
 
-// Limits are what a node may use.
+// Limits are the resources that a node may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Parts divides the limits.
+// Parts divides the limits among the node's uses.
 func (l Limits) Parts() overload.Budget {
 	return overload.DivideLimits(l.Sockets, int64(l.MemoryMB*(1<<20)))
 }
 
-// file mirrors the configuration file.
+// file is the configuration file.
 type file struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -44,7 +45,7 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// Names of the environment's variables.
+// Environment variables.
 const (
 	envName      = "RELAY_NAME"
 	envListen    = "RELAY_LISTEN"
@@ -52,7 +53,7 @@
 	envConfig    = "RELAY_CONFIG"
 )
 
-// Load reads the configuration that the environment names. What its file lacks is taken from the environment.
+// Load reads the configuration file that the environment names. Members that the file lacks are taken from the environment.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
@@ -65,7 +66,7 @@
 	return Parse(text, getenv)
 }
 
-// Parse reads the text of a configuration file. What it lacks is taken from the environment.
+// Parse reads the text of a configuration file. Members that it lacks are taken from the environment.
 func Parse(text []byte, getenv func(string) string) (*Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -86,7 +87,7 @@
 	var err error
 	if f.Seed != "" {
 		if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-			return nil, fmt.Errorf("configuration: seed %q is no hexadecimal number", clip(f.Seed))
+			return nil, fmt.Errorf("configuration: seed %q is no hexadecimal number", truncate(f.Seed))
 		}
 	}
 	if l := c.Limits; !(l.Cores >= 0 && l.MemoryMB >= 0 && l.Sockets >= 0) {
@@ -101,7 +102,7 @@
 	return c, nil
 }
 
-func clip(s string) string {
+func truncate(s string) string {
 	if len(s) > 60 {
 		return s[:60] + "…"
 	}
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -114,7 +114,7 @@
 }
 
 func follow(addr string, known []byte, s *settings.Settings, times endpoints.Pace, clk clock.Clock, connect http1.DialFunc, take func(protocol.EndpointList), log *slog.Logger) *Discovery {
-	d := &Discovery{log: log, times: times, kinds: index(s.Kinds), zones: index(s.Zones), roles: s.Scheduler.Kinds, take: take,
+	d := &Discovery{log: log, times: times, kinds: indexByName(s.Kinds), zones: indexByName(s.Zones), roles: s.Scheduler.Kinds, take: take,
 		told: newTold(), starts: endpoints.NewStarts(), clock: clk, connect: connect}
 	var a answer
 	if len(known) > 0 {
@@ -387,7 +387,7 @@
 	}
 	for i, e := range a.Servers {
 		if e.ID == "" || e.State != "up" && e.State != "draining" && e.State != "removed" {
-			return nil, fmt.Errorf("relay: list: servers[%d] has no id, or the state %q", i, clip(e.State))
+			return nil, fmt.Errorf("relay: list: servers[%d] has no id, or the state %q", i, truncate(e.State))
 		}
 	}
 	return &a, nil
@@ -401,7 +401,7 @@
 	for _, e := range a.Servers {
 		kind, ok := d.kinds[e.Kind]
 		if !ok && e.State != "removed" {
-			d.log.Warn("engine of an unknown kind", "engine", e.ID, "kind", clip(e.Kind))
+			d.log.Warn("engine of an unknown kind", "engine", e.ID, "kind", truncate(e.Kind))
 			continue
 		}
 		w := endpoints.Word{Gone: e.State == "removed", Entry: endpoints.Entry{ID: e.ID, Address: e.Addr, Kind: kind, Cell: e.Cell,
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -232,7 +232,7 @@
 			var s *source
 			s = newSource(t, make(&s))
 			h := &heard{}
-			d := follow(s.l.Addr().String(), nil, given(t), endpoints.AgentPace(told, rand.Float64), clock.New(), nil, h.take, slog.New(slog.NewTextHandler(io.Discard, nil)))
+			d := follow(s.l.Addr().String(), nil, testSettings(t), endpoints.AgentPace(told, rand.Float64), clock.New(), nil, h.take, slog.New(slog.NewTextHandler(io.Discard, nil)))
 			defer d.Close()
 			within(t, "the list", 2*time.Second, func() bool { return h.up.Load() > 0 })
 			within(t, "the watch", 2*time.Second, func() bool { return s.count() >= 2 })
@@ -250,7 +250,7 @@
 	s := newSource(t, nil)
 	addr := s.l.Addr().String()
 	h := &heard{}
-	d := follow(addr, nil, given(t), endpoints.AgentPace(told, rand.Float64), clock.New(), nil, h.take, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	d := follow(addr, nil, testSettings(t), endpoints.AgentPace(told, rand.Float64), clock.New(), nil, h.take, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	defer d.Close()
 	within(t, "the list", 2*time.Second, func() bool { return h.up.Load() > 0 })
 	s.l.Close()
@@ -275,7 +275,7 @@
 func TestWatchGoesOn(t *testing.T) {
 	s := newSource(t, nil)
 	h := &heard{}
-	d := follow(s.l.Addr().String(), nil, given(t), endpoints.AgentPace(0.4, rand.Float64), clock.New(), nil, h.take, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	d := follow(s.l.Addr().String(), nil, testSettings(t), endpoints.AgentPace(0.4, rand.Float64), clock.New(), nil, h.take, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	defer d.Close()
 	within(t, "five calls", 3*time.Second, func() bool { return s.count() >= 5 })
 	s.mu.Lock()
@@ -299,7 +299,7 @@
 		return false
 	})
 	h := &heard{}
-	d := follow(s.l.Addr().String(), nil, given(t), endpoints.AgentPace(0.6, rand.Float64), clock.New(), nil, h.take, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	d := follow(s.l.Addr().String(), nil, testSettings(t), endpoints.AgentPace(0.6, rand.Float64), clock.New(), nil, h.take, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	defer d.Close()
 	within(t, "the list", 2*time.Second, func() bool { return h.up.Load() > 0 })
 	down.Store(true)
@@ -326,7 +326,7 @@
 func TestAnAnswerToACallGivenUpCounts(t *testing.T) {
 	s := newSource(t, nil)
 	h := &heard{}
-	d := follow(s.l.Addr().String(), nil, given(t), endpoints.AgentPace(20, rand.Float64), clock.New(), nil, h.take, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	d := follow(s.l.Addr().String(), nil, testSettings(t), endpoints.AgentPace(20, rand.Float64), clock.New(), nil, h.take, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	defer d.Close()
 	within(t, "the list", 2*time.Second, func() bool { return h.up.Load() > 0 })
 	on, err := (&http1.Pool{}).Dial(context.Background(), s.l.Addr().String(), time.Second)
@@ -348,10 +348,10 @@
 // A node whose wall clock was an hour ahead when it started takes an engine that it has just been told of for one that has just started,
 // whatever its stamp: it cannot have been there an hour ago, for no list named it.
 func TestEngineThatHasJustComeIsColdWhateverTheClock(t *testing.T) {
-	s := given(t)
+	s := testSettings(t)
 	const ahead = 3600.0
 	boots := map[string]float64{}
-	d := &Discovery{log: slog.New(slog.NewTextHandler(io.Discard, nil)), kinds: index(s.Kinds), zones: index(s.Zones), roles: s.Scheduler.Kinds,
+	d := &Discovery{log: slog.New(slog.NewTextHandler(io.Discard, nil)), kinds: indexByName(s.Kinds), zones: indexByName(s.Zones), roles: s.Scheduler.Kinds,
 		starts: endpoints.NewStarts(), clock: clock.New(), told: newTold(), take: func(l protocol.EndpointList) {
 			for _, e := range l.Engines {
 				boots[e.ID] = e.BootTime
--- a/internal/relay/engines_test.go
+++ b/internal/relay/engines_test.go
@@ -11,7 +11,7 @@
 
 // A call that releases and is not answered in its short time tells nothing of how long kept connections last: it was silence that
 // ended it, not the connection. One that breaks does.
-func TestSilentReleaseIsNoLostConnection(t *testing.T) {
+func TestReleaseTimeoutIsNoConnectionLoss(t *testing.T) {
 	for name, c := range map[string]struct {
 		breaks bool
 	}{"silent": {false}, "broken": {true}} {
@@ -40,18 +40,18 @@
 					br.Peek(1) // until the node gives up
 				}
 			}()
-			e := NewEngines(given(t), 8, nil)
+			e := NewEngines(testSettings(t), 8, nil)
 			defer e.Close()
 			if err := e.Release(l.Addr().String(), "a", 0, time.Second); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(settle + 20*time.Millisecond)
-			before := e.rest()
+			time.Sleep(minIdleTime + 20*time.Millisecond)
+			before := e.maxIdle()
 			if err := e.Release(l.Addr().String(), "b", 0, 50*time.Millisecond); err == nil {
 				t.Fatal("the second call was answered")
 			}
-			if shorter := e.rest() < before; shorter != c.breaks {
-				t.Errorf("connections may rest for %v, %v before", e.rest(), before)
+			if shorter := e.maxIdle() < before; shorter != c.breaks {
+				t.Errorf("connections may rest for %v, %v before", e.maxIdle(), before)
 			}
 		})
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -19,7 +19,7 @@
 	"dillroute/scheduler"
 )
 
-func given(t testing.TB) *settings.Settings {
+func testSettings(t testing.TB) *settings.Settings {
 	t.Helper()
 	s, err := settings.Parse([]byte(platform.Settings))
 	if err != nil {
@@ -52,7 +52,7 @@
 }
 
 func TestWordsSayWhatTheyMay(t *testing.T) {
-	j := &job{}
+	j := &exchange{}
 	for _, c := range []struct {
 		a      outcome.Response
 		after  float64
@@ -91,11 +91,11 @@
 	f.Add("a1", "chat", "branch", "4.8", "prefix=5c,prompt_len=20,prefix_len=3,max_out=8", "1", `{"max_tokens":3}`)
 	f.Add("", "", "", "NaN", "prompt_len=-1", "x", "[")
 	f.Add("a/../b", "chat", "branch", "1e999", "max_out=1e300,,=", "again", "{}")
-	front := NewFront(given(f), nil, func() bool { return true }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	front := NewFront(testSettings(f), nil, func() bool { return true }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	f.Fuzz(func(t *testing.T, id, class, tenant, budget, info, again, body string) {
 		r := &http1.Request{Method: "POST", Path: pathChat, Body: []byte(body), Header: textproto.MIMEHeader{
-			headID: {id}, headClass: {class}, headTenant: {tenant}, headBudget: {budget}, headInfo: {info}, headAgain: {again}}}
-		q, err := front.request(r)
+			headerID: {id}, headerClass: {class}, headerTenant: {tenant}, headerTimeLeft: {budget}, headerInfo: {info}, headerRetry: {again}}}
+		q, err := front.parseRequest(r)
 		if err != nil {
 			return
 		}
@@ -115,13 +115,13 @@
 	f.Add([]byte(`{"version":1,"full":true,"servers":[{"id":"a","addr":"h:1","zone":"z","kind":"read","cell":1,"state":"up","weight":1,"started_ms":5}]}`))
 	f.Add([]byte(`{"version":0,"servers":[{"id":"a","state":"removed"}]}`))
 	f.Add([]byte(`{"version":1e3,"servers":[null]}`))
-	s := given(f)
+	s := testSettings(f)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		a, err := readList(text)
 		if err != nil {
 			return
 		}
-		d := &Discovery{log: slog.New(slog.NewTextHandler(io.Discard, nil)), kinds: index(s.Kinds), zones: index(s.Zones), roles: s.Scheduler.Kinds,
+		d := &Discovery{log: slog.New(slog.NewTextHandler(io.Discard, nil)), kinds: indexByName(s.Kinds), zones: indexByName(s.Zones), roles: s.Scheduler.Kinds,
 			starts: endpoints.NewStarts(), clock: clock.New(),
 			told: newTold(), take: func(l protocol.EndpointList) {
 				for _, e := range l.Engines {
@@ -139,10 +139,10 @@
 	f.Add([]byte(`{"usage":{"prompt_tokens_details":{"cached_tokens":4096}}}`))
 	f.Add([]byte(`{"usage":{"prompt_tokens_details":{"cached_tokens":-1e308}}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if kept, ok := readUsage(data); kept < 0 || kept > maxTokens || !ok && kept != 0 {
+		if kept, ok := usageTokens(data); kept < 0 || kept > maxTokens || !ok && kept != 0 {
 			t.Fatal(kept)
 		}
-		if kept := readCached(data); kept < 0 || kept > maxTokens {
+		if kept := cachedTokens(data); kept < 0 || kept > maxTokens {
 			t.Fatal(kept)
 		}
 		if isEvent(data) && !json.Valid(data) {
--- /dev/null
+++ b/internal/relay/stream.go
@@ -0,0 +1,171 @@
+package relay
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"io"
+	"strings"
+	"time"
+
+	"dillroute/internal/decide/outcome"
+	"dillroute/internal/http1"
+	"dillroute/internal/protocol"
+)
+
+// streamStallTimeout is after how long without an event an engine's stream counts as broken: the client's connection must end within
+// 5 s of a running engine's last event (PROTOCOL, figures).
+const streamStallTimeout = 4500 * time.Millisecond
+
+// finalEvent is the data of the event that ends a stream (PROTOCOL, nodes to engines).
+const finalEvent = "[DONE]"
+
+// Errors of streams that are not complete.
+var (
+	errNoStream     = errors.New("relay: status 200 without a stream")
+	errNoEvent      = errors.New("relay: stream without an event")
+	errNoFinalEvent = errors.New("relay: stream ended without its final event")
+)
+
+// streamResponse forwards the stream of the engine to the client.
+func (a *attempt) streamResponse(conn *http1.ClientConn, response *http1.Response, observer protocol.AttemptObserver,
+	result *protocol.Result) {
+	if a.isStream(response) {
+		result.Evidence.Cause, result.Err = a.forwardEvents(conn, response, observer, result)
+	} else {
+		result.Evidence.Cause, result.Err = outcome.MalformedResponse, errNoStream
+	}
+	a.Detach()
+	if result.Evidence.Cause != outcome.ResponseComplete {
+		conn.Close()
+		return
+	}
+	result.Evidence.ResponseKind = outcome.DecodeDone
+	if rep := parseLoad(a.loadReport); rep != nil {
+		result.Report = rep
+	}
+	a.engines.pool.PutAfter(conn, response)
+}
+
+// isStream tells whether a response of status 200 is one that a decode attempt streams.
+func (a *attempt) isStream(response *http1.Response) bool {
+	contentType := strings.ToLower(response.Header.Get("Content-Type"))
+	return a.spec.Stage == outcome.Decode && response.Chunked && strings.HasPrefix(contentType, "text/event-stream")
+}
+
+// forwardEvents forwards events up to the last chunk.
+func (a *attempt) forwardEvents(conn *http1.ClientConn, response *http1.Response, observer protocol.AttemptObserver,
+	result *protocol.Result) (outcome.Cause, error) {
+	events := http1.NewEventReader(response.Body, maxEvent)
+	defer events.Close()
+	events.Comment = a.readComment
+	var pending []byte
+	final := false // the final event has arrived
+	for begun := false; ; begun = true {
+		data, raw, err := events.Next()
+		if err == io.EOF && begun && !final {
+			err = errNoFinalEvent
+		}
+		if err != nil {
+			return a.endStream(err, begun, pending)
+		}
+		final = string(data) == finalEvent
+		if !begun {
+			if cause, err := a.beginStream(data, observer, result); cause != outcome.ResponseComplete {
+				return cause, err
+			}
+		}
+		conn.SetDeadline(time.Now().Add(streamStallTimeout))
+		if cached, ok := usageTokens(data); ok {
+			result.Evidence.CachedTokens = cached
+		}
+		if pending = append(pending, raw...); events.More() && len(pending) < maxWrite {
+			continue
+		}
+		if _, err := a.client.Write(pending); err != nil {
+			return outcome.ClientDisconnected, err
+		}
+		pending = pending[:0]
+	}
+}
+
+// beginStream begins the response to the client with the first event of the engine, once the response is granted to this attempt. Any
+// cause but ResponseComplete ends the attempt.
+func (a *attempt) beginStream(first []byte, observer protocol.AttemptObserver, result *protocol.Result) (outcome.Cause, error) {
+	if !isEvent(first) {
+		return outcome.MalformedResponse, errNoEvent
+	}
+	if !observer.RequestGrant() {
+		return a.CauseOf(nil, outcome.ConnectionBroken), nil
+	}
+	result.Evidence.Progress = outcome.Streaming
+	a.StreamingBegan()
+	if err := a.client.Begin(200, []http1.Field{{Name: "Content-Type", Value: "text/event-stream"}}); err != nil {
+		return outcome.ClientDisconnected, err
+	}
+	return outcome.ResponseComplete, nil
+}
+
+// Bounds of a stream, in bytes.
+const (
+	maxEvent = 128 << 10 // of one event
+	maxWrite = 8 << 10   // of events in one write
+)
+
+// endStream ends a stream: completely, after its last chunk, or with the cause of the error that broke it.
+func (a *attempt) endStream(err error, begun bool, pending []byte) (outcome.Cause, error) {
+	if begun && len(pending) > 0 {
+		if _, werr := a.client.Write(pending); werr != nil {
+			return outcome.ClientDisconnected, werr
+		}
+	}
+	if err != io.EOF {
+		timeout := outcome.AttemptTimedOut
+		if begun {
+			timeout = outcome.StreamStalled
+		}
+		return a.CauseOf(err, timeout), err
+	}
+	if !begun {
+		return outcome.MalformedResponse, errNoEvent
+	}
+	if err := a.client.End(); err != nil {
+		return outcome.ClientDisconnected, err
+	}
+	return outcome.ResponseComplete, nil
+}
+
+// readComment keeps a load report in a comment of the stream.
+func (a *attempt) readComment(line []byte) {
+	text := strings.TrimSpace(strings.TrimPrefix(string(line), ":"))
+	if name, value, ok := strings.Cut(text, ":"); ok && strings.EqualFold(strings.TrimSpace(name), headerLoad) {
+		a.loadReport = strings.TrimSpace(value)
+	}
+}
+
+// isEvent tells whether data can be the first event of a response.
+func isEvent(data []byte) bool { return len(data) > 1 && data[0] == '{' && json.Valid(data) }
+
+// usageMember is the member of the event that has the token counts.
+var usageMember = []byte(`"usage"`)
+
+// usageTokens returns the cached prompt tokens of an event with token counts; ok is false for any other event.
+func usageTokens(data []byte) (cached int, ok bool) {
+	if !bytes.Contains(data, usageMember) {
+		return 0, false
+	}
+	var b struct {
+		Usage *struct {
+			Details struct {
+				Cached float64 `json:"cached_tokens"`
+			} `json:"prompt_tokens_details"`
+		} `json:"usage"`
+	}
+	if json.Unmarshal(data, &b) != nil || b.Usage == nil {
+		return 0, false
+	}
+	if c := b.Usage.Details.Cached; c >= 0 && c <= maxTokens {
+		return int(c), true
+	}
+	return 0, true
+}
--- a/lab/soak/node.go
+++ b/lab/soak/node.go
@@ -214,6 +214,9 @@
 // expected are those of them that a trouble asks for: a configuration that cannot be read.
 var expected = regexp.MustCompile(`configuration rejected`)
 
+// requestReceived begins the log line of a request that a node has read, up to its id.
+const requestReceived = `msg="request received" request=`
+
 // reviewLogs looks through the logs of all processes of the node, and returns the requests that it has read.
 func (n *Node) reviewLogs(read map[string]string) {
 	for _, path := range n.reports {
@@ -226,8 +229,8 @@
 			if suspect.MatchString(line) && !expected.MatchString(line) {
 				n.fleet.find("log", "%s: %s", filepath.Base(path), strings.TrimSpace(line))
 			}
-			if i := strings.Index(line, "msg=asked request="); i >= 0 {
-				id, _, _ := strings.Cut(line[i+len("msg=asked request="):], " ")
+			if _, rest, found := strings.Cut(line, requestReceived); found {
+				id, _, _ := strings.Cut(rest, " ")
 				read[strings.TrimSpace(id)] = n.name
 			}
 		}
