--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,8 +14,9 @@
  "classes":[{"name":"c","effect":"once","aim_s":1,"patience_s":5,"token_aim_s":0.06}],
  "models":[{"name":"m","class":"c"}],"tenants":[{"name":"t","keys":["long-enough"]}],"engines":{"file":"l.json"}}`
 
-func TestAllThatIsWrongIsToldAtOnce(t *testing.T) {
-	text := strings.NewReplacer(`"listen"`, `"lisen"`, `"once"`, `"twice"`, `"aim_s":1`, `"aim_s":-1`, `"class":"c"`, `"klass":"c"`).Replace(good)
+func TestAllProblemsAreReportedAtOnce(t *testing.T) {
+	text := strings.NewReplacer(`"listen"`, `"lisen"`, `"once"`, `"twice"`, `"aim_s":1`, `"aim_s":-1`,
+		`"class":"c"`, `"klass":"c"`).Replace(good)
 	_, err := Parse([]byte(text))
 	for _, want := range []string{"/lisen: unknown field; did you mean \"listen\"?", "/listen: is missing", "/classes/0/effect:",
 		"/classes/0/aim_s:", "/models/0/klass: unknown field; did you mean \"class\"?", "/models/0/class: is missing"} {
@@ -25,7 +26,7 @@
 	}
 }
 
-func TestNamesThatReferToNothing(t *testing.T) {
+func TestUnresolvedNamesAreProblems(t *testing.T) {
 	for old, c := range map[string][2]string{
 		`"class":"c"`:                   {`"class":"d"`, `/models/0/class: no class is named "d"`},
 		`"patience_s":5`:                {`"patience_s":0.5`, "/classes/0/patience_s:"},
@@ -42,7 +43,7 @@
 	}
 }
 
-func TestBrokenJSONNamesItsPlace(t *testing.T) {
+func TestSyntaxErrorsNameLineAndColumn(t *testing.T) {
 	_, err := Parse([]byte("{\n \"listen\": \"x:1\",,\n}"))
 	if err == nil || !strings.Contains(err.Error(), "line 2, column 18") {
 		t.Fatal(err)
@@ -85,12 +86,12 @@
 	if n < 30 {
 		t.Fatalf("only %d defaults were compared", n)
 	}
-	if k := c.Classes[0]; k.Worth != 1 || k.MaxTokens != 800 || k.Group != "all" {
+	if k := c.Classes[0]; k.PriorityWeight != 1 || k.MaxTokens != 800 || k.DedupScope != "all" {
 		t.Errorf("%+v", k)
 	}
 }
 
-func TestReloadSaysWhatItTakes(t *testing.T) {
+func TestMergeReportsAppliedAndRestartRequired(t *testing.T) {
 	old, err := Parse([]byte(good))
 	if err != nil {
 		t.Fatal(err)
@@ -113,7 +114,7 @@
 	}
 }
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../examples/node*.json")
 	if err != nil || len(files) == 0 {
 		t.Fatal("no examples", err)
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -1,5 +1,5 @@
-// Package config reads the program's JSON files and checks them against their published schemas. All that is
-// wrong is told at once, each with the JSON pointer of its place.
+// Package config reads the JSON files of the program and checks them against their published schemas (package api). It reports all
+// problems of a file at once, each with its JSON pointer. The command line and the chat node use it.
 package config
 
 import (
@@ -23,9 +23,10 @@
 	Text    string
 }
 
-// Problems is all that is wrong with a file; it is an error.
+// Problems are all that is wrong with a file; they are an error.
 type Problems []Problem
 
+// Error lists the problems, one a line.
 func (ps Problems) Error() string {
 	var b strings.Builder
 	for i, p := range ps {
@@ -65,12 +66,12 @@
 func (s *Schema) Decode(text []byte, into any) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
-		return Problems{{"", "not valid JSON: " + place(text, err)}}
+		return Problems{{Text: "not valid JSON: " + syntaxErrorPlace(text, err)}}
 	}
 	if err := s.compiled.Validate(doc); err != nil {
 		var v *jsonschema.ValidationError
 		if !errors.As(err, &v) {
-			return Problems{{"", err.Error()}}
+			return Problems{{Text: err.Error()}}
 		}
 		var ps Problems
 		s.flatten(v, &ps)
@@ -78,7 +79,7 @@
 		return slices.Compact(ps)
 	}
 	if err := json.Unmarshal(text, into); err != nil {
-		return Problems{{"", err.Error()}}
+		return Problems{{Text: err.Error()}}
 	}
 	return nil
 }
@@ -92,8 +93,8 @@
 	return s.Decode(text, into)
 }
 
-// place adds the line and column where JSON is broken.
-func place(text []byte, err error) string {
+// syntaxErrorPlace adds the line and column of a JSON syntax error.
+func syntaxErrorPlace(text []byte, err error) string {
 	var e *json.SyntaxError
 	if !errors.As(err, &e) {
 		return err.Error()
@@ -106,7 +107,7 @@
 
 var printer = message.NewPrinter(language.English)
 
-// flatten gathers the causes that have no further cause.
+// flatten appends the causes that have no further cause.
 func (s *Schema) flatten(v *jsonschema.ValidationError, ps *Problems) {
 	if len(v.Causes) > 0 {
 		for _, c := range v.Causes {
@@ -117,7 +118,7 @@
 	at := pointer(v.InstanceLocation)
 	switch k := v.ErrorKind.(type) {
 	case *kind.AdditionalProperties:
-		known := s.known(v)
+		known := s.knownFields(v)
 		for _, name := range k.Properties {
 			text := "unknown field"
 			if near := nearest(name, known); near != "" {
@@ -125,19 +126,19 @@
 			} else if len(known) > 0 {
 				text += "; known are " + strings.Join(known, ", ")
 			}
-			*ps = append(*ps, Problem{at + pointer([]string{name}), text})
+			*ps = append(*ps, Problem{Pointer: at + pointer([]string{name}), Text: text})
 		}
 	case *kind.Required:
 		for _, name := range k.Missing {
-			*ps = append(*ps, Problem{at + pointer([]string{name}), "is missing"})
+			*ps = append(*ps, Problem{Pointer: at + pointer([]string{name}), Text: "is missing"})
 		}
 	default:
-		*ps = append(*ps, Problem{at, v.ErrorKind.LocalizedString(printer)})
+		*ps = append(*ps, Problem{Pointer: at, Text: v.ErrorKind.LocalizedString(printer)})
 	}
 }
 
-// known lists the fields that the schema has at the place of an error.
-func (s *Schema) known(v *jsonschema.ValidationError) []string {
+// knownFields lists the fields that the schema allows at the place of an error.
+func (s *Schema) knownFields(v *jsonschema.ValidationError) []string {
 	var names []string
 	if at := locate(s.compiled, v.InstanceLocation); at != nil {
 		for name := range at.Properties {
@@ -165,6 +166,7 @@
 	return locate(s.Items2020, path[1:])
 }
 
+// pointer returns the JSON pointer of a path (RFC 6901).
 func pointer(path []string) string {
 	escape := strings.NewReplacer("~", "~0", "/", "~1")
 	p := ""
@@ -173,34 +175,3 @@
 	}
 	return p
 }
-
-// nearest returns the known name within two edits, or a third of its length.
-func nearest(name string, known []string) string {
-	best, least := "", max(2, len(name)/3)+1
-	for _, k := range known {
-		if d := edits(name, k); d < least {
-			best, least = k, d
-		}
-	}
-	return best
-}
-
-// edits is the Levenshtein distance.
-func edits(a, b string) int {
-	row := make([]int, len(b)+1)
-	for j := range row {
-		row[j] = j
-	}
-	for i := range len(a) {
-		diagonal := row[0]
-		row[0] = i + 1
-		for j := range len(b) {
-			cost := 1
-			if a[i] == b[j] {
-				cost = 0
-			}
-			diagonal, row[j+1] = row[j+1], min(row[j+1]+1, row[j]+1, diagonal+cost)
-		}
-	}
-	return row[len(b)]
-}
--- /dev/null
+++ b/internal/config/suggest.go
@@ -0,0 +1,32 @@
+package config
+
+// nearest returns the known name within two edits, or a third of its length.
+func nearest(name string, known []string) string {
+	best, least := "", max(2, len(name)/3)+1
+	for _, k := range known {
+		if d := editDistance(name, k); d < least {
+			best, least = k, d
+		}
+	}
+	return best
+}
+
+// editDistance is the Levenshtein distance.
+func editDistance(a, b string) int {
+	row := make([]int, len(b)+1)
+	for j := range row {
+		row[j] = j
+	}
+	for i := range len(a) {
+		diagonal := row[0]
+		row[0] = i + 1
+		for j := range len(b) {
+			cost := 1
+			if a[i] == b[j] {
+				cost = 0
+			}
+			diagonal, row[j+1] = row[j+1], min(row[j+1]+1, row[j]+1, diagonal+cost)
+		}
+	}
+	return row[len(b)]
+}
--- a/internal/node/openai.go
+++ b/internal/node/openai.go
@@ -57,8 +57,8 @@
 
 // chatPlan is the host's part of the configuration.
 func chatPlan(cfg *config.Config) plan {
-	p := plan{scheduler: cfg.Scheduler(), book: bookConfig(cfg), tick: cfg.Tick, letGoBy: cfg.Rules.LetGoBy, held: cfg.Limits.MaxHeld,
-		limits: http1.DefaultLimits, strain: overload.Limits{Descriptors: cfg.Limits.Files, Connections: cfg.Limits.MaxConnections,
+	p := plan{scheduler: cfg.Scheduler(), book: bookConfig(cfg), tick: cfg.Tick, letGoBy: cfg.Rules.StateReleaseLimit, held: cfg.Limits.MaxHeld,
+		limits: http1.DefaultLimits, strain: overload.Limits{Descriptors: cfg.Limits.Descriptors, Connections: cfg.Limits.MaxConnections,
 			Bytes: cfg.Limits.MaxHeld, ResponseSlack: cfg.Rules.AnswerSlack},
 		times: http1.Timeouts{Head: seconds(cfg.Limits.Head), Body: seconds(cfg.Limits.Body), Idle: seconds(cfg.Limits.Idle),
 			Write: seconds(cfg.Limits.Write)}}
--- a/internal/openai/exchange.go
+++ b/internal/openai/exchange.go
@@ -56,7 +56,7 @@
 	} else {
 		s := &stream{AttemptObserver: h, client: a.exchange.client, id: a.exchange.id}
 		if a.wholeResponse {
-			s.gather = front.NewStreamCollector(a.exchange.front.configuration.Load().config.Limits.MaxAnswer)
+			s.gather = front.NewStreamCollector(a.exchange.front.configuration.Load().config.Limits.MaxResponse)
 		}
 		r = a.Decode(s)
 	}
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -63,8 +63,8 @@
 	var classes []classify.Class
 	for _, c := range cfg.Classes {
 		classes = append(classes, classify.Class{
-			ClientTimeout: c.Patience, ClientTimeoutPer1KTokens: c.PatiencePerK, MaxTokens: c.MaxTokens,
-			OutputTokenObjective: c.TokenAim})
+			ClientTimeout: c.ClientTimeout, ClientTimeoutPer1KTokens: c.ClientTimeoutPer1KTokens, MaxTokens: c.MaxTokens,
+			OutputTokenObjective: c.OutputTokenObjective})
 	}
 	var keys, hashes [][]string
 	for _, t := range cfg.Tenants {
