--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -9,27 +9,27 @@
 	"pgregory.net/rapid"
 )
 
-// coldFleet is many routers and one cold engine. Each sends as often as its coldRoom allows, which is the most that any burst
+// slowStartFleet is many routers and one cold engine. Each sends as often as its coldRoom allows, which is the most that any burst
 // can bring.
-type coldFleet struct {
-	cfg     Config
-	routers []*Scheduler
-	boot    float64
-	cold    string
-	n       float64 // N: mean requests that the engine bears in a window just after its start
+type slowStartFleet struct {
+	cfg        Config
+	schedulers []*Scheduler
+	bootTime   float64
+	coldEngine string
+	allowance  float64 // N: mean requests that the engine bears in a window just after its start
 }
 
-// newColdFleet makes n routers whose traffic is spread as uneven as spread says (the deviation of its logarithm), against
+// newSlowStartFleet makes n routers whose traffic is spread as uneven as spread says (the deviation of its logarithm), against
 // engines of which part are warm and borne to load of what they can do.
-func newColdFleet(n, warm int, role int, load, spread float64, seed uint64) *coldFleet {
-	f := &coldFleet{cfg: testConfig(), boot: 100, cold: "cold"}
+func newSlowStartFleet(n, warm int, role int, load, spread float64, seed uint64) *slowStartFleet {
+	f := &slowStartFleet{cfg: testConfig(), bootTime: 100, coldEngine: "cold"}
 	f.cfg.NodeCount, f.cfg.Rules.SlowStartWindow = n, 1.5
 	rng := rand.New(rand.NewPCG(seed, 1))
-	m := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{eng(f.cold, role, 0)}}
+	m := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{testEngine(f.coldEngine, role, 0)}}
 	for i := range warm {
-		m.Engines = append(m.Engines, eng(fmt.Sprint("e", i), role, 0))
+		m.Engines = append(m.Engines, testEngine(fmt.Sprint("e", i), role, 0))
 	}
-	m.Engines[0].BootTime = f.boot
+	m.Engines[0].BootTime = f.bootTime
 	shares, sum := make([]float64, n), 0.0
 	for i := range shares {
 		shares[i] = math.Exp(spread * rng.NormFloat64())
@@ -39,32 +39,32 @@
 		f.cfg.NodeIndex = i
 		r, _ := New(f.cfg, seed+uint64(i))
 		r.Step(0, nil)
-		r.Step(f.boot, []Event{m})
-		q := ask("q", 0)
-		r.arrive(q)
-		r.now = f.boot
-		e := r.engines[f.cold]
-		capacity := 1 / r.cost(e)
-		x := r.byID["q"]
+		r.Step(f.bootTime, []Event{m})
+		q := testRequest("q", 0)
+		r.requestArrived(q)
+		r.now = f.bootTime
+		e := r.engines[f.coldEngine]
+		capacity := 1 / r.expectedBusyTime(e)
+		x := r.requests["q"]
 		if warm > 0 {
-			r.borne[e.role].add(f.boot, shares[i]/sum*load*capacity*float64(warm)*r.weight(x, e.role)*rateWindow, rateWindow)
+			r.completedWork[e.role].add(f.bootTime, shares[i]/sum*load*capacity*float64(warm)*r.work(x, e.role)*rateWindow, rateWindow)
 		}
-		f.n = f.cfg.Rules.OverloadMultiple * f.cfg.Rules.SlowStartShare * f.cfg.Rules.SlowStartWindow * capacity
-		f.routers = append(f.routers, r)
+		f.allowance = f.cfg.Rules.OverloadMultiple * f.cfg.Rules.SlowStartShare * f.cfg.Rules.SlowStartWindow * capacity
+		f.schedulers = append(f.schedulers, r)
 	}
 	return f
 }
 
-// most returns the most sends of all routers together in any window, and how many there were in all, over some seconds.
-func (f *coldFleet) most(seconds float64) (most, all int) {
+// mostInWindow returns the most sends of all routers together in any window, and how many there were in all, over some seconds.
+func (f *slowStartFleet) mostInWindow(seconds float64) (most, all int) {
 	var at []float64
-	for now := f.boot; now < f.boot+seconds; now += 0.05 {
-		for _, r := range f.routers {
+	for now := f.bootTime; now < f.bootTime+seconds; now += 0.05 {
+		for _, r := range f.schedulers {
 			r.now = now
-			r.borne[0].at, r.borne[1].at, r.borne[2].at = now, now, now // the load stays as it is
-			q, e := r.byID["q"], r.engines[f.cold]
-			for r.coldRoom(q, e) {
-				e.pushes = append(e.pushes, push{now, r.weight(q, e.role)})
+			r.completedWork[0].updatedAt, r.completedWork[1].updatedAt, r.completedWork[2].updatedAt = now, now, now // the load stays as it is
+			q, e := r.requests["q"], r.engines[f.coldEngine]
+			for r.slowStartAllows(q, e) {
+				e.slowStartSends = append(e.slowStartSends, slowStartSend{now, r.work(q, e.role)})
 				at = append(at, now)
 			}
 		}
@@ -85,11 +85,11 @@
 func TestColdBudgetHoldsForTheFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{1, 3, 20, 30, 300}).Draw(t, "routers")
-		f := newColdFleet(n, rapid.IntRange(0, 12).Draw(t, "warm"), rapid.IntRange(0, 2).Draw(t, "role"),
+		f := newSlowStartFleet(n, rapid.IntRange(0, 12).Draw(t, "warm"), rapid.IntRange(0, 2).Draw(t, "role"),
 			rapid.Float64Range(0, 1).Draw(t, "load"), rapid.Float64Range(0, 1).Draw(t, "spread"), rapid.Uint64().Draw(t, "seed"))
-		most, _ := f.most(6)
-		if limit := f.n + 2*math.Sqrt(f.n) + 2; float64(most) > limit {
-			t.Fatalf("%d sends in a window, N is %.1f, the limit %.1f", most, f.n, limit)
+		most, _ := f.mostInWindow(6)
+		if limit := f.allowance + 2*math.Sqrt(f.allowance) + 2; float64(most) > limit {
+			t.Fatalf("%d sends in a window, N is %.1f, the limit %.1f", most, f.allowance, limit)
 		}
 	})
 }
@@ -98,9 +98,9 @@
 // that followed from that alone would stay at nothing.
 func TestColdEnginesAreUsedWhereNoneIsWarm(t *testing.T) {
 	for _, n := range []int{1, 30, 300} {
-		f := newColdFleet(n, 0, 1, 0, 0.5, 7)
-		_, all := f.most(6)
-		if want := 0.25 * f.n * 6 / f.cfg.Rules.SlowStartWindow; float64(all) < want {
+		f := newSlowStartFleet(n, 0, 1, 0, 0.5, 7)
+		_, all := f.mostInWindow(6)
+		if want := 0.25 * f.allowance * 6 / f.cfg.Rules.SlowStartWindow; float64(all) < want {
 			t.Errorf("%d routers: %d sends in 6 s, wanted %.0f at least", n, all, want)
 		}
 	}
--- a/scheduler/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -110,7 +110,7 @@
 func (w *world) step(evs []Event) {
 	acts := w.r.Step(w.now, evs)
 	w.actions(acts)
-	w.timers = append(w.timers, of[SetTimer](acts)...)
+	w.timers = append(w.timers, actionsOf[SetTimer](acts)...)
 }
 
 // close ends a random attempt, or starts its stream.
@@ -159,8 +159,8 @@
 	c := &checker{cfg: cfg, now: 1, state: map[string]EngineState{}, role: map[string]Role{}, cell: map[string]int{},
 		reqs: map[string]*tracked{}}
 	w := &world{checker: c, r: r, rnd: rnd}
-	m := fleet()
-	m.Engines = append(m.Engines, eng("m0", 2, 0), eng("w1b", 1, 1))
+	m := testFleet()
+	m.Engines = append(m.Engines, testEngine("m0", 2, 0), testEngine("w1b", 1, 1))
 	for _, e := range m.Engines {
 		c.role[e.ID], c.cell[e.ID] = cfg.Kinds[e.Kind].Role, e.Cell
 	}
@@ -180,7 +180,7 @@
 		}
 		switch k := rnd.Intn(20); {
 		case k < 6 && i < steps*3/4:
-			q := ask(fmt.Sprint("q", i), rnd.Intn(3))
+			q := testRequest(fmt.Sprint("q", i), rnd.Intn(3))
 			q.ClientTimeLeft, q.PromptTokens = 0.02+rnd.Float64()*3, 100+rnd.Float64()*4000
 			c.reqs[q.ID] = &tracked{class: q.Class, deadline: c.now + q.ClientTimeLeft, outAt: map[int]string{},
 				sentAt: map[int]float64{}}
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -113,7 +113,7 @@
 	}
 	h.r = r
 	for i, kind := range s.kinds {
-		e := eng(fmt.Sprint("e", i), kind, i%2)
+		e := testEngine(fmt.Sprint("e", i), kind, i%2)
 		e.Zone = i / 2 % 2
 		h.engines, h.roles[e.ID] = append(h.engines, e), h.cfg.Kinds[kind].Role
 	}
@@ -124,7 +124,7 @@
 
 // request makes a request with all fields.
 func (h *goldenHost) request(i int) Event {
-	q := ask(fmt.Sprint("q", i), h.rnd.Intn(len(h.cfg.Classes)))
+	q := testRequest(fmt.Sprint("q", i), h.rnd.Intn(len(h.cfg.Classes)))
 	q.Tenant = h.rnd.Intn(len(h.cfg.Tenants))
 	q.Session, q.Prefix = fmt.Sprint("s", h.rnd.Intn(30)), fmt.Sprint("p", h.rnd.Intn(5))
 	switch h.rnd.Intn(8) {
