--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -24,15 +24,54 @@
 	affinityCandidates = 4
 )
 
-// sortByDeadline orders a tier: traffic beyond its tenant's share yields, then by first-token aim.
-func sortByDeadline(xs []*request) {
-	slices.SortStableFunc(xs, func(a, b *request) int {
-		return cmp.Or(cmp.Compare(toInt(a.overQuota), toInt(b.overQuota)), cmp.Compare(a.firstTokenDue, b.firstTokenDue))
+// pairing is the engine that prefills a request and the one that decodes it; they may be the same mixed engine.
+type pairing struct {
+	prefill, decode *engine
+}
+
+// sortByDeadline orders a tier: requests beyond their tenant's quota last, then by the time at which the first token is due
+// (design: "the high tier is kept by deadline").
+func sortByDeadline(tier []*request) {
+	slices.SortStableFunc(tier, func(a, b *request) int {
+		return cmp.Or(compareBools(a.overQuota, b.overQuota), cmp.Compare(a.firstTokenDue, b.firstTokenDue))
 	})
 }
 
-// drawWindow draws the first few in order, then as many of the others: where those at the head are just too late to
-// pass, all behind them would be tried only once they are as late.
+// compareBools orders false before true.
+func compareBools(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case b:
+		return -1
+	}
+	return 1
+}
+
+// admitHighTier tests a request drawn from the head of the tier (algorithm 1, lines 5 to 16), until none passes. It returns
+// the requests that wait.
+func (s *Scheduler) admitHighTier(tier []*request) []*request {
+	for {
+		admitted := s.admitOneOf(tier)
+		if admitted < 0 {
+			return tier
+		}
+		tier = append(tier[:admitted:admitted], tier[admitted+1:]...)
+	}
+}
+
+// admitOneOf admits the first drawn request that passes, and returns its index, or -1.
+func (s *Scheduler) admitOneOf(tier []*request) int {
+	for _, i := range s.drawWindow(len(tier)) {
+		if s.admit(tier[i], false) {
+			return i
+		}
+	}
+	return -1
+}
+
+// drawWindow draws the first few indices of a tier in random order, then as many of the others. Without the others, requests at
+// the head that are just too late to pass would keep all behind them untested until those are as late.
 func (s *Scheduler) drawWindow(n int) []int {
 	drawn := s.rng.Perm(min(drawWindowSize, n))
 	for range min(drawWindowSize, n-drawWindowSize) {
@@ -41,126 +80,132 @@
 	return drawn
 }
 
-// admitHighTier tests one drawn at random from the first few of the high tier, until none passes. It returns
-// those that wait.
-func (s *Scheduler) admitHighTier(high []*request) []*request {
-	for again := true; again; {
-		again = false
-		for _, i := range s.drawWindow(len(high)) {
-			if s.admit(high[i], false) {
-				high, again = append(high[:i:i], high[i+1:]...), true
-				break
-			}
+// admitLowTier serves the low tier on a best-effort basis while the high tier is empty (algorithm 1, lines 18 to 21). It
+// stops after a few requests that don't pass, as thousands may wait.
+func (s *Scheduler) admitLowTier(tier []*request) {
+	failed := 0
+	for _, req := range tier {
+		if failed >= drawWindowSize {
+			return
+		}
+		if !s.admit(req, true) {
+			failed++
 		}
 	}
-	return high
 }
 
-// decodeEngineFor returns who would answer what e reads in t: a mixed engine itself, if it passes, so that no state
-// moves; else the best writer that passes. The low tier has no first-token time to keep.
-func (s *Scheduler) decodeEngineFor(q *request, e *engine, t float64, low bool) *engine {
-	left := s.timeAfterPrefill(q, e, t, low)
-	if e.role != Mixed {
-		return s.bestDecodeEngine(q, e, left, s.mayExplore())
+// admit starts a queued request at the best pair of engines that passes the tests, and tells whether it did.
+func (s *Scheduler) admit(req *request, low bool) bool {
+	candidates := s.prefillCandidates(req)
+	if s.attemptsLeft(req) >= 2 {
+		if pair := s.bestPairing(req, candidates, low); pair.prefill != nil {
+			s.startPairing(req, pair)
+			return true
+		}
 	}
-	if _, pace, fits := s.spareCapacity(e, q); (!pace || !fits || left < 0) && !s.mayExplore() {
+	lastResort := len(candidates) == 0 || s.attemptsLeft(req) == 1
+	return lastResort && s.admitWithoutPrefillEngine(req)
+}
+
+// bestPairing goes through the first candidates in order. The preferred replica is passed over only for a candidate that has
+// the first token in less than half the time.
+func (s *Scheduler) bestPairing(req *request, candidates []*engine, low bool) pairing {
+	var best pairing
+	bound := math.Inf(1) // time to first token that a later candidate must beat, after affinityFactor and affinitySlack
+	for _, candidate := range candidates[:min(affinityCandidates, len(candidates))] {
+		seconds := s.predictPrefill(req, candidate).seconds
+		if affinitySlack+affinityFactor*seconds >= bound {
+			continue
+		}
+		if low && !s.delaysNobody(candidate, seconds) && !s.mayExplore() {
+			continue
+		}
+		decode := s.decodeEngineFor(req, candidate, seconds, low)
+		if decode == nil {
+			continue
+		}
+		if decode != candidate {
+			seconds += s.firstTokenLatency(decode) + s.transferTime(req, candidate, decode)
+		}
+		if affinitySlack+affinityFactor*seconds < bound || best.prefill == nil {
+			best = pairing{prefill: candidate, decode: decode}
+			bound = seconds
+		}
+	}
+	return best
+}
+
+func (s *Scheduler) startPairing(req *request, pair pairing) {
+	if pair.prefill == pair.decode {
+		s.sendPrefillWithDecode(req, pair.decode)
+	} else {
+		s.sendPrefill(req, pair.prefill, pair.decode)
+	}
+}
+
+// decodeEngineFor returns the engine that would decode what a candidate prefills in the given seconds, or nil: a mixed engine
+// itself if it passes, so that no state is transferred, else the best decode engine that passes.
+func (s *Scheduler) decodeEngineFor(req *request, candidate *engine, seconds float64, low bool) *engine {
+	timeLeft := s.timeAfterPrefill(req, candidate, seconds, low)
+	if candidate.role != Mixed {
+		return s.bestDecodeEngine(req, candidate, timeLeft, s.mayExplore())
+	}
+	passes := s.spareCapacity(candidate, req).passes() && timeLeft >= 0
+	if !passes && !s.mayExplore() {
 		return nil
 	}
-	return e
+	return candidate
 }
 
-// timeAfterPrefill is what a read that takes e so long leaves of the time to q's aim. An aim too short for our slack
-// where nobody is ahead gets what slack it leaves: its class would never be sent. The low tier and a probe
-// (see blind) keep no aim.
-func (s *Scheduler) timeAfterPrefill(q *request, e *engine, t float64, low bool) float64 {
+// timeAfterPrefill is what a prefill of the given seconds leaves of the time until the first token is due. An objective that
+// is too short for the slack on an idle engine gets what slack it leaves, as its class would never be sent otherwise. The low
+// tier and an exploration request have no objective to keep.
+func (s *Scheduler) timeAfterPrefill(req *request, candidate *engine, seconds float64, low bool) float64 {
 	if low || s.mayExplore() {
 		return math.Inf(1)
 	}
-	aim := q.firstTokenDue - q.arrived - s.leastFirstTokenLatency
-	uncached := max(minPrefillTokens, q.PromptTokens-s.cachedPrefixTokens(q, e))
-	alone := (uncached + prefillOverhead) * s.prefillSecondsPerToken(e)
-	slack := 1.0 * prefillSlack
-	if idleObjectiveShare*t <= alone { // nobody is ahead
-		slack = max(1, min(prefillSlack, idleObjectiveShare*aim/alone))
+	objective := req.firstTokenDue - req.arrived - s.bestFirstToken.latency
+	alone := (s.uncachedTokens(req, candidate) + prefillOverhead) * s.prefillSecondsPerToken(candidate)
+	slack := float64(prefillSlack)
+	if idleObjectiveShare*seconds <= alone { // nothing is queued there
+		slack = max(1, min(prefillSlack, idleObjectiveShare*objective/alone))
 	}
-	return q.firstTokenDue - s.now - slack*t
+	return req.firstTokenDue - s.now - slack*seconds
 }
 
-// delaysNobody tells whether e can read, in t, what comes too late anyway and make nobody else late: a newcomer of
-// any class right behind it would still start in time, by what all reads have lately shown and four times its
-// mean error. Where many routers have a request or two each, our empty high tier tells nothing of theirs.
-func (s *Scheduler) delaysNobody(e *engine, t float64) bool {
-	t += predictionErrorFactor * s.predictionError[e.role].get(s.now, 0, 0)
-	for i, c := range s.cfg.Classes {
-		p := s.classes[i].promptTokens.mean
-		// one too short for any reader is kept by nobody's waiting
-		aim := c.FirstTokenObjective + c.ObjectivePer1KTokens*p/1000
-		if aim > prefillSlack*(p+prefillOverhead)*initialPrefillSecondsPerToken &&
-			prefillSlack*(t+(p+prefillOverhead)*s.prefillSecondsPerToken(e)) > aim {
+// delaysNobody tells whether an engine can prefill, in the given seconds, a request that is late anyway and make no other
+// late: a newcomer of any class right behind it would still start in time, by the error that predictions have lately had.
+// Where many routers have a request or two each, an empty high tier here says nothing of theirs.
+func (s *Scheduler) delaysNobody(candidate *engine, seconds float64) bool {
+	seconds += predictionErrorFactor * s.predictionError[candidate.role].get(s.now, 0, 0)
+	for i, class := range s.cfg.Classes {
+		prompt := s.classes[i].promptTokens.mean
+		objective := class.FirstTokenObjective + class.ObjectivePer1KTokens*prompt/1000
+		attainable := objective > prefillSlack*(prompt+prefillOverhead)*initialPrefillSecondsPerToken // else no wait keeps it
+		if attainable && prefillSlack*(seconds+(prompt+prefillOverhead)*s.prefillSecondsPerToken(candidate)) > objective {
 			return false
 		}
 	}
 	return true
 }
 
-// admit finds a reader and a writer for a held request and starts the read. The home passes to the next in
-// order only when that has the first token in half the time and less.
-func (s *Scheduler) admit(q *request, low bool) bool {
-	rds := s.prefillCandidates(q)
-	if s.attemptsLeft(q) >= 2 {
-		var rd, w *engine
-		least := math.Inf(1)
-		for _, e := range rds[:min(affinityCandidates, len(rds))] {
-			t, _, _ := s.predictPrefill(q, e)
-			if affinitySlack+affinityFactor*t >= least || low && !s.delaysNobody(e, t) && !s.mayExplore() {
-				continue
-			}
-			if x := s.decodeEngineFor(q, e, t, low); x != nil {
-				if x != e {
-					t += s.firstTokenLatency(x) + s.transferTime(q, e, x)
-				}
-				if affinitySlack+affinityFactor*t < least || rd == nil {
-					rd, w, least = e, x, t
-				}
-			}
-		}
-		if rd != nil && rd == w {
-			s.sendUnprefilled(q, w)
-		} else if rd != nil {
-			s.sendPrefill(q, rd, w)
-		}
-		if rd != nil {
-			return true
-		}
-	}
-	last := len(rds) == 0 || s.attemptsLeft(q) == 1
-	return last && s.admitUnprefilled(q)
-}
-
-// admitUnprefilled: when no reader is in sight or one attempt is left, any mixed engine (or a writer, under
-// local_read) reads the prompt. While readers are merely late only homes do: writers that read fall behind,
-// and the fleet with them (i263144, iaa9861).
-func (s *Scheduler) admitUnprefilled(q *request) bool {
+// admitWithoutPrefillEngine has a mixed engine, or a decode engine where the site lets it, prefill and decode a request that
+// has no prefill engine in sight or one attempt left. While prefill engines are merely late, only they prefill: decode engines
+// that prefill fall behind, and the fleet with them (incidents i263144 and iaa9861).
+func (s *Scheduler) admitWithoutPrefillEngine(req *request) bool {
 	var best *engine
-	bestRoom := math.Inf(-1)
-	for _, e := range s.eligibleEngines(func(e *engine) bool {
-		can := e.role == Mixed || e.role == Decode && s.cfg.DecodeEnginesPrefill
-		return can && s.repeatAllowed(q, e) && s.slowStartAllows(q, e)
+	most := math.Inf(-1)
+	for _, candidate := range s.eligibleEngines(func(e *engine) bool {
+		prefills := e.role == Mixed || e.role == Decode && s.cfg.DecodeEnginesPrefill
+		return prefills && s.repeatAllowed(req, e) && s.slowStartAllows(req, e)
 	}) {
-		room, pace, fits := s.spareCapacity(e, q)
-		if pace && fits && room > bestRoom {
-			best, bestRoom = e, room
+		if left := s.spareCapacity(candidate, req); left.passes() && left.spare > most {
+			best, most = candidate, left.spare
 		}
 	}
-	if best != nil {
-		s.sendUnprefilled(q, best)
+	if best == nil {
+		return false
 	}
-	return best != nil
-}
-
-func toInt(b bool) int {
-	if b {
-		return 1
-	}
-	return 0
+	s.sendPrefillWithDecode(req, best)
+	return true
 }
--- a/scheduler/affinity.go
+++ b/scheduler/affinity.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"hash/fnv"
+	"maps"
 	"math"
 	"slices"
 )
@@ -25,61 +26,101 @@
 	sessionIdleTime = 60.0
 )
 
+// session is the latest prefill of a client's session.
 type session struct {
-	promptTokens, usedAt float64
-	prefillEngine        *engine
+	promptTokens  float64
+	usedAt        float64
+	prefillEngine *engine
 }
 
-// rendezvousHash hashes a key and an engine to a number between 0 and 1; similar ids do not rank alike.
+// rendezvousHash hashes a key and an engine's ID to a number between 0 and 1. Similar IDs get unrelated numbers.
 func rendezvousHash(key, id string) float64 {
-	h := fnv.New64a()
-	h.Write([]byte(id))
-	h.Write([]byte(key))
-	s := h.Sum64()
-	s = (s ^ s>>31) * 0x9e3779b97f4a7c15
-	return (float64((s^s>>29)>>11) + 0.5) / (1 << 53)
+	hash := fnv.New64a()
+	hash.Write([]byte(id))
+	hash.Write([]byte(key))
+	sum := hash.Sum64()
+	sum = (sum ^ sum>>31) * 0x9e3779b97f4a7c15
+	return (float64((sum^sum>>29)>>11) + 0.5) / (1 << 53)
 }
 
 // orderByRendezvous orders engines by weighted rendezvous hashing of a key.
-func orderByRendezvous(xs []*engine, key string) {
-	for _, e := range xs {
-		e.rendezvousScore = -e.affinityWeight / math.Log(rendezvousHash(key, e.ID))
+func orderByRendezvous(engines []*engine, key string) {
+	for _, candidate := range engines {
+		candidate.rendezvousScore = -candidate.affinityWeight / math.Log(rendezvousHash(key, candidate.ID))
 	}
-	slices.SortFunc(xs, func(a, b *engine) int { return cmp.Compare(b.rendezvousScore, a.rendezvousScore) })
+	slices.SortFunc(engines, func(a, b *engine) int { return cmp.Compare(b.rendezvousScore, a.rendezvousScore) })
 }
 
-// cachedPrefixTokens guesses how much of a prompt a reader has kept.
-func (s *Scheduler) cachedPrefixTokens(q *request, e *engine) float64 {
-	if recent, ok := s.sessions[q.Session]; ok && recent.prefillEngine == e && recent.usedAt > e.BootTime {
-		return min(recent.promptTokens, q.PromptTokens)
+// prefillCandidates returns the engines that may prefill a request, its preferred replica first: in weighted rendezvous
+// order of the prefix, or of the session where it has none, which is the same at all routers. A hot prefix has several
+// preferred replicas, by its share of the arrivals; sessions are spread over them.
+func (s *Scheduler) prefillCandidates(req *request) []*engine {
+	candidates := s.retryCandidates(req, s.eligibleEngines(func(e *engine) bool {
+		return e.role != Decode && s.repeatAllowed(req, e) && s.slowStartAllows(req, e)
+	}))
+	if req.Prefix == "" {
+		orderByRendezvous(candidates, req.Session)
+		return candidates
 	}
-	part := e.prefixHit.get(s.now, s.kinds[e.Kind].prefixHit.get(s.now, 0, 0), prefillWaitForget)
-	return part * min(q.PrefixTokens, q.PromptTokens)
+	orderByRendezvous(candidates, req.Prefix)
+	replicas := int(math.Ceil(s.prefixShare(req.Prefix) * float64(len(candidates))))
+	orderByRendezvous(candidates[:min(len(candidates), replicas)], req.Session)
+	return candidates
 }
 
-// prefillCandidates returns the usable readers in weighted rendezvous order of the shared beginning, else the session,
-// the same at all routers. A hot beginning has homes by its part of our arrivals; sessions share them.
-func (s *Scheduler) prefillCandidates(q *request) []*engine {
-	xs := s.retryCandidates(q, s.eligibleEngines(func(e *engine) bool {
-		return e.role != Decode && s.repeatAllowed(q, e) && s.slowStartAllows(q, e)
-	}))
-	key := q.Prefix
-	if key == "" {
-		key = q.Session
+// prefixShare is the share of a prefix in this router's arrivals.
+func (s *Scheduler) prefixShare(prefix string) float64 {
+	rate := s.prefixRates[prefix]
+	return rate.get(s.now, 1) / (s.prefixArrivals.get(s.now, 1) + prefixPrior)
+}
+
+func (s *Scheduler) countPrefix(prefix string) {
+	s.prefixArrivals.add(s.now, 1, prefixWindow)
+	rate := s.prefixRates[prefix]
+	rate.add(s.now, 1, prefixWindow)
+	s.prefixRates[prefix] = rate
+}
+
+// cachedPrefixTokens predicts how many tokens of a prompt an engine has cached: all of the session's latest prompt where the
+// engine prefilled it, else the mean share of shared prefixes that was found cached there.
+func (s *Scheduler) cachedPrefixTokens(req *request, target *engine) float64 {
+	if latest, ok := s.sessions[req.Session]; ok && latest.prefillEngine == target && latest.usedAt > target.BootTime {
+		return min(latest.promptTokens, req.PromptTokens)
 	}
-	orderByRendezvous(xs, key)
-	if q.Prefix != "" {
-		x := s.prefixRates[q.Prefix]
-		part := x.get(s.now, 1) / (s.prefixArrivals.get(s.now, 1) + prefixPrior)
-		orderByRendezvous(xs[:min(len(xs), int(math.Ceil(part*float64(len(xs)))))], q.Session)
+	share := target.prefixHit.get(s.now, s.kinds[target.Kind].prefixHit.get(s.now, 0, 0), prefillWaitForget)
+	return share * min(req.PrefixTokens, req.PromptTokens)
+}
+
+// learnPrefixHit takes the share of a shared prefix that was found cached. The rest is expected to be prefilled anew.
+func (s *Scheduler) learnPrefixHit(req *request, target *engine, cached float64) {
+	if req.PrefixTokens > 0 {
+		share := min(1, cached/req.PrefixTokens)
+		target.prefixHit.add(s.now, share, prefillWaitGain)
+		s.kinds[target.Kind].prefixHit.add(s.now, share, kindGain)
+	}
+}
+
+// forgetIdleSessions forgets sessions and prefixes that have been idle.
+func (s *Scheduler) forgetIdleSessions() {
+	if s.now < s.sweepAt {
+		return
 	}
-	return xs
+	s.sweepAt = s.now + sessionIdleTime/4
+	maps.DeleteFunc(s.prefixRates, func(_ string, rate decayingRate) bool { return s.now-rate.updatedAt > sessionIdleTime })
+	maps.DeleteFunc(s.sessions, func(_ string, latest session) bool { return s.now-latest.usedAt > sessionIdleTime })
 }
 
-// learnPrefixHit takes the part of a beginning that was found kept: those not found are expected to be read anew.
-func (s *Scheduler) learnPrefixHit(q *request, e *engine, kept float64) {
-	if q.PrefixTokens > 0 {
-		e.prefixHit.add(s.now, min(1, kept/q.PrefixTokens), prefillWaitGain)
-		s.kinds[e.Kind].prefixHit.add(s.now, min(1, kept/q.PrefixTokens), kindGain)
+// updateAffinityWeights weighs each prefill engine by the root of the ratio of decode to prefill engines in its cell, so that
+// states seldom leave their cell. Routers with the same endpoint list agree on the weights.
+func (s *Scheduler) updateAffinityWeights() {
+	ready := countReady(s.engineList)
+	for _, target := range s.engineList {
+		if target.role == Mixed {
+			target.affinityWeight = mixedAffinityWeight
+			continue
+		}
+		cell, all := ready.byCell[target.Cell], ready.all
+		ratio := cell.decode / max(1, cell.prefill) * all.prefill / max(1, all.decode)
+		target.affinityWeight = max(minAffinityWeight, min(maxAffinityWeight, math.Sqrt(ratio)))
 	}
 }
--- a/scheduler/curve.go
+++ b/scheduler/curve.go
@@ -6,6 +6,8 @@
 const (
 	// initialSecondsPerOutputToken is the time in seconds that a lone stream is taken to need for a token until streams have ended.
 	initialSecondsPerOutputToken = 0.02
+	// minSecondsPerOutputToken is the least time for a token, in seconds, that a fit is believed to show.
+	minSecondsPerOutputToken = 1e-4
 	// curvePrior is the number of samples that the prior of a curve is worth.
 	curvePrior = 4
 	// tokensPerSample is the number of output tokens that weigh as one sample of a curve.
@@ -14,90 +16,93 @@
 	solverRounds = 40
 )
 
-// uslCurve fits seconds a token at concurrency L as c0·(1 + σ(L−1) + κL(L−1)), the Universal
-// Scalability Law in its linear form, by least squares with forgetting; σ and κ start at zero.
+// uslCurve fits the seconds per token at concurrency L as c0·(1 + σ(L−1) + κL(L−1)), the Universal Scalability Law in its
+// linear form, by weighted least squares with forgetting. σ (contention) and κ (coherence) start at zero.
 type uslCurve struct {
-	normal  [3][3]float64
-	moments [3]float64
-	terms   [3]float64 // the latest fit
+	normal  [3][3]float64 // normal matrix of the least-squares fit
+	moments [3]float64    // its right-hand side
+	terms   [3]float64    // latest fit: c0, c0·σ and c0·κ
 }
 
-// sample adds the pace seen at concurrency l with a weight; older samples keep the share given.
-func (k *uslCurve) sample(l, pace, weight, keep float64) {
-	x := [3]float64{1, l - 1, l * (l - 1)}
+// sample adds the seconds per token that were seen at a concurrency, with a weight.
+func (c *uslCurve) sample(concurrency, secondsPerToken, weight float64) {
+	x := [3]float64{1, concurrency - 1, concurrency * (concurrency - 1)}
 	for i := range x {
 		for j := range x {
-			k.normal[i][j] = keep*k.normal[i][j] + weight*x[i]*x[j]
+			c.normal[i][j] = fitMemory*c.normal[i][j] + weight*x[i]*x[j]
 		}
-		k.moments[i] = keep*k.moments[i] + weight*x[i]*pace
+		c.moments[i] = fitMemory*c.moments[i] + weight*x[i]*secondsPerToken
 	}
 }
 
-// fit solves for the law's terms, pulled to the prior where samples are few; σ and κ stay in [0, 1].
-func (k *uslCurve) fit(prior [3]float64) {
+// fit solves for the law's terms, which are pulled to a prior where samples are few. σ and κ stay in [0, 1].
+func (c *uslCurve) fit(prior [3]float64) {
 	var pull [3]float64
 	for i := range pull {
-		pull[i] = curvePrior * (1 + k.normal[i][i]/(1+k.normal[0][0]))
+		pull[i] = curvePrior * (1 + c.normal[i][i]/(1+c.normal[0][0]))
 	}
-	c := solveNonNegative(k.normal, k.moments, prior, pull, solverRounds)
-	c[0] = max(c[0], 1e-4)
-	c[1], c[2] = min(c[1], c[0]), min(c[2], c[0])
-	k.terms = c
+	terms := solveNonNegative(c.normal, c.moments, prior, pull)
+	terms[0] = max(terms[0], minSecondsPerOutputToken)
+	terms[1] = min(terms[1], terms[0])
+	terms[2] = min(terms[2], terms[0])
+	c.terms = terms
 }
 
-// speed is f(L), the law fitted: the speed at concurrency L against that at 1.
-func (k *uslCurve) speed(x float64) float64 {
-	return k.terms[0] / (k.terms[0] + k.terms[1]*(x-1) + k.terms[2]*x*(x-1))
+// speed is f(L): the speed of a stream at a concurrency against that of a lone stream.
+func (c *uslCurve) speed(concurrency float64) float64 {
+	contention := c.terms[1] * (concurrency - 1)
+	coherence := c.terms[2] * concurrency * (concurrency - 1)
+	return c.terms[0] / (c.terms[0] + contention + coherence)
 }
 
-// solveNonNegative finds non-negative c with a·c = b in the least-squares sense, each term pulled to its
-// prior with a weight, by projected coordinate descent.
-func solveNonNegative(a [3][3]float64, b, prior, pull [3]float64, sweeps int) [3]float64 {
-	c := prior
-	for range sweeps {
-		for i := range c {
-			s := b[i]
-			for j := range c {
+// solveNonNegative finds a non-negative x with a·x = b in the least-squares sense, each term pulled to its prior with a
+// weight, by projected coordinate descent.
+func solveNonNegative(a [3][3]float64, b, prior, pull [3]float64) [3]float64 {
+	x := prior
+	for range solverRounds {
+		for i := range x {
+			rest := b[i]
+			for j := range x {
 				if j != i {
-					s -= a[i][j] * c[j]
+					rest -= a[i][j] * x[j]
 				}
 			}
-			c[i] = max(0, (s+pull[i]*prior[i])/(a[i][i]+pull[i]))
+			x[i] = max(0, (rest+pull[i]*prior[i])/(a[i][i]+pull[i]))
 		}
 	}
-	return c
+	return x
 }
 
-// curveOf is the writer's own fit, or its kind's until a stream of ours has ended there.
-func (s *Scheduler) curveOf(e *engine) *uslCurve {
-	if e.curve.terms[0] == 0 {
-		return &s.kinds[e.Kind].curve
+// curveOf returns the engine's own curve, or that of its kind until a stream of this router has ended there.
+func (s *Scheduler) curveOf(target *engine) *uslCurve {
+	if target.curve.terms[0] == 0 {
+		return &s.kinds[target.Kind].curve
 	}
-	return &e.curve
+	return &target.curve
 }
 
-func (s *Scheduler) learnDecode(q *request, e *engine) {
-	s.recordEvidence(e, 0)
-	tokens := s.expectedOutputTokens(q)
-	if q.streamStartedAt == 0 || tokens <= 1 || s.now <= q.streamStartedAt { // within one step: no time to learn from
+// learnDecode takes the time of a completed stream, from its first token to its end. The fit is weighted by tokens, as the mean
+// of ratios with rough token counts would be too slow a speed.
+func (s *Scheduler) learnDecode(req *request, target *engine) {
+	tokens := s.expectedOutputTokens(req)
+	seconds := s.now - req.stream.startedAt
+	if req.stream.startedAt == 0 || tokens <= 1 || seconds <= 0 { // a stream within one step has no time to learn from
 		return
 	}
-	l, pace := max(1, (q.streamConcurrency+s.concurrency(e))/2), (s.now-q.streamStartedAt)/tokens
-	k, class := &s.kinds[e.Kind].curve, &s.classes[q.Class]
-	class.streamTimes = append(class.streamTimes, (s.now-q.streamStartedAt)*s.curveOf(e).speed(l))
-	class.streamTimes = class.streamTimes[max(0, len(class.streamTimes)-streamTimesKept):]
-	if len(class.streamTimes) >= streamTimesKept/8 {
-		class.outputShare = meanOverQuantile(class.streamTimes, 0.99)
-	}
-	weight := tokens / tokensPerSample // the fit is time over tokens in sum; means of rough ratios are too slow
-	k.sample(l, pace, weight, fitMemory)
-	k.fit(k.terms)
-	e.curve.sample(l, pace, weight, fitMemory)
-	e.curve.fit(k.terms)
+	concurrency := max(1, (req.stream.concurrency+s.concurrency(target))/2)
+	s.learnOutputShare(req, seconds*s.curveOf(target).speed(concurrency))
+	weight := tokens / tokensPerSample
+	ofKind := &s.kinds[target.Kind].curve
+	ofKind.sample(concurrency, seconds/tokens, weight)
+	ofKind.fit(ofKind.terms)
+	target.curve.sample(concurrency, seconds/tokens, weight)
+	target.curve.fit(ofKind.terms)
 }
 
-// concurrency estimates L, all routers' streams at a writer: as reported, and ours since; unreported, ours alone.
-func (s *Scheduler) concurrency(e *engine) float64 {
-	own, _, fresh, _ := s.sinceReport(e)
-	return max(own, s.kinds[e.Kind].reportedStreams.drawnTo(reportedLoad(&e.report, streamsAtFullUtilization), s.reportFreshness(e))+fresh)
+// concurrency estimates L, the streams of all routers at a decode engine: as last reported, and this router's since then.
+func (s *Scheduler) concurrency(target *engine) float64 {
+	own := s.ownLoad(target)
+	reported := reportedStreams(&target.report)
+	others := s.kinds[target.Kind].reportedStreams.drawnTo(reported, s.reportFreshness(target))
+	return max(own.streams, others+own.newStreams)
 }
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -1,61 +1,63 @@
 package scheduler
 
-// sendAttempt makes an attempt and writes it into the ledger and the budgets.
-func (s *Scheduler) sendAttempt(q *request, e *engine, expect, timeout float64) {
-	s.emit(Send{q.ID, e.ID, timeout})
-	w := s.work(q, e.role)
-	if s.warmingUp(e) {
-		e.slowStartSends = append(e.slowStartSends, slowStartSend{s.now, w})
-	}
-	q.attemptInFlight, q.sentAt, q.expected, q.cancelRequested, q.overtaken = q.attemptsSent, s.now, expect, false, 0
-	q.attemptsSent++
+// This file sends attempts and keeps the counts of what is in flight.
+
+// sendAttempt sends an attempt and counts it.
+func (s *Scheduler) sendAttempt(req *request, target *engine, expected, timeout float64) {
+	s.emit(Send{ID: req.ID, Engine: target.ID, Timeout: timeout})
+	s.countSlowStartSend(req, target)
+	req.inFlight = &attempt{number: req.attemptsSent, engine: target, sentAt: s.now, expected: expected}
+	req.attemptsSent++
 	s.awaitingFirstToken++
 }
 
-// sendPrefill starts the read at rd of a request admitted to w.
-func (s *Scheduler) sendPrefill(q *request, rd, w *engine) {
-	t, tokens, load := s.predictPrefill(q, rd)
-	q.cachedTokens = s.cachedPrefixTokens(q, rd)
-	q.uncachedTokens, q.prefillLoad, q.stage, q.prefillEngine = tokens, load, stagePrefilling, rd
-	s.sendAttempt(q, rd, t, max(s.cfg.Tick, q.deadline-s.now-2*s.responseMargin())) // the outcome comes before our answer
-	rd.prefills = append(rd.prefills, q)
-	s.assignDecodeEngine(q, w)
-	move := s.transferTime(q, rd, w)
-	if s.cfg.ReservationOffered && move > reserveTransferShare*max(0, q.firstTokenDue-s.now) && s.slowStartAllows(q, w) &&
-		w.State == EngineReady {
-		s.emit(Reserve{q.ID, w.ID})
-		q.stateReserved = true
+// sendPrefill starts the prefill of a request that is admitted to a decode engine.
+func (s *Scheduler) sendPrefill(req *request, prefill, decode *engine) {
+	req.prefill = s.predictPrefill(req, prefill)
+	req.cachedTokens = s.cachedPrefixTokens(req, prefill)
+	req.stage = stagePrefilling
+	req.prefillEngine = prefill
+	timeout := max(s.cfg.Tick, req.deadline-s.now-2*s.responseMargin()) // the outcome comes before the final response is due
+	s.sendAttempt(req, prefill, req.prefill.seconds, timeout)
+	prefill.prefills = append(prefill.prefills, req)
+	s.assignDecodeEngine(req, decode)
+	s.reservePlace(req, decode)
+}
+
+// reservePlace reserves a place at the decode engine where the transfer takes a good part of the time left.
+func (s *Scheduler) reservePlace(req *request, decode *engine) {
+	transfer := s.transferTime(req, req.prefillEngine, decode)
+	if s.cfg.ReservationOffered && transfer > reserveTransferShare*max(0, req.firstTokenDue-s.now) &&
+		s.slowStartAllows(req, decode) && decode.State == EngineReady {
+		s.emit(Reserve{ID: req.ID, Engine: decode.ID})
+		req.reserved = &reservedState{since: s.now}
 	}
 }
 
-// sendUnprefilled has an engine read and answer.
-func (s *Scheduler) sendUnprefilled(q *request, e *engine) {
-	var t float64
-	t, q.uncachedTokens, q.prefillLoad = s.predictPrefill(q, e)
-	s.sendDecode(q, e, t)
+// sendPrefillWithDecode has one engine prefill and decode a request.
+func (s *Scheduler) sendPrefillWithDecode(req *request, target *engine) {
+	req.prefill = s.predictPrefill(req, target)
+	s.assignDecodeEngine(req, target)
+	req.stage = stageDecoding
+	s.sendAttempt(req, target, s.firstTokenLatency(target)+req.prefill.seconds, 0)
 }
 
-// sendDecode sends a read request (or an unread one, as a fallback) to a writer.
-func (s *Scheduler) sendDecode(q *request, w *engine, extra float64) {
-	s.assignDecodeEngine(q, w)
-	move := extra
-	if q.stage == stagePrefilled {
-		move = s.transferTime(q, q.prefillEngine, w)
-		if w.Cell != q.prefillEngine.Cell {
-			q.transferTokens = q.PromptTokens
-			s.link(q.prefillEngine, w).tokensInTransit += q.transferTokens
-		}
-	}
-	q.stage = stageDecoding
-	s.sendAttempt(q, w, s.firstTokenLatency(w)+move, 0)
+// sendDecode sends a request whose state waits at a prefill engine to a decode engine.
+func (s *Scheduler) sendDecode(req *request, target *engine) {
+	s.assignDecodeEngine(req, target)
+	transfer := s.transferTime(req, req.prefillEngine, target)
+	req.stage = stageDecoding
+	s.sendAttempt(req, target, s.firstTokenLatency(target)+transfer, 0)
+	s.beginTransfer(req)
 }
 
-// assignDecodeEngine moves a request to a writer's books; nil takes it off.
-func (s *Scheduler) assignDecodeEngine(q *request, w *engine) {
-	if q.decodeEngine != nil {
-		q.decodeEngine.admitted = without(q.decodeEngine.admitted, q)
+// assignDecodeEngine counts a request as admitted to an engine and to no other; nil means to none.
+func (s *Scheduler) assignDecodeEngine(req *request, target *engine) {
+	if req.decodeEngine != nil {
+		req.decodeEngine.admitted = without(req.decodeEngine.admitted, req)
 	}
-	if q.decodeEngine = w; w != nil {
-		w.admitted = append(w.admitted, q)
+	req.decodeEngine = target
+	if target != nil {
+		target.admitted = append(target.admitted, req)
 	}
 }
--- a/scheduler/endpointview.go
+++ b/scheduler/endpointview.go
@@ -2,110 +2,125 @@
 
 import (
 	"cmp"
-	"maps"
-	"math"
 	"slices"
 )
 
 // This file keeps the view of the endpoints: it applies updates of the endpoint list, and watches for them.
 
-// updateEndpoints applies a list of engines. A new start of an engine voids what we knew of it.
-func (s *Scheduler) updateEndpoints(ev EndpointUpdate) {
-	if s.watchActive = ev.Form != UpdateFailed; !s.watchActive {
+const (
+	// minWatchInterval is the shortest time in seconds between two looks at the state of the watch.
+	minWatchInterval = 0.5
+	// maxWatchInterval is the longest such time, in seconds.
+	maxWatchInterval = 2
+)
+
+// updateEndpoints applies an update of the endpoint list.
+func (s *Scheduler) updateEndpoints(update EndpointUpdate) {
+	s.watchActive = update.Form != UpdateFailed
+	if !s.watchActive {
 		return
 	}
-	seen := map[string]bool{}
-	for _, n := range ev.Engines {
-		if n.Kind < 0 || n.Kind >= len(s.cfg.Kinds) {
+	listed := map[string]bool{}
+	for _, entry := range update.Engines {
+		if entry.Kind < 0 || entry.Kind >= len(s.cfg.Kinds) {
 			continue
 		}
-		seen[n.ID] = true
-		e := s.engines[n.ID]
-		if e == nil {
-			e = &engine{discoveredAt: s.now}
-			s.engines[n.ID] = e
-			s.engineList = append(s.engineList, e)
-		} else if n.State == EngineReady && n.BootTime > e.BootTime { // came back empty and cold
-			old, none := *e, gauge{samples: 1, updatedAt: s.now}
-			*e = engine{discoveredAt: s.now, prefills: old.prefills,
-				admitted: old.admitted, slowStartSends: old.slowStartSends, prefixHit: none}
-		}
-		e.Engine, e.role, e.memory = n, s.cfg.Kinds[n.Kind].Role, s.cfg.Kinds[n.Kind].Memory
+		listed[entry.ID] = true
+		s.updateEngine(entry)
 	}
-	s.pruneEngines(ev.Form != UpdateIncremental, seen)
+	s.removeEngines(update.Form != UpdateIncremental, listed)
+	s.updateMostReady()
 	s.updateAffinityWeights()
 }
 
-// pruneEngines marks the engines that a complete list lacks as removed, and drops the removed ones at which nothing of
-// ours is out.
-func (s *Scheduler) pruneEngines(complete bool, listed map[string]bool) {
-	keep := s.engineList[:0]
-	for _, e := range s.engineList {
-		if complete && !listed[e.ID] {
-			e.State = EngineRemoved
-		}
-		if e.State == EngineRemoved && len(e.prefills)+len(e.admitted) == 0 {
-			delete(s.engines, e.ID)
-		} else {
-			keep = append(keep, e)
+// updateEngine applies one entry. A new start of an engine voids what was learned of it: it comes back warming up and with
+// nothing cached.
+func (s *Scheduler) updateEngine(entry Engine) {
+	target := s.engines[entry.ID]
+	if target == nil {
+		target = &engine{discoveredAt: s.now}
+		s.engines[entry.ID] = target
+		s.engineList = append(s.engineList, target)
+	} else if entry.State == EngineReady && entry.BootTime > target.BootTime {
+		*target = engine{
+			discoveredAt:   s.now,
+			prefills:       target.prefills,
+			admitted:       target.admitted,
+			slowStartSends: target.slowStartSends,
+			prefixHit:      gauge{samples: 1, updatedAt: s.now},
 		}
 	}
-	s.engineList = keep
-	slices.SortFunc(s.engineList, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
+	target.Engine = entry
+	target.role = s.cfg.Kinds[entry.Kind].Role
+	target.memory = s.cfg.Kinds[entry.Kind].Memory
 }
 
-// updateAffinityWeights gives readers with few writers in their cell fewer shared beginnings (the root of the ratio), so
-// that states seldom leave their cell. Routers with the same list agree on it.
-func (s *Scheduler) updateAffinityWeights() {
-	cells, all, ready := readyEngines(s.engineList)
-	for role, n := range ready {
-		s.mostReady[role] = max(s.mostReady[role], n)
-	}
-	for _, e := range s.engineList {
-		if e.role == Mixed {
-			e.affinityWeight = mixedAffinityWeight
-			continue
+// removeEngines marks the engines that a complete list lacks as removed, and forgets the removed ones that have no request
+// of this router.
+func (s *Scheduler) removeEngines(complete bool, listed map[string]bool) {
+	kept := s.engineList[:0]
+	for _, target := range s.engineList {
+		if complete && !listed[target.ID] {
+			target.State = EngineRemoved
+		}
+		if target.State == EngineRemoved && len(target.prefills)+len(target.admitted) == 0 {
+			delete(s.engines, target.ID)
+		} else {
+			kept = append(kept, target)
 		}
-		ratio := cells[e.Cell].decode / max(1, cells[e.Cell].prefill) * all.prefill / max(1, all.decode)
-		e.affinityWeight = max(minAffinityWeight, min(maxAffinityWeight, math.Sqrt(ratio)))
 	}
+	s.engineList = kept
+	slices.SortFunc(s.engineList, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// roleCounts counts readers, and writers of either kind.
+// roleCounts counts prefill engines, and engines that decode.
 type roleCounts struct{ prefill, decode float64 }
 
-// readyEngines counts the engines that are ready, by cell, in all and by role.
-func readyEngines(list []*engine) (cells map[int]roleCounts, all roleCounts, roles [3]int) {
-	cells = map[int]roleCounts{}
-	for _, e := range list {
-		if e.State != EngineReady {
+// readyCounts counts the ready engines, by cell and in all.
+type readyCounts struct {
+	byCell map[int]roleCounts
+	all    roleCounts
+}
+
+func countReady(engines []*engine) readyCounts {
+	ready := readyCounts{byCell: map[int]roleCounts{}}
+	for _, target := range engines {
+		if target.State != EngineReady {
 			continue
 		}
-		c := cells[e.Cell]
-		if e.role == Prefill {
-			c.prefill++
-			all.prefill++
+		cell := ready.byCell[target.Cell]
+		if target.role == Prefill {
+			cell.prefill++
+			ready.all.prefill++
 		} else {
-			c.decode++
-			all.decode++
+			cell.decode++
+			ready.all.decode++
 		}
-		cells[e.Cell] = c
-		roles[e.role]++
+		ready.byCell[target.Cell] = cell
 	}
-	return cells, all, roles
+	return ready
 }
 
-// housekeeping keeps the subscription to the list and forgets idle sessions.
-func (s *Scheduler) housekeeping() {
-	if s.cfg.PollsDiscovery && s.now >= s.watchCheckAt {
-		if !s.watchActive || s.watchCheckAt == 0 {
-			s.emit(WatchEndpoints{true})
+// updateMostReady keeps the most engines of each role that were ready at once.
+func (s *Scheduler) updateMostReady() {
+	var ready [roles]int
+	for _, target := range s.engineList {
+		if target.State == EngineReady {
+			ready[target.role]++
 		}
-		s.watchCheckAt = s.now + max(0.5, min(2, s.cfg.Rules.PollInterval/4))
 	}
-	if s.now >= s.sweepAt {
-		s.sweepAt = s.now + sessionIdleTime/4
-		maps.DeleteFunc(s.prefixRates, func(_ string, x decayingRate) bool { return s.now-x.updatedAt > sessionIdleTime })
-		maps.DeleteFunc(s.sessions, func(_ string, last session) bool { return s.now-last.usedAt > sessionIdleTime })
+	for role, n := range ready {
+		s.mostReady[role] = max(s.mostReady[role], n)
+	}
+}
+
+// watchEndpoints subscribes to the endpoint list where it is polled, and again after a failed call.
+func (s *Scheduler) watchEndpoints() {
+	if !s.cfg.PollsDiscovery || s.now < s.watchCheckAt {
+		return
+	}
+	if !s.watchActive || s.watchCheckAt == 0 {
+		s.emit(WatchEndpoints{On: true})
 	}
+	s.watchCheckAt = s.now + max(minWatchInterval, min(maxWatchInterval, s.cfg.Rules.PollInterval/4))
 }
--- a/scheduler/firsttoken.go
+++ b/scheduler/firsttoken.go
@@ -2,61 +2,101 @@
 
 import "math"
 
-// This file predicts the time from a decode attempt's send to its first token, and the transfer of a prefilled state.
+// This file predicts the time to first token: the latency of a decode engine, and the transfer of a prefilled state to it.
 
 const (
 	// initialFirstTokenLatency is the prior, in seconds, of the time from a decode attempt's send to its first token.
 	initialFirstTokenLatency = 0.1
 	// initialTransferSecondsPerToken is the prior, in seconds, of the transfer time of one token out of a cell.
 	initialTransferSecondsPerToken = 2e-5
+	// transferGain is the weight of the newest transfer in the mean of its link.
+	transferGain = 0.3
 )
 
-func (s *Scheduler) firstTokenLatency(e *engine) float64 {
-	return e.firstTokenLatency.get(s.now, s.kinds[e.Kind].firstTokenLatency.get(s.now, initialFirstTokenLatency, 0), forgetTime)
+// firstTokenBound is the least time to first token that the listed engines allow a request.
+type firstTokenBound struct {
+	total   float64 // seconds; 0 where no engine is listed, so that requests wait for one
+	latency float64 // part of the decode engine; infinite where none is listed
 }
 
-// link is the way out of a cell to a zone; out is what we have on it.
-type link struct {
-	secondsPerToken gauge
-	tokensInTransit float64
+// boundFirstToken returns the least time in which the request's first token could still come.
+func (s *Scheduler) boundFirstToken(req *request) firstTokenBound {
+	prefill, latency := math.Inf(1), math.Inf(1)
+	for _, candidate := range s.engineList {
+		if candidate.State != EngineReady {
+			continue
+		}
+		if candidate.role != Decode {
+			prefill = min(prefill, s.uncachedTokens(req, candidate)*s.prefillSecondsPerToken(candidate))
+		}
+		if candidate.role != Prefill {
+			latency = min(latency, s.firstTokenLatency(candidate))
+		}
+	}
+	bound := firstTokenBound{total: prefill + latency, latency: latency}
+	if math.IsInf(bound.total, 1) {
+		bound.total = 0
+	} else if req.stage == stagePrefilled {
+		bound.total = latency
+	}
+	return bound
 }
 
+// firstTokenLatency predicts the time from a decode attempt's send to its first token.
+func (s *Scheduler) firstTokenLatency(target *engine) float64 {
+	ofKind := s.kinds[target.Kind].firstTokenLatency.get(s.now, initialFirstTokenLatency, 0)
+	return target.firstTokenLatency.get(s.now, ofKind, forgetTime)
+}
+
+// linkKey names the link out of a cell to a zone.
 type linkKey struct{ cell, zone int }
 
-// link returns what we know of a way. Moves out of one cell to one zone share a fate.
+// link is what is known of a link between a cell and a zone. Transfers over it share its capacity.
+type link struct {
+	secondsPerToken gauge
+	tokensInTransit float64 // of this router's transfers
+}
+
 func (s *Scheduler) link(from, to *engine) *link {
-	k := linkKey{from.Cell, to.Zone}
-	if s.links[k] == nil {
-		s.links[k] = &link{}
+	key := linkKey{cell: from.Cell, zone: to.Zone}
+	if s.links[key] == nil {
+		s.links[key] = &link{}
 	}
-	return s.links[k]
+	return s.links[key]
 }
 
-// transferTime predicts the move of a state beyond what a writer's lag holds: only the link of the reader's
-// cell counts, with what we have on it.
-func (s *Scheduler) transferTime(q *request, from, to *engine) float64 {
+// transferTime predicts the time that a state's transfer takes beyond the first-token latency. Only a transfer out of the
+// cell counts, behind what is in transit there.
+func (s *Scheduler) transferTime(req *request, from, to *engine) float64 {
 	if from == nil || from.Cell == to.Cell {
 		return 0
 	}
-	l := s.link(from, to)
-	return (l.tokensInTransit + q.PromptTokens) * l.secondsPerToken.get(s.now, initialTransferSecondsPerToken, forgetTime)
+	way := s.link(from, to)
+	perToken := way.secondsPerToken.get(s.now, initialTransferSecondsPerToken, forgetTime)
+	return (way.tokensInTransit + req.PromptTokens) * perToken
 }
 
-// bestTimeToFirstToken is the least time in which a first token could still come.
-func (s *Scheduler) bestTimeToFirstToken(q *request) float64 {
-	t, lag := math.Inf(1), math.Inf(1)
-	for _, e := range s.engineList {
-		if e.State == EngineReady && e.role != Decode {
-			t = min(t, max(32, q.PromptTokens-s.cachedPrefixTokens(q, e))*s.prefillSecondsPerToken(e))
-		}
-		if e.State == EngineReady && e.role != Prefill {
-			lag = min(lag, s.firstTokenLatency(e))
-		}
+// beginTransfer counts the state of the request's attempt in flight on its link, if it leaves the cell.
+func (s *Scheduler) beginTransfer(req *request) {
+	target := req.inFlight.engine
+	if target.Cell != req.prefillEngine.Cell {
+		req.inFlight.transferTokens = req.PromptTokens
+		s.link(req.prefillEngine, target).tokensInTransit += req.PromptTokens
 	}
-	if s.leastFirstTokenLatency = lag; math.IsInf(t+lag, 1) {
-		return 0 // nobody is listed: hold and hope
-	} else if q.stage == stagePrefilled {
-		return lag
+}
+
+// endTransfer takes the state of the request's attempt in flight off its link.
+func (s *Scheduler) endTransfer(req *request) {
+	if tokens := req.inFlight.transferTokens; tokens > 0 {
+		s.link(req.prefillEngine, req.inFlight.engine).tokensInTransit -= tokens
+		req.inFlight.transferTokens = 0
 	}
-	return t + lag
+}
+
+// learnTransfer takes the time from a send to its first token, of which the transfer is what exceeds the latency.
+func (s *Scheduler) learnTransfer(req *request, spent float64) {
+	target := req.inFlight.engine
+	perToken := max(0, spent-s.firstTokenLatency(target)) / req.inFlight.transferTokens
+	s.link(req.prefillEngine, target).secondsPerToken.add(s.now, perToken, transferGain)
+	s.endTransfer(req)
 }
--- a/scheduler/lifecycle.go
+++ b/scheduler/lifecycle.go
@@ -4,183 +4,242 @@
 
 // This file follows each request from its arrival to its final response.
 
-// meanGain is the weight of one arrival in the mean prompt and output lengths.
-const meanGain = 0.05
+const (
+	// meanGain is the weight of one arrival in the mean prompt and output lengths.
+	meanGain = 0.05
+	// firstTokenGain is the weight of one first token in its engine's mean latency.
+	firstTokenGain = 0.25
+	// stateMissing is the Info of a rejection by an engine that found no state to fetch.
+	stateMissing = 1
+)
 
-// requestArrived takes a request into the high tier.
-func (s *Scheduler) requestArrived(ev Request) {
-	if s.requests[ev.ID] != nil || ev.Class < 0 || ev.Class >= len(s.cfg.Classes) {
+// requestArrived takes a request into the high tier (paper, section IV-C, step 1).
+func (s *Scheduler) requestArrived(event Request) {
+	if s.requests[event.ID] != nil || event.Class < 0 || event.Class >= len(s.cfg.Classes) {
 		return
 	}
-	c := &s.cfg.Classes[ev.Class]
-	q := &request{Request: ev, class: c, arrived: s.now, attemptInFlight: -1, deadline: s.now + ev.ClientTimeLeft}
-	q.firstTokenDue = s.now + c.FirstTokenObjective + c.ObjectivePer1KTokens*ev.PromptTokens/1000 +
-		c.ObjectivePerHintSecond*ev.DurationHint
-	if ev.Tenant >= 0 && ev.Tenant < len(s.quotas) && s.cfg.Tenants[ev.Tenant].Quota > 0 {
-		rate := s.cfg.Tenants[ev.Tenant].Quota / float64(s.cfg.NodeCount) // our part of its share
-		q.overQuota = !s.quotas[ev.Tenant].take(s.now, rate, max(quotaMinBurst, quotaBurst*rate))
-	}
-	s.requests[ev.ID] = q
-	s.openRequests = append(s.openRequests, q)
+	class := &s.cfg.Classes[event.Class]
+	req := &request{
+		Request:  event,
+		class:    class,
+		arrived:  s.now,
+		deadline: s.now + event.ClientTimeLeft,
+		firstTokenDue: s.now + class.FirstTokenObjective + class.ObjectivePer1KTokens*event.PromptTokens/1000 +
+			class.ObjectivePerHintSecond*event.DurationHint,
+		overQuota: s.beyondQuota(event.Tenant),
+	}
+	s.requests[event.ID] = req
+	s.openRequests = append(s.openRequests, req)
+	s.countArrival(req)
+}
+
+func (s *Scheduler) countArrival(req *request) {
 	s.arrivals.add(s.now, 1, rateWindow)
-	s.prefixArrivals.add(s.now, 1, prefixWindow)
-	x := s.prefixRates[ev.Prefix]
-	x.add(s.now, 1, prefixWindow)
-	s.prefixRates[ev.Prefix] = x
-	s.classes[ev.Class].promptTokens.add(s.now, ev.PromptTokens, 0.05)
-	s.meanPromptTokens.add(s.now, ev.PromptTokens, 0.05)
-	s.meanOutputTokens.add(s.now, s.expectedOutputTokens(q), 0.05)
-}
-
-func (s *Scheduler) firstTokenArrived(ev FirstToken) {
-	q := s.requests[ev.ID]
-	if q == nil || q.attemptInFlight != ev.Attempt || q.stage != stageDecoding {
+	s.countPrefix(req.Prefix)
+	s.classes[req.Class].promptTokens.add(s.now, req.PromptTokens, meanGain)
+	s.meanPromptTokens.add(s.now, req.PromptTokens, meanGain)
+	s.meanOutputTokens.add(s.now, s.expectedOutputTokens(req), meanGain)
+}
+
+// clientDisconnected ends a request without a final response.
+func (s *Scheduler) clientDisconnected(event ClientDisconnected) {
+	if req := s.requests[event.ID]; req != nil && !req.done {
+		s.finish(req, nil)
+	}
+}
+
+// firstTokenArrived records that the answer has begun to stream.
+func (s *Scheduler) firstTokenArrived(event FirstToken) {
+	req := s.requests[event.ID]
+	if req == nil || !req.hasInFlight(event.Attempt) || req.stage != stageDecoding {
 		return
 	}
-	e := q.decodeEngine
-	s.attemptProgressed(q.stage)
-	s.completedWork[e.role].add(s.now, s.work(q, e.role), rateWindow)
-	q.overtakeEarlier(e.admitted, stageDecoding)
-	own := !q.stateReserved // it read the prompt itself
-	q.stage, q.streamStartedAt, q.streamConcurrency, q.stateReserved = stageStreaming, s.now, s.concurrency(e), false
-	if own {
-		s.learnPrefill(q, e, q.prefillLoad, ev.Spent)
-	} else if q.transferTokens > 0 {
-		l := s.link(q.prefillEngine, e)
-		l.secondsPerToken.add(s.now, max(0, ev.Spent-s.firstTokenLatency(e))/q.transferTokens, 0.3)
-		l.tokensInTransit, q.transferTokens = l.tokensInTransit-q.transferTokens, 0
+	engine := req.decodeEngine
+	s.attemptProgressed(req.stage)
+	s.completedWork[engine.role].add(s.now, s.work(req, engine.role), rateWindow)
+	req.overtakeEarlier(engine.admitted, stageDecoding)
+	prefilledHere := req.prefillsWithDecode()
+	req.stream = streamStart{startedAt: s.now, concurrency: s.concurrency(engine)}
+	req.stage = stageStreaming
+	req.reserved = nil
+	if prefilledHere {
+		s.learnPrefill(req, engine, req.prefill.load, event.Spent)
+	} else if req.inFlight.transferTokens > 0 {
+		s.learnTransfer(req, event.Spent)
 	} else {
-		e.firstTokenLatency.add(s.now, ev.Spent, 0.25)
-		s.kinds[e.Kind].firstTokenLatency.add(s.now, ev.Spent, 0.05)
+		engine.firstTokenLatency.add(s.now, event.Spent, firstTokenGain)
+		s.kinds[engine.Kind].firstTokenLatency.add(s.now, event.Spent, kindGain)
 	}
-	s.predictionError[e.role].add(s.now, math.Abs(ev.Spent-q.expected), kindGain)
-	s.recordEvidence(e, 0)
+	s.predictionError[engine.role].add(s.now, math.Abs(event.Spent-req.inFlight.expected), kindGain)
+	s.recordSuccess(engine)
+}
+
+// endedAttempt is an attempt that has ended, with the stage in which it ended.
+type endedAttempt struct {
+	attempt
+	stage stage
 }
 
-// attemptEnded ends an attempt and files what it tells.
-func (s *Scheduler) attemptEnded(ev Outcome) {
-	s.recordReport(s.engines[ev.Engine], ev.Report)
-	q := s.requests[ev.ID]
-	if q == nil || q.attemptInFlight != ev.Attempt {
+// attemptEnded closes the attempt of an outcome, learns from it by its status, and moves the request on.
+func (s *Scheduler) attemptEnded(outcome Outcome) {
+	s.recordReport(s.engines[outcome.Engine], outcome.Report)
+	req := s.requests[outcome.ID]
+	if req == nil || !req.hasInFlight(outcome.Attempt) {
 		return
 	}
-	was, e := q.stage, q.at()
-	s.attemptProgressed(was)
-	if was == stageDecoding && !q.stateReserved && ev.Status != Completed {
-		s.emit(Release{q.ID}) // what a mixed engine has read by itself stays held as well
-	}
-	lost := q.overtaken >= lostAfterOvertaken
-	if (was == stagePrefilling || was == stageDecoding) && (ev.Status == Prefilled || s.lastSuccess[e.role] < q.sentAt) {
-		s.predictionError[e.role].add(s.now, math.Abs(ev.Spent-q.expected), kindGain)
-	}
-	if ev.Status == Prefilled {
-		q.overtakeEarlier(e.prefills, stagePrefilling)
-	}
-	q.attemptInFlight, q.stage, e.prefills = -1, stageQueued, without(e.prefills, q)
-	q.stateReservedSince = q.reservedFrom(s.now, ev.Status, s.cfg.Limits.StateTimeRunsDuringConnects)
-	if q.transferTokens > 0 {
-		s.link(q.prefillEngine, e).tokensInTransit, q.transferTokens = s.link(q.prefillEngine, e).tokensInTransit-q.transferTokens, 0
-	}
-	switch ev.Status {
+	ended := s.closeAttempt(req, outcome)
+	switch outcome.Status {
 	case Prefilled:
-		q.stateReserved, q.stage = true, stagePrefilled
-		s.completedWork[Prefill].add(s.now, s.work(q, Prefill), rateWindow)
-		s.learnPrefill(q, e, max(1, q.prefillLoad+q.cachedTokens-float64(ev.Info)), ev.Spent)
-		s.learnPrefixHit(q, e, float64(ev.Info))
-		s.recordEvidence(e, 0)
+		s.prefillSucceeded(req, ended, outcome)
 	case Completed:
-		s.learnDecode(q, e)
+		s.streamCompleted(req, ended.engine)
 	case Rejected:
-		switch {
-		case ev.Info != 1:
-			e.fullUntil = s.now + fullDuration
-			if reportsSpareCapacity(ev.Report) { // it turns away what it has room for: another is asked next
-				q.lastFailedAt = e
-			}
-			if was == stageDecoding && q.stateReserved {
-				q.stage = stagePrefilled
-			}
-		case was == stageDecoding && q.stateReserved: // its reader lost it, the writer is not full: read anew
-			s.recordEvidence(q.prefillEngine, 1)
-		}
-	case NotSent:
+		s.attemptRejected(req, ended, outcome)
+	case NotSent: // nothing happened at the engine
 	default:
-		q.lastFailedAt = e
-		slow := (ev.Status == TimedOut || ev.Status == Canceled) && e.lastSuccess >= q.sentAt && !lost
-		if ev.Status == ConnectFailed && e.failureScore < ejectionScore {
-			s.eject(e)
-		} else if !slow { // an engine that answers others is not failing
-			s.recordEvidence(e, 1)
-		}
-		if was == stageDecoding || was == stageStreaming {
-			if ev.Status != ConnectFailed && !q.mayHaveRun && e.role != Prefill {
-				q.mayHaveRun, q.mayHaveRunSince, q.mayHaveRunAt = true, q.sentAt, e
-			}
-			if q.stateReserved {
-				q.stage = stagePrefilled
-			}
+		s.attemptFailed(req, ended, outcome.Status)
+	}
+	s.continueRequest(req, ended, outcome.Closed)
+}
+
+// closeAttempt takes the attempt out of flight and off the engine's counts.
+func (s *Scheduler) closeAttempt(req *request, outcome Outcome) endedAttempt {
+	ended := endedAttempt{attempt: *req.inFlight, stage: req.stage}
+	engine := ended.engine
+	s.attemptProgressed(ended.stage)
+	if req.prefillsWithDecode() && outcome.Status != Completed {
+		s.emit(Release{ID: req.ID}) // what an engine has prefilled for itself stays held as well
+	}
+	s.learnPredictionError(ended, outcome)
+	if outcome.Status == Prefilled {
+		req.overtakeEarlier(engine.prefills, stagePrefilling)
+	}
+	s.restartReservedTime(req, outcome.Status)
+	s.endTransfer(req)
+	req.inFlight = nil
+	req.stage = stageQueued
+	engine.prefills = without(engine.prefills, req)
+	return ended
+}
+
+// learnPredictionError takes the error of an attempt's predicted time: of a prefill that succeeded, or where no engine of
+// the role has answered since the attempt was sent. One engine that hangs while others answer says nothing of its role.
+func (s *Scheduler) learnPredictionError(ended endedAttempt, outcome Outcome) {
+	if ended.stage != stagePrefilling && ended.stage != stageDecoding {
+		return
+	}
+	role := ended.engine.role
+	if outcome.Status == Prefilled || s.lastSuccess[role] < ended.sentAt {
+		s.predictionError[role].add(s.now, math.Abs(outcome.Spent-ended.expected), kindGain)
+	}
+}
+
+// prefillSucceeded records that the request's state waits at its prefill engine.
+func (s *Scheduler) prefillSucceeded(req *request, ended endedAttempt, outcome Outcome) {
+	cached := float64(outcome.Info)
+	req.reserved = &reservedState{since: s.now}
+	req.stage = stagePrefilled
+	s.completedWork[Prefill].add(s.now, s.work(req, Prefill), rateWindow)
+	s.learnPrefill(req, ended.engine, max(1, req.prefill.load+req.cachedTokens-cached), outcome.Spent)
+	s.learnPrefixHit(req, ended.engine, cached)
+	s.recordSuccess(ended.engine)
+}
+
+// streamCompleted records that the answer is complete.
+func (s *Scheduler) streamCompleted(req *request, engine *engine) {
+	s.recordSuccess(engine)
+	s.learnDecode(req, engine)
+}
+
+// attemptRejected records a rejection: the engine is full, or a decode engine found no state to fetch.
+func (s *Scheduler) attemptRejected(req *request, ended endedAttempt, outcome Outcome) {
+	stateHeld := ended.stage == stageDecoding && req.reserved != nil
+	if outcome.Info == stateMissing {
+		if stateHeld { // the prefill engine lost the state, the decode engine is not full: prefill anew
+			s.recordFailure(req.prefillEngine)
 		}
+		return
 	}
-	switch {
-	case ev.Closed && !q.done:
-		s.finish(q, nil)
-	case q.done:
-		s.releaseState(q)
-		delete(s.requests, q.ID)
-	case q.stage != stagePrefilled:
-		s.releaseState(q)
-	case was == stageDecoding:
-		s.assignDecodeEngine(q, nil)
-	}
-}
-
-// releaseState releases whatever is held for a request of which no attempt is out (rule 5) and frees its place in
-// our own count.
-func (s *Scheduler) releaseState(q *request) {
-	if q.stateReserved {
-		s.emit(Release{q.ID})
-		q.stateReserved = false
-	}
-	if q.stage == stagePrefilled {
-		q.stage = stageQueued
-	}
-	s.assignDecodeEngine(q, nil)
-}
-
-// finish gives the final answer (none where the client has it or has left), calls off what is out and lets
-// go of the rest. The books on an attempt still out stay open until its outcome.
-func (s *Scheduler) finish(q *request, answer Action) {
-	if answer != nil {
-		s.emit(answer)
-	}
-	q.done = true
-	s.openRequests = without(s.openRequests, q)
-	if q.attemptInFlight < 0 {
-		s.releaseState(q)
-		delete(s.requests, q.ID)
+	ended.engine.fullUntil = s.now + fullDuration
+	if reportsSpareCapacity(outcome.Report) { // it rejects what it has capacity for: another engine is next
+		req.lastFailedAt = ended.engine
+	}
+	if stateHeld {
+		req.stage = stagePrefilled
+	}
+}
+
+// attemptFailed records a failure: an error, a timeout, a lost connection, or a cancellation.
+func (s *Scheduler) attemptFailed(req *request, ended endedAttempt, status Status) {
+	engine := ended.engine
+	req.lastFailedAt = engine
+	s.recordAttemptFailure(ended, status)
+	if ended.stage != stageDecoding && ended.stage != stageStreaming {
 		return
 	}
-	if q.stage != stageStreaming && s.cfg.Limits.Cancel {
-		s.emit(Cancel{q.ID, q.attemptInFlight})
+	if status != ConnectFailed && req.mayHaveRun == nil && engine.role != Prefill {
+		req.mayHaveRun = &possibleEffect{sentAt: ended.sentAt, engine: engine}
 	}
-	if q.stage == stagePrefilling && q.stateReserved {
-		s.emit(Release{q.ID}) // a place reserved beside the read
+	if req.reserved != nil {
+		req.stage = stagePrefilled
 	}
 }
 
-// at is the engine of a request's attempt out.
-func (q *request) at() *engine {
-	if q.stage == stagePrefilling {
-		return q.prefillEngine
+// continueRequest moves a request on after its attempt has ended. A state that waits keeps its admitted engine only if
+// the attempt was the prefill.
+func (s *Scheduler) continueRequest(req *request, ended endedAttempt, closed bool) {
+	switch {
+	case closed && !req.done:
+		s.finish(req, nil)
+	case req.done:
+		s.releaseState(req)
+		delete(s.requests, req.ID)
+	case req.stage != stagePrefilled:
+		s.releaseState(req)
+	case ended.stage == stageDecoding:
+		s.assignDecodeEngine(req, nil)
+	}
+}
+
+// restartReservedTime restarts the time for which a state may be held, as the attempt to fetch it has ended. Where the
+// site says so, the time runs on while connections fail to come up.
+func (s *Scheduler) restartReservedTime(req *request, status Status) {
+	runsOn := s.cfg.Limits.StateTimeRunsDuringConnects && (status == ConnectFailed || status == NotSent)
+	if req.reserved != nil && !runsOn {
+		req.reserved.since = s.now
 	}
-	return q.decodeEngine
 }
 
-// reservedFrom is since when a state counts as held, after an attempt to take it has ended: from then on, unless the time runs on while
-// connections fail to come up.
-func (q *request) reservedFrom(now float64, s Status, runsOn bool) float64 {
-	if q.stateReserved && runsOn && (s == ConnectFailed || s == NotSent) {
-		return q.stateReservedSince
+// releaseState releases whatever is held for a request that has no attempt in flight (rule 5), and takes the request off
+// its decode engine.
+func (s *Scheduler) releaseState(req *request) {
+	if req.reserved != nil {
+		s.emit(Release{ID: req.ID})
+		req.reserved = nil
+	}
+	if req.stage == stagePrefilled {
+		req.stage = stageQueued
+	}
+	s.assignDecodeEngine(req, nil)
+}
+
+// finish gives the final response (nil where the client has one or has left), cancels the attempt in flight, and releases
+// the rest. A request whose attempt is still in flight stays known until its outcome.
+func (s *Scheduler) finish(req *request, response Action) {
+	if response != nil {
+		s.emit(response)
+	}
+	req.done = true
+	s.openRequests = without(s.openRequests, req)
+	if req.inFlight == nil {
+		s.releaseState(req)
+		delete(s.requests, req.ID)
+		return
+	}
+	if req.stage != stageStreaming && s.cfg.Limits.Cancel {
+		s.emit(Cancel{ID: req.ID, Attempt: req.inFlight.number})
+	}
+	if req.stage == stagePrefilling && req.reserved != nil {
+		s.emit(Release{ID: req.ID}) // a place that is reserved during the prefill
 	}
-	return now
 }
--- a/scheduler/loadreport.go
+++ b/scheduler/loadreport.go
@@ -15,34 +15,37 @@
 	spareUtilization = 0.9
 )
 
-// recordReport files an engine's load report, and pools it: a router that hears of each engine only now and then
-// still knows what its kind bears.
-func (s *Scheduler) recordReport(e *engine, rep *LoadReport) {
-	if e == nil || rep == nil {
+// recordReport records an engine's load report, and pools it with those of its kind: a router that hears of each engine only
+// now and then still knows what the kind bears.
+func (s *Scheduler) recordReport(target *engine, report *LoadReport) {
+	if target == nil || report == nil {
 		return
 	}
-	e.report, e.reportAt, e.hasReport = *rep, s.now, true
-	s.kinds[e.Kind].reportedStreams.add(s.now, reportedLoad(rep, streamsAtFullUtilization), kindGain)
-	s.kinds[e.Kind].reportedMemory.add(s.now, rep.MemoryShare, kindGain)
+	target.report = *report
+	target.reportAt = s.now
+	target.hasReport = true
+	kind := &s.kinds[target.Kind]
+	kind.reportedStreams.add(s.now, reportedStreams(report), kindGain)
+	kind.reportedMemory.add(s.now, report.MemoryShare, kindGain)
 }
 
-// reportFreshness is the trust left in an engine's last report against its kind's mean.
-func (s *Scheduler) reportFreshness(e *engine) float64 {
-	if !e.hasReport {
+// reportFreshness is the weight of an engine's last report against the mean of its kind: 1 when new, 0 when there is none.
+func (s *Scheduler) reportFreshness(target *engine) float64 {
+	if !target.hasReport {
 		return 0
 	}
-	return math.Exp(-(s.now - e.reportAt) / reportFreshTime)
+	return math.Exp(-(s.now - target.reportAt) / reportFreshTime)
 }
 
-// reportedLoad returns the streams that a report tells of; full is how many a share of one stands for.
-func reportedLoad(rep *LoadReport, full float64) float64 {
-	if rep.Has&HasActive != 0 {
-		return max(0, rep.Active-rep.Waiting)
+// reportedStreams returns the streams that a report tells of, by its count or else by its utilization.
+func reportedStreams(report *LoadReport) float64 {
+	if report.Has&HasActive != 0 {
+		return max(0, report.Active-report.Waiting)
 	}
-	return rep.Utilization * full
+	return report.Utilization * streamsAtFullUtilization
 }
 
 // reportsSpareCapacity tells whether an engine reports that nothing waits there and slots are free.
-func reportsSpareCapacity(rep *LoadReport) bool {
-	return rep != nil && rep.Has&HasWaiting != 0 && rep.Waiting < 1 && rep.Utilization < spareUtilization
+func reportsSpareCapacity(report *LoadReport) bool {
+	return report != nil && report.Has&HasWaiting != 0 && report.Waiting < 1 && report.Utilization < spareUtilization
 }
--- a/scheduler/memory.go
+++ b/scheduler/memory.go
@@ -1,26 +1,36 @@
 package scheduler
 
-// This file estimates how much of a decode engine's KV-cache memory is taken.
+// This file counts this router's streams and their tokens at a decode engine, and estimates how much of its KV-cache memory
+// is taken.
 
-// memoryShareWith is the share of a writer's memory taken once it has q, estimated as streams are.
-func (s *Scheduler) memoryShareWith(e *engine, q *request) float64 {
-	if e.memory <= 0 {
-		return 0
-	}
-	_, own, _, fresh := s.sinceReport(e)
-	used := max(own, s.kinds[e.Kind].reportedMemory.drawnTo(e.report.MemoryShare, s.reportFreshness(e))*e.memory+fresh) / e.memory
-	return used + (q.PromptTokens+s.expectedOutputTokens(q))/e.memory
+// ownLoad is the load of this router at a decode engine. The new part is what its last report can't hold yet.
+type ownLoad struct {
+	streams, tokens       float64
+	newStreams, newTokens float64
 }
 
-// sinceReport counts our streams and their tokens at a writer, all and those that its last report has not
-// seen.
-func (s *Scheduler) sinceReport(e *engine) (streams, tokens, newStreams, newTokens float64) {
-	for _, x := range e.admitted {
-		t := x.PromptTokens + s.expectedOutputTokens(x)
-		streams, tokens = streams+1, tokens+t
-		if x.stage != stageStreaming || x.streamStartedAt > e.reportAt-reportDelay {
-			newStreams, newTokens = newStreams+1, newTokens+t
+func (s *Scheduler) ownLoad(target *engine) ownLoad {
+	var own ownLoad
+	for _, req := range target.admitted {
+		tokens := req.PromptTokens + s.expectedOutputTokens(req)
+		own.streams++
+		own.tokens += tokens
+		if req.stage != stageStreaming || req.stream.startedAt > target.reportAt-reportDelay {
+			own.newStreams++
+			own.newTokens += tokens
 		}
 	}
-	return
+	return own
+}
+
+// memoryShareWith estimates the share of an engine's memory that is taken once it has the request, as concurrency estimates
+// its streams.
+func (s *Scheduler) memoryShareWith(target *engine, req *request) float64 {
+	if target.memory <= 0 {
+		return 0
+	}
+	own := s.ownLoad(target)
+	reported := s.kinds[target.Kind].reportedMemory.drawnTo(target.report.MemoryShare, s.reportFreshness(target))
+	used := max(own.tokens, reported*target.memory+own.newTokens) / target.memory
+	return used + (req.PromptTokens+s.expectedOutputTokens(req))/target.memory
 }
--- a/scheduler/modulesize_test.go
+++ b/scheduler/modulesize_test.go
@@ -15,7 +15,7 @@
 const (
 	maxFileLines     = 400
 	maxFileColumns   = 140
-	maxFunctionLines = 75
+	maxFunctionLines = 60
 	tabColumns       = 4
 )
 
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -25,102 +25,142 @@
 	predictionErrorFactor = 4
 )
 
-// recordEvidence moves an engine's failure score. Two failures in a row eject it, whatever their cause: fast errors,
-// a dead process, a cut link or silence. It comes back by single trials.
-func (s *Scheduler) recordEvidence(e *engine, bad float64) {
-	e.failureScore += failureGain * (bad - e.failureScore)
-	if bad == 0 {
-		e.lastSuccess, s.lastSuccess[e.role] = s.now, s.now
-		if e.failureScore < probationScore {
-			e.ejectionTime = 0
-		}
-	} else if e.failureScore >= ejectionScore && s.now >= e.ejectedUntil {
-		s.eject(e)
+// recordSuccess lowers an engine's failure score.
+func (s *Scheduler) recordSuccess(target *engine) {
+	target.failureScore += failureGain * (0 - target.failureScore)
+	target.lastSuccess = s.now
+	s.lastSuccess[target.role] = s.now
+	if target.failureScore < probationScore {
+		target.ejectionTime = 0
+	}
+}
+
+// recordFailure raises an engine's failure score. Two failures in a row eject it, whatever their cause: fast errors, a dead
+// process, a cut link or silence.
+func (s *Scheduler) recordFailure(target *engine) {
+	target.failureScore += failureGain * (1 - target.failureScore)
+	if target.failureScore >= ejectionScore && s.now >= target.ejectedUntil {
+		s.eject(target)
 	}
 }
 
-func (s *Scheduler) eject(e *engine) {
-	e.failureScore = max(e.failureScore, ejectionScore)
-	e.ejectionTime = min(maxEjection, max(0.5, 2*e.ejectionTime))
-	e.ejectedUntil = s.now + e.ejectionTime
-	if e.ejectionTime == 0.5 {
-		s.emit(Log{fmt.Sprintf("ejected %s, failure score %.2f", e.ID, e.failureScore)})
+// recordAttemptFailure counts a failed attempt against its engine. A refused connection ejects at once. A slow attempt
+// doesn't count where the engine has answered others since, unless the engine has lost it.
+func (s *Scheduler) recordAttemptFailure(ended endedAttempt, status Status) {
+	target := ended.engine
+	lost := ended.overtaken >= lostAfterOvertaken
+	slow := (status == TimedOut || status == Canceled) && target.lastSuccess >= ended.sentAt && !lost
+	if status == ConnectFailed && target.failureScore < ejectionScore {
+		s.eject(target)
+	} else if !slow {
+		s.recordFailure(target)
 	}
 }
 
-// acceptsWork tells whether an engine is fit for new work: not ejected, one trial at a time while its failure
-// score is high, and not silent (a dead machine, a cut zone, a stuck process), before a time-out tells.
-func (s *Scheduler) acceptsWork(e *engine) bool {
-	if s.now < e.ejectedUntil {
+// eject keeps new work from an engine for a time that doubles from one ejection to the next. The engine then returns on
+// probation.
+func (s *Scheduler) eject(target *engine) {
+	target.failureScore = max(target.failureScore, ejectionScore)
+	target.ejectionTime = min(maxEjection, max(minEjection, 2*target.ejectionTime))
+	target.ejectedUntil = s.now + target.ejectionTime
+	if target.ejectionTime == minEjection {
+		s.emit(Log{Text: fmt.Sprintf("ejected %s, failure score %.2f", target.ID, target.failureScore)})
+	}
+}
+
+// acceptsWork tells whether an engine may get new work: it isn't ejected, gets one request at a time while it is on probation,
+// and has no attempt that is stuck because the engine is silent (a dead machine, a cut zone, a hung process).
+func (s *Scheduler) acceptsWork(target *engine) bool {
+	if s.now < target.ejectedUntil {
 		return false
 	}
 	waiting := 0
-	for _, xs := range [2][]*request{e.prefills, e.admitted} {
-		for _, q := range xs {
-			if q.stage == stagePrefilling && q.prefillEngine == e || q.stage == stageDecoding {
-				waiting++
-				if s.isStuck(q, e) && q.overtaken < lostAfterOvertaken {
-					return false
-				}
+	for _, requests := range [2][]*request{target.prefills, target.admitted} {
+		for _, req := range requests {
+			if !target.awaits(req) {
+				continue
+			}
+			waiting++
+			if s.isStuck(req.inFlight) && req.inFlight.overtaken < lostAfterOvertaken {
+				return false
 			}
 		}
 	}
-	return e.failureScore < probationScore || waiting == 0
+	return target.failureScore < probationScore || waiting == 0
 }
 
-// isStuck: an attempt is overdue, and its engine has done nothing else for us since, or has answered later ones
-// before it: engines take what waits in order, so that one was lost, however loaded the engine is.
-func (s *Scheduler) isStuck(q *request, e *engine) bool {
-	return s.now > s.overdueAt(q, e) && (e.lastSuccess < q.sentAt || q.overtaken >= lostAfterOvertaken)
+// awaits tells whether an attempt of the request is in flight at the engine, before its first token.
+func (e *engine) awaits(req *request) bool {
+	return req.inFlight != nil && req.inFlight.engine == e && req.stage != stageStreaming
 }
 
-// overdueAt is when an attempt has taken longer than our predictions, as wrong as they have lately been, allow.
-// Where all engines are late, none is.
-func (s *Scheduler) overdueAt(q *request, e *engine) float64 {
-	t := q.sentAt + overdueFactor*q.expected + overdueGrace
-	if q.overtaken < lostAfterOvertaken {
-		t += predictionErrorFactor * s.predictionError[e.role].get(s.now, 0, 0)
+// isStuck tells whether an attempt is overdue and its engine has either succeeded with nothing since, or has answered later
+// attempts before it. Engines take what waits in order, so an overtaken attempt is lost, however loaded the engine is.
+func (s *Scheduler) isStuck(waiting *attempt) bool {
+	return s.now > s.overdueAt(waiting) &&
+		(waiting.engine.lastSuccess < waiting.sentAt || waiting.overtaken >= lostAfterOvertaken)
+}
+
+// overdueAt is when an attempt will have taken longer than its prediction allows, with the error that predictions have
+// lately had. Where all engines of a role are late, none is overdue.
+func (s *Scheduler) overdueAt(waiting *attempt) float64 {
+	at := waiting.sentAt + overdueFactor*waiting.expected + overdueGrace
+	if waiting.overtaken < lostAfterOvertaken {
+		at += predictionErrorFactor * s.predictionError[waiting.engine.role].get(s.now, 0, 0)
 	}
-	return t
+	return at
 }
 
-// cancelStuckAttempt calls off a stuck attempt, so that the request goes elsewhere while there is time. Attempts at an
-// engine that still answers others are left alone: under load a retry would only add to it.
-func (s *Scheduler) cancelStuckAttempt(q *request) {
-	if q.attemptInFlight >= 0 && !q.cancelRequested && s.cfg.Limits.Cancel && s.attemptsLeft(q) >= 2 &&
-		(q.stage == stagePrefilling || q.class.Effect == Idempotent) && s.isStuck(q, q.at()) {
-		q.cancelRequested = true
-		s.emit(Cancel{q.ID, q.attemptInFlight})
+// cancelStuckAttempt cancels a stuck attempt, so that the request is retried elsewhere while there is time. Attempts at an
+// engine that still answers others go on: under overload a retry would only add to the load.
+func (s *Scheduler) cancelStuckAttempt(req *request) {
+	if req.inFlight == nil || req.inFlight.cancelRequested || !s.cfg.Limits.Cancel || s.attemptsLeft(req) < 2 {
+		return
+	}
+	harmless := req.stage == stagePrefilling || req.class.Effect == Idempotent
+	if harmless && s.isStuck(req.inFlight) {
+		req.inFlight.cancelRequested = true
+		s.emit(Cancel{ID: req.ID, Attempt: req.inFlight.number})
 	}
 }
 
-// eligibleEngines returns the engines that may be sent something new and that fit: those listed ready (rule 3) and
-// trusted; where none is trusted, the one that failed least.
-func (s *Scheduler) eligibleEngines(fit func(e *engine) bool) []*engine {
-	var good []*engine
-	var last *engine
-	for _, e := range s.engineList {
-		if e.State != EngineReady || !fit(e) {
+// eligibleEngines returns the engines that fit, are listed as ready (rule 3) and accept work. Where none accepts work, it
+// returns the one that failed least.
+func (s *Scheduler) eligibleEngines(fits func(e *engine) bool) []*engine {
+	var eligible []*engine
+	var lastResort *engine
+	for _, candidate := range s.engineList {
+		if candidate.State != EngineReady || !fits(candidate) {
 			continue
 		}
-		if s.acceptsWork(e) {
-			good = append(good, e)
-		} else if last == nil || e.failureScore < last.failureScore ||
-			e.failureScore == last.failureScore && e.ejectedUntil < last.ejectedUntil {
-			last = e
+		if s.acceptsWork(candidate) {
+			eligible = append(eligible, candidate)
+		} else if lastResort == nil || candidate.failedLessThan(lastResort) {
+			lastResort = candidate
 		}
 	}
-	if len(good) == 0 && last != nil {
-		good = []*engine{last}
+	if len(eligible) == 0 && lastResort != nil {
+		return []*engine{lastResort}
+	}
+	return eligible
+}
+
+func (e *engine) failedLessThan(other *engine) bool {
+	if e.failureScore != other.failureScore {
+		return e.failureScore < other.failureScore
 	}
-	return good
+	return e.ejectedUntil < other.ejectedUntil
 }
 
-// overtakeEarlier counts those of xs, at the same stage, that were sent before q and are still unanswered when q is.
-func (q *request) overtakeEarlier(xs []*request, s stage) {
-	for _, x := range xs {
-		if x != q && x.stage == s && x.stateReserved == q.stateReserved && x.sentAt < q.sentAt {
-			x.overtaken++
+// overtakeEarlier counts the attempts at the same stage that were sent before the request's attempt in flight and are
+// still unanswered when it is answered.
+func (req *request) overtakeEarlier(others []*request, at stage) {
+	for _, other := range others {
+		if other == req || other.stage != at || (other.reserved != nil) != (req.reserved != nil) {
+			continue
+		}
+		if other.inFlight.sentAt < req.inFlight.sentAt {
+			other.inFlight.overtaken++
 		}
 	}
 }
--- a/scheduler/outputlength.go
+++ b/scheduler/outputlength.go
@@ -9,14 +9,33 @@
 	streamTimesKept = 128
 	// initialOutputShare is the share of its token limit that an answer is taken to have until streams of its class have ended.
 	initialOutputShare = 0.3
+	// minStreamTimes is the number of stream times from which the share is learned.
+	minStreamTimes = streamTimesKept / 8
+	// longestStreamQuantile is the quantile of the stream times that is taken to be the time of a stream at the token limit.
+	longestStreamQuantile = 0.99
+	// minOutputTokens is the least number of tokens that an answer is taken to have.
+	minOutputTokens = 4
+	// minOutputTokenObjective is the least time per output token, in seconds, with which a hint is read.
+	minOutputTokenObjective = 1e-3
 )
 
-// expectedOutputTokens guesses an answer's length: the hint, else the class's mean part of the most allowed (see
-// learnStream). Where no stream runs into that most, the guess is too long: admission errs to the open side.
-func (s *Scheduler) expectedOutputTokens(q *request) float64 {
-	tokens := q.DurationHint / max(q.class.OutputTokenObjective, 1e-3)
-	if q.DurationHint <= 0 {
-		tokens = q.MaxOutputTokens * cmp.Or(s.classes[q.Class].outputShare, initialOutputShare)
+// expectedOutputTokens predicts an answer's length: from its hint, else as its class's mean share of the token limit. Where
+// no answer reaches the limit the prediction is too long, and admission errs to the open side.
+func (s *Scheduler) expectedOutputTokens(req *request) float64 {
+	tokens := req.DurationHint / max(req.class.OutputTokenObjective, minOutputTokenObjective)
+	if req.DurationHint <= 0 {
+		tokens = req.MaxOutputTokens * cmp.Or(s.classes[req.Class].outputShare, initialOutputShare)
+	}
+	return max(minOutputTokens, min(tokens, req.MaxOutputTokens))
+}
+
+// learnOutputShare takes a stream's time, scaled to the speed of a lone stream. The longest streams of a class are taken
+// to have reached the token limit; the mean over their time is the mean share of the limit.
+func (s *Scheduler) learnOutputShare(req *request, seconds float64) {
+	class := &s.classes[req.Class]
+	class.streamTimes = append(class.streamTimes, seconds)
+	class.streamTimes = class.streamTimes[max(0, len(class.streamTimes)-streamTimesKept):]
+	if len(class.streamTimes) >= minStreamTimes {
+		class.outputShare = meanOverQuantile(class.streamTimes, longestStreamQuantile)
 	}
-	return max(4, min(tokens, q.MaxOutputTokens))
 }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -16,6 +16,8 @@
 	memoryLimit = 0.92
 	// fullDuration is the time in seconds for which a decode engine counts as full after a rejection.
 	fullDuration = 0.3
+	// queueReportTime is the time in seconds for which a reported queue counts an engine as full.
+	queueReportTime = 1
 	// minLatencyBudget is the least time left, in seconds, against which a first-token latency is weighed.
 	minLatencyBudget = 0.1
 	// overfullPenalty is the spare capacity that an engine which fails a test loses in an untested choice.
@@ -38,89 +40,120 @@
 	stateWaitShare = 0.5
 )
 
-// spareCapacity is the room that a writer has for q, and whether the curve and its memory and queue let q in.
-func (s *Scheduler) spareCapacity(e *engine, q *request) (room float64, pace, fits bool) {
-	left, used := s.spareSpeed(e, q), s.memoryShareWith(e, q)
-	full := s.now < e.fullUntil || e.report.Waiting >= 1 && s.now-e.reportAt < 1
-	return left + 1 - used - e.failureScore, left >= 0, used <= memoryLimit && !full
+// capacity is what a decode engine has left for a request.
+type capacity struct {
+	spare                float64 // the greater, the better; comparable between engines only
+	meetsOutputObjective bool    // by the concurrency curve
+	fits                 bool    // by its memory and queue
 }
 
-// spareSpeed applies the curve: what f(L+1) leaves above the bound set by the pace aims of the newcomer and
-// of every stream of ours there. Negative means that one of them would fall behind.
-func (s *Scheduler) spareSpeed(e *engine, q *request) float64 {
-	l, aim := s.concurrency(e), q.class.OutputTokenObjective
-	if q.decodeEngine != e {
-		l++
+// passes tells whether the engine passes the admission tests.
+func (c capacity) passes() bool { return c.meetsOutputObjective && c.fits }
+
+// spareCapacity returns what a decode engine has left for a request.
+func (s *Scheduler) spareCapacity(target *engine, req *request) capacity {
+	speed, memory := s.spareSpeed(target, req), s.memoryShareWith(target, req)
+	full := s.now < target.fullUntil || target.report.Waiting >= 1 && s.now-target.reportAt < queueReportTime
+	return capacity{
+		spare:                speed + 1 - memory - target.failureScore,
+		meetsOutputObjective: speed >= 0,
+		fits:                 memory <= memoryLimit && !full,
 	}
-	for _, x := range e.admitted {
-		if x.class.OutputTokenObjective > 0 {
-			aim = min(aim, x.class.OutputTokenObjective)
-		}
+}
+
+// spareSpeed applies the curve (paper, algorithm 1, lines 8 to 10): what f(L+1) leaves above the speed that the objectives
+// of the request and of each stream there require. Negative means that one of them would miss its objective.
+func (s *Scheduler) spareSpeed(target *engine, req *request) float64 {
+	streams := s.concurrency(target)
+	if req.decodeEngine != target {
+		streams++
+	}
+	objective := strictestOutputObjective(target, req)
+	if objective <= 0 || streams <= 1 { // an idle engine always takes one, so that a bad fit can correct itself
+		return 1 / max(1, streams)
 	}
-	if aim <= 0 || l <= 1 { // an empty writer always takes one: a bad fit must be able to mend
-		return 1 / max(1, l)
+	curve := s.curveOf(target)
+	required := curve.terms[0] / (outputObjectiveShare * objective)
+	if required >= 1 { // missed even by a lone stream: a late answer is worth more than none
+		return slowEngineCapacity * (curve.speed(streams) - slowestUsefulSpeed)
 	}
-	k := s.curveOf(e)
-	need := k.terms[0] / (outputObjectiveShare * aim) // the least speed that keeps the pace
-	if need >= 1 {                                    // not even alone: a late answer is worth more than none
-		return slowEngineCapacity * (k.speed(l) - slowestUsefulSpeed)
+	return 1 - required/curve.speed(streams)
+}
+
+// strictestOutputObjective is the shortest objective for the time per output token among the request and those admitted.
+func strictestOutputObjective(target *engine, req *request) float64 {
+	objective := req.class.OutputTokenObjective
+	for _, other := range target.admitted {
+		if other.class.OutputTokenObjective > 0 {
+			objective = min(objective, other.class.OutputTokenObjective)
+		}
 	}
-	return 1 - need/k.speed(l)
+	return objective
 }
 
-// bestDecodeEngine returns the writer with most room: of the reader's cell, else of another. With untested set,
-// the curve and the first-token time are not asked.
-func (s *Scheduler) bestDecodeEngine(q *request, from *engine, left float64, untested bool) *engine {
+// bestDecodeEngine returns the engine with most spare capacity that passes the admission tests for a state at another
+// engine, or nil. With untested set, engines that fail the tests come last instead. timeLeft is that to the first token.
+func (s *Scheduler) bestDecodeEngine(req *request, from *engine, timeLeft float64, untested bool) *engine {
 	var best *engine
 	most := math.Inf(-1)
-	for _, e := range s.retryCandidates(q, s.eligibleEngines(func(e *engine) bool {
-		return e.role != Prefill && s.repeatAllowed(q, e) && s.slowStartAllows(q, e)
+	for _, candidate := range s.retryCandidates(req, s.eligibleEngines(func(e *engine) bool {
+		return e.role != Prefill && s.repeatAllowed(req, e) && s.slowStartAllows(req, e)
 	})) {
-		room, pace, fits := s.spareCapacity(e, q)
-		if !untested && (!pace || !fits || s.firstTokenLatency(e)+s.transferTime(q, from, e) > left) {
+		left := s.spareCapacity(candidate, req)
+		if !untested && (!left.passes() || s.firstTokenLatency(candidate)+s.transferTime(req, from, candidate) > timeLeft) {
 			continue
 		}
-		if !pace || !fits {
-			room -= 100 // overfull ones last of all
-		}
-		if from.Cell != e.Cell {
-			room -= s.transferPenalty(q, from, e, left)
-		}
-		if e.role == Mixed {
-			room -= mixedPenalty // it reads for itself: states that come slow both
-		}
-		room -= s.firstTokenLatency(e) / max(minLatencyBudget, min(1, left)) // the part of its time that the first token will take
-		if from.Zone != e.Zone {
-			room -= 0.5
-		}
-		room += tieBreakSpread * s.rng.Float64() * (1 - s.reportFreshness(e)) // no herd to the first that looks idle
-		if room > most {
-			best, most = e, room
+		if score := s.decodeScore(req, from, candidate, left, timeLeft); score > most {
+			best, most = candidate, score
 		}
 	}
 	return best
 }
 
-// transferPenalty is how much more room a writer in another cell must have than the best of this one. Where its
-// report is fresh the tests tell a full cell, and another is for when none passes in this. A router of many
-// hears of a writer seldom and sees room in a cell that others fill: there the move's price and part of the
-// time left decide.
-func (s *Scheduler) transferPenalty(q *request, from, e *engine, left float64) float64 {
-	cost := transferPriceFactor*s.cfg.Prices.Transfer + s.transferTime(q, from, e)/max(left, s.cfg.Tick)
-	return cost + freshTransferPenalty*math.Pow(s.reportFreshness(e), freshnessPower)
+// decodeScore is a candidate's spare capacity less its penalties as the decode engine for a state at another engine.
+func (s *Scheduler) decodeScore(req *request, from, candidate *engine, left capacity, timeLeft float64) float64 {
+	score := left.spare
+	if !left.passes() {
+		score -= overfullPenalty
+	}
+	if from.Cell != candidate.Cell {
+		score -= s.transferPenalty(req, from, candidate, timeLeft)
+	}
+	if candidate.role == Mixed {
+		score -= mixedPenalty // it prefills too, and a state from elsewhere slows both
+	}
+	score -= s.firstTokenLatency(candidate) / max(minLatencyBudget, min(1, timeLeft))
+	if from.Zone != candidate.Zone {
+		score -= crossZonePenalty
+	}
+	// Without a random part all routers would send to the engine that looks idle in old reports.
+	return score + tieBreakSpread*s.rng.Float64()*(1-s.reportFreshness(candidate))
+}
+
+// transferPenalty is how much more spare capacity an engine of another cell must have. Where its report is fresh, the
+// admission tests tell a full cell, and another cell is for when no engine passes in this. One router of many hears of an
+// engine seldom and sees capacity in a cell that others fill: there the transfer's price and its part of the time left decide.
+func (s *Scheduler) transferPenalty(req *request, from, candidate *engine, timeLeft float64) float64 {
+	cost := transferPriceFactor*s.cfg.Prices.Transfer + s.transferTime(req, from, candidate)/max(timeLeft, s.cfg.Tick)
+	return cost + freshTransferPenalty*math.Pow(s.reportFreshness(candidate), freshnessPower)
 }
 
-// placePrefilled sends a waiting state to the admitted writer, or to another that passes, or lets go of it in
-// good time (rule 5).
-func (s *Scheduler) placePrefilled(q *request) {
-	w := q.decodeEngine
-	if w == nil || w.State != EngineReady || !s.acceptsWork(w) || !s.repeatAllowed(q, w) || !s.slowStartAllows(q, w) ||
-		s.now < w.fullUntil {
-		w = s.bestDecodeEngine(q, q.prefillEngine, math.Inf(1), q.lowTier)
+// placePrefilled sends a state that waits to its admitted decode engine or to another that passes, or releases it in time
+// (rule 5).
+func (s *Scheduler) placePrefilled(req *request) {
+	target := req.decodeEngine
+	if target == nil || !s.takesState(req, target) {
+		target = s.bestDecodeEngine(req, req.prefillEngine, math.Inf(1), req.lowTier)
 	}
-	if s.now >= q.stateReservedSince+stateWaitShare*s.cfg.Rules.StateReleaseLimit {
-		s.releaseState(q)
-	} else if w != nil {
-		s.sendDecode(q, w, 0)
+	if s.now >= req.reserved.since+stateWaitShare*s.cfg.Rules.StateReleaseLimit {
+		s.releaseState(req)
+	} else if target != nil {
+		s.sendDecode(req, target)
 	}
 }
+
+// takesState tells whether the engine to which a request is admitted can still take its state.
+func (s *Scheduler) takesState(req *request, target *engine) bool {
+	return target.State == EngineReady && s.acceptsWork(target) && s.repeatAllowed(req, target) &&
+		s.slowStartAllows(req, target) && s.now >= target.fullUntil
+}
--- a/scheduler/prefilltime.go
+++ b/scheduler/prefilltime.go
@@ -17,55 +17,73 @@
 	prefillOverhead = 400
 	// minPrefillTokens is the least number of tokens that a prefill is taken to compute, however much is cached.
 	minPrefillTokens = 32
+	// minSlowStartShare is the least share of its capacity that an engine is taken to have while it warms up.
+	minSlowStartShare = 0.1
 )
 
-// prefillSecondsPerToken is the time that one more token of ours takes at a reader: the slope of its kind's read times. With few
-// routers it holds others' reads too, which come and go with ours; with many those are in the wait.
-func (s *Scheduler) prefillSecondsPerToken(e *engine) float64 {
-	base := max(minPrefillSecondsPerToken, s.kinds[e.Kind].prefillTime.slope(initialPrefillSecondsPerToken, prefillFitPrior))
-	if e.prefillWait.samples == 0 && s.warmingUp(e) {
-		return base / max(0.1, s.cfg.Rules.SlowStartShare)
+// prefillPrediction is the predicted time and work of a prefill.
+type prefillPrediction struct {
+	seconds        float64
+	uncachedTokens float64 // tokens that the engine must compute
+	load           float64 // those, and all that this router has sent there before, in tokens
+}
+
+// prefillSecondsPerToken is the time that one more token of this router takes: the slope of the kind's prefill times. With few
+// routers it holds the load of the others too, which comes and goes with this one's; with many, that is in prefillWait.
+func (s *Scheduler) prefillSecondsPerToken(target *engine) float64 {
+	slope := s.kinds[target.Kind].prefillTime.slope(initialPrefillSecondsPerToken, prefillFitPrior)
+	seconds := max(minPrefillSecondsPerToken, slope)
+	if target.prefillWait.samples == 0 && s.warmingUp(target) {
+		return seconds / max(minSlowStartShare, s.cfg.Rules.SlowStartShare)
 	}
-	return base
+	return seconds
+}
+
+// prefillWait is how much longer a prefill takes than the load of this router explains.
+func (s *Scheduler) prefillWait(target *engine) float64 {
+	ofKind := s.kinds[target.Kind].prefillWait.get(s.now, 0, forgetTime)
+	return target.prefillWait.get(s.now, ofKind, prefillWaitForget)
 }
 
-// prefillWait is how much longer a reader takes than its load of ours explains.
-func (s *Scheduler) prefillWait(e *engine) float64 {
-	return e.prefillWait.get(s.now, s.kinds[e.Kind].prefillWait.get(s.now, 0, forgetTime), prefillWaitForget)
+// uncachedTokens predicts how many tokens of a prompt an engine must compute.
+func (s *Scheduler) uncachedTokens(req *request, target *engine) float64 {
+	return max(minPrefillTokens, req.PromptTokens-s.cachedPrefixTokens(req, target))
 }
 
-// predictPrefill predicts a read: others' reads ahead show in the wait learned, our own count as they are.
-func (s *Scheduler) predictPrefill(q *request, e *engine) (t, tokens, load float64) {
-	tokens = max(32, q.PromptTokens-s.cachedPrefixTokens(q, e))
-	load = tokens + prefillOverhead + tokensAhead(e)
-	return max(0, s.prefillWait(e)+load*s.prefillSecondsPerToken(e)), tokens, load
+// predictPrefill predicts a prefill. The load of other routers shows in prefillWait, that of this router is counted.
+func (s *Scheduler) predictPrefill(req *request, target *engine) prefillPrediction {
+	uncached := s.uncachedTokens(req, target)
+	load := uncached + prefillOverhead + tokensAhead(target)
+	seconds := max(0, s.prefillWait(target)+load*s.prefillSecondsPerToken(target))
+	return prefillPrediction{seconds: seconds, uncachedTokens: uncached, load: load}
 }
 
-// queueingDelay is how long a newcomer waits at an engine.
-func (s *Scheduler) queueingDelay(e *engine) float64 {
-	return max(0, s.prefillWait(e)+tokensAhead(e)*s.prefillSecondsPerToken(e))
+// queueingDelay is how long a newcomer waits at an engine before its prefill begins.
+func (s *Scheduler) queueingDelay(target *engine) float64 {
+	return max(0, s.prefillWait(target)+tokensAhead(target)*s.prefillSecondsPerToken(target))
 }
 
-// learnPrefill takes the time of a read of a load.
-func (s *Scheduler) learnPrefill(q *request, e *engine, load, spent float64) {
-	k := &s.kinds[e.Kind]
-	k.prefillTime.add(load, spent, fitMemory)
-	wait := spent - load*s.prefillSecondsPerToken(e)
-	e.prefillWait.add(s.now, wait, prefillWaitGain)
-	k.prefillWait.add(s.now, wait, kindGain)
-	if q.Session != "" {
-		s.sessions[q.Session] = session{q.PromptTokens, s.now, e}
+// learnPrefill takes the time of a prefill of a load.
+func (s *Scheduler) learnPrefill(req *request, target *engine, load, spent float64) {
+	kind := &s.kinds[target.Kind]
+	kind.prefillTime.add(load, spent, fitMemory)
+	wait := spent - load*s.prefillSecondsPerToken(target)
+	target.prefillWait.add(s.now, wait, prefillWaitGain)
+	kind.prefillWait.add(s.now, wait, kindGain)
+	if req.Session != "" {
+		s.sessions[req.Session] = session{promptTokens: req.PromptTokens, usedAt: s.now, prefillEngine: target}
 	}
 }
 
-// tokensAhead is what we have given an engine to read already.
-func tokensAhead(e *engine) (load float64) {
-	for _, x := range e.prefills {
-		load += x.uncachedTokens + prefillOverhead
+// tokensAhead is the load that this router has sent to an engine and that isn't prefilled yet, in tokens.
+func tokensAhead(target *engine) float64 {
+	load := 0.0
+	for _, req := range target.prefills {
+		load += req.prefill.uncachedTokens + prefillOverhead
 	}
-	for _, x := range e.admitted {
-		if prefillsItself(x) {
-			load += x.uncachedTokens + prefillOverhead
+	for _, req := range target.admitted {
+		if req.prefillsWithDecode() {
+			load += req.prefill.uncachedTokens + prefillOverhead
 		}
 	}
 	return load
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -9,14 +9,27 @@
 	quotaMinBurst = 4
 )
 
-type tokenBucket struct{ level, filledAt float64 }
+// beyondQuota counts a request of a tenant, and tells whether it exceeds this router's even part of the tenant's quota.
+func (s *Scheduler) beyondQuota(tenant int) bool {
+	if tenant < 0 || tenant >= len(s.quotas) || s.cfg.Tenants[tenant].Quota <= 0 {
+		return false
+	}
+	perSecond := s.cfg.Tenants[tenant].Quota / float64(s.cfg.NodeCount)
+	return !s.quotas[tenant].take(s.now, perSecond, max(quotaMinBurst, quotaBurst*perSecond))
+}
+
+// tokenBucket is a token bucket; it is full before its first use.
+type tokenBucket struct {
+	level    float64
+	filledAt float64
+}
 
-// take draws one from a bucket that fills at a rate up to a size; false = it is empty.
-func (b *tokenBucket) take(now, rate, size float64) bool {
+// take takes one token from a bucket that fills at a rate up to a size. It returns false where the bucket is empty.
+func (b *tokenBucket) take(now, perSecond, size float64) bool {
 	if b.filledAt == 0 {
 		b.level = size
 	} else {
-		b.level = min(size, b.level+rate*(now-b.filledAt))
+		b.level = min(size, b.level+perSecond*(now-b.filledAt))
 	}
 	b.filledAt = now
 	if b.level < 1 {
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -1,53 +1,100 @@
 package scheduler
 
-// stage is where a request stands.
+import "fmt"
+
+// stage is where a request stands on its way to an answer.
 type stage int
 
+// Stages of a request. An attempt is in flight in stagePrefilling, stageDecoding and stageStreaming, and in no other.
 const (
-	stageQueued     stage = iota // unread, no attempt out
-	stagePrefilling              // an attempt is out at a reader
-	stagePrefilled               // its state waits at a reader, no attempt is out
-	stageDecoding                // an attempt is out at a writer, no token yet
+	stageQueued     stage = iota // not prefilled, waits for admission
+	stagePrefilling              // an attempt is in flight at a prefill engine
+	stagePrefilled               // its state waits at a prefill engine
+	stageDecoding                // an attempt is in flight at a decode or mixed engine, before its first token
 	stageStreaming               // the answer streams
 )
 
-// request is an open request, or an ended one of which an attempt is still out. sent, out and
-// mayRun are the ledger of its attempts' possible effect.
+func (s stage) String() string {
+	names := [...]string{"queued", "prefilling", "prefilled", "decoding", "streaming"}
+	if s < 0 || int(s) >= len(names) {
+		return fmt.Sprintf("stage(%d)", int(s))
+	}
+	return names[s]
+}
+
+// request is an open request, or an ended one of which an attempt is still in flight.
 type request struct {
 	Request
-	class                            *Class
-	arrived, firstTokenDue, deadline float64
-	finalResponseDue                 float64 // when the final answer must be given
-	overQuota, lowTier, done         bool    // beyond its tenant's share; in the low tier; answered or given up
-	stage                            stage
-	cancelRequested                  bool    // we called off the attempt out
-	attemptsSent, attemptInFlight    int     // attempts made; the number of the one out, or -1
-	attemptsUncounted                int     // of those made, which do not count
-	mayHaveRun                       bool    // an earlier attempt may have run
-	mayHaveRunSince                  float64 // when the first such was sent
-	mayHaveRunAt                     *engine // and where
-	lastFailedAt                     *engine // at which its last attempt failed
-	prefillEngine, decodeEngine      *engine // of the attempt out or of the state; admitted to
-	stateReserved                    bool    // a state or place may be held for it
-	stateReservedSince               float64 // time of the last outcome or reservation
-	sentAt, expected                 float64 // of the attempt out, and how long we think it takes
-	uncachedTokens, prefillLoad      float64 // uncached tokens to read; the same with those ahead of it
-	cachedTokens                     float64 // tokens that we think the reader has kept
-	overtaken                        int     // attempts sent later that its engine has answered before this one
-	streamStartedAt                  float64
-	streamConcurrency                float64 // streams there when ours began
-	transferTokens                   float64 // tokens of this request on a cell's link
-}
-
-// without returns xs less q, in a new slice.
-func without(xs []*request, q *request) []*request {
-	for i, x := range xs {
-		if x == q {
-			return append(xs[:i:i], xs[i+1:]...)
+	class *Class
+
+	arrived          float64
+	firstTokenDue    float64 // latency objective: when the first token is wanted
+	deadline         float64 // when the client gives up
+	finalResponseDue float64 // when the final response must be given
+
+	overQuota bool // beyond its tenant's quota
+	lowTier   bool // its first-token objective can't be kept any more
+	done      bool // has its final response, or its client has left
+	stage     stage
+
+	attemptsSent      int
+	attemptsUncounted int      // attempts that were sent and don't count towards the limit
+	inFlight          *attempt // nil when none is
+	mayHaveRun        *possibleEffect
+	lastFailedAt      *engine // engine at which its last failed attempt failed
+
+	prefillEngine *engine        // engine of its latest attempt at a prefill
+	decodeEngine  *engine        // engine to which it is admitted; nil when to none
+	reserved      *reservedState // nil when no engine holds state or a place for it
+	prefill       prefillPrediction
+	cachedTokens  float64 // prefix tokens that its prefill engine was taken to have cached
+	stream        streamStart
+}
+
+// attempt is the attempt of a request that is in flight.
+type attempt struct {
+	number          int
+	engine          *engine
+	sentAt          float64
+	expected        float64 // predicted seconds to its outcome or first token
+	cancelRequested bool
+	overtaken       int     // attempts sent later that its engine has answered earlier
+	transferTokens  float64 // tokens of its state on the link out of the prefill engine's cell; 0 = none
+}
+
+// possibleEffect is the first attempt of a request that may have run. From then on a repeat may have a second effect.
+type possibleEffect struct {
+	sentAt float64
+	engine *engine
+}
+
+// reservedState is a prefilled state, or a place at a decode engine, that is held for a request until its release.
+type reservedState struct {
+	since float64 // from when the limit on its time counts
+}
+
+// streamStart is the start of a request's latest stream; startedAt is 0 while none has begun.
+type streamStart struct {
+	startedAt   float64
+	concurrency float64 // streams at the engine at that time
+}
+
+// hasInFlight tells whether the attempt of that number is in flight.
+func (req *request) hasInFlight(number int) bool {
+	return req.inFlight != nil && req.inFlight.number == number
+}
+
+// prefillsWithDecode tells whether the request's attempt in flight prefills and decodes at one engine.
+func (req *request) prefillsWithDecode() bool {
+	return req.stage == stageDecoding && req.reserved == nil
+}
+
+// without returns the requests less one, in a new slice.
+func without(requests []*request, gone *request) []*request {
+	for i, req := range requests {
+		if req == gone {
+			return append(requests[:i:i], requests[i+1:]...)
 		}
 	}
-	return xs
+	return requests
 }
-
-// prefillsItself tells of a request that a writer has to read itself.
-func prefillsItself(q *request) bool { return q.stage == stageDecoding && !q.stateReserved }
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -4,44 +4,61 @@
 
 // This file decides whether a request may have a further attempt, and where (rule 2).
 
-// repeatAllowed tells whether the ledger allows an attempt that could have an effect at e (rule 2).
-func (s *Scheduler) repeatAllowed(q *request, e *engine) bool {
-	if !q.mayHaveRun || q.class.Effect == Idempotent {
+// dedupMarginTicks is the number of ticks before the end of a deduplication window from which no repeat is sent.
+const dedupMarginTicks = 2
+
+// repeatAllowed tells whether the request may be sent to an engine: none of its attempts may have run, it is idempotent, or
+// the engine is in the scope that discards repeats, within the deduplication window.
+func (s *Scheduler) repeatAllowed(req *request, target *engine) bool {
+	first := req.mayHaveRun
+	if first == nil || req.class.Effect == Idempotent {
 		return true
 	}
-	if q.class.Effect == AtMostOnce || s.now > q.mayHaveRunSince+q.class.DedupWindow-2*s.cfg.Tick {
+	if req.class.Effect == AtMostOnce || s.now > first.sentAt+req.class.DedupWindow-dedupMarginTicks*s.cfg.Tick {
 		return false
 	}
-	g := q.class.DedupScope
-	return g == DedupFleet || g == DedupZone && e.Zone == q.mayHaveRunAt.Zone ||
-		g == DedupCell && e.Cell == q.mayHaveRunAt.Cell
+	return sameDedupScope(req.class.DedupScope, first.engine, target)
+}
+
+func sameDedupScope(scope DedupScope, a, b *engine) bool {
+	switch scope {
+	case DedupFleet:
+		return true
+	case DedupZone:
+		return a.Zone == b.Zone
+	case DedupCell:
+		return a.Cell == b.Cell
+	}
+	return false
 }
 
 // attemptsLeft is how many attempts a request may still have.
-func (s *Scheduler) attemptsLeft(q *request) int {
-	return s.cfg.Limits.MaxAttempts - q.attemptsSent + q.attemptsUncounted
+func (s *Scheduler) attemptsLeft(req *request) int {
+	return s.cfg.Limits.MaxAttempts - req.attemptsSent + req.attemptsUncounted
 }
 
-// exemptUnsentAttempt takes off an attempt that was never written, where such do not count: as many as may be made.
-func (s *Scheduler) exemptUnsentAttempt(ev Outcome) {
-	q := s.requests[ev.ID]
-	if s.cfg.Limits.UnsentAttemptsAreFree && q != nil && q.attemptInFlight == ev.Attempt &&
-		q.attemptsUncounted < s.cfg.Limits.MaxAttempts &&
-		(ev.Status == ConnectFailed || ev.Status == NotSent) {
-		q.attemptsUncounted++
+// exemptUnsentAttempt takes an attempt that was never written off the count, where the site says that such are free. At
+// most as many are exempt as attempts are allowed.
+func (s *Scheduler) exemptUnsentAttempt(outcome Outcome) {
+	if !s.cfg.Limits.UnsentAttemptsAreFree || outcome.Status != ConnectFailed && outcome.Status != NotSent {
+		return
+	}
+	req := s.requests[outcome.ID]
+	if req != nil && req.hasInFlight(outcome.Attempt) && req.attemptsUncounted < s.cfg.Limits.MaxAttempts {
+		req.attemptsUncounted++
 	}
 }
 
-// retryCandidates returns engines less the one that failed the request last, unless it is the only one. A request that
-// has met refused connections waits for an ejected engine, if its time allows: engines die together.
-func (s *Scheduler) retryCandidates(q *request, xs []*engine) []*engine {
-	if q.attemptsUncounted > 0 {
-		xs = slices.DeleteFunc(xs, func(e *engine) bool {
-			return s.now < e.ejectedUntil && e.ejectedUntil < q.deadline-s.responseMargin()
+// retryCandidates returns the engines less the one at which the request failed last, unless it is the only one. A request
+// that has met refused connections waits for an ejected engine, if its time allows, as engines often die together.
+func (s *Scheduler) retryCandidates(req *request, engines []*engine) []*engine {
+	if req.attemptsUncounted > 0 {
+		engines = slices.DeleteFunc(engines, func(e *engine) bool {
+			return s.now < e.ejectedUntil && e.ejectedUntil < req.deadline-s.responseMargin()
 		})
 	}
-	if len(xs) < 2 || q.lastFailedAt == nil {
-		return xs
+	if len(engines) < 2 || req.lastFailedAt == nil {
+		return engines
 	}
-	return slices.DeleteFunc(xs, func(e *engine) bool { return e == q.lastFailedAt })
+	return slices.DeleteFunc(engines, func(e *engine) bool { return e == req.lastFailedAt })
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,9 +1,3 @@
-// The decision module. Its interface (Config, Event and Action types) is api.go.
-//
-// The ordinary path is SABER's admission rule (paper, Section IV, Algorithm 1): a held request
-// is admitted to a writer only if the online curve f of speed against concurrency says that it
-// and every stream there keep their token pace, and if its first token can come in time.
-
 package scheduler
 
 import (
@@ -11,70 +5,170 @@
 	"math/rand/v2"
 )
 
+// This file is one step of a scheduler: apply the events, decide once, set one timer.
+//
+// The ordinary path is SABER's admission rule (paper, section IV-C, algorithm 1): a queued request is admitted to a decode
+// engine only if the online curve f(L) of speed against concurrency says that it and each stream there keep their
+// objective for the time per output token, and if its first token can come in time.
+
 // recheckInterval is the time in seconds between looks at waiting requests when nothing else happens.
 const recheckInterval = 0.02
 
-// Step takes what has happened up to now, in order, and returns what is to be done.
+// randomStream selects the sequence of random draws beside the seed.
+const randomStream = 0x9e3779b97f4a7c15
+
+// Scheduler decides for one router. It is not safe for concurrent use: one goroutine owns it and all its fields.
+type Scheduler struct {
+	cfg     Config
+	rng     *rand.Rand
+	begun   bool    // Step has been called
+	started float64 // time of the first step
+	now     float64
+	actions []Action // of this step, in order
+
+	// Endpoint view.
+	engines      map[string]*engine
+	engineList   []*engine // in order of ID; decisions range over this list and never over the map
+	mostReady    [roles]int
+	watchActive  bool
+	watchCheckAt float64
+
+	// Requests.
+	requests     map[string]*request
+	openRequests []*request // without a final response, in order of arrival
+
+	// Performance models.
+	kinds            []kindStats
+	classes          []classStats
+	links            map[linkKey]*link
+	predictionError  [roles]gauge // seconds by which attempts' times differed from their predictions
+	meanPromptTokens gauge
+	meanOutputTokens gauge
+	completedWork    [roles]decayingRate // work of prefills ended and streams begun
+	lastSuccess      [roles]float64      // when an engine of the role last succeeded
+	arrivals         decayingRate
+	bestFirstToken   firstTokenBound // of the latest request that was looked at
+
+	// Prefix affinity.
+	sessions       map[string]session
+	prefixRates    map[string]decayingRate
+	prefixArrivals decayingRate // all arrivals, over the same window as each prefix's
+	sweepAt        float64
+
+	// Quotas, exploration, probes and timers.
+	quotas             []tokenBucket // by tenant
+	awaitingFirstToken int           // attempts of which neither the first token nor the outcome has come
+	lastProgressAt     float64       // when the latest of these came
+	nextProbeAt        float64
+	probeCursor        int
+	timerAt            float64
+	timerToken         int64
+}
+
+// New returns a scheduler, or an error that names the field of an impossible Config. The seed decides all random draws.
+func New(cfg Config, seed uint64) (*Scheduler, error) {
+	if err := cfg.check(); err != nil {
+		return nil, err
+	}
+	return &Scheduler{
+		cfg:         cfg,
+		rng:         rand.New(rand.NewPCG(seed, randomStream)),
+		engines:     map[string]*engine{},
+		requests:    map[string]*request{},
+		kinds:       make([]kindStats, len(cfg.Kinds)),
+		classes:     make([]classStats, len(cfg.Classes)),
+		links:       map[linkKey]*link{},
+		sessions:    map[string]session{},
+		prefixRates: map[string]decayingRate{},
+		quotas:      make([]tokenBucket, len(cfg.Tenants)),
+	}, nil
+}
+
+// Step applies the events up to now, in order, decides once, and returns the actions in the order in which the host
+// carries them out. The package comment states its contract.
 func (s *Scheduler) Step(now float64, events []Event) []Action {
 	if !s.begun {
-		s.begun, s.started = true, now
-		for i := range s.kinds {
-			s.kinds[i].curve.terms[0] = initialSecondsPerOutputToken
-		}
+		s.begin(now)
 	}
-	s.now, s.actions = max(now, s.now), nil
-	for _, ev := range events {
-		s.handle(ev)
+	s.now = max(now, s.now)
+	s.actions = nil
+	for _, event := range events {
+		s.handle(event)
 	}
 	s.schedule()
 	s.armTimer()
 	return s.actions
 }
 
-// schedule is the one decision pass of a step.
+func (s *Scheduler) begin(now float64) {
+	s.begun = true
+	s.started = now
+	for i := range s.kinds {
+		s.kinds[i].curve.terms[0] = initialSecondsPerOutputToken
+	}
+}
+
+// handle passes an event to the file of its concern.
+func (s *Scheduler) handle(event Event) {
+	switch event := event.(type) {
+	case EndpointUpdate:
+		s.updateEndpoints(event)
+	case Request:
+		s.requestArrived(event)
+	case FirstToken:
+		s.firstTokenArrived(event)
+	case Outcome:
+		s.exemptUnsentAttempt(event)
+		s.attemptEnded(event)
+	case ClientDisconnected:
+		s.clientDisconnected(event)
+	case ProbeResult:
+		s.probeEnded(event)
+	case TimerFired:
+		if event.Token == s.timerToken {
+			s.timerAt = 0
+		}
+	}
+}
+
+func (s *Scheduler) emit(action Action) { s.actions = append(s.actions, action) }
+
+// schedule is the one decision pass of a step: it expires requests, cancels stuck attempts, places prefilled states, and
+// admits queued requests, those of the high tier first.
 func (s *Scheduler) schedule() {
-	s.housekeeping()
-	var tiers [2][]*request
-	for _, q := range append([]*request(nil), s.openRequests...) {
-		if q.stage == stageStreaming || s.expire(q) {
+	s.watchEndpoints()
+	s.forgetIdleSessions()
+	var high, low []*request
+	for _, req := range append([]*request(nil), s.openRequests...) {
+		if req.stage == stageStreaming || s.expire(req) {
 			continue
 		}
-		s.cancelStuckAttempt(q)
-		if q.stage == stagePrefilled {
-			s.placePrefilled(q)
+		s.cancelStuckAttempt(req)
+		if req.stage == stagePrefilled {
+			s.placePrefilled(req)
 		}
-		if q.stage == stageQueued {
-			tier := 0
-			if q.lowTier {
-				tier = 1
-			}
-			tiers[tier] = append(tiers[tier], q)
+		if req.stage != stageQueued {
+			continue
 		}
-	}
-	sortByDeadline(tiers[0])
-	if len(s.admitHighTier(tiers[0])) == 0 {
-		sortByDeadline(tiers[1])
-		for i, fails := 0, 0; i < len(tiers[1]) && fails < drawWindowSize; i++ { // bounded: thousands may wait
-			if !s.admit(tiers[1][i], true) {
-				fails++
-			}
+		if req.lowTier {
+			low = append(low, req)
+		} else {
+			high = append(high, req)
 		}
 	}
+	sortByDeadline(high)
+	if len(s.admitHighTier(high)) == 0 {
+		sortByDeadline(low)
+		s.admitLowTier(low)
+	}
 	s.sendProbe()
 }
 
-// armTimer sets one timer, for the earliest moment at which something is to be looked at.
+// armTimer sets one timer, for the earliest time at which something is to be looked at.
 func (s *Scheduler) armTimer() {
 	at := math.Inf(1)
-	for _, q := range s.openRequests {
-		if q.stage == stageQueued || q.stage == stagePrefilled {
-			at = min(at, s.now+recheckInterval, q.finalResponseDue) // its time may be up before the next look
-		} else if q.stage != stageStreaming {
-			at = min(at, q.deadline-s.responseMargin())
-			if look := s.overdueAt(q, q.at()); look > s.now {
-				at = min(at, look+s.cfg.Tick)
-			}
-		}
+	for _, req := range s.openRequests {
+		at = min(at, s.nextLook(req))
 	}
 	if s.cfg.PollsDiscovery {
 		at = min(at, s.watchCheckAt)
@@ -85,86 +179,27 @@
 	s.setTimer(max(at, s.now+s.cfg.Tick))
 }
 
-// Scheduler decides for one node. It is not safe for concurrent use.
-type Scheduler struct {
-	cfg                      Config
-	rng                      *rand.Rand
-	now, started             float64
-	actions                  []Action
-	engines                  map[string]*engine
-	engineList               []*engine // in order of id
-	requests                 map[string]*request
-	openRequests             []*request // in order of arrival
-	kinds                    []kindStats
-	classes                  []classStats
-	sessions                 map[string]session
-	links                    map[linkKey]*link
-	quotas                   []tokenBucket
-	completedWork            [3]decayingRate // weight of reads ended and streams begun for us, by role
-	mostReady                [3]int          // engines of each role that were ready at once
-	predictionError          [3]gauge        // by role: s by which attempts' times missed our predictions
-	lastSuccess              [3]float64      // by role: when an engine last answered
-	arrivals, prefixArrivals decayingRate
-	meanPromptTokens         gauge // tokens of the requests that came
-	meanOutputTokens         gauge // and of their answers, as guessed
-	prefixRates              map[string]decayingRate
-	timerAt                  float64
-	timerToken               int64
-	nextProbeAt              float64
-	probeCursor              int
-	watchCheckAt, sweepAt    float64
-	watchActive, begun       bool
-	awaitingFirstToken       int     // attempts of which neither the first token nor the end has come
-	lastProgressAt           float64 // when one of those came last
-	leastTimeToFirstToken    float64 // the least time to a first token that was predicted last
-	leastFirstTokenLatency   float64 // of the listed writers, in this pass
-}
-
-// New returns a router, or an error that names the field of an impossible Config.
-func New(cfg Config, seed uint64) (*Scheduler, error) {
-	if err := cfg.check(); err != nil {
-		return nil, err
+// nextLook is when an open request must be looked at again; infinite when it need not be.
+func (s *Scheduler) nextLook(req *request) float64 {
+	switch req.stage {
+	case stageQueued, stagePrefilled:
+		return min(s.now+recheckInterval, req.finalResponseDue) // its time may be up before the next look
+	case stageStreaming:
+		return math.Inf(1)
 	}
-	r := &Scheduler{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		prefixRates: map[string]decayingRate{}, engines: map[string]*engine{}, requests: map[string]*request{},
-		sessions: map[string]session{},
-		links:    map[linkKey]*link{}, kinds: make([]kindStats, len(cfg.Kinds)),
-		classes: make([]classStats, len(cfg.Classes)), quotas: make([]tokenBucket, len(cfg.Tenants))}
-	return r, nil
-}
-
-// handle hands an event to what files it.
-func (s *Scheduler) handle(ev Event) {
-	switch ev := ev.(type) {
-	case EndpointUpdate:
-		s.updateEndpoints(ev)
-	case Request:
-		s.requestArrived(ev)
-	case FirstToken:
-		s.firstTokenArrived(ev)
-	case Outcome:
-		s.exemptUnsentAttempt(ev)
-		s.attemptEnded(ev)
-	case ClientDisconnected:
-		if q := s.requests[ev.ID]; q != nil && !q.done {
-			s.finish(q, nil)
-		}
-	case ProbeResult:
-		s.probeEnded(ev)
-	case TimerFired:
-		if ev.Token == s.timerToken {
-			s.timerAt = 0
-		}
+	at := req.deadline - s.responseMargin()
+	if overdue := s.overdueAt(req.inFlight); overdue > s.now {
+		at = min(at, overdue+s.cfg.Tick)
 	}
+	return at
 }
 
-func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
-
-// setTimer asks for a wake at a time, unless an earlier one is due.
+// setTimer asks for a TimerFired, unless one is due earlier.
 func (s *Scheduler) setTimer(at float64) {
-	if !math.IsInf(at, 1) && (s.timerAt <= s.now || s.timerAt > at) {
-		s.timerToken++
-		s.timerAt = at
-		s.emit(SetTimer{at, s.timerToken})
+	if math.IsInf(at, 1) || s.timerAt > s.now && s.timerAt <= at {
+		return
 	}
+	s.timerToken++
+	s.timerAt = at
+	s.emit(SetTimer{At: at, Token: s.timerToken})
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -651,8 +651,8 @@
 	sched := startScheduler(t, testConfig(), testFleet())
 	e := sched.engines["w0"]
 	sched.now = 1
-	sched.recordEvidence(e, 1)
-	sched.recordEvidence(e, 1)
+	sched.recordFailure(e)
+	sched.recordFailure(e)
 	if sched.acceptsWork(e) {
 		t.Fatal("still trusted after two failures in a row")
 	}
@@ -660,13 +660,13 @@
 	if !sched.acceptsWork(e) {
 		t.Fatal("no trial after the ejection")
 	}
-	e.admitted = []*request{{stage: stageDecoding, decodeEngine: e, sentAt: sched.now, expected: 1}}
+	e.admitted = []*request{{stage: stageDecoding, decodeEngine: e, inFlight: &attempt{engine: e, sentAt: sched.now, expected: 1}}}
 	if sched.acceptsWork(e) {
 		t.Fatal("a second trial beside the first")
 	}
 	e.admitted = nil
 	for i := 0; i < 5; i++ {
-		sched.recordEvidence(e, 0)
+		sched.recordSuccess(e)
 	}
 	if e.failureScore >= probationScore {
 		t.Fatal("not readmitted after good trials")
@@ -769,7 +769,8 @@
 func TestLostPrefixesAreReadAnew(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	e := sched.engines["r0"]
-	q := &request{Request: testRequest("a", 0), class: &sched.cfg.Classes[0], cachedTokens: 800, prefillLoad: 600, uncachedTokens: 200}
+	q := &request{Request: testRequest("a", 0), class: &sched.cfg.Classes[0], cachedTokens: 800,
+		prefill: prefillPrediction{load: 600, uncachedTokens: 200}}
 	q.Session = ""
 	for range 5 {
 		sched.learnPrefixHit(q, e, 800)
@@ -808,7 +809,7 @@
 	law := func(l float64) float64 { return 0.02 * (1 + 0.03*(l-1) + 0.0005*l*(l-1)) }
 	for i := 0; i < 3000; i++ {
 		l := float64(1 + rnd.Intn(60))
-		k.sample(l, law(l), 1, fitMemory)
+		k.sample(l, law(l), 1)
 		k.fit(k.terms)
 	}
 	for _, l := range []float64{1, 10, 30, 60} {
@@ -823,7 +824,7 @@
 		var k uslCurve
 		k.terms = [3]float64{0.02, 0, 0}
 		for i := 0; i < 200; i++ {
-			k.sample(float64(1+i%2*40), pace*float64(200-i), 1, fitMemory)
+			k.sample(float64(1+i%2*40), pace*float64(200-i), 1)
 			k.fit(k.terms)
 			if !(k.terms[0] > 0) || k.terms[1] < 0 || k.terms[2] < 0 || k.terms[1] > k.terms[0] || k.terms[2] > k.terms[0] {
 				t.Fatalf("fit is %v", k.terms)
@@ -855,7 +856,8 @@
 	sched := startScheduler(t, testConfig(), testFleet())
 	e := sched.engines["w0"]
 	for i := 0; i < 300; i++ {
-		q := &request{Request: testRequest("a", 0), class: &sched.cfg.Classes[0], streamStartedAt: 1, streamConcurrency: 1, stage: stageStreaming}
+		q := &request{Request: testRequest("a", 0), class: &sched.cfg.Classes[0], stage: stageStreaming,
+			stream: streamStart{startedAt: 1, concurrency: 1}}
 		q.MaxOutputTokens, q.DurationHint = 800, 0.06*100*[2]float64{1.0 / 3, 3}[i%2]
 		sched.now = 1 + 3
 		sched.learnDecode(q, e)
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -15,83 +15,129 @@
 	slowStartChance = 2
 	// slowStartCapacityTrust is the share that is believed of the capacity guessed for an engine kind.
 	slowStartCapacityTrust = 0.5
+	// promptDecodeWork is the share of a prompt token that counts as one output token in the work of a decode engine.
+	promptDecodeWork = 0.1
 )
 
-// slowStartSend is a send to a cold engine.
-type slowStartSend struct{ sentAt, work float64 }
-
-// recentSends drops the pushes up to a time and returns the rest and their weight.
-func recentSends(ps []slowStartSend, t float64) (rest []slowStartSend, weight float64) {
-	for _, p := range ps {
-		if p.sentAt > t {
-			rest, weight = append(rest, p), weight+p.work
-		}
-	}
-	return rest, weight
+// slowStartSend is an attempt that was sent to an engine that was warming up.
+type slowStartSend struct {
+	sentAt float64
+	work   float64
 }
 
-// warmingUp tells whether an engine may still be warming up; warm counts those of a role that are not.
-func (s *Scheduler) warmingUp(e *engine) bool {
-	return e.BootTime > 0 && s.now < e.BootTime+s.cfg.Rules.SlowStartDuration
+// warmingUp tells whether an engine may still be warming up.
+func (s *Scheduler) warmingUp(target *engine) bool {
+	return target.BootTime > 0 && s.now < target.BootTime+s.cfg.Rules.SlowStartDuration
 }
 
-func (s *Scheduler) warmEngines(role Role) (n int) {
-	for _, e := range s.engineList {
-		if e.role == role && e.State == EngineReady && !s.warmingUp(e) {
+// warmEngines counts the ready engines of a role that are not warming up.
+func (s *Scheduler) warmEngines(role Role) int {
+	n := 0
+	for _, candidate := range s.engineList {
+		if candidate.role == role && candidate.State == EngineReady && !s.warmingUp(candidate) {
 			n++
 		}
 	}
 	return n
 }
 
-// slowStartAllows tells whether one more send keeps a cold engine within our part of its budget (rule 4): by what
-// warm ones of its role get done for us or, as those may be gone, by an even share of what its kind should
-// bear. A fraction of a send is a turn: spread over routers' numbers, as many have one as parts add up to,
-// none in the window in which it was heard of. After our own start we wait one: sends of ours may be in it.
-func (s *Scheduler) slowStartAllows(q *request, e *engine) bool {
-	if cold := s.warmingUp(e); !cold || s.now < s.started+s.cfg.Rules.SlowStartWindow {
-		return !cold
+// work is the mean work of the request's class at an engine of a role, in tokens. It is the unit of the slow-start budget.
+func (s *Scheduler) work(req *request, role Role) float64 {
+	prompt := s.classes[req.Class].promptTokens.mean
+	if role == Prefill {
+		return prompt + prefillOverhead
 	}
-	u, w, used := &s.cfg.Rules, s.work(q, e.role), 0.0
-	e.slowStartSends, used = recentSends(e.slowStartSends, s.now-u.SlowStartWindow)
-	for _, x := range e.admitted {
-		if x != q && (x.stage == stagePrefilling || x.stage == stagePrefilled) { // admitted, still to be sent
-			used += s.work(x, e.role)
-		}
+	return s.expectedOutputTokens(req) + promptDecodeWork*prompt
+}
+
+// countSlowStartSend counts an attempt at an engine that is warming up.
+func (s *Scheduler) countSlowStartSend(req *request, target *engine) {
+	if s.warmingUp(target) {
+		send := slowStartSend{sentAt: s.now, work: s.work(req, target.role)}
+		target.slowStartSends = append(target.slowStartSends, send)
 	}
-	engines := max(1, s.warmEngines(e.role), s.mostReady[e.role]/2) // where most are cold, a few warm ones are no measure
-	mean := s.completedWork[e.role].get(s.now, rateWindow) / float64(engines) / w
-	// of all routers, in a window
-	all := slowStartCapacityTrust * u.OverloadMultiple * u.SlowStartShare * u.SlowStartWindow / s.expectedBusyTime(e)
-	even := (all + slowStartChance*math.Sqrt(all)) / float64(s.cfg.NodeCount)
-	part := slowStartSafety * max(u.OverloadMultiple*u.SlowStartShare*u.SlowStartWindow*mean, even)
-	phase := float64(s.cfg.NodeIndex) / float64(s.cfg.NodeCount)
-	turn := math.Floor(s.now/u.SlowStartWindow + phase)
-	_, at := math.Modf(rendezvousHash(fmt.Sprint(turn), e.ID) + float64(s.cfg.NodeIndex)*math.Phi)
-	if (turn-phase)*u.SlowStartWindow < e.discoveredAt {
-		at = 0
+}
+
+// slowStartAllows tells whether one more attempt at the engine keeps within this router's part of the slow-start budget
+// (rule 4). In the first window after the router's own start nothing is sent, as sends of its previous process may count.
+func (s *Scheduler) slowStartAllows(req *request, target *engine) bool {
+	if !s.warmingUp(target) {
+		return true
 	}
-	return used+w <= w*math.Floor(part+at)
+	if s.now < s.started+s.cfg.Rules.SlowStartWindow {
+		return false
+	}
+	work := s.work(req, target.role)
+	return s.slowStartUsed(req, target)+work <= work*s.slowStartSendsAllowed(target, work)
 }
 
-// expectedBusyTime is how long a request of mean work keeps an engine busy, guessed from its kind's curve and reads, and
-// no shorter than by what is taken before any were seen.
-func (s *Scheduler) expectedBusyTime(e *engine) (seconds float64) {
-	k, prompt, answer := &s.kinds[e.Kind], s.meanPromptTokens.mean+prefillOverhead, s.meanOutputTokens.mean
-	if e.role != Decode {
-		seconds = prompt * max(initialPrefillSecondsPerToken, k.prefillTime.slope(initialPrefillSecondsPerToken, prefillFitPrior))
+// slowStartUsed is the work of this router in the latest window: sent, or admitted and still to be sent.
+func (s *Scheduler) slowStartUsed(req *request, target *engine) float64 {
+	target.slowStartSends = recentSends(target.slowStartSends, s.now-s.cfg.Rules.SlowStartWindow)
+	used := 0.0
+	for _, send := range target.slowStartSends {
+		used += send.work
 	}
-	if e.role != Prefill {
-		l := max(1, min(streamsAtFullUtilization/2, memoryLimit*cmp.Or(e.memory, math.Inf(1))/(prompt+answer)))
-		seconds += answer * max(initialSecondsPerOutputToken, k.curve.terms[0]/k.curve.speed(l)) / l
+	for _, other := range target.admitted {
+		if other != req && (other.stage == stagePrefilling || other.stage == stagePrefilled) {
+			used += s.work(other, target.role)
+		}
 	}
-	return seconds
+	return used
 }
 
-// work is the mean work of a request's class at an engine's role, the unit of the cold budget.
-func (s *Scheduler) work(q *request, role Role) float64 {
-	if role == Prefill {
-		return s.classes[q.Class].promptTokens.mean + prefillOverhead
+// recentSends returns the sends after a time, in a new slice.
+func recentSends(sends []slowStartSend, after float64) []slowStartSend {
+	var recent []slowStartSend
+	for _, send := range sends {
+		if send.sentAt > after {
+			recent = append(recent, send)
+		}
 	}
-	return s.expectedOutputTokens(q) + 0.1*s.classes[q.Class].promptTokens.mean
+	return recent
+}
+
+// slowStartSendsAllowed is the number of attempts of a given work that this router may send in a window. It follows from
+// the work that warm engines of the role complete for this router or, as those may be gone, from an even part of what the
+// engine kind should bear.
+func (s *Scheduler) slowStartSendsAllowed(target *engine, work float64) float64 {
+	rules := &s.cfg.Rules
+	warm := max(1, s.warmEngines(target.role), s.mostReady[target.role]/2) // where most are warming up, the few warm ones are no measure
+	perWarmEngine := s.completedWork[target.role].get(s.now, rateWindow) / float64(warm) / work
+	ofAllRouters := slowStartCapacityTrust * rules.OverloadMultiple * rules.SlowStartShare * rules.SlowStartWindow /
+		s.expectedBusyTime(target)
+	evenPart := (ofAllRouters + slowStartChance*math.Sqrt(ofAllRouters)) / float64(s.cfg.NodeCount)
+	part := slowStartSafety * max(rules.OverloadMultiple*rules.SlowStartShare*rules.SlowStartWindow*perWarmEngine, evenPart)
+	return math.Floor(part + s.slowStartTurn(target))
+}
+
+// slowStartTurn is a number between 0 and 1 that decides who may send where the parts are fractions of a send. Routers draw
+// it by their numbers, so that as many have a turn in a window as the fractions add up to. In the window in which the engine
+// was discovered it is 0.
+func (s *Scheduler) slowStartTurn(target *engine) float64 {
+	window := s.cfg.Rules.SlowStartWindow
+	phase := float64(s.cfg.NodeIndex) / float64(s.cfg.NodeCount)
+	turn := math.Floor(s.now/window + phase)
+	if (turn-phase)*window < target.discoveredAt {
+		return 0
+	}
+	_, fraction := math.Modf(rendezvousHash(fmt.Sprint(turn), target.ID) + float64(s.cfg.NodeIndex)*math.Phi)
+	return fraction
+}
+
+// expectedBusyTime is how long, in seconds, a request of mean work keeps an engine busy. It is guessed from the prefill times
+// and the curve of its kind, and is no shorter than by the priors.
+func (s *Scheduler) expectedBusyTime(target *engine) float64 {
+	kind := &s.kinds[target.Kind]
+	prompt, output := s.meanPromptTokens.mean+prefillOverhead, s.meanOutputTokens.mean
+	seconds := 0.0
+	if target.role != Decode {
+		seconds = prompt * max(initialPrefillSecondsPerToken, kind.prefillTime.slope(initialPrefillSecondsPerToken, prefillFitPrior))
+	}
+	if target.role != Prefill {
+		memory := cmp.Or(target.memory, math.Inf(1))
+		streams := max(1, min(streamsAtFullUtilization/2, memoryLimit*memory/(prompt+output)))
+		seconds += output * max(initialSecondsPerOutputToken, kind.curve.terms[0]/kind.curve.speed(streams)) / streams
+	}
+	return seconds
 }
--- a/scheduler/statistics.go
+++ b/scheduler/statistics.go
@@ -18,40 +18,48 @@
 	fitMemory = 0.98
 )
 
-// gauge is a running mean that returns to its prior while nothing is learned, so that an engine
-// or a link once slow is tried again.
+// gauge is a running mean that returns to a prior while nothing is learned, so that an engine or a link that was slow once
+// is tried again.
 type gauge struct {
-	mean, updatedAt float64
-	samples         int
+	mean      float64
+	updatedAt float64
+	samples   int
 }
 
-func (g *gauge) add(now, x, gain float64) {
+// add moves the mean toward a value by a gain. The first value becomes the mean.
+func (g *gauge) add(now, value, gain float64) {
 	if g.samples == 0 {
 		gain = 1
 	}
-	g.mean, g.updatedAt, g.samples = g.mean+gain*(x-g.mean), now, g.samples+1
+	g.mean += gain * (value - g.mean)
+	g.updatedAt = now
+	g.samples++
 }
 
-// get returns the mean, drawn to the prior with the time constant given; 0 = never.
-func (g *gauge) get(now, prior, forget float64) float64 {
+// get returns the mean, drawn to the prior with a time constant in seconds; 0 draws never.
+func (g *gauge) get(now, prior, timeConstant float64) float64 {
 	if g.samples == 0 {
 		return prior
 	}
-	if forget <= 0 {
+	if timeConstant <= 0 {
 		return g.mean
 	}
-	return prior + (g.mean-prior)*math.Exp(-(now-g.updatedAt)/forget)
+	return prior + (g.mean-prior)*math.Exp(-(now-g.updatedAt)/timeConstant)
 }
 
-// drawnTo draws the mean to a value by the trust in it.
-func (g *gauge) drawnTo(v, trust float64) float64 { return g.mean + (v-g.mean)*trust }
+// drawnTo returns the mean, drawn to a value by the trust in that value, from 0 to 1.
+func (g *gauge) drawnTo(value, trust float64) float64 { return g.mean + (value-g.mean)*trust }
 
 // linearFit fits y = a + bx by least squares with forgetting.
 type linearFit struct{ n, x, y, xx, xy float64 }
 
+// add adds a sample. Older samples keep a share of their weight.
 func (f *linearFit) add(x, y, keep float64) {
-	f.n, f.x, f.y = keep*f.n+1, keep*f.x+x, keep*f.y+y
-	f.xx, f.xy = keep*f.xx+x*x, keep*f.xy+x*y
+	f.n = keep*f.n + 1
+	f.x = keep*f.x + x
+	f.y = keep*f.y + y
+	f.xx = keep*f.xx + x*x
+	f.xy = keep*f.xy + x*y
 }
 
 // slope returns b, drawn to a prior that is worth so much of x's squared deviation.
@@ -60,23 +68,27 @@
 	return (f.xy - f.x*f.y/n + worth*prior) / (f.xx - f.x*f.x/n + worth)
 }
 
-// decayingRate is a decaying sum, divided by its time constant.
-type decayingRate struct{ sum, updatedAt float64 }
+// decayingRate is a sum that decays with a time constant; divided by that, it is a rate.
+type decayingRate struct {
+	sum       float64
+	updatedAt float64
+}
 
-func (x *decayingRate) add(now, weight, span float64) {
-	x.sum, x.updatedAt = x.sum*math.Exp(-(now-x.updatedAt)/span)+weight, now
+func (r *decayingRate) add(now, weight, timeConstant float64) {
+	r.sum = r.sum*math.Exp(-(now-r.updatedAt)/timeConstant) + weight
+	r.updatedAt = now
 }
 
-func (x *decayingRate) get(now, span float64) float64 {
-	return x.sum * math.Exp(-(now-x.updatedAt)/span) / span
+func (r *decayingRate) get(now, timeConstant float64) float64 {
+	return r.sum * math.Exp(-(now-r.updatedAt)/timeConstant) / timeConstant
 }
 
-// meanOverQuantile returns the mean of xs over their value at a quantile.
-func meanOverQuantile(xs []float64, quantile float64) float64 {
-	ys := slices.Sorted(slices.Values(xs))
+// meanOverQuantile returns the mean of values over their value at a quantile.
+func meanOverQuantile(values []float64, quantile float64) float64 {
+	sorted := slices.Sorted(slices.Values(values))
 	sum := 0.0
-	for _, y := range ys {
-		sum += y
+	for _, value := range sorted {
+		sum += value
 	}
-	return sum / float64(len(ys)) / ys[int(quantile*float64(len(ys)-1))]
+	return sum / float64(len(sorted)) / sorted[int(quantile*float64(len(sorted)-1))]
 }
