--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -1,40 +1,42 @@
 package scheduler
 
+// This file is what a Scheduler asks for: the actions, which the host carries out in order.
+
 // Action is something that the host is to do.
 type Action interface{ action() }
 
-// Send starts an attempt at an engine; attempts of a request are numbered from 0.
+// Send starts an attempt of a request at an engine. Attempts of a request are numbered from 0 in the order of their sends.
 type Send struct {
 	ID, Engine string
-	Timeout    float64 // 0 = until the client gives up
+	Timeout    float64 // seconds; 0 = until the client gives up
 }
 
-// Cancel stops waiting for an attempt.
+// Cancel ends the wait for an attempt. Its outcome still follows.
 type Cancel struct {
 	ID      string
 	Attempt int
 }
 
-// Reserve holds a slot and memory at a writer for a request that is being read.
+// Reserve reserves a slot and memory at a decode engine for a request that is being prefilled.
 type Reserve struct{ ID, Engine string }
 
-// Release lets go of every state and place held for a request.
+// Release releases each state and place that is held for a request.
 type Release struct{ ID string }
 
-// Reject is a final answer: a further try is harmless.
+// Reject is a final response which tells the client that a retry is harmless.
 type Reject struct {
 	ID         string
-	RetryAfter float64
+	RetryAfter float64 // seconds; 0 = none is told
 	Reason     GiveUpReason
 }
 
-// Fail is a final answer without any such promise.
+// Fail is a final response that tells nothing about a retry.
 type Fail struct {
 	ID     string
 	Reason GiveUpReason
 }
 
-// GiveUpReason says why a request is given up. It is for people alone: nothing is decided by it.
+// GiveUpReason says why a request is given up. It is for people: nothing is decided by it.
 type GiveUpReason string
 
 // Reasons to give up.
@@ -45,7 +47,7 @@
 	RepeatUnsafe         GiveUpReason = "a further attempt could run it twice"
 )
 
-// SetTimer asks for a Wake at a time.
+// SetTimer asks for a TimerFired with the token at a time.
 type SetTimer struct {
 	At    float64
 	Token int64
@@ -54,33 +56,23 @@
 // Probe asks an engine for its health and load.
 type Probe struct{ Engine string }
 
-// WatchEndpoints subscribes to changes of the engine list; Fetch asks for it once.
+// WatchEndpoints starts or ends a subscription to changes of the endpoint list.
 type WatchEndpoints struct{ On bool }
 
-// FetchEndpoints asks for the complete engine list once.
+// FetchEndpoints asks for a complete snapshot of the endpoint list once.
 type FetchEndpoints struct{}
 
 // Log is a line for the operators.
 type Log struct{ Text string }
 
-func (Send) action() {}
-
-func (Cancel) action() {}
-
-func (Reserve) action() {}
-
-func (Release) action() {}
-
-func (Reject) action() {}
-
-func (Fail) action() {}
-
-func (SetTimer) action() {}
-
-func (Probe) action() {}
-
+func (Send) action()           {}
+func (Cancel) action()         {}
+func (Reserve) action()        {}
+func (Release) action()        {}
+func (Reject) action()         {}
+func (Fail) action()           {}
+func (SetTimer) action()       {}
+func (Probe) action()          {}
 func (WatchEndpoints) action() {}
-
 func (FetchEndpoints) action() {}
-
-func (Log) action() {}
+func (Log) action()            {}
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -1,94 +1,106 @@
 package scheduler
 
+// This file is what a Scheduler is configured with: its place among the routers, and what the site's settings say.
+
 // Role says what an engine kind can do.
 type Role int
 
-// Roles of an engine kind: prefill, decode, or both.
+// Roles of an engine kind.
 const (
-	Prefill Role = iota
-	Decode
-	Mixed
+	Prefill Role = iota // computes the state of a prompt
+	Decode              // generates an answer from a state
+	Mixed               // does both
 )
 
-// Effect says what repeating a request of a class does.
+func (r Role) String() string { return enumName(int(r), "prefill", "decode", "mixed") }
+
+// Effect says what a repeat of a request does.
 type Effect int
 
-// Effects: repeats are harmless, discarded within a group by key, or never allowed.
+// Effects of a repeat.
 const (
-	Idempotent Effect = iota
-	IdempotentByKey
-	AtMostOnce
+	Idempotent      Effect = iota // a repeat is harmless
+	IdempotentByKey               // a repeat is discarded, within the class's DedupScope and DedupWindow
+	AtMostOnce                    // a repeat is never allowed
 )
 
-// DedupScope is the set of engines that discard repeats of a ByKey request.
+func (e Effect) String() string {
+	return enumName(int(e), "idempotent", "idempotent-by-key", "at-most-once")
+}
+
+// DedupScope is the set of engines that discard repeats of an IdempotentByKey request.
 type DedupScope int
 
-// Groups of engines: all, those of a zone, those of a cell.
+// Scopes of deduplication.
 const (
-	DedupFleet DedupScope = iota
-	DedupZone
-	DedupCell
+	DedupFleet DedupScope = iota // all engines
+	DedupZone                    // the engines of the zone of the first attempt that may have run
+	DedupCell                    // the engines of its cell
 )
 
+func (d DedupScope) String() string { return enumName(int(d), "fleet", "zone", "cell") }
+
 // ReportStyle says how engines report their load.
 type ReportStyle int
 
-// Report styles: never, within outcomes and probe results, in probe results alone.
+// Styles of load reports.
 const (
-	ReportOff ReportStyle = iota
-	ReportInline
-	ReportOnProbe
+	ReportOff     ReportStyle = iota // never
+	ReportInline                     // within outcomes and probe results
+	ReportOnProbe                    // within probe results alone
 )
 
-// Class is one class of request.
+func (r ReportStyle) String() string { return enumName(int(r), "off", "inline", "on-probe") }
+
+// Class is one class of requests. Times are in seconds.
 type Class struct {
 	Effect                 Effect
-	DedupScope             DedupScope // ByKey: who discards repeats
-	DedupWindow            float64    // ByKey: for how long, from the first attempt that may have run
-	FirstTokenObjective    float64    // first token wanted within
-	ObjectivePerHintSecond float64    // more aim for each second of hinted work
-	ObjectivePer1KTokens   float64    // more aim for each 1,000 prompt tokens
-	ClientTimeout          float64    // the client's whole patience
-	OutputTokenObjective   float64    // wanted mean time between tokens
+	DedupScope             DedupScope // of IdempotentByKey: which engines discard repeats
+	DedupWindow            float64    // of IdempotentByKey: for how long, from the first attempt that may have run
+	FirstTokenObjective    float64    // latency objective: time to first token
+	ObjectivePerHintSecond float64    // added to it for each second of the request's DurationHint
+	ObjectivePer1KTokens   float64    // added to it for each 1,000 prompt tokens
+	ClientTimeout          float64    // how long the client waits in all
+	OutputTokenObjective   float64    // latency objective: mean time per output token
 	PriorityWeight         float64
-	LateValue              float64 // share of the worth that a late answer earns
+	LateValue              float64 // share of the weight that a late answer earns
 }
 
 // Kind is one kind of engine.
 type Kind struct {
 	Role   Role
-	Memory float64 // tokens; 0 = not told
+	Memory float64 // tokens of KV cache; 0 = unknown
 }
 
-// Tenant is one account and its share of the service.
+// Tenant is one account that sends requests.
 type Tenant struct {
 	Quota float64 // requests a second over all routers; 0 = no limit known
 }
 
-// Limits are the site's allowances.
+// Limits are what the site allows a router.
 type Limits struct {
-	MaxAttempts int
-	// UnsentAttemptsAreFree tells that attempts which ended before their request was written do not count towards MaxAttempts.
+	MaxAttempts int // of a request
+	// UnsentAttemptsAreFree says that attempts which ended before their request was written don't count towards MaxAttempts.
 	UnsentAttemptsAreFree bool
-	// StateTimeRunsDuringConnects tells that the time for which a state may wait keeps running while connections fail to come up.
+	// StateTimeRunsDuringConnects says that the time for which a state may wait runs on while connections fail to come up.
 	StateTimeRunsDuringConnects bool
-	Cancel                      bool
-	Probe                       bool
+	Cancel                      bool // Cancel may be used
+	Probe                       bool // Probe may be used
 	HedgedRequests              bool
-	RetryAfter                  bool
-	MaxRetryAfter               float64
+	RetryAfter                  bool    // a Reject may tell a delay
+	MaxRetryAfter               float64 // seconds
 }
 
-// Rules are the figures of the operators' rules.
+// Rules are the figures of the operators' rules. Times are in seconds.
 type Rules struct {
-	AnswerSlack       float64
-	PollInterval      float64 // OnRequest: ask at least this often
-	SlowStartShare    float64 // a cold engine's least share of its capacity
-	SlowStartDuration float64 // and when it is warm at the latest
+	AnswerSlack       float64 // after its deadline, within which a request must have its final response
+	PollInterval      float64 // of the endpoint list, at the longest, where it must be polled
+	SlowStartShare    float64 // least share of its capacity that an engine has while it warms up
+	SlowStartDuration float64 // after which an engine is warm at the latest
 	DrainGrace        float64
-	OverloadMultiple  float64
-	SlowStartWindow   float64
-	StateReleaseLimit float64 // held state or place must be used or released within
+	OverloadMultiple  float64 // multiple of its capacity that an engine in slow start may be sent
+	SlowStartWindow   float64 // over which that is counted
+	StateReleaseLimit float64 // within which reserved state or a place must be used or released
 }
 
 // Prices are points of the result, each times its rate.
@@ -96,18 +108,18 @@
 	Probe, Waste, CrossZone, LateFailure, Transfer float64
 }
 
-// Config is what a router is told at its start.
+// Config is what a scheduler knows from its start.
 type Config struct {
-	NodeIndex, NodeCount int // this router's number and how many there are
+	NodeIndex, NodeCount int // this router's number, from 0, and how many there are
 	Zone, ZoneCount      int
 	Classes              []Class
 	Kinds                []Kind
 	Tenants              []Tenant
-	PollsDiscovery       bool // the engine list comes only when asked for
+	PollsDiscovery       bool // the endpoint list comes only when it is asked for
 	ReportStyle          ReportStyle
-	ReservationOffered   bool // Reserve is offered
-	DecodeEnginesPrefill bool // writers read prompts that come without a state
-	Tick                 float64
+	ReservationOffered   bool    // Reserve may be used
+	DecodeEnginesPrefill bool    // decode engines prefill requests that come without a state
+	Tick                 float64 // seconds between two steps at the least
 	Limits               Limits
 	Rules                Rules
 	Prices               Prices
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -1,107 +1,46 @@
 package scheduler
 
-// LoadReport is an engine's own figures of its load. Has tells which were given.
-type LoadReport struct {
-	Active, Waiting, Utilization, LatencyMS, MemoryShare, TokensWaiting float64
-	Has                                                                 LoadReportField
-}
-
-// LoadReportField is a set of figures of a Report.
-type LoadReportField uint8
-
-// The figures that a Report may hold.
-const (
-	HasActive LoadReportField = 1 << iota
-	HasWaiting
-	HasUtilization
-	HasLatency
-	HasMemoryShare
-	HasTokensWaiting
-)
-
-// EngineState is what the engine list says of an engine.
-type EngineState int
-
-// States of a listed engine.
-const (
-	EngineReady EngineState = iota
-	EngineDraining
-	EngineRemoved
-)
-
-// Engine is one entry of the engine list.
-type Engine struct {
-	ID         string
-	Cell, Zone int
-	Kind       int
-	State      EngineState
-	Weight     float64
-	BootTime   float64 // last start; 0 = long ago
-}
-
-// UpdateForm says how a list of engines is to be read.
-type UpdateForm int
-
-// Forms of a list: changes, complete, complete but perhaps outdated, or a failed call.
-const (
-	UpdateIncremental UpdateForm = iota
-	UpdateComplete
-	UpdateStale
-	UpdateFailed
-)
-
-// Status says how an attempt or a probe ended.
-type Status int
+import "fmt"
 
-// Statuses of an attempt. TurnedAway, NoConnection, NotSent and Parsed prove that the
-// request never ran.
-const (
-	Completed Status = iota
-	ServerError
-	Rejected
-	TimedOut
-	ConnectFailed
-	ConnectionLost
-	Canceled
-	NotSent
-	Prefilled
-)
+// This file is what a Scheduler is told: the events, and the types in them.
 
-// Event is something that a router learns.
+// Event is something that the host has learned.
 type Event interface{ event() }
 
-// Request is a client's request; one final answer is owed to it.
+// Request is a client's request. One final response is owed to it.
 type Request struct {
-	ID                                          string
-	Class, Tenant                               int
-	Session, Prefix                             string
-	ClientTimeLeft                              float64 // until the client gives this try up
-	DurationHint                                float64 // rough time of the answer at the class's pace; 0 = none
-	PromptTokens, PrefixTokens, MaxOutputTokens float64
-	Retry, Returned                             bool
+	ID              string
+	Class, Tenant   int // indices into the Config
+	Session, Prefix string
+	ClientTimeLeft  float64 // seconds until the client gives up
+	DurationHint    float64 // rough seconds of the answer at the class's OutputTokenObjective; 0 = none
+	PromptTokens    float64
+	PrefixTokens    float64 // of the prompt, shared with other requests of the same Prefix
+	MaxOutputTokens float64
+	Retry, Returned bool
 }
 
-// Outcome tells how an attempt ended.
+// Outcome says how an attempt ended.
 type Outcome struct {
 	ID      string
 	Attempt int
 	Engine  string
 	Status  Status
-	Info    int // tokens found kept; with TurnedAway, 1 = no state to fetch
-	Spent   float64
-	Closed  bool // the request has ended
+	Info    int     // of Prefilled: cached tokens that were found; of Rejected: 1 = the engine found no state to fetch
+	Spent   float64 // seconds since its send
+	Closed  bool    // the request has ended
 	Report  *LoadReport
 }
 
-// FirstToken tells that the answer has begun to stream.
+// FirstToken says that an answer has begun to stream.
 type FirstToken struct {
 	ID      string
 	Attempt int
 	Engine  string
-	Spent   float64
+	Spent   float64 // seconds since its send
 }
 
-// ClientDisconnected tells that the client has left.
+// ClientDisconnected says that the client has left.
 type ClientDisconnected struct{ ID string }
 
 // ReserveResult answers a Reserve.
@@ -112,21 +51,21 @@
 	OK      bool
 }
 
-// EndpointUpdate is a list of engines, or of changes to it.
+// EndpointUpdate is a snapshot of the endpoint list, or changes to it.
 type EndpointUpdate struct {
 	Form    UpdateForm
 	Engines []Engine
 }
 
-// ProbeResult is the result of a Probe.
+// ProbeResult answers a Probe.
 type ProbeResult struct {
 	Engine string
 	Status Status
-	Spent  float64
+	Spent  float64 // seconds
 	Report *LoadReport
 }
 
-// TimerFired is a timer that has fallen due.
+// TimerFired says that a timer has fired.
 type TimerFired struct{ Token int64 }
 
 // PeerMessage is a message from another router.
@@ -135,20 +74,97 @@
 	Data []byte
 }
 
-func (Request) event() {}
+func (Request) event()            {}
+func (Outcome) event()            {}
+func (FirstToken) event()         {}
+func (ClientDisconnected) event() {}
+func (ReserveResult) event()      {}
+func (EndpointUpdate) event()     {}
+func (ProbeResult) event()        {}
+func (TimerFired) event()         {}
+func (PeerMessage) event()        {}
 
-func (Outcome) event() {}
+// Status says how an attempt or a probe ended.
+type Status int
 
-func (FirstToken) event() {}
+// Statuses. Rejected, ConnectFailed, NotSent and Prefilled prove that the request has had no effect.
+const (
+	Completed Status = iota
+	ServerError
+	Rejected
+	TimedOut
+	ConnectFailed
+	ConnectionLost
+	Canceled
+	NotSent
+	Prefilled
+)
 
-func (ClientDisconnected) event() {}
+func (s Status) String() string {
+	return enumName(int(s), "completed", "server-error", "rejected", "timed-out", "connect-failed", "connection-lost",
+		"canceled", "not-sent", "prefilled")
+}
 
-func (ReserveResult) event() {}
+// LoadReport is an engine's own figures of its load. Has says which of them were given.
+type LoadReport struct {
+	Active, Waiting, Utilization, LatencyMS, MemoryShare, TokensWaiting float64
+	Has                                                                 LoadReportField
+}
 
-func (EndpointUpdate) event() {}
+// LoadReportField is a set of figures of a LoadReport.
+type LoadReportField uint8
 
-func (ProbeResult) event() {}
+// The figures that a LoadReport may hold.
+const (
+	HasActive LoadReportField = 1 << iota
+	HasWaiting
+	HasUtilization
+	HasLatency
+	HasMemoryShare
+	HasTokensWaiting
+)
 
-func (TimerFired) event() {}
+// Engine is one entry of the endpoint list.
+type Engine struct {
+	ID         string
+	Cell, Zone int
+	Kind       int // index into the Config
+	State      EngineState
+	Weight     float64
+	BootTime   float64 // of its last start; 0 = long ago
+}
 
-func (PeerMessage) event() {}
+// EngineState is the state of an engine in the endpoint list.
+type EngineState int
+
+// States of a listed engine.
+const (
+	EngineReady EngineState = iota
+	EngineDraining
+	EngineRemoved
+)
+
+func (s EngineState) String() string { return enumName(int(s), "ready", "draining", "removed") }
+
+// UpdateForm says how an EndpointUpdate is to be read.
+type UpdateForm int
+
+// Forms of an update.
+const (
+	UpdateIncremental UpdateForm = iota // changes
+	UpdateComplete                      // a complete snapshot
+	UpdateStale                         // a complete snapshot that may be outdated
+	UpdateFailed                        // none: the call failed
+)
+
+func (f UpdateForm) String() string {
+	return enumName(int(f), "incremental", "complete", "stale", "failed")
+}
+
+// enumName returns the name of a value of an enumeration, or its number where it has none.
+func enumName(value int, names ...string) string {
+	if value < 0 || value >= len(names) {
+		return fmt.Sprintf("unknown(%d)", value)
+	}
+	return names[value]
+}
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -1,7 +1,5 @@
 package scheduler
 
-import "fmt"
-
 // stage is where a request stands on its way to an answer.
 type stage int
 
@@ -15,11 +13,7 @@
 )
 
 func (s stage) String() string {
-	names := [...]string{"queued", "prefilling", "prefilled", "decoding", "streaming"}
-	if s < 0 || int(s) >= len(names) {
-		return fmt.Sprintf("stage(%d)", int(s))
-	}
-	return names[s]
+	return enumName(int(s), "queued", "prefilling", "prefilled", "decoding", "streaming")
 }
 
 // request is an open request, or an ended one of which an attempt is still in flight.
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -963,8 +963,8 @@
 
 func TestNewNamesTheBadField(t *testing.T) {
 	for field, spoil := range map[string]func(*Config){
-		"Balancers":   func(c *Config) { c.NodeCount = 0 },
-		"Rank":        func(c *Config) { c.NodeIndex = 5 },
+		"NodeCount":   func(c *Config) { c.NodeCount = 0 },
+		"NodeIndex":   func(c *Config) { c.NodeIndex = 5 },
 		"Classes":     func(c *Config) { c.Classes = nil },
 		"Classes[1]":  func(c *Config) { c.Classes[1].FirstTokenObjective = -1 },
 		"Kinds":       func(c *Config) { c.Kinds = nil },
--- a/scheduler/validate.go
+++ b/scheduler/validate.go
@@ -2,43 +2,74 @@
 
 import "fmt"
 
-// check names the first field of the Config that cannot be.
+// check returns an error that names the first field of the Config with an impossible value.
 func (c *Config) check() error {
-	switch {
-	case c.NodeCount < 1:
-		return fmt.Errorf("scheduler: Balancers is %d", c.NodeCount)
-	case c.NodeIndex < 0 || c.NodeIndex >= c.NodeCount:
-		return fmt.Errorf("scheduler: Rank %d is not under Balancers %d", c.NodeIndex, c.NodeCount)
-	case len(c.Classes) == 0:
+	if err := c.checkPlace(); err != nil {
+		return err
+	}
+	if len(c.Classes) == 0 {
 		return fmt.Errorf("scheduler: Classes is empty")
-	case len(c.Kinds) == 0:
+	}
+	if len(c.Kinds) == 0 {
 		return fmt.Errorf("scheduler: Kinds is empty")
-	case c.Limits.MaxAttempts < 1:
+	}
+	if c.Limits.MaxAttempts < 1 {
 		return fmt.Errorf("scheduler: Limits.MaxAttempts is %d", c.Limits.MaxAttempts)
-	case c.Zone < 0 || c.ZoneCount > 0 && c.Zone >= c.ZoneCount:
-		return fmt.Errorf("scheduler: Zone %d is not under Zones %d", c.Zone, c.ZoneCount)
-	case !(c.Tick >= 0):
+	}
+	if !(c.Tick >= 0) {
 		return fmt.Errorf("scheduler: Tick is %g", c.Tick)
 	}
-	for i, k := range c.Classes {
-		if !(k.FirstTokenObjective >= 0 && k.ObjectivePer1KTokens >= 0 && k.ObjectivePerHintSecond >= 0 &&
-			k.OutputTokenObjective >= 0 && k.ClientTimeout >= 0 && k.DedupWindow >= 0) {
-			return fmt.Errorf("scheduler: Classes[%d] has a negative time", i)
-		}
-		if k.Effect < Idempotent || k.Effect > AtMostOnce {
-			return fmt.Errorf("scheduler: Classes[%d].Effect is %d", i, k.Effect)
+	for i, class := range c.Classes {
+		if err := class.check(i); err != nil {
+			return err
 		}
 	}
-	for i, k := range c.Kinds {
-		if k.Role < Prefill || k.Role > Mixed || !(k.Memory >= 0) {
+	for i, kind := range c.Kinds {
+		if kind.Role < Prefill || kind.Role > Mixed || !(kind.Memory >= 0) {
 			return fmt.Errorf("scheduler: Kinds[%d] has an unknown Role or negative Memory", i)
 		}
 	}
-	u := c.Rules
-	if !(u.SlowStartDuration >= 0 && u.SlowStartShare >= 0 && u.OverloadMultiple >= 0 && u.SlowStartWindow >= 0 &&
-		u.StateReleaseLimit >= 0 &&
-		u.PollInterval >= 0 && u.DrainGrace >= 0 && u.AnswerSlack >= 0) {
+	if !c.Rules.allNonNegative() {
 		return fmt.Errorf("scheduler: Rules has a negative figure")
 	}
 	return nil
 }
+
+// checkPlace checks the router's number and zone.
+func (c *Config) checkPlace() error {
+	switch {
+	case c.NodeCount < 1:
+		return fmt.Errorf("scheduler: NodeCount is %d", c.NodeCount)
+	case c.NodeIndex < 0 || c.NodeIndex >= c.NodeCount:
+		return fmt.Errorf("scheduler: NodeIndex %d is not under NodeCount %d", c.NodeIndex, c.NodeCount)
+	case c.Zone < 0 || c.ZoneCount > 0 && c.Zone >= c.ZoneCount:
+		return fmt.Errorf("scheduler: Zone %d is not under ZoneCount %d", c.Zone, c.ZoneCount)
+	}
+	return nil
+}
+
+func (c *Class) check(index int) error {
+	if !allNonNegative(c.FirstTokenObjective, c.ObjectivePer1KTokens, c.ObjectivePerHintSecond, c.OutputTokenObjective,
+		c.ClientTimeout, c.DedupWindow) {
+		return fmt.Errorf("scheduler: Classes[%d] has a negative time", index)
+	}
+	if c.Effect < Idempotent || c.Effect > AtMostOnce {
+		return fmt.Errorf("scheduler: Classes[%d].Effect is %d", index, int(c.Effect))
+	}
+	return nil
+}
+
+func (r *Rules) allNonNegative() bool {
+	return allNonNegative(r.SlowStartDuration, r.SlowStartShare, r.OverloadMultiple, r.SlowStartWindow, r.StateReleaseLimit,
+		r.PollInterval, r.DrainGrace, r.AnswerSlack)
+}
+
+// allNonNegative tells whether each value is a number of at least 0.
+func allNonNegative(values ...float64) bool {
+	for _, value := range values {
+		if !(value >= 0) {
+			return false
+		}
+	}
+	return true
+}
