--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"io"
 	"os"
 	"strings"
 	"testing"
@@ -18,7 +19,7 @@
 
 func TestSmoke(t *testing.T) {
 	var out bytes.Buffer
-	if err := run(strings.NewReader(smoke(t)), &out); err != nil {
+	if err := run(strings.NewReader(smoke(t)), &out, io.Discard); err != nil {
 		t.Fatal(err)
 	}
 	got := out.String()
@@ -32,14 +33,14 @@
 func TestKillVoidsTheInstance(t *testing.T) {
 	var out bytes.Buffer
 	in := smoke(t) + "SYNC\tsim_time_s=2\tserial=4\nTO\tnode_id=0\nKILL\nGO\n"
-	if err := run(strings.NewReader(in), &out); err != nil || !strings.HasSuffix(out.String(), "OK\tserial=4\n") {
+	if err := run(strings.NewReader(in), &out, io.Discard); err != nil || !strings.HasSuffix(out.String(), "OK\tserial=4\n") {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
 }
 
 func TestMalformedInputIsAnError(t *testing.T) {
 	var out bytes.Buffer
-	if err := run(strings.NewReader("nonsense\n"), &out); err == nil || out.Len() > 0 {
+	if err := run(strings.NewReader("nonsense\n"), &out, io.Discard); err == nil || out.Len() > 0 {
 		t.Fatalf("error %v, output %q", err, out.String())
 	}
 }
--- a/internal/benchwire/benchwire_test.go
+++ b/internal/benchwire/benchwire_test.go
@@ -100,7 +100,7 @@
 		"REFRESH":                                 scheduler.FetchEndpoints{},
 		"SAY_LOG\tbody_text=two lines are joined": scheduler.Log{Text: "two lines\nare joined"},
 	} {
-		if got, err := FormatAction(a); err != nil || got != want {
+		if got, err := formatAction(a); err != nil || got != want {
 			t.Errorf("got %q, %v; want %q", got, err, want)
 		}
 	}
--- /dev/null
+++ b/internal/benchwire/encode.go
@@ -0,0 +1,130 @@
+package benchwire
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"math"
+	"strconv"
+	"strings"
+
+	"dillroute/scheduler"
+)
+
+const (
+	// outputBufferBytes is the size of the output's buffer.
+	outputBufferBytes = 1 << 18
+	// noNode is the number of no instance.
+	noNode = -1
+)
+
+// Encoder writes replies.
+type Encoder struct {
+	output *bufio.Writer
+	node   int // instance of the latest SOURCE line of this reply, or noNode
+}
+
+// NewEncoder returns an Encoder that writes to w.
+func NewEncoder(w io.Writer) *Encoder {
+	return &Encoder{output: bufio.NewWriterSize(w, outputBufferBytes), node: noNode}
+}
+
+// Actions writes the actions of one instance. Errors of the output show in Done.
+func (e *Encoder) Actions(node int, actions []scheduler.Action) error {
+	if len(actions) == 0 {
+		return nil
+	}
+	if node != e.node {
+		fmt.Fprintf(e.output, "SOURCE\tnode_id=%d\n", node)
+		e.node = node
+	}
+	for _, action := range actions {
+		line, err := formatAction(action)
+		if err != nil {
+			return err
+		}
+		e.output.WriteString(line)
+		e.output.WriteByte('\n')
+	}
+	return nil
+}
+
+// Broken reports that the scheduler of an instance has failed.
+func (e *Encoder) Broken(node int, text string) {
+	fmt.Fprintf(e.output, "SOURCE\tnode_id=%d\nBROKEN\tbody_text=%s\n", node, oneLine(text))
+	e.node = node
+}
+
+// Done ends the reply to a batch and flushes it.
+func (e *Encoder) Done(serial string) error {
+	fmt.Fprintf(e.output, "OK\tserial=%s\n", serial)
+	e.node = noNode
+	return e.output.Flush()
+}
+
+// formatAction returns the line of an action, without its line end.
+func formatAction(action scheduler.Action) (string, error) {
+	switch action := action.(type) {
+	case scheduler.Send:
+		return formatSend(action), nil
+	case scheduler.Cancel:
+		return fmt.Sprintf("ABORT_ATTEMPT\top_id=%s\tn=%d", action.ID, action.Attempt), nil
+	case scheduler.Reserve:
+		return "RESERVE\top_id=" + action.ID + "\tengine=" + action.Engine, nil
+	case scheduler.Release:
+		return "UNHOLD\top_id=" + action.ID, nil
+	case scheduler.Reject:
+		return formatReject(action), nil
+	case scheduler.Fail:
+		return "FAIL\top_id=" + action.ID, nil
+	case scheduler.SetTimer:
+		return fmt.Sprintf("SCHEDULE\ttime_s=%s\tctx=%d", seconds(action.At), action.Token), nil
+	case scheduler.Probe:
+		return "HEALTH_CHECK\tengine=" + action.Engine, nil
+	case scheduler.WatchEndpoints:
+		return "STREAM_CHANGES\tenable=" + flagText(action.On), nil
+	case scheduler.FetchEndpoints:
+		return "REFRESH", nil
+	case scheduler.Log:
+		return "SAY_LOG\tbody_text=" + oneLine(action.Text), nil
+	}
+	return "", fmt.Errorf("wire: no line for action %T", action)
+}
+
+func formatSend(send scheduler.Send) string {
+	line := "DELIVER\top_id=" + send.ID + "\tengine=" + send.Engine
+	if send.Timeout != 0 {
+		line += "\tcap_s=" + seconds(send.Timeout)
+	}
+	return line
+}
+
+func formatReject(reject scheduler.Reject) string {
+	line := "REFUSE\top_id=" + reject.ID
+	if reject.RetryAfter > 0 {
+		line += "\tbackoff_s=" + seconds(reject.RetryAfter)
+	}
+	return line
+}
+
+func flagText(on bool) string {
+	if on {
+		return "1"
+	}
+	return "0"
+}
+
+// oneLine replaces what would end a line or a field by spaces.
+func oneLine(text string) string {
+	return strings.Map(func(r rune) rune {
+		if r == '\n' || r == '\r' || r == '\t' {
+			return ' '
+		}
+		return r
+	}, text)
+}
+
+// seconds formats a time to the microsecond, rounded up so that a timer is never early.
+func seconds(t float64) string {
+	return strconv.FormatFloat(math.Ceil(t*1e6-1e-3)/1e6, 'f', -1, 64)
+}
