--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -17,7 +17,7 @@
 		t.Fatal("not by deadline with over-share traffic last")
 	}
 	// A request whose aim has passed waits while the high tier holds one.
-	sched := startScheduler(t, testConfig(), EndpointUpdate{Form: UpdateComplete})
+	sched := startScheduler(t, testConfig(), listOf())
 	late := testRequest("late", 0)
 	sched.Step(0, []Event{late})
 	sched.Step(1.5, []Event{testRequest("new", 0)})
@@ -84,7 +84,7 @@
 		}
 	}
 	// With no reader at all, a writer reads.
-	sched = startScheduler(t, cfg, EndpointUpdate{Form: UpdateComplete, Engines: []Engine{testEngine("w0", 1, 0)}})
+	sched = startScheduler(t, cfg, listOf(testEngine("w0", 1, 0)))
 	if s := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 0)})); s.Engine != "w0" {
 		t.Fatalf("sent to %s", s.Engine)
 	}
--- a/scheduler/affinity_test.go
+++ b/scheduler/affinity_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestPreferredReplicasLieWhereDecodeEnginesAre(t *testing.T) {
-	endpoints := EndpointUpdate{Form: UpdateComplete}
+	endpoints := listOf()
 	for i := range 4 { // cell 0: four readers and one writer; cell 1: two readers and five writers
 		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("r", i), 0, 0))
 	}
@@ -27,7 +27,7 @@
 }
 
 func TestHotPrefixHasSeveralPreferredReplicasAndOthersOne(t *testing.T) {
-	endpoints := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{testEngine("w", 1, 0)}}
+	endpoints := listOf(testEngine("w", 1, 0))
 	for i := range 10 {
 		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("r", i), 0, 0))
 	}
@@ -68,7 +68,7 @@
 // A mixed engine is a home as readers are, for fewer beginnings. It answers what it reads, so that no state moves,
 // and what readers have read goes to it only when no writer passes.
 func TestMixedEnginesArePreferredReplicas(t *testing.T) {
-	endpoints := EndpointUpdate{Form: UpdateComplete}
+	endpoints := listOf()
 	for i := range 4 {
 		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("r", i), 0, i), testEngine(fmt.Sprint("w", i), 1, i), testEngine(fmt.Sprint("m", i), 2, i))
 	}
@@ -99,7 +99,7 @@
 }
 
 func TestPreferredReplicaIsSharedAndStable(t *testing.T) {
-	endpoints := EndpointUpdate{Form: UpdateComplete}
+	endpoints := listOf()
 	for i := 0; i < 6; i++ {
 		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("r", i), 0, i), testEngine(fmt.Sprint("w", i), 1, i))
 	}
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -11,7 +11,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	m := EndpointUpdate{Form: UpdateComplete}
+	m := listOf()
 	for i := range 100 {
 		m.Engines = append(m.Engines, testEngine(fmt.Sprint("e", i), i%2, i/2%10))
 	}
--- a/scheduler/expiry_test.go
+++ b/scheduler/expiry_test.go
@@ -7,7 +7,7 @@
 
 func TestFinalResponseComesBeforeAShortDeadline(t *testing.T) {
 	// Time left under the look interval: the timer must be for the answer, not for the next look.
-	sched := startScheduler(t, testConfig(), EndpointUpdate{Form: UpdateComplete})
+	sched := startScheduler(t, testConfig(), listOf())
 	req := testRequest("a", 0)
 	req.ClientTimeLeft = 0.013
 	acts := sched.Step(1, []Event{req})
@@ -22,7 +22,7 @@
 }
 
 func TestQueuedRequestGetsItsFinalResponseByTimersAlone(t *testing.T) {
-	sched := startScheduler(t, testConfig(), EndpointUpdate{Form: UpdateComplete})
+	sched := startScheduler(t, testConfig(), listOf())
 	acts := sched.Step(1, []Event{testRequest("a", 1)})
 	now := 1.0
 	for i := 0; i < 1000; i++ {
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -2,19 +2,40 @@
 
 import "testing"
 
-// testConfig: kind 0 reads, kind 1 writes, kind 2 does both; class 0 repeatable, 1 once, 2 by key.
+// Kinds and classes of testConfig. In tests the IDs of prefill engines begin with r, of decode engines with w, and of mixed
+// engines with m; the digit is often the cell.
+const (
+	prefillKind = iota
+	decodeKind
+	mixedKind
+)
+
+const (
+	idempotentClass = iota
+	atMostOnceClass
+	byKeyClass
+)
+
 func testConfig() Config {
-	return Config{NodeCount: 1, ZoneCount: 1, Tick: 0.002,
+	return Config{
+		NodeCount: 1, ZoneCount: 1, Tick: 0.002,
 		Classes: []Class{
-			{Effect: Idempotent, FirstTokenObjective: 1, ObjectivePer1KTokens: 0.04, ClientTimeout: 5, OutputTokenObjective: 0.06, PriorityWeight: 1, LateValue: 0.3},
-			{Effect: AtMostOnce, FirstTokenObjective: 1, ClientTimeout: 5, OutputTokenObjective: 0.08, PriorityWeight: 2, LateValue: 0.3},
-			{Effect: IdempotentByKey, DedupScope: DedupCell, DedupWindow: 2, FirstTokenObjective: 1, ClientTimeout: 5, OutputTokenObjective: 0.08, PriorityWeight: 1},
+			idempotentClass: {Effect: Idempotent, FirstTokenObjective: 1, ObjectivePer1KTokens: 0.04, ClientTimeout: 5,
+				OutputTokenObjective: 0.06, PriorityWeight: 1, LateValue: 0.3},
+			atMostOnceClass: {Effect: AtMostOnce, FirstTokenObjective: 1, ClientTimeout: 5, OutputTokenObjective: 0.08,
+				PriorityWeight: 2, LateValue: 0.3},
+			byKeyClass: {Effect: IdempotentByKey, DedupScope: DedupCell, DedupWindow: 2, FirstTokenObjective: 1, ClientTimeout: 5,
+				OutputTokenObjective: 0.08, PriorityWeight: 1},
+		},
+		Kinds: []Kind{
+			prefillKind: {Role: Prefill, Memory: 2e5},
+			decodeKind:  {Role: Decode, Memory: 1.5e5},
+			mixedKind:   {Role: Mixed, Memory: 2e5},
 		},
-		Kinds:   []Kind{{Prefill, 2e5}, {Decode, 1.5e5}, {Mixed, 2e5}},
-		Tenants: []Tenant{{0}},
+		Tenants: []Tenant{{}},
 		Limits:  Limits{MaxAttempts: 4, Cancel: true},
-		Rules: Rules{SlowStartShare: 0.25, SlowStartDuration: 10, OverloadMultiple: 4, SlowStartWindow: 2, StateReleaseLimit: 1, PollInterval: 10,
-			DrainGrace: 0.25, AnswerSlack: 0.008},
+		Rules: Rules{SlowStartShare: 0.25, SlowStartDuration: 10, OverloadMultiple: 4, SlowStartWindow: 2, StateReleaseLimit: 1,
+			PollInterval: 10, DrainGrace: 0.25, AnswerSlack: 0.008},
 	}
 }
 
@@ -22,19 +43,25 @@
 	return Engine{ID: id, Kind: kind, Cell: cell, Weight: 1}
 }
 
-// testFleet is two cells of a reader and a writer each.
+// listOf is a complete endpoint list.
+func listOf(engines ...Engine) EndpointUpdate {
+	return EndpointUpdate{Form: UpdateComplete, Engines: engines}
+}
+
+// testFleet is two cells of a prefill engine and a decode engine each.
 func testFleet() EndpointUpdate {
-	return EndpointUpdate{Form: UpdateComplete, Engines: []Engine{testEngine("r0", 0, 0), testEngine("w0", 1, 0), testEngine("r1", 0, 1), testEngine("w1", 1, 1)}}
+	return listOf(testEngine("r0", 0, 0), testEngine("w0", 1, 0), testEngine("r1", 0, 1), testEngine("w1", 1, 1))
 }
 
-func startScheduler(t *testing.T, cfg Config, m EndpointUpdate) *Scheduler {
+// startScheduler returns a scheduler that has taken an endpoint list at time 0.
+func startScheduler(t *testing.T, cfg Config, endpoints EndpointUpdate) *Scheduler {
 	t.Helper()
-	r, err := New(cfg, 1)
+	sched, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Step(0, []Event{m})
-	return r
+	sched.Step(0, []Event{endpoints})
+	return sched
 }
 
 func testRequest(id string, class int) Request {
@@ -42,35 +69,37 @@
 		MaxOutputTokens: 200}
 }
 
-func actionsOf[T Action](acts []Action) (out []T) {
-	for _, a := range acts {
-		if x, ok := a.(T); ok {
+func actionsOf[T Action](actions []Action) (out []T) {
+	for _, action := range actions {
+		if x, ok := action.(T); ok {
 			out = append(out, x)
 		}
 	}
 	return out
 }
 
-func onlyAction[T Action](t *testing.T, acts []Action) T {
+// onlyAction returns the one action of a type.
+func onlyAction[T Action](t *testing.T, actions []Action) T {
 	t.Helper()
-	xs := actionsOf[T](acts)
-	if len(xs) != 1 {
-		t.Fatalf("want one %T, got %v", *new(T), acts)
+	found := actionsOf[T](actions)
+	if len(found) != 1 {
+		t.Fatalf("got %v, want one %T", actions, *new(T))
 	}
-	return xs[0]
+	return found[0]
 }
 
-func noAction[T Action](t *testing.T, acts []Action) {
+func noAction[T Action](t *testing.T, actions []Action) {
 	t.Helper()
-	if xs := actionsOf[T](acts); len(xs) != 0 {
-		t.Fatalf("want no %T, got %v", *new(T), xs)
+	if found := actionsOf[T](actions); len(found) != 0 {
+		t.Fatalf("got %v, want no %T", found, *new(T))
 	}
 }
 
-// prefillAndPlace takes a request to the point where its state waits and is sent to a writer.
-func prefillAndPlace(t *testing.T, sched *Scheduler, now float64, q Request) (prefill, decode string) {
+// prefillAndPlace takes a request to the point where its state is sent to a decode engine.
+func prefillAndPlace(t *testing.T, sched *Scheduler, now float64, req Request) (prefill, decode string) {
 	t.Helper()
-	s := onlyAction[Send](t, sched.Step(now, []Event{q}))
-	w := onlyAction[Send](t, sched.Step(now+0.05, []Event{Outcome{ID: q.ID, Engine: s.Engine, Status: Prefilled, Spent: 0.05}}))
-	return s.Engine, w.Engine
+	first := onlyAction[Send](t, sched.Step(now, []Event{req}))
+	prefilled := Outcome{ID: req.ID, Engine: first.Engine, Status: Prefilled, Spent: 0.05}
+	second := onlyAction[Send](t, sched.Step(now+0.05, []Event{prefilled}))
+	return first.Engine, second.Engine
 }
--- a/scheduler/lifecycle_test.go
+++ b/scheduler/lifecycle_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestQueuedRequestIsSentWhenEnginesAppear(t *testing.T) {
-	sched := startScheduler(t, testConfig(), EndpointUpdate{Form: UpdateComplete})
+	sched := startScheduler(t, testConfig(), listOf())
 	noAction[Send](t, sched.Step(1, []Event{testRequest("a", 0)}))
 	onlyAction[Send](t, sched.Step(1.2, []Event{testFleet()}))
 }
@@ -37,7 +37,7 @@
 }
 
 func TestStatePrefilledByAMixedEngineIsReleased(t *testing.T) {
-	endpoints := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{testEngine("m0", 2, 0)}}
+	endpoints := listOf(testEngine("m0", 2, 0))
 	sched := startScheduler(t, testConfig(), endpoints)
 	s := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 0)}))
 	onlyAction[Cancel](t, sched.Step(4.99, nil))
@@ -68,7 +68,7 @@
 // While connections fail to come up, the time for which a state is held keeps running: the last try begins so early that it
 // ends within the rule, and then the state is let go of though writers are left to be tried.
 func TestStateIsReleasedInTimeWhileConnectionsFail(t *testing.T) {
-	endpoints := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{testEngine("r0", 0, 0)}}
+	endpoints := listOf(testEngine("r0", 0, 0))
 	for i := range 8 {
 		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("w", i), 1, 0))
 	}
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -99,7 +99,7 @@
 func TestOvertakenAttemptIsCanceledAndRetriedElsewhere(t *testing.T) {
 	cfg := testConfig()
 	cfg.Kinds = cfg.Kinds[:2]
-	endpoints := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{testEngine("r0", 0, 0), testEngine("r1", 0, 0), testEngine("w0", 1, 0)}}
+	endpoints := listOf(testEngine("r0", 0, 0), testEngine("r1", 0, 0), testEngine("w0", 1, 0))
 	for _, later := range []int{1, 2} {
 		sched := startScheduler(t, cfg, endpoints)
 		lost := onlyAction[Send](t, sched.Step(1, []Event{testRequest("lost", 0)}))
@@ -139,7 +139,7 @@
 // An engine that hangs while others of its role answer says nothing of the role: the next one that hangs is noticed as soon as
 // the first was. Where the whole role is late, that is learned.
 func TestHangingEngineDoesNotRaisePredictionErrorOfItsRole(t *testing.T) {
-	endpoints := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{testEngine("w0", 1, 0)}}
+	endpoints := listOf(testEngine("w0", 1, 0))
 	for i := range 6 {
 		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("r", i), 0, 0))
 	}
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -4,7 +4,7 @@
 
 // Writers of one cell ran late while others stood idle: what the first token takes counts against a writer's room.
 func TestDecodeEngineWithLateFirstTokensIsPassedOver(t *testing.T) {
-	endpoints := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{testEngine("r0", 0, 0), testEngine("w0", 1, 0), testEngine("w1", 1, 0)}}
+	endpoints := listOf(testEngine("r0", 0, 0), testEngine("w0", 1, 0), testEngine("w1", 1, 0))
 	for _, slow := range []string{"w0", "w1"} {
 		sched := startScheduler(t, testConfig(), endpoints)
 		sched.now = 1
@@ -42,7 +42,7 @@
 // late, and all refused would be worse. One that keeps the pace comes first.
 func TestDecodeEngineBelowOutputObjectiveIsTheLastResort(t *testing.T) {
 	for _, other := range []bool{false, true} {
-		endpoints := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{testEngine("r0", 0, 0), testEngine("slow", 1, 0)}}
+		endpoints := listOf(testEngine("r0", 0, 0), testEngine("slow", 1, 0))
 		if other {
 			endpoints.Engines = append(endpoints.Engines, testEngine("w1", 1, 0))
 		}
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -63,7 +63,7 @@
 
 // A client's patience is for tries that can succeed: two tries went to an engine that fails at once before it was ejected.
 func TestRetryGoesToAnotherEngine(t *testing.T) {
-	endpoints := EndpointUpdate{Form: UpdateComplete}
+	endpoints := listOf()
 	for i := range 4 {
 		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("r", i), 0, 0), testEngine(fmt.Sprint("w", i), 1, 0))
 	}
@@ -73,7 +73,7 @@
 	if again == first {
 		t.Fatalf("%s failed the request and is asked again", first)
 	}
-	sched = startScheduler(t, testConfig(), EndpointUpdate{Form: UpdateComplete, Engines: []Engine{testEngine("r0", 0, 0), testEngine("w0", 1, 0)}})
+	sched = startScheduler(t, testConfig(), listOf(testEngine("r0", 0, 0), testEngine("w0", 1, 0)))
 	sched.Step(1, []Event{testRequest("a", 0)})
 	if s := onlyAction[Send](t, sched.Step(1.01, []Event{Outcome{ID: "a", Engine: "r0", Status: ServerError, Spent: 0.01}})); s.Engine != "r0" {
 		t.Fatalf("%s instead of the only reader", s.Engine)
@@ -83,7 +83,7 @@
 // An engine that turns away though it reports room is not asked again for that request while there are others; one
 // that is full by its own word may be.
 func TestRejectionDespiteSpareCapacityIsRetriedElsewhere(t *testing.T) {
-	endpoints := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{testEngine("r0", 0, 0), testEngine("r1", 0, 0), testEngine("w0", 1, 0)}}
+	endpoints := listOf(testEngine("r0", 0, 0), testEngine("r1", 0, 0), testEngine("w0", 1, 0))
 	for _, waiting := range []float64{0, 3} {
 		sched := startScheduler(t, testConfig(), endpoints)
 		s := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 0)}))
@@ -104,7 +104,7 @@
 	for _, free := range []bool{true, false} {
 		cfg := testConfig()
 		cfg.Limits.MaxAttempts, cfg.Limits.UnsentAttemptsAreFree = 4, free
-		sched := startScheduler(t, cfg, EndpointUpdate{Form: UpdateComplete, Engines: []Engine{testEngine("r0", 0, 0), testEngine("r1", 0, 0), testEngine("r2", 0, 0), testEngine("w0", 1, 0)}})
+		sched := startScheduler(t, cfg, listOf(testEngine("r0", 0, 0), testEngine("r1", 0, 0), testEngine("r2", 0, 0), testEngine("w0", 1, 0)))
 		now, sends, served := 1.0, 0, false
 		acts := sched.Step(now, []Event{testRequest("a", 1)})
 		for range 400 {
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// ruleChecker follows events and actions and tells the first rule that the actions break. It knows nothing of the
-// router's own books.
+// ruleChecker follows events and actions and keeps the first rule that the actions break. It knows nothing of the
+// scheduler's own state.
 type ruleChecker struct {
 	cfg       Config
 	now       float64
@@ -18,13 +18,14 @@
 	violation string
 }
 
+// trackedRequest is what the checker knows of a request.
 type trackedRequest struct {
 	class            int
 	deadline         float64
-	final            bool // answered, or the client has it
-	inFlight         int  // attempts out
-	attemptsSent     int
-	engineOf         map[int]string // attempt -> engine
+	final            bool           // has its final response, or its client has left
+	inFlight         int            // attempts in flight
+	attemptsSent     int            // also the number of the next
+	engineOf         map[int]string // engine of each attempt in flight, by its number
 	sentAt           map[int]float64
 	mayHaveRun       bool // an attempt may have run
 	mayHaveRunSince  float64
@@ -34,6 +35,16 @@
 	stateHeldSince   float64
 }
 
+func newRuleChecker(cfg Config, engines []Engine) *ruleChecker {
+	c := &ruleChecker{cfg: cfg, now: 1, state: map[string]EngineState{}, role: map[string]Role{}, cell: map[string]int{},
+		requests: map[string]*trackedRequest{}}
+	for _, engine := range engines {
+		c.role[engine.ID] = cfg.Kinds[engine.Kind].Role
+		c.cell[engine.ID] = engine.Cell
+	}
+	return c
+}
+
 func (c *ruleChecker) fail(format string, args ...any) {
 	if c.violation == "" {
 		c.violation = fmt.Sprintf("at %.3f: ", c.now) + fmt.Sprintf(format, args...)
@@ -42,181 +53,233 @@
 
 // checkDeadlines checks what must have happened by now.
 func (c *ruleChecker) checkDeadlines() {
-	for id, q := range c.requests {
-		if !q.final && !q.streaming && c.now > q.deadline+c.cfg.Rules.AnswerSlack {
-			c.fail("rule 1: %s has no answer", id)
+	for id, req := range c.requests {
+		if !req.final && !req.streaming && c.now > req.deadline+c.cfg.Rules.AnswerSlack {
+			c.fail("rule 1: %s has no final response", id)
 		}
-		if q.stateHeld && q.inFlight == 0 && c.now > q.stateHeldSince+c.cfg.Rules.StateReleaseLimit {
-			c.fail("rule 5: %s pins a state", id)
+		if req.stateHeld && req.inFlight == 0 && c.now > req.stateHeldSince+c.cfg.Rules.StateReleaseLimit {
+			c.fail("rule 5: the state of %s is not released", id)
 		}
 	}
 }
 
-func (c *ruleChecker) checkActions(acts []Action) {
-	for _, a := range acts {
-		switch a := a.(type) {
+func (c *ruleChecker) checkActions(actions []Action) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case Send:
-			q := c.requests[a.ID]
-			k := c.cfg.Classes[q.class]
-			switch {
-			case q.final || q.streaming:
-				c.fail("rule 1: %s is sent on after its end", a.ID)
-			case q.inFlight > 0:
-				c.fail("rule 2: %s has two attempts out", a.ID)
-			case c.state[a.Engine] != EngineReady:
-				c.fail("rule 3: %s goes to %s, which is not ready", a.ID, a.Engine)
-			case q.attemptsSent >= c.cfg.Limits.MaxAttempts:
-				c.fail("%s has too many attempts", a.ID)
-			case q.mayHaveRun && c.role[a.Engine] != Prefill && k.Effect == AtMostOnce:
-				c.fail("rule 2: %s may have run and is sent again", a.ID)
-			case q.mayHaveRun && c.role[a.Engine] != Prefill && k.Effect == IdempotentByKey &&
-				(c.now > q.mayHaveRunSince+k.DedupWindow || c.cell[a.Engine] != q.mayHaveRunInCell):
-				c.fail("rule 2: %s is sent outside its group or time", a.ID)
-			}
-			q.engineOf[q.attemptsSent], q.sentAt[q.attemptsSent] = a.Engine, c.now
-			q.inFlight++
-			q.attemptsSent++
+			c.checkSend(action)
 		case Reject:
-			c.finalResponse(a.ID)
-			q := c.requests[a.ID]
-			if c.cfg.Classes[q.class].Effect != Idempotent && (q.mayHaveRun || q.inFlight > 0) {
-				c.fail("rule 2: %s may have run and is refused", a.ID)
+			c.finalResponse(action.ID)
+			req := c.requests[action.ID]
+			if c.cfg.Classes[req.class].Effect != Idempotent && (req.mayHaveRun || req.inFlight > 0) {
+				c.fail("rule 2: %s may have run and is rejected", action.ID)
 			}
 		case Fail:
-			c.finalResponse(a.ID)
+			c.finalResponse(action.ID)
 		case Release:
-			c.requests[a.ID].stateHeld = false
+			c.requests[action.ID].stateHeld = false
 		}
 	}
 }
 
+func (c *ruleChecker) checkSend(send Send) {
+	req := c.requests[send.ID]
+	switch {
+	case req.final || req.streaming:
+		c.fail("rule 1: %s is forwarded after its end", send.ID)
+	case req.inFlight > 0:
+		c.fail("rule 2: %s has two attempts in flight", send.ID)
+	case c.state[send.Engine] != EngineReady:
+		c.fail("rule 3: %s goes to %s, which is not ready", send.ID, send.Engine)
+	case req.attemptsSent >= c.cfg.Limits.MaxAttempts:
+		c.fail("%s has too many attempts", send.ID)
+	case req.mayHaveRun && c.role[send.Engine] != Prefill:
+		c.checkRepeat(req, send)
+	}
+	req.engineOf[req.attemptsSent] = send.Engine
+	req.sentAt[req.attemptsSent] = c.now
+	req.inFlight++
+	req.attemptsSent++
+}
+
+// checkRepeat checks an attempt that may be the second with an effect. The by-key class of testConfig has a cell's scope.
+func (c *ruleChecker) checkRepeat(req *trackedRequest, send Send) {
+	class := c.cfg.Classes[req.class]
+	switch {
+	case class.Effect == AtMostOnce:
+		c.fail("rule 2: %s may have run and is sent again", send.ID)
+	case class.Effect == IdempotentByKey &&
+		(c.now > req.mayHaveRunSince+class.DedupWindow || c.cell[send.Engine] != req.mayHaveRunInCell):
+		c.fail("rule 2: %s is sent outside its scope or window", send.ID)
+	}
+}
+
 func (c *ruleChecker) finalResponse(id string) {
-	if q := c.requests[id]; q.final {
-		c.fail("rule 1: %s has two answers", id)
-	} else {
-		q.final = true
+	req := c.requests[id]
+	if req.final {
+		c.fail("rule 1: %s has two final responses", id)
 	}
+	req.final = true
 }
 
-// randomHost makes random legal events: engines that answer, fail, drain, leave and return, clients that go.
+// randomHost makes random legal events: engines that answer, fail, drain, leave and return, clients that disconnect.
 type randomHost struct {
 	*ruleChecker
 	scheduler *Scheduler
-	rnd       *rand.Rand
+	random    *rand.Rand
+	engines   []Engine
 	timers    []SetTimer
-	ids       []string
+	ids       []string // of all requests
 }
 
-func (w *randomHost) step(evs []Event) {
-	acts := w.scheduler.Step(w.now, evs)
-	w.checkActions(acts)
-	w.timers = append(w.timers, actionsOf[SetTimer](acts)...)
+func newRandomHost(t *testing.T, seed int64) *randomHost {
+	t.Helper()
+	random := rand.New(rand.NewSource(seed))
+	cfg := testConfig()
+	cfg.DecodeEnginesPrefill = random.Intn(2) == 0
+	cfg.ReservationOffered = random.Intn(2) == 0
+	scheduler, err := New(cfg, uint64(seed))
+	if err != nil {
+		t.Fatal(err)
+	}
+	engines := append(testFleet().Engines, testEngine("m0", 2, 0), testEngine("w1b", 1, 1))
+	return &randomHost{ruleChecker: newRuleChecker(cfg, engines), scheduler: scheduler, random: random, engines: engines}
 }
 
-// endAttempt ends a random attempt, or starts its stream.
-func (w *randomHost) endAttempt(id string, n int) Event {
-	q := w.requests[id]
-	e := q.engineOf[n]
-	if w.role[e] != Prefill && !q.streaming && !q.final && w.rnd.Intn(2) == 0 {
-		q.streaming, q.stateHeld = true, false
-		return FirstToken{ID: id, Attempt: n, Engine: e, Spent: w.now - q.sentAt[n]}
-	}
-	delete(q.engineOf, n)
-	q.inFlight--
-	o := Outcome{ID: id, Attempt: n, Engine: e, Spent: w.now - q.sentAt[n], Closed: q.final || q.streaming}
-	bad := []Status{ServerError, TimedOut, ConnectionLost, Canceled, ConnectFailed, Rejected}
-	switch {
-	case q.streaming:
-		o.Status = Completed
-		q.final = true
-	case w.role[e] == Prefill && w.rnd.Intn(4) > 0:
-		o.Status = Prefilled
-		q.stateHeld, q.stateHeldSince = true, w.now
-	default:
-		o.Status = bad[w.rnd.Intn(len(bad))]
-		if w.role[e] != Prefill && o.Status <= ConnectionLost && o.Status != Rejected && o.Status != ConnectFailed ||
-			w.role[e] != Prefill && o.Status == Canceled {
-			if !q.mayHaveRun {
-				q.mayHaveRun, q.mayHaveRunSince, q.mayHaveRunInCell = true, q.sentAt[n], w.cell[e]
-			}
-		}
-		q.stateHeldSince = w.now
-		if w.role[e] == Prefill {
-			q.stateHeld = false
+func (h *randomHost) step(events []Event) {
+	actions := h.scheduler.Step(h.now, events)
+	h.checkActions(actions)
+	h.timers = append(h.timers, actionsOf[SetTimer](actions)...)
+}
+
+// advance moves the time by a random amount or, if that comes first, to a timer, whose event it returns.
+func (h *randomHost) advance() []Event {
+	at, due := h.now+h.random.Float64()*0.05, -1
+	for i, timer := range h.timers {
+		if timer.At <= at {
+			at, due = timer.At, i
 		}
 	}
-	return o
+	h.now = max(h.now, at)
+	if due < 0 {
+		return nil
+	}
+	fired := TimerFired{Token: h.timers[due].Token}
+	h.timers = append(h.timers[:due:due], h.timers[due+1:]...)
+	return []Event{fired}
 }
 
-func checkRulesOnRandomEvents(t *testing.T, seed int64, steps int) {
-	rnd := rand.New(rand.NewSource(seed))
-	cfg := testConfig()
-	cfg.DecodeEnginesPrefill, cfg.ReservationOffered = rnd.Intn(2) == 0, rnd.Intn(2) == 0
-	r, err := New(cfg, uint64(seed))
-	if err != nil {
-		t.Fatal(err)
+// events returns the random events of a step. Requests arrive only while arrivals is set.
+func (h *randomHost) events(step int, arrivals bool) []Event {
+	switch k := h.random.Intn(20); {
+	case k < 6 && arrivals:
+		return []Event{h.newRequest(fmt.Sprint("q", step))}
+	case k < 7:
+		return []Event{h.changeEngine()}
+	case k < 8 && len(h.ids) > 0:
+		return h.disconnect(h.ids[h.random.Intn(len(h.ids))])
 	}
-	c := &ruleChecker{cfg: cfg, now: 1, state: map[string]EngineState{}, role: map[string]Role{}, cell: map[string]int{},
-		requests: map[string]*trackedRequest{}}
-	w := &randomHost{ruleChecker: c, scheduler: r, rnd: rnd}
-	m := testFleet()
-	m.Engines = append(m.Engines, testEngine("m0", 2, 0), testEngine("w1b", 1, 1))
-	for _, e := range m.Engines {
-		c.role[e.ID], c.cell[e.ID] = cfg.Kinds[e.Kind].Role, e.Cell
-	}
-	w.step([]Event{m})
-	for i := 0; i < steps && c.violation == ""; i++ {
-		var evs []Event
-		at, due := c.now+rnd.Float64()*0.05, -1
-		for j, tm := range w.timers {
-			if tm.At <= at {
-				at, due = tm.At, j
-			}
-		}
-		c.now = max(c.now, at)
-		if due >= 0 {
-			evs = append(evs, TimerFired{w.timers[due].Token})
-			w.timers = append(w.timers[:due:due], w.timers[due+1:]...)
-		}
-		switch k := rnd.Intn(20); {
-		case k < 6 && i < steps*3/4:
-			q := testRequest(fmt.Sprint("q", i), rnd.Intn(3))
-			q.ClientTimeLeft, q.PromptTokens = 0.02+rnd.Float64()*3, 100+rnd.Float64()*4000
-			c.requests[q.ID] = &trackedRequest{class: q.Class, deadline: c.now + q.ClientTimeLeft, engineOf: map[int]string{},
-				sentAt: map[int]float64{}}
-			w.ids = append(w.ids, q.ID)
-			evs = append(evs, q)
-		case k < 7:
-			e := m.Engines[rnd.Intn(len(m.Engines))]
-			e.State = EngineState(rnd.Intn(3))
-			if e.State == EngineReady && rnd.Intn(2) == 0 {
-				e.BootTime = c.now
-			}
-			c.state[e.ID] = e.State
-			evs = append(evs, EndpointUpdate{Form: UpdateIncremental, Engines: []Engine{e}})
-		case k < 8 && len(w.ids) > 0:
-			id := w.ids[rnd.Intn(len(w.ids))]
-			if q := c.requests[id]; !q.final && !q.streaming {
-				q.final = true
-				evs = append(evs, ClientDisconnected{id})
-			}
-		default:
-			for _, id := range w.ids {
-				q := c.requests[id]
-				for n := 0; n < q.attemptsSent; n++ {
-					if _, out := q.engineOf[n]; out && rnd.Intn(8) == 0 {
-						evs = append(evs, w.endAttempt(id, n))
-					}
-				}
+	return h.endAttempts()
+}
+
+func (h *randomHost) newRequest(id string) Event {
+	req := testRequest(id, h.random.Intn(3))
+	req.ClientTimeLeft = 0.02 + h.random.Float64()*3
+	req.PromptTokens = 100 + h.random.Float64()*4000
+	h.requests[id] = &trackedRequest{class: req.Class, deadline: h.now + req.ClientTimeLeft, engineOf: map[int]string{},
+		sentAt: map[int]float64{}}
+	h.ids = append(h.ids, id)
+	return req
+}
+
+func (h *randomHost) changeEngine() Event {
+	engine := h.engines[h.random.Intn(len(h.engines))]
+	engine.State = EngineState(h.random.Intn(3))
+	if engine.State == EngineReady && h.random.Intn(2) == 0 {
+		engine.BootTime = h.now
+	}
+	h.state[engine.ID] = engine.State
+	return EndpointUpdate{Form: UpdateIncremental, Engines: []Engine{engine}}
+}
+
+func (h *randomHost) disconnect(id string) []Event {
+	req := h.requests[id]
+	if req.final || req.streaming {
+		return nil
+	}
+	req.final = true
+	return []Event{ClientDisconnected{ID: id}}
+}
+
+func (h *randomHost) endAttempts() []Event {
+	var events []Event
+	for _, id := range h.ids {
+		req := h.requests[id]
+		for number := range req.attemptsSent {
+			if _, inFlight := req.engineOf[number]; inFlight && h.random.Intn(8) == 0 {
+				events = append(events, h.endAttempt(id, number))
 			}
 		}
-		if len(evs) > 0 {
-			w.step(evs)
+	}
+	return events
+}
+
+// endAttempt ends an attempt, or starts its stream.
+func (h *randomHost) endAttempt(id string, number int) Event {
+	req := h.requests[id]
+	engine := req.engineOf[number]
+	role := h.role[engine]
+	spent := h.now - req.sentAt[number]
+	if role != Prefill && !req.streaming && !req.final && h.random.Intn(2) == 0 {
+		req.streaming, req.stateHeld = true, false
+		return FirstToken{ID: id, Attempt: number, Engine: engine, Spent: spent}
+	}
+	delete(req.engineOf, number)
+	req.inFlight--
+	outcome := Outcome{ID: id, Attempt: number, Engine: engine, Spent: spent, Closed: req.final || req.streaming}
+	switch {
+	case req.streaming:
+		outcome.Status = Completed
+		req.final = true
+	case role == Prefill && h.random.Intn(4) > 0:
+		outcome.Status = Prefilled
+		req.stateHeld, req.stateHeldSince = true, h.now
+	default:
+		outcome.Status = h.failAttempt(req, number, engine)
+	}
+	return outcome
+}
+
+// failAttempt draws the status of an attempt that fails, and tracks its effect.
+func (h *randomHost) failAttempt(req *trackedRequest, number int, engine string) Status {
+	statuses := []Status{ServerError, TimedOut, ConnectionLost, Canceled, ConnectFailed, Rejected}
+	status := statuses[h.random.Intn(len(statuses))]
+	req.stateHeldSince = h.now
+	if h.role[engine] == Prefill {
+		req.stateHeld = false
+		return status
+	}
+	if status != Rejected && status != ConnectFailed && !req.mayHaveRun {
+		req.mayHaveRun = true
+		req.mayHaveRunSince = req.sentAt[number]
+		req.mayHaveRunInCell = h.cell[engine]
+	}
+	return status
+}
+
+func checkRulesOnRandomEvents(t *testing.T, seed int64, steps int) {
+	t.Helper()
+	h := newRandomHost(t, seed)
+	h.step([]Event{listOf(h.engines...)})
+	for i := 0; i < steps && h.violation == ""; i++ {
+		events := append(h.advance(), h.events(i, i < steps*3/4)...)
+		if len(events) > 0 {
+			h.step(events)
 		}
-		c.checkDeadlines()
+		h.checkDeadlines()
 	}
-	if c.violation != "" {
-		t.Fatalf("seed %d: %s", seed, c.violation)
+	if h.violation != "" {
+		t.Fatalf("seed %d: %s", seed, h.violation)
 	}
 }
 
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -25,7 +25,7 @@
 	f := &slowStartFleet{cfg: testConfig(), bootTime: 100, coldEngine: "cold"}
 	f.cfg.NodeCount, f.cfg.Rules.SlowStartWindow = n, 1.5
 	rng := rand.New(rand.NewPCG(seed, 1))
-	m := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{testEngine(f.coldEngine, role, 0)}}
+	m := listOf(testEngine(f.coldEngine, role, 0))
 	for i := range warm {
 		m.Engines = append(m.Engines, testEngine(fmt.Sprint("e", i), role, 0))
 	}
@@ -107,7 +107,7 @@
 }
 
 func TestSlowStartEngineGetsNoMoreThanItsBudget(t *testing.T) {
-	endpoints := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{testEngine("r0", 0, 0), testEngine("w0", 1, 0), testEngine("w1", 1, 0)}}
+	endpoints := listOf(testEngine("r0", 0, 0), testEngine("w0", 1, 0), testEngine("w1", 1, 0))
 	endpoints.Engines[2].BootTime = 9.9
 	sched := startScheduler(t, testConfig(), endpoints)
 	n := map[string]int{}
@@ -137,7 +137,7 @@
 	const routers, rate, until = 100, 1.0, 14.0
 	cfg := testConfig()
 	cfg.NodeCount = routers
-	endpoints := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{testEngine("r0", 0, 0)}}
+	endpoints := listOf(testEngine("r0", 0, 0))
 	for i := 0; i < 10; i++ {
 		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("w", i), 1, 0))
 	}
@@ -186,7 +186,7 @@
 
 func TestSlowStartBudgetCountsAdmittedRequests(t *testing.T) {
 	// Reads that end together must not all go to a cold writer: admission takes its part of the budget.
-	endpoints := EndpointUpdate{Form: UpdateComplete, Engines: []Engine{testEngine("r0", 0, 0), testEngine("w0", 1, 0), testEngine("w1", 1, 0)}}
+	endpoints := listOf(testEngine("r0", 0, 0), testEngine("w0", 1, 0), testEngine("w1", 1, 0))
 	endpoints.Engines[2].BootTime = 0.5
 	cfg := testConfig()
 	cfg.NodeCount = 1000 // of the even share nothing is left
