--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -11,12 +11,12 @@
 		req[i] = &request{firstTokenDue: float64(3 - i)}
 	}
 	req[2].overQuota = true
-	xs := []*request{req[0], req[1], req[2]}
-	sortByDeadline(xs)
-	if xs[0] != req[1] || xs[1] != req[0] || xs[2] != req[2] {
-		t.Fatal("not by deadline with over-share traffic last")
+	tier := []*request{req[0], req[1], req[2]}
+	sortByDeadline(tier)
+	if tier[0] != req[1] || tier[1] != req[0] || tier[2] != req[2] {
+		t.Fatal("not by deadline with requests beyond their quota last")
 	}
-	// A request whose aim has passed waits while the high tier holds one.
+	// A request whose first token is overdue waits while the high tier holds one.
 	sched := startScheduler(t, testConfig(), listOf())
 	late := testRequest("late", 0)
 	sched.Step(0, []Event{late})
@@ -31,8 +31,8 @@
 	}
 }
 
-// At many routers every high tier is nearly always empty: what comes too late is read only where a newcomer right
-// behind it would still come in time, by what reads have lately shown.
+// With many routers each high tier is nearly always empty: a late request is prefilled only where a newcomer right behind it
+// would still be in time, by what prefills have lately shown.
 func TestLowTierIsPrefilledOnlyWhereItDelaysNobody(t *testing.T) {
 	for wait, want := range map[float64]int{0: 1, 0.9: 0} {
 		sched := startScheduler(t, testConfig(), testFleet())
@@ -41,7 +41,7 @@
 		sched.requests["a"].lowTier = true
 		sched.kinds[0].prefillWait.add(1, wait, 1)
 		if got := len(actionsOf[Send](sched.Step(1, nil))); got != want {
-			t.Errorf("reads wait %g s: %d sent, want %d", wait, got, want)
+			t.Errorf("prefills wait %g s: got %d sends, want %d", wait, got, want)
 		}
 	}
 	sched := startScheduler(t, testConfig(), testFleet())
@@ -62,8 +62,8 @@
 	for i := 0; i < 12; i++ {
 		sent += len(actionsOf[Send](sched.Step(1, []Event{testRequest(fmt.Sprint(i), 0)})))
 	}
-	if sent != 4 { // two at each writer keep 0.8 x 0.06; a third would not
-		t.Fatalf("%d were admitted", sent)
+	if sent != 4 { // two at each decode engine keep 0.8 x 0.06; a third would not
+		t.Fatalf("%d were admitted, want 4", sent)
 	}
 }
 
@@ -74,58 +74,64 @@
 	endpoints.Engines = append(endpoints.Engines, testEngine("m0", 2, 0))
 	sched := startScheduler(t, cfg, endpoints)
 	for _, e := range sched.engineList {
-		e.prefillWait.add(0.9, 5, 1) // every read would take five seconds and more
+		e.prefillWait.add(0.9, 5, 1) // every prefill would take five seconds and more
 	}
 	for i := 0; i < 5; i++ {
 		for _, s := range actionsOf[Send](sched.Step(1, []Event{testRequest(fmt.Sprint(i), 0)})) {
 			if s.Engine[0] == 'w' || s.Engine == "m0" && i > 0 {
-				t.Fatalf("request %d went unread to %s", i, s.Engine)
+				t.Fatalf("request %d went to %s without a prefill", i, s.Engine)
 			}
 		}
 	}
-	// With no reader at all, a writer reads.
+	// With no prefill engine at all, a decode engine prefills.
 	sched = startScheduler(t, cfg, listOf(testEngine("w0", 1, 0)))
 	if s := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 0)})); s.Engine != "w0" {
-		t.Fatalf("sent to %s", s.Engine)
+		t.Fatalf("sent to %s, want w0", s.Engine)
 	}
 }
 
-// An aim that is longer than a read, but by less than the slack of the first-token test, left a class that was refused by an idle
-// fleet: 55 to 80% of its worth on drawn days 149, 167 and 327 (lab/simulation).
+// An objective that is longer than a prefill, but by less than the slack of the first-token test, left a class that an idle
+// fleet rejected: 55 to 80% of its value on drawn days 149, 167 and 327 (lab/simulation).
 func TestShortObjectiveIsSentToAnIdleFleet(t *testing.T) {
 	alone := (1000 + prefillOverhead) * initialPrefillSecondsPerToken
-	for _, x := range []struct {
-		name string
-		aim  float64 // beside the lag of a writer
-		want int
+	for _, c := range []struct {
+		name      string
+		objective float64 // beside the first-token latency of a decode engine
+		want      int
 	}{
-		{"room for the slack", 2 * prefillSlack * alone, 1},
-		{"less than that", 1.3 * alone, 1},
-		{"no time to read", 0.5 * alone, 0},
+		{name: "enough for the slack", objective: 2 * prefillSlack * alone, want: 1},
+		{name: "less than that", objective: 1.3 * alone, want: 1},
+		{name: "less than a prefill", objective: 0.5 * alone, want: 0},
 	} {
-		cfg := testConfig()
-		cfg.Classes[0].ObjectivePer1KTokens, cfg.Classes[0].FirstTokenObjective = 0, initialFirstTokenLatency+x.aim
-		sched := startScheduler(t, cfg, testFleet())
-		if got := len(actionsOf[Send](sched.Step(1, []Event{testRequest("a", 0)}))); got != x.want {
-			t.Errorf("%s: an idle fleet was sent %d reads, want %d", x.name, got, x.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig()
+			cfg.Classes[0].ObjectivePer1KTokens = 0
+			cfg.Classes[0].FirstTokenObjective = initialFirstTokenLatency + c.objective
+			sched := startScheduler(t, cfg, testFleet())
+			if got := len(actionsOf[Send](sched.Step(1, []Event{testRequest("a", 0)}))); got != c.want {
+				t.Errorf("an idle fleet got %d prefills, want %d", got, c.want)
+			}
+		})
 	}
 }
 
-// A class whose aim is hardly longer than its reads keeps late requests of others waiting no longer: where its aim cannot be kept
-// behind anybody, nobody keeps it by waiting.
+// A class whose objective is hardly longer than its prefills no longer keeps late requests of other classes waiting: where its
+// objective can't be kept behind any other request, waiting keeps it for none.
 func TestShortObjectivesKeepTheirPlaceInTheHighTier(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[0].ObjectivePer1KTokens, cfg.Classes[0].FirstTokenObjective = 0, initialFirstTokenLatency+1.3*(1000+prefillOverhead)*initialPrefillSecondsPerToken
+	alone := (1000 + prefillOverhead) * initialPrefillSecondsPerToken
+	cfg.Classes[0].ObjectivePer1KTokens = 0
+	cfg.Classes[0].FirstTokenObjective = initialFirstTokenLatency + 1.3*alone
 	sched := startScheduler(t, cfg, testFleet())
-	if got := len(actionsOf[Send](sched.Step(1, []Event{testRequest("a", 0), testRequest("b", 0), testRequest("c", 0), testRequest("d", 0)}))); got < 1 || got > 2 {
-		t.Errorf("two idle readers were sent %d reads of an aim that has no room for two, want 1 or 2", got)
+	actions := sched.Step(1, []Event{testRequest("a", 0), testRequest("b", 0), testRequest("c", 0), testRequest("d", 0)})
+	if got := len(actionsOf[Send](actions)); got < 1 || got > 2 {
+		t.Errorf("two idle engines got %d prefills whose objective leaves no time for two, want 1 or 2", got)
 	}
 }
 
-// Where the first few in order are late by just so much that none passes, and not yet so late that they leave the high tier, those behind
-// them were tried only once they had come to the head, and were as late: after a burst a node with 50 requests a second served 0.56 to
-// the end of the day while all engines idled (drawn days 1116, 1329).
+// Where the requests at the head are just late enough to fail the test, and not yet so late that they leave the high tier, those
+// behind them were tested only once they had come to the head, and were as late: after a burst a node with 50 requests a second
+// served 0.56 to the end of the day while all engines idled (drawn days 1116, 1329).
 func TestLateHeadOfTheTierDoesNotBlockOthers(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	sched.now = 10
@@ -136,7 +142,7 @@
 		req := sched.requests[id]
 		req.arrived, req.deadline, req.firstTokenDue = 0, 30, 20
 		if i < 2*drawWindowSize {
-			req.firstTokenDue = sched.now + initialFirstTokenLatency + 1.3*alone // it could be read in time, but not with the slack that the test asks for
+			req.firstTokenDue = sched.now + initialFirstTokenLatency + 1.3*alone // in time, but without the slack of the test
 		}
 	}
 	sent := 0
@@ -144,11 +150,11 @@
 		sent += len(actionsOf[Send](sched.Step(now, nil)))
 	}
 	if sent < 4 {
-		t.Errorf("idle readers were sent %d of 32 requests that have time", sent)
+		t.Errorf("idle engines got %d of 32 requests that have time, want 4 at least", sent)
 	}
 }
 
-// One class whose aim no reader can keep behind anybody kept the late requests of all others from being read, for ever.
+// One class whose objective no engine can keep behind another request kept the low tier from being prefilled for ever.
 func TestUnattainableObjectiveDoesNotBlockTheLowTier(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[1].FirstTokenObjective = 0.01
--- a/scheduler/affinity_test.go
+++ b/scheduler/affinity_test.go
@@ -7,7 +7,7 @@
 
 func TestPreferredReplicasLieWhereDecodeEnginesAre(t *testing.T) {
 	endpoints := listOf()
-	for i := range 4 { // cell 0: four readers and one writer; cell 1: two readers and five writers
+	for i := range 4 { // cell 0: four prefill engines and one decode engine; cell 1: two and five
 		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("r", i), 0, 0))
 	}
 	endpoints.Engines = append(endpoints.Engines, testEngine("w", 1, 0), testEngine("r4", 0, 1), testEngine("r5", 0, 1))
@@ -22,7 +22,7 @@
 		n[sched.prefillCandidates(req)[0].Cell]++
 	}
 	if n[1] < n[0] {
-		t.Fatalf("homes by cell: %v", n)
+		t.Fatalf("preferred replicas by cell: %v, want most in cell 1", n)
 	}
 }
 
@@ -40,16 +40,16 @@
 		}
 		sched.requestArrived(req)
 	}
-	homes := map[string]map[string]bool{"p": {}, "cool9": {}}
+	replicas := map[string]map[string]bool{"p": {}, "cool9": {}}
 	for i := range 200 {
-		for p := range homes {
+		for p := range replicas {
 			req := &request{Request: testRequest("a", 0)}
 			req.Prefix, req.Session = p, fmt.Sprint("s", i)
-			homes[p][sched.prefillCandidates(req)[0].ID] = true
+			replicas[p][sched.prefillCandidates(req)[0].ID] = true
 		}
 	}
-	if n := len(homes["p"]); n < 2 || n > 4 || len(homes["cool9"]) != 1 {
-		t.Fatalf("homes %v", homes)
+	if n := len(replicas["p"]); n < 2 || n > 4 || len(replicas["cool9"]) != 1 {
+		t.Fatalf("preferred replicas %v, want 2 to 4 of the hot prefix and 1 of the other", replicas)
 	}
 }
 
@@ -61,24 +61,25 @@
 	sched.Step(1.05, []Event{Outcome{ID: "a", Engine: first, Status: Prefilled, Spent: 0.05}})
 	sched.engines[first].prefillWait.add(sched.now, 0.7, 1)
 	if next := onlyAction[Send](t, sched.Step(1.1, []Event{testRequest("b", 0)})).Engine; next == first {
-		t.Fatal("the home was not passed over though its queue takes 0.7 s")
+		t.Fatal("the preferred replica was not passed over though its queue takes 0.7 s")
 	}
 }
 
-// A mixed engine is a home as readers are, for fewer beginnings. It answers what it reads, so that no state moves,
-// and what readers have read goes to it only when no writer passes.
+// A mixed engine is a preferred replica as prefill engines are, for fewer prefixes. It decodes what it prefills, so that no
+// state is transferred, and gets the states of prefill engines only when no decode engine passes.
 func TestMixedEnginesArePreferredReplicas(t *testing.T) {
 	endpoints := listOf()
 	for i := range 4 {
-		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("r", i), 0, i), testEngine(fmt.Sprint("w", i), 1, i), testEngine(fmt.Sprint("m", i), 2, i))
+		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("r", i), prefillKind, i),
+			testEngine(fmt.Sprint("w", i), decodeKind, i), testEngine(fmt.Sprint("m", i), mixedKind, i))
 	}
 	sched := startScheduler(t, testConfig(), endpoints)
-	homes, now := map[byte]int{}, 1.0
+	prefilledBy, now := map[byte]int{}, 1.0
 	for i := range 300 {
 		req := testRequest(fmt.Sprint("q", i), 0)
 		req.Prefix = fmt.Sprint("p", i)
 		s := onlyAction[Send](t, sched.Step(now, []Event{req}))
-		homes[s.Engine[0]]++
+		prefilledBy[s.Engine[0]]++
 		if s.Engine[0] == 'm' {
 			sched.Step(now+0.05, []Event{FirstToken{ID: req.ID, Engine: s.Engine, Spent: 0.05}})
 			acts := sched.Step(now+0.1, []Event{Outcome{ID: req.ID, Engine: s.Engine, Status: Completed, Closed: true}})
@@ -86,15 +87,15 @@
 		} else {
 			w := onlyAction[Send](t, sched.Step(now+0.05, []Event{Outcome{ID: req.ID, Engine: s.Engine, Status: Prefilled, Spent: 0.05}}))
 			if w.Engine[0] != 'w' {
-				t.Fatalf("%s was given a state though writers pass", w.Engine)
+				t.Fatalf("%s got a state though decode engines pass", w.Engine)
 			}
 			sched.Step(now+0.08, []Event{FirstToken{ID: req.ID, Attempt: 1, Engine: w.Engine, Spent: 0.03},
 				Outcome{ID: req.ID, Attempt: 1, Engine: w.Engine, Status: Completed, Closed: true}})
 		}
 		now += 0.2
 	}
-	if n := homes['m']; n < 60 || n > 140 || homes['r']+n != 300 {
-		t.Fatalf("read by %v; a third by mixed engines was meant", homes)
+	if n := prefilledBy['m']; n < 60 || n > 140 || prefilledBy['r']+n != 300 {
+		t.Fatalf("prefilled by %v, want about a third by mixed engines", prefilledBy)
 	}
 }
 
@@ -103,7 +104,7 @@
 	for i := 0; i < 6; i++ {
 		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("r", i), 0, i), testEngine(fmt.Sprint("w", i), 1, i))
 	}
-	home := func(sched *Scheduler, prefix string) string {
+	preferred := func(sched *Scheduler, prefix string) string {
 		req := testRequest("x", 0)
 		req.Prefix = prefix
 		s := onlyAction[Send](t, sched.Step(sched.now+1, []Event{req}))
@@ -116,17 +117,17 @@
 	before := map[string]string{}
 	for i := 0; i < 20; i++ {
 		p := fmt.Sprint("p", i)
-		before[p] = home(a, p)
-		if got := home(b, p); got != before[p] {
+		before[p] = preferred(a, p)
+		if got := preferred(b, p); got != before[p] {
 			t.Fatalf("routers disagree on %s: %s, %s", p, before[p], got)
 		}
 	}
-	left := endpoints.Engines[0]
-	left.State = EngineRemoved
-	a.Step(a.now, []Event{EndpointUpdate{Form: UpdateIncremental, Engines: []Engine{left}}})
+	removed := endpoints.Engines[0]
+	removed.State = EngineRemoved
+	a.Step(a.now, []Event{EndpointUpdate{Form: UpdateIncremental, Engines: []Engine{removed}}})
 	for p, was := range before {
-		if got := home(a, p); was != "r0" && got != was {
-			t.Fatalf("%s moved from %s to %s though its home stayed", p, was, got)
+		if got := preferred(a, p); was != "r0" && got != was {
+			t.Fatalf("%s moved from %s to %s though its preferred replica stayed", p, was, got)
 		}
 	}
 }
@@ -145,6 +146,6 @@
 		sched.learnPrefixHit(req, e, 0)
 	}
 	if after := sched.cachedPrefixTokens(req, e); before < 600 || after > before/2 {
-		t.Fatalf("kept is taken to be %g, then %g", before, after)
+		t.Fatalf("%g tokens taken to be cached, then %g", before, after)
 	}
 }
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkStep takes a step in which nothing new is told, with 100 engines that are full and 1,000 requests that wait.
+// BenchmarkStep takes a step without events, with 100 engines that are full and 1,000 requests that wait.
 func BenchmarkStep(b *testing.B) {
 	sched, err := New(testConfig(), 1)
 	if err != nil {
--- a/scheduler/curve_test.go
+++ b/scheduler/curve_test.go
@@ -7,34 +7,35 @@
 )
 
 func TestCurveFindsAKnownLaw(t *testing.T) {
-	var k uslCurve
-	k.terms = [3]float64{0.02, 0, 0}
-	rnd := rand.New(rand.NewSource(1))
+	var curve uslCurve
+	curve.terms = [3]float64{0.02, 0, 0}
+	random := rand.New(rand.NewSource(1))
 	law := func(l float64) float64 { return 0.02 * (1 + 0.03*(l-1) + 0.0005*l*(l-1)) }
 	for i := 0; i < 3000; i++ {
-		l := float64(1 + rnd.Intn(60))
-		k.sample(l, law(l), 1)
-		k.fit(k.terms)
+		l := float64(1 + random.Intn(60))
+		curve.sample(l, law(l), 1)
+		curve.fit(curve.terms)
 	}
 	for _, l := range []float64{1, 10, 30, 60} {
-		if got, want := k.terms[0]/k.speed(l), law(l); math.Abs(got-want) > 0.1*want {
-			t.Errorf("pace at %g: %g, want %g", l, got, want)
+		if got, want := curve.terms[0]/curve.speed(l), law(l); math.Abs(got-want) > 0.1*want {
+			t.Errorf("seconds per token at concurrency %g: got %g, want %g", l, got, want)
 		}
 	}
 }
 
 func TestCurveStaysPhysicalOnDegenerateSamples(t *testing.T) {
-	for _, pace := range []float64{0, 1e-9, 1e6} {
-		var k uslCurve
-		k.terms = [3]float64{0.02, 0, 0}
+	for _, secondsPerToken := range []float64{0, 1e-9, 1e6} {
+		var curve uslCurve
+		curve.terms = [3]float64{0.02, 0, 0}
 		for i := 0; i < 200; i++ {
-			k.sample(float64(1+i%2*40), pace*float64(200-i), 1)
-			k.fit(k.terms)
-			if !(k.terms[0] > 0) || k.terms[1] < 0 || k.terms[2] < 0 || k.terms[1] > k.terms[0] || k.terms[2] > k.terms[0] {
-				t.Fatalf("fit is %v", k.terms)
+			curve.sample(float64(1+i%2*40), secondsPerToken*float64(200-i), 1)
+			curve.fit(curve.terms)
+			terms := curve.terms
+			if !(terms[0] > 0) || terms[1] < 0 || terms[2] < 0 || terms[1] > terms[0] || terms[2] > terms[0] {
+				t.Fatalf("fit is %v", terms)
 			}
-			if f := k.speed(50); !(f > 0 && f <= 1) {
-				t.Fatalf("speed is %g", f)
+			if speed := curve.speed(50); !(speed > 0 && speed <= 1) {
+				t.Fatalf("speed is %g, want above 0 and 1 at most", speed)
 			}
 		}
 	}
@@ -51,7 +52,7 @@
 		sched.now = 1 + 3
 		sched.learnDecode(req, e)
 	}
-	if pace := e.curve.terms[0]; pace > 0.03*100*2/(100.0/3+300)+0.004 {
-		t.Fatalf("a lone stream is taken to need %g s a token", pace)
+	if secondsPerToken := e.curve.terms[0]; secondsPerToken > 0.03*100*2/(100.0/3+300)+0.004 {
+		t.Fatalf("a lone stream is expected to need %g s a token", secondsPerToken)
 	}
 }
--- a/scheduler/endpointview_test.go
+++ b/scheduler/endpointview_test.go
@@ -12,7 +12,7 @@
 		sched.Step(1.01, []Event{EndpointUpdate{Form: UpdateIncremental, Engines: []Engine{e}}})
 		got := onlyAction[Send](t, sched.Step(1.05, []Event{Outcome{ID: "a", Engine: s.Engine, Status: Prefilled}}))
 		if got.Engine == w {
-			t.Fatalf("sent to %s after it was %v", w, state)
+			t.Fatalf("sent to %s, which is %v", w, state)
 		}
 	}
 }
--- a/scheduler/expiry_test.go
+++ b/scheduler/expiry_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestFinalResponseComesBeforeAShortDeadline(t *testing.T) {
-	// Time left under the look interval: the timer must be for the answer, not for the next look.
+	// The time left is under recheckInterval: the timer must be for the final response, not for the next look.
 	sched := startScheduler(t, testConfig(), listOf())
 	req := testRequest("a", 0)
 	req.ClientTimeLeft = 0.013
@@ -28,7 +28,7 @@
 	for i := 0; i < 1000; i++ {
 		if len(actionsOf[Reject](acts)) == 1 {
 			if now >= 5 {
-				t.Fatalf("answered at %g", now)
+				t.Fatalf("final response at %g, after the deadline", now)
 			}
 			return
 		}
@@ -36,21 +36,21 @@
 		now = w.At
 		acts = sched.Step(now, []Event{TimerFired{w.Token}})
 	}
-	t.Fatal("never answered")
+	t.Fatal("no final response")
 }
 
-// What can no longer be served with some worth is refused in that pass, not when half of its time is over, and what
-// still earns a late worth waits.
+// A request that can no longer be served with some value is rejected in that pass, not when half of its time is over, and one
+// whose late answer still has value waits.
 func TestRequestWithoutAttainableValueIsRejectedAtOnce(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	req := testRequest("a", 0)
-	req.PromptTokens, req.PrefixTokens, req.ClientTimeLeft = 2e5, 0, 2 // 10 s to read at best
+	req.PromptTokens, req.PrefixTokens, req.ClientTimeLeft = 2e5, 0, 2 // 10 s to prefill at best
 	onlyAction[Reject](t, sched.Step(1, []Event{req}))
 
 	cfg := testConfig()
 	cfg.Classes[0].LateValue = 0
 	req = testRequest("b", 0)
-	req.PromptTokens, req.PrefixTokens, req.ClientTimeLeft = 6e4, 0, 30 // 3 s at best: in time, but after its aim
+	req.PromptTokens, req.PrefixTokens, req.ClientTimeLeft = 6e4, 0, 30 // 3 s at best: before its deadline, but after its objective
 	cfg.Classes[0].ObjectivePer1KTokens = 0
 	sched = startScheduler(t, cfg, testFleet())
 	onlyAction[Reject](t, sched.Step(1, []Event{req}))
@@ -61,8 +61,8 @@
 	noAction[Reject](t, sched.Step(1, []Event{req}))
 }
 
-// A refusal tells when to come back where the settings let it: within the most that they allow, spread, sooner where
-// nothing waits; and says nothing where they do not.
+// A rejection tells a Retry-After delay where the settings let it: within the most that they allow, spread, shorter where
+// nothing waits; and tells none where they don't.
 func TestRejectionsTellRetryAfter(t *testing.T) {
 	hopeless := func(id string) Request {
 		req := testRequest(id, 0)
@@ -71,7 +71,7 @@
 	}
 	sched := startScheduler(t, testConfig(), testFleet())
 	if a := onlyAction[Reject](t, sched.Step(1, []Event{hopeless("a")})); a.RetryAfter != 0 {
-		t.Fatalf("a time where none is allowed: %g", a.RetryAfter)
+		t.Fatalf("got Retry-After %g where none is allowed", a.RetryAfter)
 	}
 	cfg := testConfig()
 	cfg.Limits.RetryAfter, cfg.Limits.MaxRetryAfter = true, 1
@@ -80,14 +80,14 @@
 	for i := range 20 {
 		a := onlyAction[Reject](t, sched.Step(1+float64(i)/100, []Event{hopeless(fmt.Sprint("a", i))}))
 		if !(a.RetryAfter > 0 && a.RetryAfter <= 1) {
-			t.Fatalf("%g", a.RetryAfter)
+			t.Fatalf("got Retry-After %g, want above 0 and 1 at most", a.RetryAfter)
 		}
 		idle, seen[a.RetryAfter] = idle+a.RetryAfter/20, true
 	}
 	if len(seen) < 10 {
-		t.Fatalf("those refused together come back together: %v", seen)
+		t.Fatalf("clients that are rejected together return together: %v", seen)
 	}
-	for i := range 60 { // both readers get much to read
+	for i := range 60 { // both prefill engines get long queues
 		req := testRequest(fmt.Sprint("b", i), 0)
 		req.PromptTokens, req.PrefixTokens, req.ClientTimeLeft, req.Prefix = 5000, 0, 30, fmt.Sprint("p", i)
 		sched.Step(2, []Event{req})
@@ -97,6 +97,6 @@
 		busy += onlyAction[Reject](t, sched.Step(2.01+float64(i)/1000, []Event{hopeless(fmt.Sprint("c", i))})).RetryAfter / 20
 	}
 	if busy <= idle {
-		t.Fatalf("asked back after %g s behind a queue, %g s without one", busy, idle)
+		t.Fatalf("mean Retry-After %g s behind a queue, %g s without one", busy, idle)
 	}
 }
--- a/scheduler/lifecycle_test.go
+++ b/scheduler/lifecycle_test.go
@@ -9,14 +9,14 @@
 	sched := startScheduler(t, testConfig(), testFleet())
 	prefill, w := prefillAndPlace(t, sched, 1, testRequest("a", 0))
 	if prefill[0] != 'r' || w[0] != 'w' || prefill[1] != w[1] {
-		t.Fatalf("read at %s, written at %s", prefill, w)
+		t.Fatalf("prefilled at %s, decoded at %s; want one cell", prefill, w)
 	}
 	sched.Step(1.1, []Event{FirstToken{ID: "a", Attempt: 1, Engine: w, Spent: 0.05}})
 	acts := sched.Step(2, []Event{Outcome{ID: "a", Attempt: 1, Engine: w, Status: Completed, Spent: 1, Closed: true}})
 	noAction[Fail](t, acts)
 	noAction[Reject](t, acts)
 	if len(sched.requests)+len(sched.openRequests)+len(sched.engines[w].admitted) != 0 {
-		t.Fatal("an ended request left something behind")
+		t.Fatal("an ended request is still counted")
 	}
 }
 
@@ -47,14 +47,14 @@
 func TestStateIsReleasedWhenNoDecodeEngineTakesIt(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	s := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 0)}))
-	var gone []Engine
+	var draining []Engine
 	for _, e := range testFleet().Engines {
 		if e.Kind == 1 {
 			e.State = EngineDraining
-			gone = append(gone, e)
+			draining = append(draining, e)
 		}
 	}
-	sched.Step(1.01, []Event{EndpointUpdate{Form: UpdateIncremental, Engines: gone}})
+	sched.Step(1.01, []Event{EndpointUpdate{Form: UpdateIncremental, Engines: draining}})
 	acts := sched.Step(1.05, []Event{Outcome{ID: "a", Engine: s.Engine, Status: Prefilled}})
 	for now := 1.05; now < 2.05-0.3; now += 0.02 {
 		if len(actionsOf[Release](acts)) == 1 {
@@ -65,8 +65,8 @@
 	t.Fatal("the state was not released in time")
 }
 
-// While connections fail to come up, the time for which a state is held keeps running: the last try begins so early that it
-// ends within the rule, and then the state is let go of though writers are left to be tried.
+// While connections fail to come up, the time for which a state may wait runs on: the last attempt begins so early that it
+// ends within the rule, and then the state is released though decode engines are left to be tried.
 func TestStateIsReleasedInTimeWhileConnectionsFail(t *testing.T) {
 	endpoints := listOf(testEngine("r0", 0, 0))
 	for i := range 8 {
@@ -75,9 +75,11 @@
 	cfg := testConfig()
 	cfg.Limits.MaxAttempts, cfg.Limits.StateTimeRunsDuringConnects = 9, true // the protocol on sockets
 	sched := startScheduler(t, cfg, endpoints)
-	read := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 1)}))
-	acts, parsed, n := sched.Step(1.1, []Event{Outcome{ID: "a", Engine: read.Engine, Status: Prefilled, Spent: 0.1}}), 1.1, 1
-	for now := parsed; now < parsed+cfg.Rules.StateReleaseLimit; n++ {
+	prefill := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 1)}))
+	const prefilledAt = 1.1
+	acts := sched.Step(prefilledAt, []Event{Outcome{ID: "a", Engine: prefill.Engine, Status: Prefilled, Spent: 0.1}})
+	n := 1
+	for now := prefilledAt; now < prefilledAt+cfg.Rules.StateReleaseLimit; n++ {
 		s := actionsOf[Send](acts)
 		if len(s) == 0 || len(actionsOf[Release](acts)) > 0 {
 			break
@@ -85,22 +87,23 @@
 		now += 0.25 // the time to connect
 		acts = sched.Step(now, []Event{Outcome{ID: "a", Attempt: n, Engine: s[0].Engine, Status: ConnectFailed, Spent: 0.25}})
 	}
-	if len(actionsOf[Release](acts)) != 1 || sched.now > parsed+0.8*cfg.Rules.StateReleaseLimit || n < 3 {
-		t.Fatalf("%.2f s after the read, after %d attempts: %v", sched.now-parsed, n, acts)
+	if len(actionsOf[Release](acts)) != 1 || sched.now > prefilledAt+0.8*cfg.Rules.StateReleaseLimit || n < 3 {
+		t.Fatalf("%.2f s after the prefill, after %d attempts: %v", sched.now-prefilledAt, n, acts)
 	}
 }
 
-// Where a failed connection counts as an attempt, the rule's time runs from its outcome: a state that was let go of earlier had to
-// be read anew, and yard-assist-later, whose handshakes are slow, fell from 0.729 to 0.669 (simulated servers).
+// Where a failed connection counts as an attempt, the time for which a state may wait restarts at its outcome: a state that
+// was released earlier had to be prefilled anew, and yard-assist-later, whose handshakes are slow, fell from 0.729 to 0.669
+// (simulated servers).
 func TestStateTimeRestartsAfterAFailedConnectionThatCounts(t *testing.T) {
 	endpoints := testFleet()
 	endpoints.Engines = append(endpoints.Engines, testEngine("w2", 1, 0), testEngine("w3", 1, 0))
 	sched := startScheduler(t, testConfig(), endpoints)
-	read := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 1)}))
-	write := onlyAction[Send](t, sched.Step(1.1, []Event{Outcome{ID: "a", Engine: read.Engine, Status: Prefilled, Spent: 0.1}}))
-	acts := sched.Step(1.8, []Event{Outcome{ID: "a", Attempt: 1, Engine: write.Engine, Status: ConnectFailed, Spent: 0.7}})
+	prefill := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 1)}))
+	decode := onlyAction[Send](t, sched.Step(1.1, []Event{Outcome{ID: "a", Engine: prefill.Engine, Status: Prefilled, Spent: 0.1}}))
+	acts := sched.Step(1.8, []Event{Outcome{ID: "a", Attempt: 1, Engine: decode.Engine, Status: ConnectFailed, Spent: 0.7}})
 	noAction[Release](t, acts)
-	if again := onlyAction[Send](t, acts); again.Engine == write.Engine {
+	if again := onlyAction[Send](t, acts); again.Engine == decode.Engine {
 		t.Errorf("the state was sent to %s again", again.Engine)
 	}
 }
--- a/scheduler/loadreport_test.go
+++ b/scheduler/loadreport_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestReportedLoadLimitsAdmissionWhereOwnStreamsAreFew(t *testing.T) {
-	// One of very many routers: no stream of its own anywhere, but every writer reports that it is busy.
+	// One of very many routers: no stream of its own anywhere, but decode engines report that they are busy.
 	cfg := testConfig()
 	cfg.NodeCount, cfg.ReportStyle = 100, ReportInline
 	sched := startScheduler(t, cfg, testFleet())
@@ -13,7 +13,7 @@
 	busy := &LoadReport{Utilization: 0.9, MemoryShare: 0.3, Has: HasUtilization | HasMemoryShare}
 	sched.Step(1, []Event{Outcome{ID: "x", Engine: "w0", Report: busy}})
 	if s := actionsOf[Send](sched.Step(1.1, []Event{testRequest("a", 0)})); len(s) != 0 {
-		t.Fatalf("sent to %v though the kind's writers are full", s)
+		t.Fatalf("sent to %v though decode engines are full", s)
 	}
 	idle := &LoadReport{Utilization: 0.1, Has: HasUtilization | HasMemoryShare}
 	onlyAction[Send](t, sched.Step(1.2, []Event{Outcome{ID: "x", Engine: "w1", Report: idle}}))
@@ -32,6 +32,6 @@
 	now := sched.memoryShareWith(e, req)
 	sched.now += 5 * reportFreshTime
 	if later := sched.memoryShareWith(e, req); now < 0.85 || later > 0.35 {
-		t.Fatalf("memory taken to be %g, %g later", now, later)
+		t.Fatalf("memory share estimated at %g, then %g", now, later)
 	}
 }
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -6,17 +6,20 @@
 )
 
 func TestAttemptIsNotCanceledWherePredictionsAreLate(t *testing.T) {
-	// One attempt at an engine is all a router in a large fleet has there: where reads have lately missed their
-	// predictions by a second, one that is a second late is not called off.
+	// One attempt at an engine is all that a router of a large fleet has there: where prefills have lately missed their
+	// predictions by a second, one that is a second late is not canceled.
 	for _, c := range []struct {
-		spread float64
-		calls  int
-	}{{0, 1}, {1, 0}} {
+		predictionError float64 // seconds
+		cancels         int
+	}{
+		{predictionError: 0, cancels: 1},
+		{predictionError: 1, cancels: 0},
+	} {
 		sched := startScheduler(t, testConfig(), testFleet())
-		sched.predictionError[Prefill].add(0, c.spread, 1)
+		sched.predictionError[Prefill].add(0, c.predictionError, 1)
 		sched.Step(1, []Event{testRequest("a", 0)})
-		if got := len(actionsOf[Cancel](sched.Step(2.6, nil))); got != c.calls {
-			t.Fatalf("spread %g: %d called off", c.spread, got)
+		if got := len(actionsOf[Cancel](sched.Step(2.6, nil))); got != c.cancels {
+			t.Fatalf("prediction error %g s: got %d cancels, want %d", c.predictionError, got, c.cancels)
 		}
 	}
 }
@@ -28,22 +31,22 @@
 	sched.recordFailure(e)
 	sched.recordFailure(e)
 	if sched.acceptsWork(e) {
-		t.Fatal("still trusted after two failures in a row")
+		t.Fatal("gets work after two failures in a row")
 	}
 	sched.now += maxEjection
 	if !sched.acceptsWork(e) {
-		t.Fatal("no trial after the ejection")
+		t.Fatal("gets no request on probation after the ejection")
 	}
 	e.admitted = []*request{{stage: stageDecoding, decodeEngine: e, inFlight: &attempt{engine: e, sentAt: sched.now, expected: 1}}}
 	if sched.acceptsWork(e) {
-		t.Fatal("a second trial beside the first")
+		t.Fatal("gets a second request on probation beside the first")
 	}
 	e.admitted = nil
 	for i := 0; i < 5; i++ {
 		sched.recordSuccess(e)
 	}
 	if e.failureScore >= probationScore {
-		t.Fatal("not readmitted after good trials")
+		t.Fatal("still on probation after five successes")
 	}
 }
 
@@ -54,7 +57,7 @@
 	}
 	sched.engines["r1"].failureScore, sched.engines["w1"].failureScore = 0.6, 0.6
 	if prefill, w := prefillAndPlace(t, sched, 1, testRequest("a", 0)); prefill != "r1" || w != "w1" {
-		t.Fatalf("used %s and %s", prefill, w)
+		t.Fatalf("sent to %s and %s, want r1 and w1", prefill, w)
 	}
 }
 
@@ -67,28 +70,29 @@
 	}
 }
 
-// A reader that loses what it has read (a node cut off, memory run short, a restart that the list has not told)
-// answers reads as if all were well. The writer that finds no state is not full.
+// A prefill engine that loses its states (a node cut off, memory run short, a restart that the endpoint list doesn't show)
+// answers prefills as if all were well. The decode engine that finds no state is not full.
 func TestPrefillEngineThatLosesStatesIsAvoided(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
-	now, home := 1.0, ""
+	now, preferred := 1.0, ""
 	for i := range 2 {
 		req := testRequest(fmt.Sprint("q", i), 0)
 		prefill, w := prefillAndPlace(t, sched, now, req)
-		if home == "" {
-			home = prefill
+		if preferred == "" {
+			preferred = prefill
 		}
 		acts := sched.Step(now+0.2, []Event{Outcome{ID: req.ID, Attempt: 1, Engine: w, Status: Rejected, Info: 1}})
 		if e := sched.engines[w]; e.fullUntil > now {
 			t.Fatalf("%s counts as full", w)
 		}
 		if i == 0 {
-			if s := onlyAction[Send](t, acts); s.Engine != home { // once is chance
-				t.Fatalf("read again at %s, want %s", s.Engine, home)
+			if s := onlyAction[Send](t, acts); s.Engine != preferred { // once is chance
+				t.Fatalf("prefilled again at %s, want %s", s.Engine, preferred)
 			}
-			sched.Step(now+0.3, []Event{ClientDisconnected{req.ID}, Outcome{ID: req.ID, Attempt: 2, Engine: home, Status: Canceled, Closed: true}})
-		} else if s := onlyAction[Send](t, acts); s.Engine == home {
-			t.Fatalf("%s lost two states and is asked again", home)
+			sched.Step(now+0.3, []Event{ClientDisconnected{ID: req.ID},
+				Outcome{ID: req.ID, Attempt: 2, Engine: preferred, Status: Canceled, Closed: true}})
+		} else if s := onlyAction[Send](t, acts); s.Engine == preferred {
+			t.Fatalf("%s lost two states and gets the request again", preferred)
 		}
 		now += 0.5
 	}
--- a/scheduler/outputlength_test.go
+++ b/scheduler/outputlength_test.go
@@ -11,15 +11,15 @@
 	req := &request{Request: testRequest("a", 0), class: &sched.cfg.Classes[0]}
 	req.DurationHint = 3
 	if got := sched.expectedOutputTokens(req); got != 50 {
-		t.Fatalf("hinted length is %g", got)
+		t.Fatalf("length by the hint is %g, want 50", got)
 	}
 	if got := meanOverQuantile([]float64{1, 1, 1, 1, 2}, 1); math.Abs(got-0.6) > 1e-9 {
-		t.Fatalf("mean over top is %g", got)
+		t.Fatalf("mean over the longest is %g, want 0.6", got)
 	}
 }
 
-// Answers of a token or two begin and end within one step. Their time of zero made the guess of lengths no number,
-// and then no writer with a stream passed the test any more (seen on sockets).
+// Answers of a token or two begin and end within one step. Their time of zero made the expected length not a number, and then
+// no decode engine with a stream passed the admission tests any more (seen on sockets).
 func TestStreamsWithoutDurationAreNotLearned(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	now := 1.0
@@ -32,7 +32,7 @@
 	}
 	req := &request{Request: testRequest("x", 0), class: &sched.cfg.Classes[0]}
 	if n := sched.expectedOutputTokens(req); !(n > 0) {
-		t.Fatalf("an answer is guessed at %v tokens", n)
+		t.Fatalf("an answer is expected to have %v tokens", n)
 	}
 	for i := range 3 { // streams that last
 		req := testRequest(fmt.Sprint("long", i), 0)
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Writers of one cell ran late while others stood idle: what the first token takes counts against a writer's room.
+// Decode engines of one cell ran late while others idled: the first-token latency counts against the spare capacity.
 func TestDecodeEngineWithLateFirstTokensIsPassedOver(t *testing.T) {
 	endpoints := listOf(testEngine("r0", 0, 0), testEngine("w0", 1, 0), testEngine("w1", 1, 0))
 	for _, slow := range []string{"w0", "w1"} {
@@ -11,13 +11,13 @@
 		sched.engines[slow].firstTokenLatency.add(1, 0.6, 1)
 		req := &request{Request: testRequest("q", 0), class: &sched.cfg.Classes[0]}
 		if w := sched.bestDecodeEngine(req, sched.engines["r0"], 1, false); w.ID == slow {
-			t.Errorf("%s was taken though its first tokens take 0.6 s", slow)
+			t.Errorf("chose %s, whose first tokens take 0.6 s", slow)
 		}
 	}
 }
 
-// A router that hears of writers seldom leaves a cell whose writer has less room; one that hears often leaves it only
-// when no writer there passes.
+// A router with old reports sends a state out of a cell whose decode engine has less spare capacity; one with fresh reports
+// does so only when no decode engine of the cell passes.
 func TestStateLeavesAFullerCellWhereReportsAreOld(t *testing.T) {
 	report := func(share float64) *LoadReport { return &LoadReport{MemoryShare: share, Has: HasMemoryShare} }
 	for age, want := range map[float64]string{0.1: "w0", 8: "w1"} {
@@ -25,11 +25,14 @@
 		cfg.ReportStyle, cfg.Prices.Transfer = ReportInline, 0.03
 		sched := startScheduler(t, cfg, testFleet())
 		req := &request{Request: testRequest("q", 0), class: &sched.cfg.Classes[0]}
-		sched.Step(1, []Event{ProbeResult{Engine: "w0", Status: Completed, Report: report(0.85)}, ProbeResult{Engine: "w1", Status: Completed, Report: report(0.05)}})
-		sched.kinds[1].reportedMemory.mean = 0.4 // of all that were heard of lately
+		sched.Step(1, []Event{
+			ProbeResult{Engine: "w0", Status: Completed, Report: report(0.85)},
+			ProbeResult{Engine: "w1", Status: Completed, Report: report(0.05)},
+		})
+		sched.kinds[decodeKind].reportedMemory.mean = 0.4 // of all that have reported lately
 		sched.engines["w0"].reportAt, sched.engines["w1"].reportAt = 1, 1
 		sched.now = 1 + age
-		if age > 1 { // the near one tells now, the far one told long ago
+		if age > 1 { // the engine of the cell has just reported, the other one long ago
 			sched.engines["w0"].reportAt = sched.now
 		}
 		if w := sched.bestDecodeEngine(req, sched.engines["r0"], 1, false); w == nil || w.ID != want {
@@ -38,8 +41,8 @@
 	}
 }
 
-// A writer whose lone pace misses the aim, and which reports load, is still used where there is no other: its answers are
-// late, and all refused would be worse. One that keeps the pace comes first.
+// A decode engine that misses the objective even with one stream, and reports load, is still used where there is no other: late
+// answers are worth more than rejections. One that keeps the objective comes first.
 func TestDecodeEngineBelowOutputObjectiveIsTheLastResort(t *testing.T) {
 	for _, other := range []bool{false, true} {
 		endpoints := listOf(testEngine("r0", 0, 0), testEngine("slow", 1, 0))
@@ -47,17 +50,17 @@
 			endpoints.Engines = append(endpoints.Engines, testEngine("w1", 1, 0))
 		}
 		sched := startScheduler(t, testConfig(), endpoints)
-		rep := &LoadReport{Utilization: 0.3, Has: HasUtilization | HasWaiting | HasMemoryShare}
+		report := &LoadReport{Utilization: 0.3, Has: HasUtilization | HasWaiting | HasMemoryShare}
 		for _, e := range sched.engineList {
 			if e.role == Decode {
-				sched.recordReport(e, rep)
+				sched.recordReport(e, report)
 				e.curve.terms[0] = 0.02
 			}
 		}
-		sched.engines["slow"].curve.terms[0] = 0.1 // 100 ms a token, 60 wanted
+		sched.engines["slow"].curve.terms[0] = 0.1 // 100 ms a token; the objective is 60
 		_, w := prefillAndPlace(t, sched, 1, testRequest("a", 0))
 		if want := map[bool]string{false: "slow", true: "w1"}[other]; w != want {
-			t.Errorf("another writer %v: written at %s", other, w)
+			t.Errorf("another decode engine %v: decoded at %s, want %s", other, w, want)
 		}
 	}
 }
--- a/scheduler/prefilltime_test.go
+++ b/scheduler/prefilltime_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Nothing was sent to readers once thought full, so nothing was learned of them, and nothing was sent.
+// Nothing was sent to prefill engines that had been slow once, so nothing was learned of them, and nothing was sent.
 func TestLearnedWaitsFadeWhileNothingIsPrefilled(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	sched.now = 1
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -7,21 +7,29 @@
 
 func TestAtMostOnceIsNeitherRetriedNorRejectedAfterItMayHaveRun(t *testing.T) {
 	for _, c := range []struct {
-		status Status
-		ran    bool
-	}{{ServerError, true}, {ConnectionLost, true}, {TimedOut, true}, {Canceled, true}, {Rejected, false},
-		{ConnectFailed, false}} {
-		sched := startScheduler(t, testConfig(), testFleet())
-		_, w := prefillAndPlace(t, sched, 1, testRequest("a", 1))
-		acts := sched.Step(1.2, []Event{Outcome{ID: "a", Attempt: 1, Engine: w, Status: c.status}})
-		if c.ran {
+		status     Status
+		mayHaveRun bool
+	}{
+		{status: ServerError, mayHaveRun: true},
+		{status: ConnectionLost, mayHaveRun: true},
+		{status: TimedOut, mayHaveRun: true},
+		{status: Canceled, mayHaveRun: true},
+		{status: Rejected, mayHaveRun: false},
+		{status: ConnectFailed, mayHaveRun: false},
+	} {
+		t.Run(c.status.String(), func(t *testing.T) {
+			sched := startScheduler(t, testConfig(), testFleet())
+			_, w := prefillAndPlace(t, sched, 1, testRequest("a", atMostOnceClass))
+			acts := sched.Step(1.2, []Event{Outcome{ID: "a", Attempt: 1, Engine: w, Status: c.status}})
+			if !c.mayHaveRun {
+				onlyAction[Send](t, acts) // the state still waits: another decode engine gets it
+				return
+			}
 			noAction[Send](t, acts)
 			noAction[Reject](t, acts)
 			onlyAction[Fail](t, acts)
 			onlyAction[Release](t, acts)
-		} else {
-			onlyAction[Send](t, acts) // the state still waits: another writer
-		}
+		})
 	}
 }
 
@@ -32,17 +40,17 @@
 	prefill, w := prefillAndPlace(t, sched, 1, testRequest("a", 2))
 	s := onlyAction[Send](t, sched.Step(1.2, []Event{Outcome{ID: "a", Attempt: 1, Engine: w, Status: ServerError}}))
 	if s.Engine[1] != prefill[1] {
-		t.Fatalf("resent to %s, first at %s", s.Engine, w)
+		t.Fatalf("retried at %s, want the cell of %s", s.Engine, w)
 	}
-	// Past the key's time nothing more may go out, and a group smaller than all forbids a refusal.
+	// Past the window nothing more may be sent, and a scope smaller than the fleet forbids a rejection.
 	acts := sched.Step(3.2, []Event{Outcome{ID: "a", Attempt: 2, Engine: s.Engine, Status: ServerError}})
 	noAction[Send](t, acts)
 	noAction[Reject](t, acts)
 	onlyAction[Fail](t, acts)
 }
 
-// A keyed request that is to be read anew, after an attempt that may have run, is read within its group or not at all:
-// whatever is sent then counts as a repeat.
+// A by-key request that is to be prefilled anew, after an attempt that may have run, is prefilled within its scope or not at
+// all: whatever is sent then counts as a repeat.
 func TestIdempotentByKeyIsPrefilledAnewWithinScope(t *testing.T) {
 	endpoints, cfg := testFleet(), testConfig()
 	endpoints.Engines = append(endpoints.Engines, testEngine("w0b", 1, 0), testEngine("w1b", 1, 1))
@@ -50,18 +58,18 @@
 	sched := startScheduler(t, cfg, endpoints)
 	_, w := prefillAndPlace(t, sched, 1, testRequest("a", 2))
 	s := onlyAction[Send](t, sched.Step(1.2, []Event{Outcome{ID: "a", Attempt: 1, Engine: w, Status: ServerError}}))
-	gone := testEngine("r"+w[1:2], 0, int(w[1]-'0'))
-	gone.State = EngineRemoved
-	acts := sched.Step(1.3, []Event{EndpointUpdate{Form: UpdateIncremental, Engines: []Engine{gone}},
-		Outcome{ID: "a", Attempt: 2, Engine: s.Engine, Status: Rejected, Info: 1}}) // its state is gone as well
+	removed := testEngine("r"+w[1:2], 0, int(w[1]-'0'))
+	removed.State = EngineRemoved
+	acts := sched.Step(1.3, []Event{EndpointUpdate{Form: UpdateIncremental, Engines: []Engine{removed}},
+		Outcome{ID: "a", Attempt: 2, Engine: s.Engine, Status: Rejected, Info: 1}})
 	for _, x := range actionsOf[Send](acts) {
 		if x.Engine[1] != w[1] {
-			t.Fatalf("read anew at %s, after an attempt at %s", x.Engine, w)
+			t.Fatalf("prefilled anew at %s, after an attempt at %s; want one cell", x.Engine, w)
 		}
 	}
 }
 
-// A client's patience is for tries that can succeed: two tries went to an engine that fails at once before it was ejected.
+// A client's time is for attempts that can succeed: two went to an engine that fails at once before it was ejected.
 func TestRetryGoesToAnotherEngine(t *testing.T) {
 	endpoints := listOf()
 	for i := range 4 {
@@ -71,29 +79,29 @@
 	first := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 0)})).Engine
 	again := onlyAction[Send](t, sched.Step(1.01, []Event{Outcome{ID: "a", Engine: first, Status: ServerError, Spent: 0.01}})).Engine
 	if again == first {
-		t.Fatalf("%s failed the request and is asked again", first)
+		t.Fatalf("retried at %s, which failed the request", first)
 	}
 	sched = startScheduler(t, testConfig(), listOf(testEngine("r0", 0, 0), testEngine("w0", 1, 0)))
 	sched.Step(1, []Event{testRequest("a", 0)})
 	if s := onlyAction[Send](t, sched.Step(1.01, []Event{Outcome{ID: "a", Engine: "r0", Status: ServerError, Spent: 0.01}})); s.Engine != "r0" {
-		t.Fatalf("%s instead of the only reader", s.Engine)
+		t.Fatalf("retried at %s, want the only prefill engine", s.Engine)
 	}
 }
 
-// An engine that turns away though it reports room is not asked again for that request while there are others; one
-// that is full by its own word may be.
+// An engine that rejects a request though it reports spare capacity doesn't get it again while there are others; one that
+// reports a queue may.
 func TestRejectionDespiteSpareCapacityIsRetriedElsewhere(t *testing.T) {
 	endpoints := listOf(testEngine("r0", 0, 0), testEngine("r1", 0, 0), testEngine("w0", 1, 0))
 	for _, waiting := range []float64{0, 3} {
 		sched := startScheduler(t, testConfig(), endpoints)
 		s := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 0)}))
-		rep := &LoadReport{Waiting: waiting, Utilization: 0.2, Has: HasWaiting | HasUtilization}
-		again := onlyAction[Send](t, sched.Step(1.3, []Event{Outcome{ID: "a", Engine: s.Engine, Status: Rejected, Spent: 0.28, Report: rep}}))
+		report := &LoadReport{Waiting: waiting, Utilization: 0.2, Has: HasWaiting | HasUtilization}
+		again := onlyAction[Send](t, sched.Step(1.3, []Event{Outcome{ID: "a", Engine: s.Engine, Status: Rejected, Spent: 0.28, Report: report}}))
 		if elsewhere := again.Engine != s.Engine; elsewhere != (waiting == 0) {
-			t.Errorf("%g waiting: first %s, then %s", waiting, s.Engine, again.Engine)
+			t.Errorf("%g waiting: sent to %s, then %s", waiting, s.Engine, again.Engine)
 		}
 		if sched.engines[s.Engine].failureScore != 0 {
-			t.Error("a rejection is no failure")
+			t.Error("a rejection counts as a failure")
 		}
 	}
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -30,11 +30,20 @@
 func TestEventsOfUnknownRequestsAreIgnored(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	sched.Step(1, []Event{testRequest("a", 0)})
-	acts := sched.Step(1.001, []Event{Outcome{ID: "zz", Engine: "r0"}, Outcome{ID: "a", Attempt: 7, Engine: "r0"}, ClientDisconnected{"zz"},
-		FirstToken{ID: "a", Attempt: 3}, TimerFired{999}, ProbeResult{Engine: "nobody"}, ReserveResult{ID: "zz"}, PeerMessage{}, testRequest("a", 0)})
+	acts := sched.Step(1.001, []Event{
+		Outcome{ID: "unknown", Engine: "r0"},
+		Outcome{ID: "a", Attempt: 7, Engine: "r0"},
+		ClientDisconnected{ID: "unknown"},
+		FirstToken{ID: "a", Attempt: 3},
+		TimerFired{Token: 999},
+		ProbeResult{Engine: "unknown"},
+		ReserveResult{ID: "unknown"},
+		PeerMessage{},
+		testRequest("a", 0),
+	})
 	for _, a := range acts {
 		if _, ok := a.(SetTimer); !ok {
-			t.Fatalf("acted on a stray event: %v", a)
+			t.Fatalf("got %v for events of unknown requests, want none", a)
 		}
 	}
 }
--- a/scheduler/validate_test.go
+++ b/scheduler/validate_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestNewNamesTheInvalidField(t *testing.T) {
-	for field, spoil := range map[string]func(*Config){
+	for field, invalidate := range map[string]func(*Config){
 		"NodeCount":   func(c *Config) { c.NodeCount = 0 },
 		"NodeIndex":   func(c *Config) { c.NodeIndex = 5 },
 		"Classes":     func(c *Config) { c.Classes = nil },
@@ -17,9 +17,9 @@
 		"Rules":       func(c *Config) { c.Rules.StateReleaseLimit = -1 },
 	} {
 		c := testConfig()
-		spoil(&c)
+		invalidate(&c)
 		if _, err := New(c, 1); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error is %v", field, err)
+			t.Errorf("got error %v, want one that names %s", err, field)
 		}
 	}
 }
