--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -17,7 +17,7 @@
 	return string(b)
 }
 
-func TestSmoke(t *testing.T) {
+func TestSmokeRunSendsAndAnswersEachBatch(t *testing.T) {
 	var out bytes.Buffer
 	if err := run(strings.NewReader(smoke(t)), &out, io.Discard); err != nil {
 		t.Fatal(err)
--- a/internal/benchwire/benchwire_test.go
+++ b/internal/benchwire/benchwire_test.go
@@ -39,7 +39,7 @@
 	return "SYNC\tsim_time_s=2.5\tserial=9\nTO\tnode_id=0\n" + strings.Join(lines, "\n") + "\nGO\n"
 }
 
-func TestLaunchAndList(t *testing.T) {
+func TestLaunchAndEndpointUpdate(t *testing.T) {
 	items, err := decode(launch(t))
 	if err != nil || len(items) != 2 {
 		t.Fatalf("%v, %d items", err, len(items))
@@ -52,39 +52,85 @@
 	m := items[1].Event.(scheduler.EndpointUpdate)
 	want := scheduler.Engine{ID: "10.0.0.2:1", Kind: 1, Weight: 1}
 	if m.Form != scheduler.UpdateStale || len(m.Engines) != 2 || m.Engines[1] != want {
-		t.Errorf("list: %+v", m)
+		t.Errorf("endpoint update: %+v", m)
 	}
 }
 
-func TestEveryEvent(t *testing.T) {
-	for line, want := range map[string]scheduler.Event{
-		"WAKEUP\tctx=77": scheduler.TimerFired{Token: 77},
-		"GONE\top_id=a":  scheduler.ClientDisconnected{ID: "a"},
-		"DEMAND\top_id=a\ttier_class=0\tproject=0\tsession_id=s\ttime_left_s=0.24\twork_s=0.5\tsystem_prompt=p\tprompt_tokens=18\tprefix_tokens=12\toutput_cap=25\tis_retry=1\treturned=1\tnew=x": scheduler.Request{
-			ID: "a", Session: "s", Prefix: "p", ClientTimeLeft: 0.24, DurationHint: 0.5, PromptTokens: 18, PrefixTokens: 12, MaxOutputTokens: 25, Retry: true, Returned: true},
-		"FLOWING\top_id=a\tn=1\tengine=e\tspent_s=0.5":        scheduler.FirstToken{ID: "a", Attempt: 1, Engine: "e", Spent: 0.5},
-		"HELD_NOTE\top_id=a\tsort=1\tn=2\tengine=e\tamount=0": scheduler.ReserveResult{ID: "a", Attempt: 2, Engine: "e", OK: true},
-		"CHECKED\tdisposition=no_answer\tspent_s=1\tengine=e": scheduler.ProbeResult{Engine: "e", Status: scheduler.TimedOut, Spent: 1},
-		"WHISPER\tneighbour=2\tpayload=6869":                  scheduler.PeerMessage{From: 2, Data: []byte("hi")},
-		"PEERS_KNOWN\tform=lost\trev=1":                       scheduler.EndpointUpdate{Form: scheduler.UpdateFailed},
-		"CLOSED_ATTEMPT\top_id=a\tdisposition=parsed\tinfo=7\tn=1\tengine=e\tspent_s=0.1\tfinished=1\treport=cpu:0.6,waiting:3,x0:0.4,x1:2,active:5,avg_ms:9,odd:1": scheduler.Outcome{
-			ID: "a", Attempt: 1, Engine: "e", Status: scheduler.Prefilled, Info: 7, Spent: 0.1, Closed: true,
-			Report: &scheduler.LoadReport{Utilization: 0.6, Waiting: 3, MemoryShare: 0.4, TokensWaiting: 2000, Active: 5, LatencyMS: 9, Has: 63}},
+func TestEveryEventIsDecoded(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		fields []string // of the line after its name
+		want   scheduler.Event
+	}{
+		{name: "WAKEUP", fields: []string{"ctx=77"}, want: scheduler.TimerFired{Token: 77}},
+		{name: "GONE", fields: []string{"op_id=a"}, want: scheduler.ClientDisconnected{ID: "a"}},
+		{
+			name: "DEMAND",
+			fields: []string{"op_id=a", "tier_class=0", "project=0", "session_id=s", "time_left_s=0.24", "work_s=0.5", "system_prompt=p",
+				"prompt_tokens=18", "prefix_tokens=12", "output_cap=25", "is_retry=1", "returned=1", "new=x"},
+			want: scheduler.Request{ID: "a", Session: "s", Prefix: "p", ClientTimeLeft: 0.24, DurationHint: 0.5, PromptTokens: 18,
+				PrefixTokens: 12, MaxOutputTokens: 25, Retry: true, Returned: true},
+		},
+		{
+			name:   "FLOWING",
+			fields: []string{"op_id=a", "n=1", "engine=e", "spent_s=0.5"},
+			want:   scheduler.FirstToken{ID: "a", Attempt: 1, Engine: "e", Spent: 0.5},
+		},
+		{
+			name:   "HELD_NOTE",
+			fields: []string{"op_id=a", "sort=1", "n=2", "engine=e", "amount=0"},
+			want:   scheduler.ReserveResult{ID: "a", Attempt: 2, Engine: "e", OK: true},
+		},
+		{
+			name:   "CHECKED",
+			fields: []string{"disposition=no_answer", "spent_s=1", "engine=e"},
+			want:   scheduler.ProbeResult{Engine: "e", Status: scheduler.TimedOut, Spent: 1},
+		},
+		{
+			name:   "WHISPER",
+			fields: []string{"neighbour=2", "payload=6869"},
+			want:   scheduler.PeerMessage{From: 2, Data: []byte("hi")},
+		},
+		{
+			name:   "PEERS_KNOWN",
+			fields: []string{"form=lost", "rev=1"},
+			want:   scheduler.EndpointUpdate{Form: scheduler.UpdateFailed},
+		},
+		{
+			name: "CLOSED_ATTEMPT",
+			fields: []string{"op_id=a", "disposition=parsed", "info=7", "n=1", "engine=e", "spent_s=0.1", "finished=1",
+				"report=cpu:0.6,waiting:3,x0:0.4,x1:2,active:5,avg_ms:9,odd:1"},
+			want: scheduler.Outcome{ID: "a", Attempt: 1, Engine: "e", Status: scheduler.Prefilled, Info: 7, Spent: 0.1, Closed: true,
+				Report: &scheduler.LoadReport{Utilization: 0.6, Waiting: 3, MemoryShare: 0.4, TokensWaiting: 2000, Active: 5,
+					LatencyMS: 9, Has: 63}},
+		},
 	} {
-		items, err := decode(launch(t) + batch(line))
-		if err != nil || len(items) != 3 || !reflect.DeepEqual(items[2].Event, want) {
-			t.Errorf("%s: %v\n got %+v\nwant %+v", clip(line), err, items[len(items)-1].Event, want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			items, err := decode(launch(t) + batch(c.name+"\t"+strings.Join(c.fields, "\t")))
+			if err != nil || len(items) != 3 {
+				t.Fatalf("got %d items and error %v, want 3 items", len(items), err)
+			}
+			if got := items[2].Event; !reflect.DeepEqual(got, c.want) {
+				t.Errorf("got  %+v\nwant %+v", got, c.want)
+			}
+		})
 	}
-	if items, err := decode(launch(t) + batch("KILL")); err != nil || !items[2].Kill {
-		t.Errorf("KILL: %v", err)
+}
+
+func TestKillIsAnItem(t *testing.T) {
+	items, err := decode(launch(t) + batch("KILL"))
+	if err != nil || len(items) != 3 || !items[2].Kill {
+		t.Errorf("got items %+v and error %v, want a kill", items, err)
 	}
+}
+
+func TestUnknownMessageIsPassedOver(t *testing.T) {
 	if items, err := decode(launch(t) + batch("NOVELTY\ta=1")); err != nil || len(items) != 2 {
-		t.Errorf("an unknown message is to be passed over: %v", err)
+		t.Errorf("got %d items and error %v, want the 2 of the launch", len(items), err)
 	}
 }
 
-func TestEveryAction(t *testing.T) {
+func TestEveryActionIsEncoded(t *testing.T) {
 	for want, a := range map[string]scheduler.Action{
 		"DELIVER\top_id=a\tengine=e":              scheduler.Send{ID: "a", Engine: "e"},
 		"DELIVER\top_id=a\tengine=e\tcap_s=0.08":  scheduler.Send{ID: "a", Engine: "e", Timeout: 0.08},
@@ -106,7 +152,7 @@
 	}
 }
 
-func TestMalformedInputIsNamed(t *testing.T) {
+func TestMalformedInputIsNamedByLineAndField(t *testing.T) {
 	for in, want := range map[string]string{
 		batch("DEMAND\top_id=a\ttier_class=5\ttime_left_s=1"):                    "tier_class",
 		batch("DEMAND\top_id=a\ttier_class=0\tproject=3\ttime_left_s=1"):         "project",
