--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -20,23 +20,23 @@
 // Reserve reserves a slot and memory at a decode engine for a request that is being prefilled.
 type Reserve struct{ ID, Engine string }
 
-// Release releases each state and place that is held for a request.
+// Release releases each state and place that engines reserve for a request.
 type Release struct{ ID string }
 
-// Reject is a final response which tells the client that a retry is harmless.
+// Reject is a final response with the promise that a retry by the client is harmless.
 type Reject struct {
 	ID         string
-	RetryAfter float64 // seconds; 0 = none is told
+	RetryAfter float64 // seconds; 0 = no delay is given to the client
 	Reason     GiveUpReason
 }
 
-// Fail is a final response that tells nothing about a retry.
+// Fail is a final response that promises nothing about a retry.
 type Fail struct {
 	ID     string
 	Reason GiveUpReason
 }
 
-// GiveUpReason says why a request is given up. It is for people: nothing is decided by it.
+// GiveUpReason says why a request is given up. It is a text for operators and clients; no decision depends on it.
 type GiveUpReason string
 
 // Reasons to give up.
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -30,7 +30,7 @@
 }
 
 // sortByDeadline orders a tier: requests beyond their tenant's quota last, then by the time at which the first token is due
-// (design: "the high tier is kept by deadline").
+// (design, "the high tier is kept by deadline").
 func sortByDeadline(tier []*request) {
 	slices.SortStableFunc(tier, func(a, b *request) int {
 		return cmp.Or(compareBools(a.overQuota, b.overQuota), cmp.Compare(a.firstTokenDue, b.firstTokenDue))
@@ -71,7 +71,7 @@
 }
 
 // drawWindow draws the first few indices of a tier in random order, then as many of the others. Without the others, requests at
-// the head that are just too late to pass would keep all behind them untested until those are as late.
+// the head that are just too late to pass would block all behind them until those are as late.
 func (s *Scheduler) drawWindow(n int) []int {
 	drawn := s.rng.Perm(min(drawWindowSize, n))
 	for range min(drawWindowSize, n-drawWindowSize) {
@@ -158,8 +158,8 @@
 }
 
 // timeAfterPrefill is what a prefill of the given seconds leaves of the time until the first token is due. An objective that
-// is too short for the slack on an idle engine gets what slack it leaves, as its class would never be sent otherwise. The low
-// tier and an exploration request have no objective to keep.
+// is too short for the slack on an idle engine is tested with the slack that it leaves, as its class would never be sent
+// otherwise. The low tier and an exploration request have no objective to meet.
 func (s *Scheduler) timeAfterPrefill(req *request, candidate *engine, seconds float64, low bool) float64 {
 	if low || s.mayExplore() {
 		return math.Inf(1)
@@ -175,13 +175,14 @@
 
 // delaysNobody tells whether an engine can prefill, in the given seconds, a request that is late anyway and make no other
 // late: a newcomer of any class right behind it would still start in time, by the error that predictions have lately had.
-// Where many routers have a request or two each, an empty high tier here says nothing of theirs.
+// The test is needed because an empty high tier here doesn't mean that those of the other routers are empty.
 func (s *Scheduler) delaysNobody(candidate *engine, seconds float64) bool {
 	seconds += predictionErrorFactor * s.predictionError[candidate.role].get(s.now, 0, 0)
 	for i, class := range s.cfg.Classes {
 		prompt := s.classes[i].promptTokens.mean
 		objective := class.FirstTokenObjective + class.ObjectivePer1KTokens*prompt/1000
-		attainable := objective > prefillSlack*(prompt+prefillOverhead)*initialPrefillSecondsPerToken // else no wait keeps it
+		// An objective that is too short for any engine isn't met by letting the late request wait.
+		attainable := objective > prefillSlack*(prompt+prefillOverhead)*initialPrefillSecondsPerToken
 		if attainable && prefillSlack*(seconds+(prompt+prefillOverhead)*s.prefillSecondsPerToken(candidate)) > objective {
 			return false
 		}
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// This file is what a Scheduler is configured with: its place among the routers, and what the site's settings say.
+// This file is the configuration of a Scheduler: its place among the routers, and the site's settings.
 
 // Role says what an engine kind can do.
 type Role int
@@ -84,10 +84,10 @@
 	UnsentAttemptsAreFree bool
 	// StateTimeRunsDuringConnects says that the time for which a state may wait runs on while connections fail to come up.
 	StateTimeRunsDuringConnects bool
-	Cancel                      bool // Cancel may be used
-	Probe                       bool // Probe may be used
-	HedgedRequests              bool
-	RetryAfter                  bool    // a Reject may tell a delay
+	Cancel                      bool    // Cancel may be used
+	Probe                       bool    // Probe may be used
+	HedgedRequests              bool    // a second attempt may be in flight beside the first; not used yet
+	RetryAfter                  bool    // a Reject may give a delay
 	MaxRetryAfter               float64 // seconds
 }
 
@@ -97,18 +97,18 @@
 	PollInterval      float64 // of the endpoint list, at the longest, where it must be polled
 	SlowStartShare    float64 // least share of its capacity that an engine has while it warms up
 	SlowStartDuration float64 // after which an engine is warm at the latest
-	DrainGrace        float64
+	DrainGrace        float64 // after an engine is listed as draining or removed, within which sends to it must end (rule 3)
 	OverloadMultiple  float64 // multiple of its capacity that an engine in slow start may be sent
 	SlowStartWindow   float64 // over which that is counted
 	StateReleaseLimit float64 // within which reserved state or a place must be used or released
 }
 
-// Prices are points of the result, each times its rate.
+// Prices are what each kind of cost takes from the result, in points for each unit of its rate.
 type Prices struct {
 	Probe, Waste, CrossZone, LateFailure, Transfer float64
 }
 
-// Config is what a scheduler knows from its start.
+// Config is the configuration of a Scheduler. New checks it.
 type Config struct {
 	NodeIndex, NodeCount int // this router's number, from 0, and how many there are
 	Zone, ZoneCount      int
--- a/scheduler/curve.go
+++ b/scheduler/curve.go
@@ -8,7 +8,7 @@
 	initialSecondsPerOutputToken = 0.02
 	// minSecondsPerOutputToken is the least time for a token, in seconds, that a fit is believed to show.
 	minSecondsPerOutputToken = 1e-4
-	// curvePrior is the number of samples that the prior of a curve is worth.
+	// curvePrior is the weight of a curve's prior, in samples.
 	curvePrior = 4
 	// tokensPerSample is the number of output tokens that weigh as one sample of a curve.
 	tokensPerSample = 100
--- a/scheduler/endpointview.go
+++ b/scheduler/endpointview.go
@@ -58,7 +58,7 @@
 // removeEngines marks the engines that a complete list lacks as removed, and forgets the removed ones that have no request
 // of this router.
 func (s *Scheduler) removeEngines(complete bool, listed map[string]bool) {
-	kept := s.engineList[:0]
+	remaining := s.engineList[:0]
 	for _, target := range s.engineList {
 		if complete && !listed[target.ID] {
 			target.State = EngineRemoved
@@ -66,10 +66,10 @@
 		if target.State == EngineRemoved && len(target.prefills)+len(target.admitted) == 0 {
 			delete(s.engines, target.ID)
 		} else {
-			kept = append(kept, target)
+			remaining = append(remaining, target)
 		}
 	}
-	s.engineList = kept
+	s.engineList = remaining
 	slices.SortFunc(s.engineList, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
 }
 
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// This file is what a Scheduler is told: the events, and the types in them.
+// This file is the input of a Scheduler: the events, and the types in them.
 
 // Event is something that the host has learned.
 type Event interface{ event() }
@@ -17,7 +17,8 @@
 	PromptTokens    float64
 	PrefixTokens    float64 // of the prompt, shared with other requests of the same Prefix
 	MaxOutputTokens float64
-	Retry, Returned bool
+	Retry           bool // the client has sent it before
+	Returned        bool // the client has come back after a disconnect or a migration
 }
 
 // Outcome says how an attempt ended.
@@ -105,10 +106,15 @@
 		"canceled", "not-sent", "prefilled")
 }
 
-// LoadReport is an engine's own figures of its load. Has says which of them were given.
+// LoadReport is an engine's own figures of its load. A figure counts only if it is in Has.
 type LoadReport struct {
-	Active, Waiting, Utilization, LatencyMS, MemoryShare, TokensWaiting float64
-	Has                                                                 LoadReportField
+	Active        float64 // requests at the engine, with those and the states that wait
+	Waiting       float64 // requests that wait for a slot
+	Utilization   float64 // share of its slots in use
+	LatencyMS     float64 // mean latency to the end of a prefill or to the first token, in milliseconds
+	MemoryShare   float64 // share of its KV cache in use
+	TokensWaiting float64 // prompt tokens that wait to be prefilled or fetched
+	Has           LoadReportField
 }
 
 // LoadReportField is a set of figures of a LoadReport.
--- a/scheduler/expiry.go
+++ b/scheduler/expiry.go
@@ -58,8 +58,8 @@
 	return max(minResponseMargin, responseMarginTicks*s.cfg.Tick)
 }
 
-// finalResponse is the best final response that the request's attempts allow. A rejection tells the client that a retry is
-// harmless (rule 2), so a request that may have run is failed instead, unless all engines discard its repeats.
+// finalResponse is the best final response that the request's attempts allow. A rejection promises that a retry is harmless
+// (rule 2), so a request that may have run is failed instead, unless all engines discard its repeats.
 func (s *Scheduler) finalResponse(req *request, reason GiveUpReason) Action {
 	mayHaveRun := req.mayHaveRun != nil || req.inFlight != nil
 	retryHarmless := req.class.Effect == Idempotent || !mayHaveRun ||
@@ -70,7 +70,7 @@
 	return Fail{ID: req.ID, Reason: reason}
 }
 
-// retryAfter is the Retry-After delay of a rejected client, or 0 where the site tells none. It is the shortest wait that is
+// retryAfter is the Retry-After delay of a rejected client, or 0 where the site allows none. It is the shortest wait that is
 // expected at an engine that prefills, spread so that clients which are rejected together don't return together.
 func (s *Scheduler) retryAfter() float64 {
 	if !s.cfg.Limits.RetryAfter {
--- a/scheduler/exploration.go
+++ b/scheduler/exploration.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// This file decides when one exploration request is sent against what the performance models say. What was learned in bad
-// times can keep all work away, and what gets no work is never learned anew.
+// This file decides when one exploration request is sent although the performance models forbid it. What was learned in bad
+// times can stop all work, and an engine that gets no work is never measured anew.
 
 // mayExplore tells whether one request may be sent untested: no first token is awaited, and none has come for as long as all
 // routers, one after the other, take for a request each.
--- a/scheduler/lifecycle.go
+++ b/scheduler/lifecycle.go
@@ -108,7 +108,7 @@
 	engine := ended.engine
 	s.attemptProgressed(ended.stage)
 	if req.prefillsWithDecode() && outcome.Status != Completed {
-		s.emit(Release{ID: req.ID}) // what an engine has prefilled for itself stays held as well
+		s.emit(Release{ID: req.ID}) // the state that an engine has prefilled for itself is reserved too
 	}
 	s.learnPredictionError(ended, outcome)
 	if outcome.Status == Prefilled {
@@ -123,7 +123,7 @@
 }
 
 // learnPredictionError takes the error of an attempt's predicted time: of a prefill that succeeded, or where no engine of
-// the role has answered since the attempt was sent. One engine that hangs while others answer says nothing of its role.
+// the role has answered since the attempt was sent. One engine that hangs while others answer is no measure of its role.
 func (s *Scheduler) learnPredictionError(ended endedAttempt, outcome Outcome) {
 	if ended.stage != stagePrefilling && ended.stage != stageDecoding {
 		return
@@ -201,8 +201,8 @@
 	}
 }
 
-// restartReservedTime restarts the time for which a state may be held, as the attempt to fetch it has ended. Where the
-// site says so, the time runs on while connections fail to come up.
+// restartReservedTime restarts the time for which a state may be reserved, as the attempt to fetch it has ended. Where
+// StateTimeRunsDuringConnects is set, the time runs on while connections fail to come up.
 func (s *Scheduler) restartReservedTime(req *request, status Status) {
 	runsOn := s.cfg.Limits.StateTimeRunsDuringConnects && (status == ConnectFailed || status == NotSent)
 	if req.reserved != nil && !runsOn {
@@ -210,7 +210,7 @@
 	}
 }
 
-// releaseState releases whatever is held for a request that has no attempt in flight (rule 5), and takes the request off
+// releaseState releases whatever is reserved for a request that has no attempt in flight (rule 5), and takes the request off
 // its decode engine.
 func (s *Scheduler) releaseState(req *request) {
 	if req.reserved != nil {
--- a/scheduler/loadreport.go
+++ b/scheduler/loadreport.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// This file records load reports, and says how far an old one can be relied upon.
+// This file records load reports, and weighs an old report against the mean of its kind.
 
 const (
 	// reportDelay is the time in seconds by which a load report is taken to be late.
@@ -15,8 +15,8 @@
 	spareUtilization = 0.9
 )
 
-// recordReport records an engine's load report, and pools it with those of its kind: a router that hears of each engine only
-// now and then still knows what the kind bears.
+// recordReport records an engine's load report, and pools it with those of its kind: a router that gets a report of
+// each engine only now and then still has a mean of the kind.
 func (s *Scheduler) recordReport(target *engine, report *LoadReport) {
 	if target == nil || report == nil {
 		return
@@ -37,7 +37,7 @@
 	return math.Exp(-(s.now - target.reportAt) / reportFreshTime)
 }
 
-// reportedStreams returns the streams that a report tells of, by its count or else by its utilization.
+// reportedStreams returns the streams of a report, by its count or else by its utilization.
 func reportedStreams(report *LoadReport) float64 {
 	if report.Has&HasActive != 0 {
 		return max(0, report.Active-report.Waiting)
--- a/scheduler/memory.go
+++ b/scheduler/memory.go
@@ -3,7 +3,7 @@
 // This file counts this router's streams and their tokens at a decode engine, and estimates how much of its KV-cache memory
 // is taken.
 
-// ownLoad is the load of this router at a decode engine. The new part is what its last report can't hold yet.
+// ownLoad is the load of this router at a decode engine. The new part is what its last report can't include yet.
 type ownLoad struct {
 	streams, tokens       float64
 	newStreams, newTokens float64
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -131,8 +131,8 @@
 }
 
 // transferPenalty is how much more spare capacity an engine of another cell must have. Where its report is fresh, the
-// admission tests tell a full cell, and another cell is for when no engine passes in this. One router of many hears of an
-// engine seldom and sees capacity in a cell that others fill: there the transfer's price and its part of the time left decide.
+// admission tests detect a full cell, and another cell is for when no engine passes in this. One router of many gets reports
+// seldom and sees capacity in a cell that others fill: there the transfer's price and its part of the time left decide.
 func (s *Scheduler) transferPenalty(req *request, from, candidate *engine, timeLeft float64) float64 {
 	cost := transferPriceFactor*s.cfg.Prices.Transfer + s.transferTime(req, from, candidate)/max(timeLeft, s.cfg.Tick)
 	return cost + freshTransferPenalty*math.Pow(s.reportFreshness(candidate), freshnessPower)
--- a/scheduler/prefilltime.go
+++ b/scheduler/prefilltime.go
@@ -7,13 +7,13 @@
 	prefillWaitForget = 15.0
 	// prefillWaitGain is the weight of the newest sample in an engine's own means of its prefills.
 	prefillWaitGain = 0.3
-	// prefillFitPrior is the squared deviation, in squared tokens, that the prior of the prefill-time fit is worth.
+	// prefillFitPrior is the weight of the prior of the prefill-time fit, as a squared deviation in squared tokens.
 	prefillFitPrior = 1e7
 	// initialPrefillSecondsPerToken is the prior of the prefill time of one token, in seconds.
 	initialPrefillSecondsPerToken = 5e-5
 	// minPrefillSecondsPerToken is the least prefill time of one token, in seconds, that a fit is believed to show.
 	minPrefillSecondsPerToken = 1e-5
-	// prefillOverhead is the number of tokens that the fixed costs of a prefill are worth.
+	// prefillOverhead is the fixed cost of a prefill, in tokens.
 	prefillOverhead = 400
 	// minPrefillTokens is the least number of tokens that a prefill is taken to compute, however much is cached.
 	minPrefillTokens = 32
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// This file tells which requests are beyond their tenant's quota.
+// This file decides which requests are beyond their tenant's quota.
 
 const (
 	// quotaBurst is the time in seconds for which a tenant may save up its quota.
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -39,7 +39,7 @@
 
 	prefillEngine *engine        // engine of its latest attempt at a prefill
 	decodeEngine  *engine        // engine to which it is admitted; nil when to none
-	reserved      *reservedState // nil when no engine holds state or a place for it
+	reserved      *reservedState // nil when no engine reserves state or a place for it
 	prefill       prefillPrediction
 	cachedTokens  float64 // prefix tokens that its prefill engine was taken to have cached
 	stream        streamStart
@@ -62,7 +62,7 @@
 	engine *engine
 }
 
-// reservedState is a prefilled state, or a place at a decode engine, that is held for a request until its release.
+// reservedState is a prefilled state, or a place at a decode engine, that an engine reserves for a request until its release.
 type reservedState struct {
 	since float64 // from when the limit on its time counts
 }
@@ -84,9 +84,9 @@
 }
 
 // without returns the requests less one, in a new slice.
-func without(requests []*request, gone *request) []*request {
+func without(requests []*request, removed *request) []*request {
 	for i, req := range requests {
-		if req == gone {
+		if req == removed {
 			return append(requests[:i:i], requests[i+1:]...)
 		}
 	}
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -37,8 +37,8 @@
 	return s.cfg.Limits.MaxAttempts - req.attemptsSent + req.attemptsUncounted
 }
 
-// exemptUnsentAttempt takes an attempt that was never written off the count, where the site says that such are free. At
-// most as many are exempt as attempts are allowed.
+// exemptUnsentAttempt takes an attempt that was never written off the count, where UnsentAttemptsAreFree is set. At most as
+// many are exempt as attempts are allowed.
 func (s *Scheduler) exemptUnsentAttempt(outcome Outcome) {
 	if !s.cfg.Limits.UnsentAttemptsAreFree || outcome.Status != ConnectFailed && outcome.Status != NotSent {
 		return
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -13,7 +13,7 @@
 	slowStartSafety = 0.8
 	// slowStartChance is the number of square roots of the budget that the rule leaves to chance and that are used beside it.
 	slowStartChance = 2
-	// slowStartCapacityTrust is the share that is believed of the capacity guessed for an engine kind.
+	// slowStartCapacityTrust is the share of the estimated capacity of an engine kind that is relied upon.
 	slowStartCapacityTrust = 0.5
 	// promptDecodeWork is the share of a prompt token that counts as one output token in the work of a decode engine.
 	promptDecodeWork = 0.1
@@ -98,7 +98,7 @@
 }
 
 // slowStartSendsAllowed is the number of attempts of a given work that this router may send in a window. It follows from
-// the work that warm engines of the role complete for this router or, as those may be gone, from an even part of what the
+// the work that warm engines of the role complete for this router or, as there may be none, from an even part of what the
 // engine kind should bear.
 func (s *Scheduler) slowStartSendsAllowed(target *engine, work float64) float64 {
 	rules := &s.cfg.Rules
@@ -125,7 +125,7 @@
 	return fraction
 }
 
-// expectedBusyTime is how long, in seconds, a request of mean work keeps an engine busy. It is guessed from the prefill times
+// expectedBusyTime is how long, in seconds, a request of mean work keeps an engine busy. It is estimated from the prefill times
 // and the curve of its kind, and is no shorter than by the priors.
 func (s *Scheduler) expectedBusyTime(target *engine) float64 {
 	kind := &s.kinds[target.Kind]
--- a/scheduler/statistics.go
+++ b/scheduler/statistics.go
@@ -62,10 +62,10 @@
 	f.xy = keep*f.xy + x*y
 }
 
-// slope returns b, drawn to a prior that is worth so much of x's squared deviation.
-func (f *linearFit) slope(prior, worth float64) float64 {
+// slope returns b, drawn to a prior that weighs as much as a squared deviation of x.
+func (f *linearFit) slope(prior, priorWeight float64) float64 {
 	n := max(1, f.n)
-	return (f.xy - f.x*f.y/n + worth*prior) / (f.xx - f.x*f.x/n + worth)
+	return (f.xy - f.x*f.y/n + priorWeight*prior) / (f.xx - f.x*f.x/n + priorWeight)
 }
 
 // decayingRate is a sum that decays with a time constant; divided by that, it is a rate.
