--- a/scheduler/lifecycle.go
+++ b/scheduler/lifecycle.go
@@ -153,9 +153,9 @@
 
 // attemptRejected records a rejection: the engine is full, or a decode engine found no state to fetch.
 func (s *Scheduler) attemptRejected(req *request, ended endedAttempt, outcome Outcome) {
-	stateHeld := ended.stage == stageDecoding && req.reserved != nil
+	stateReserved := ended.stage == stageDecoding && req.reserved != nil
 	if outcome.Info == stateMissing {
-		if stateHeld { // the prefill engine lost the state, the decode engine is not full: prefill anew
+		if stateReserved { // the prefill engine lost the state, the decode engine is not full: prefill anew
 			s.recordFailure(req.prefillEngine)
 		}
 		return
@@ -164,7 +164,7 @@
 	if reportsSpareCapacity(outcome.Report) { // it rejects what it has capacity for: another engine is next
 		req.lastFailedAt = ended.engine
 	}
-	if stateHeld {
+	if stateReserved {
 		req.stage = stagePrefilled
 	}
 }
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -20,19 +20,19 @@
 
 // trackedRequest is what the checker knows of a request.
 type trackedRequest struct {
-	class            int
-	deadline         float64
-	final            bool           // has its final response, or its client has left
-	inFlight         int            // attempts in flight
-	attemptsSent     int            // also the number of the next
-	engineOf         map[int]string // engine of each attempt in flight, by its number
-	sentAt           map[int]float64
-	mayHaveRun       bool // an attempt may have run
-	mayHaveRunSince  float64
-	mayHaveRunInCell int
-	streaming        bool
-	stateHeld        bool
-	stateHeldSince   float64
+	class              int
+	deadline           float64
+	final              bool           // has its final response, or its client has left
+	inFlight           int            // attempts in flight
+	attemptsSent       int            // also the number of the next
+	engineOf           map[int]string // engine of each attempt in flight, by its number
+	sentAt             map[int]float64
+	mayHaveRun         bool // an attempt may have run
+	mayHaveRunSince    float64
+	mayHaveRunInCell   int
+	streaming          bool
+	stateReserved      bool
+	stateReservedSince float64
 }
 
 func newRuleChecker(cfg Config, engines []Engine) *ruleChecker {
@@ -57,7 +57,7 @@
 		if !req.final && !req.streaming && c.now > req.deadline+c.cfg.Rules.AnswerSlack {
 			c.fail("rule 1: %s has no final response", id)
 		}
-		if req.stateHeld && req.inFlight == 0 && c.now > req.stateHeldSince+c.cfg.Rules.StateReleaseLimit {
+		if req.stateReserved && req.inFlight == 0 && c.now > req.stateReservedSince+c.cfg.Rules.StateReleaseLimit {
 			c.fail("rule 5: the state of %s is not released", id)
 		}
 	}
@@ -77,7 +77,7 @@
 		case Fail:
 			c.finalResponse(action.ID)
 		case Release:
-			c.requests[action.ID].stateHeld = false
+			c.requests[action.ID].stateReserved = false
 		}
 	}
 }
@@ -231,7 +231,7 @@
 	role := h.role[engine]
 	spent := h.now - req.sentAt[number]
 	if role != Prefill && !req.streaming && !req.final && h.random.Intn(2) == 0 {
-		req.streaming, req.stateHeld = true, false
+		req.streaming, req.stateReserved = true, false
 		return FirstToken{ID: id, Attempt: number, Engine: engine, Spent: spent}
 	}
 	delete(req.engineOf, number)
@@ -243,7 +243,7 @@
 		req.final = true
 	case role == Prefill && h.random.Intn(4) > 0:
 		outcome.Status = Prefilled
-		req.stateHeld, req.stateHeldSince = true, h.now
+		req.stateReserved, req.stateReservedSince = true, h.now
 	default:
 		outcome.Status = h.failAttempt(req, number, engine)
 	}
@@ -254,9 +254,9 @@
 func (h *randomHost) failAttempt(req *trackedRequest, number int, engine string) Status {
 	statuses := []Status{ServerError, TimedOut, ConnectionLost, Canceled, ConnectFailed, Rejected}
 	status := statuses[h.random.Intn(len(statuses))]
-	req.stateHeldSince = h.now
+	req.stateReservedSince = h.now
 	if h.role[engine] == Prefill {
-		req.stateHeld = false
+		req.stateReserved = false
 		return status
 	}
 	if status != Rejected && status != ConnectFailed && !req.mayHaveRun {
--- a/scheduler/validate.go
+++ b/scheduler/validate.go
@@ -4,7 +4,7 @@
 
 // check returns an error that names the first field of the Config with an impossible value.
 func (c *Config) check() error {
-	if err := c.checkPlace(); err != nil {
+	if err := c.checkNode(); err != nil {
 		return err
 	}
 	if len(c.Classes) == 0 {
@@ -16,6 +16,9 @@
 	if c.Limits.MaxAttempts < 1 {
 		return fmt.Errorf("scheduler: Limits.MaxAttempts is %d", c.Limits.MaxAttempts)
 	}
+	if c.Zone < 0 || c.ZoneCount > 0 && c.Zone >= c.ZoneCount {
+		return fmt.Errorf("scheduler: Zone %d is not under ZoneCount %d", c.Zone, c.ZoneCount)
+	}
 	if !(c.Tick >= 0) {
 		return fmt.Errorf("scheduler: Tick is %g", c.Tick)
 	}
@@ -35,15 +38,13 @@
 	return nil
 }
 
-// checkPlace checks the router's number and zone.
-func (c *Config) checkPlace() error {
-	switch {
-	case c.NodeCount < 1:
+// checkNode checks the router's number.
+func (c *Config) checkNode() error {
+	if c.NodeCount < 1 {
 		return fmt.Errorf("scheduler: NodeCount is %d", c.NodeCount)
-	case c.NodeIndex < 0 || c.NodeIndex >= c.NodeCount:
+	}
+	if c.NodeIndex < 0 || c.NodeIndex >= c.NodeCount {
 		return fmt.Errorf("scheduler: NodeIndex %d is not under NodeCount %d", c.NodeIndex, c.NodeCount)
-	case c.Zone < 0 || c.ZoneCount > 0 && c.Zone >= c.ZoneCount:
-		return fmt.Errorf("scheduler: Zone %d is not under ZoneCount %d", c.Zone, c.ZoneCount)
 	}
 	return nil
 }
