--- /dev/null
+++ b/scheduler/actions.go
@@ -0,0 +1,78 @@
+package scheduler
+
+// This file is what a Scheduler asks for: the actions, which the host carries out in order.
+
+// Action is something that the host is to do.
+type Action interface{ action() }
+
+// Send starts an attempt of a request at an engine. Attempts of a request are numbered from 0 in the order of their sends.
+type Send struct {
+	ID, Engine string
+	Timeout    float64 // seconds; 0 = until the client gives up
+}
+
+// Cancel ends the wait for an attempt. Its outcome still follows.
+type Cancel struct {
+	ID      string
+	Attempt int
+}
+
+// Reserve reserves a slot and memory at a decode engine for a request that is being prefilled.
+type Reserve struct{ ID, Engine string }
+
+// Release releases each state and place that engines reserve for a request.
+type Release struct{ ID string }
+
+// Reject is a final response with the promise that a retry by the client is harmless.
+type Reject struct {
+	ID         string
+	RetryAfter float64 // seconds; 0 = no delay is given to the client
+	Reason     GiveUpReason
+}
+
+// Fail is a final response that promises nothing about a retry.
+type Fail struct {
+	ID     string
+	Reason GiveUpReason
+}
+
+// GiveUpReason says why a request is given up. It is a text for operators and clients; no decision depends on it.
+type GiveUpReason string
+
+// Reasons to give up.
+const (
+	DeadlineNear         GiveUpReason = "its time is nearly up"
+	ObjectiveUnreachable GiveUpReason = "no engine can begin the answer while it has any worth"
+	AttemptsExhausted    GiveUpReason = "it has had as many attempts as it may"
+	RepeatUnsafe         GiveUpReason = "a further attempt could run it twice"
+)
+
+// SetTimer asks for a TimerFired with the token at a time.
+type SetTimer struct {
+	At    float64
+	Token int64
+}
+
+// Probe asks an engine for its health and load.
+type Probe struct{ Engine string }
+
+// WatchEndpoints starts or ends a subscription to changes of the endpoint list.
+type WatchEndpoints struct{ On bool }
+
+// FetchEndpoints asks for a complete snapshot of the endpoint list once.
+type FetchEndpoints struct{}
+
+// Log is a line for the operators.
+type Log struct{ Text string }
+
+func (Send) action()           {}
+func (Cancel) action()         {}
+func (Reserve) action()        {}
+func (Release) action()        {}
+func (Reject) action()         {}
+func (Fail) action()           {}
+func (SetTimer) action()       {}
+func (Probe) action()          {}
+func (WatchEndpoints) action() {}
+func (FetchEndpoints) action() {}
+func (Log) action()            {}
--- a/scheduler/expiry.go
+++ b/scheduler/expiry.go
@@ -1,76 +1,84 @@
 package scheduler
 
-import "math"
+// This file decides when a request is given up, and with which final response.
 
-// This file decides when a request is given up, and with which final answer.
+const (
+	// minRetryAfter is the least Retry-After delay of a rejection, in seconds, before it is spread.
+	minRetryAfter = 0.1
+	// minResponseMargin is the least time in seconds before a client's deadline at which its final response is given.
+	minResponseMargin = 0.01
+	// responseMarginTicks is the number of ticks that this margin has at least.
+	responseMarginTicks = 4
+)
 
-// expire answers a request whose time is nearly up, or that can have no further attempt, and drops to the
-// low tier one that can no longer start in time.
-func (r *Scheduler) expire(q *request) bool {
-	best, until := r.bestCase(q), q.deadline
-	if q.class.LateValue <= 0 {
-		until = q.aim // a late answer is worth nothing
+// giveUp is when a request is given up at the latest, and why.
+type giveUp struct {
+	at     float64
+	reason GiveUpReason
+}
+
+// expire gives the final response to a request whose time is up, and demotes to the low tier one that can no longer start
+// in time (paper, section IV-C, step 1). It tells whether the request has ended.
+func (s *Scheduler) expire(req *request) bool {
+	s.bestFirstToken = s.boundFirstToken(req)
+	limit := s.giveUpLimit(req)
+	req.finalResponseDue = limit.at
+	req.lowTier = req.lowTier || s.now+s.bestFirstToken.total > req.firstTokenDue
+	if s.now >= limit.at {
+		s.finish(req, s.finalResponse(req, limit.reason))
 	}
-	why := DeadlineNear
-	q.due = q.deadline - r.margin()
-	if r.best = best; q.out < 0 && !r.blind() && until-best < q.due {
-		q.due, why = until-best, ObjectiveUnreachable // what can no longer be served with some worth is given up at once
+	return req.done
+}
+
+// giveUpLimit is now for a request that can have no further attempt, the last moment at which it could still start with
+// some value for one that waits, and shortly before its deadline for all others.
+func (s *Scheduler) giveUpLimit(req *request) giveUp {
+	limit := giveUp{at: req.deadline - s.responseMargin(), reason: DeadlineNear}
+	if req.inFlight != nil {
+		return limit
 	}
-	switch {
-	case q.out >= 0:
-	case r.left(q) <= 0:
-		q.due, why = r.now, AttemptsExhausted
-	case q.mayRun && !r.maySend(q, q.mayRunOn):
-		q.due, why = r.now, RepeatUnsafe
+	if s.attemptsLeft(req) <= 0 {
+		return giveUp{at: s.now, reason: AttemptsExhausted}
 	}
-	q.low = q.low || r.now+best > q.aim
-	if r.now >= q.due {
-		r.finish(q, r.answer(q, why))
+	if req.mayHaveRun != nil && !s.repeatAllowed(req, req.mayHaveRun.engine) {
+		return giveUp{at: s.now, reason: RepeatUnsafe}
 	}
-	return q.done
-}
-
-// bestCase is the least time in which a first token could still come.
-func (r *Scheduler) bestCase(q *request) float64 {
-	t, lag := math.Inf(1), math.Inf(1)
-	for _, e := range r.list {
-		if e.State == EngineReady && e.role != Decode {
-			t = min(t, max(32, q.PromptTokens-r.keptAt(q, e))*r.spt(e))
-		}
-		if e.State == EngineReady && e.role != Prefill {
-			lag = min(lag, r.lag(e))
-		}
+	valueUntil := req.deadline
+	if req.class.LateValue <= 0 {
+		valueUntil = req.firstTokenDue // a late answer is worth nothing
 	}
-	if r.leastLag = lag; math.IsInf(t+lag, 1) {
-		return 0 // nobody is listed: hold and hope
-	} else if q.stage == parsed {
-		return lag
+	if lastStart := valueUntil - s.bestFirstToken.total; !s.mayExplore() && lastStart < limit.at {
+		return giveUp{at: lastStart, reason: ObjectiveUnreachable}
 	}
-	return t + lag
+	return limit
 }
 
-// margin is how long before the deadline a final answer is given.
-func (r *Scheduler) margin() float64 { return max(0.01, 4*r.cfg.Tick) }
+// responseMargin is how long before the deadline a final response is given.
+func (s *Scheduler) responseMargin() float64 {
+	return max(minResponseMargin, responseMarginTicks*s.cfg.Tick)
+}
 
-// answer is the best final answer that the ledger allows: a refusal tells the client that a further try is
-// harmless (rule 2).
-func (r *Scheduler) answer(q *request, why GiveUpReason) Action {
-	may := q.mayRun || q.out >= 0
-	if q.class.Effect == Idempotent || !may || q.class.Effect == IdempotentByKey && q.class.DedupScope == DedupFleet {
-		return Reject{q.ID, r.comeBack(), why}
+// finalResponse is the best final response that the request's attempts allow. A rejection promises that a retry is harmless
+// (rule 2), so a request that may have run is failed instead, unless all engines discard its repeats.
+func (s *Scheduler) finalResponse(req *request, reason GiveUpReason) Action {
+	mayHaveRun := req.mayHaveRun != nil || req.inFlight != nil
+	retryHarmless := req.class.Effect == Idempotent || !mayHaveRun ||
+		req.class.Effect == IdempotentByKey && req.class.DedupScope == DedupFleet
+	if retryHarmless {
+		return Reject{ID: req.ID, RetryAfter: s.retryAfter(), Reason: reason}
 	}
-	return Fail{q.ID, why}
+	return Fail{ID: req.ID, Reason: reason}
 }
 
-// comeBack is when a refused client may ask again: after the shortest wait that we expect at a reader, spread
-// so that those refused together do not return together. 0 = it is not told.
-func (r *Scheduler) comeBack() float64 {
-	if !r.cfg.Limits.RetryAfter {
+// retryAfter is the Retry-After delay of a rejected client, or 0 where the site allows none. It is the shortest wait that is
+// expected at an engine that prefills, spread so that clients which are rejected together don't return together.
+func (s *Scheduler) retryAfter() float64 {
+	if !s.cfg.Limits.RetryAfter {
 		return 0
 	}
-	wait := r.cfg.Limits.MaxRetryAfter
-	for _, e := range r.pool(func(e *engine) bool { return e.role != Decode }) {
-		wait = min(wait, r.backlog(e))
+	wait := s.cfg.Limits.MaxRetryAfter
+	for _, candidate := range s.eligibleEngines(func(e *engine) bool { return e.role != Decode }) {
+		wait = min(wait, s.queueingDelay(candidate))
 	}
-	return min(r.cfg.Limits.MaxRetryAfter, max(backLeast, wait)*(0.5+r.rng.Float64()))
+	return min(s.cfg.Limits.MaxRetryAfter, max(minRetryAfter, wait)*(0.5+s.rng.Float64()))
 }
--- /dev/null
+++ b/scheduler/lifecycle.go
@@ -0,0 +1,245 @@
+package scheduler
+
+import "math"
+
+// This file follows each request from its arrival to its final response.
+
+const (
+	// meanGain is the weight of one arrival in the mean prompt and output lengths.
+	meanGain = 0.05
+	// firstTokenGain is the weight of one first token in its engine's mean latency.
+	firstTokenGain = 0.25
+	// stateMissing is the Info of a rejection by an engine that found no state to fetch.
+	stateMissing = 1
+)
+
+// requestArrived takes a request into the high tier (paper, section IV-C, step 1).
+func (s *Scheduler) requestArrived(event Request) {
+	if s.requests[event.ID] != nil || event.Class < 0 || event.Class >= len(s.cfg.Classes) {
+		return
+	}
+	class := &s.cfg.Classes[event.Class]
+	req := &request{
+		Request:  event,
+		class:    class,
+		arrived:  s.now,
+		deadline: s.now + event.ClientTimeLeft,
+		firstTokenDue: s.now + class.FirstTokenObjective + class.ObjectivePer1KTokens*event.PromptTokens/1000 +
+			class.ObjectivePerHintSecond*event.DurationHint,
+		overQuota: s.beyondQuota(event.Tenant),
+	}
+	s.requests[event.ID] = req
+	s.openRequests = append(s.openRequests, req)
+	s.countArrival(req)
+}
+
+func (s *Scheduler) countArrival(req *request) {
+	s.arrivals.add(s.now, 1, rateWindow)
+	s.countPrefix(req.Prefix)
+	s.classes[req.Class].promptTokens.add(s.now, req.PromptTokens, meanGain)
+	s.meanPromptTokens.add(s.now, req.PromptTokens, meanGain)
+	s.meanOutputTokens.add(s.now, s.expectedOutputTokens(req), meanGain)
+}
+
+// clientDisconnected ends a request without a final response.
+func (s *Scheduler) clientDisconnected(event ClientDisconnected) {
+	if req := s.requests[event.ID]; req != nil && !req.done {
+		s.finish(req, nil)
+	}
+}
+
+// firstTokenArrived records that the answer has begun to stream.
+func (s *Scheduler) firstTokenArrived(event FirstToken) {
+	req := s.requests[event.ID]
+	if req == nil || !req.hasInFlight(event.Attempt) || req.stage != stageDecoding {
+		return
+	}
+	engine := req.decodeEngine
+	s.attemptProgressed(req.stage)
+	s.completedWork[engine.role].add(s.now, s.work(req, engine.role), rateWindow)
+	req.overtakeEarlier(engine.admitted, stageDecoding)
+	prefilledHere := req.prefillsWithDecode()
+	req.stream = streamStart{startedAt: s.now, concurrency: s.concurrency(engine)}
+	req.stage = stageStreaming
+	req.reserved = nil
+	if prefilledHere {
+		s.learnPrefill(req, engine, req.prefill.load, event.Spent)
+	} else if req.inFlight.transferTokens > 0 {
+		s.learnTransfer(req, event.Spent)
+	} else {
+		engine.firstTokenLatency.add(s.now, event.Spent, firstTokenGain)
+		s.kinds[engine.Kind].firstTokenLatency.add(s.now, event.Spent, kindGain)
+	}
+	s.predictionError[engine.role].add(s.now, math.Abs(event.Spent-req.inFlight.expected), kindGain)
+	s.recordSuccess(engine)
+}
+
+// endedAttempt is an attempt that has ended, with the stage in which it ended.
+type endedAttempt struct {
+	attempt
+	stage stage
+}
+
+// attemptEnded closes the attempt of an outcome, learns from it by its status, and moves the request on.
+func (s *Scheduler) attemptEnded(outcome Outcome) {
+	s.recordReport(s.engines[outcome.Engine], outcome.Report)
+	req := s.requests[outcome.ID]
+	if req == nil || !req.hasInFlight(outcome.Attempt) {
+		return
+	}
+	ended := s.closeAttempt(req, outcome)
+	switch outcome.Status {
+	case Prefilled:
+		s.prefillSucceeded(req, ended, outcome)
+	case Completed:
+		s.streamCompleted(req, ended.engine)
+	case Rejected:
+		s.attemptRejected(req, ended, outcome)
+	case NotSent: // nothing happened at the engine
+	default:
+		s.attemptFailed(req, ended, outcome.Status)
+	}
+	s.continueRequest(req, ended, outcome.Closed)
+}
+
+// closeAttempt takes the attempt out of flight and off the engine's counts.
+func (s *Scheduler) closeAttempt(req *request, outcome Outcome) endedAttempt {
+	ended := endedAttempt{attempt: *req.inFlight, stage: req.stage}
+	engine := ended.engine
+	s.attemptProgressed(ended.stage)
+	if req.prefillsWithDecode() && outcome.Status != Completed {
+		s.emit(Release{ID: req.ID}) // the state that an engine has prefilled for itself is reserved too
+	}
+	s.learnPredictionError(ended, outcome)
+	if outcome.Status == Prefilled {
+		req.overtakeEarlier(engine.prefills, stagePrefilling)
+	}
+	s.restartReservedTime(req, outcome.Status)
+	s.endTransfer(req)
+	req.inFlight = nil
+	req.stage = stageQueued
+	engine.prefills = without(engine.prefills, req)
+	return ended
+}
+
+// learnPredictionError takes the error of an attempt's predicted time: of a prefill that succeeded, or where no engine of
+// the role has answered since the attempt was sent. One engine that hangs while others answer is no measure of its role.
+func (s *Scheduler) learnPredictionError(ended endedAttempt, outcome Outcome) {
+	if ended.stage != stagePrefilling && ended.stage != stageDecoding {
+		return
+	}
+	role := ended.engine.role
+	if outcome.Status == Prefilled || s.lastSuccess[role] < ended.sentAt {
+		s.predictionError[role].add(s.now, math.Abs(outcome.Spent-ended.expected), kindGain)
+	}
+}
+
+// prefillSucceeded records that the request's state waits at its prefill engine.
+func (s *Scheduler) prefillSucceeded(req *request, ended endedAttempt, outcome Outcome) {
+	cached := float64(outcome.Info)
+	req.reserved = &reservedState{since: s.now}
+	req.stage = stagePrefilled
+	s.completedWork[Prefill].add(s.now, s.work(req, Prefill), rateWindow)
+	s.learnPrefill(req, ended.engine, max(1, req.prefill.load+req.cachedTokens-cached), outcome.Spent)
+	s.learnPrefixHit(req, ended.engine, cached)
+	s.recordSuccess(ended.engine)
+}
+
+// streamCompleted records that the answer is complete.
+func (s *Scheduler) streamCompleted(req *request, engine *engine) {
+	s.recordSuccess(engine)
+	s.learnDecode(req, engine)
+}
+
+// attemptRejected records a rejection: the engine is full, or a decode engine found no state to fetch.
+func (s *Scheduler) attemptRejected(req *request, ended endedAttempt, outcome Outcome) {
+	stateReserved := ended.stage == stageDecoding && req.reserved != nil
+	if outcome.Info == stateMissing {
+		if stateReserved { // the prefill engine lost the state, the decode engine is not full: prefill anew
+			s.recordFailure(req.prefillEngine)
+		}
+		return
+	}
+	ended.engine.fullUntil = s.now + fullDuration
+	if reportsSpareCapacity(outcome.Report) { // it rejects what it has capacity for: another engine is next
+		req.lastFailedAt = ended.engine
+	}
+	if stateReserved {
+		req.stage = stagePrefilled
+	}
+}
+
+// attemptFailed records a failure: an error, a timeout, a lost connection, or a cancellation.
+func (s *Scheduler) attemptFailed(req *request, ended endedAttempt, status Status) {
+	engine := ended.engine
+	req.lastFailedAt = engine
+	s.recordAttemptFailure(ended, status)
+	if ended.stage != stageDecoding && ended.stage != stageStreaming {
+		return
+	}
+	if status != ConnectFailed && req.mayHaveRun == nil && engine.role != Prefill {
+		req.mayHaveRun = &possibleEffect{sentAt: ended.sentAt, engine: engine}
+	}
+	if req.reserved != nil {
+		req.stage = stagePrefilled
+	}
+}
+
+// continueRequest moves a request on after its attempt has ended. A state that waits keeps its admitted engine only if
+// the attempt was the prefill.
+func (s *Scheduler) continueRequest(req *request, ended endedAttempt, closed bool) {
+	switch {
+	case closed && !req.done:
+		s.finish(req, nil)
+	case req.done:
+		s.releaseState(req)
+		delete(s.requests, req.ID)
+	case req.stage != stagePrefilled:
+		s.releaseState(req)
+	case ended.stage == stageDecoding:
+		s.assignDecodeEngine(req, nil)
+	}
+}
+
+// restartReservedTime restarts the time for which a state may be reserved, as the attempt to fetch it has ended. Where
+// StateTimeRunsDuringConnects is set, the time runs on while connections fail to come up.
+func (s *Scheduler) restartReservedTime(req *request, status Status) {
+	runsOn := s.cfg.Limits.StateTimeRunsDuringConnects && (status == ConnectFailed || status == NotSent)
+	if req.reserved != nil && !runsOn {
+		req.reserved.since = s.now
+	}
+}
+
+// releaseState releases whatever is reserved for a request that has no attempt in flight (rule 5), and takes the request off
+// its decode engine.
+func (s *Scheduler) releaseState(req *request) {
+	if req.reserved != nil {
+		s.emit(Release{ID: req.ID})
+		req.reserved = nil
+	}
+	if req.stage == stagePrefilled {
+		req.stage = stageQueued
+	}
+	s.assignDecodeEngine(req, nil)
+}
+
+// finish gives the final response (nil where the client has one or has left), cancels the attempt in flight, and releases
+// the rest. A request whose attempt is still in flight stays known until its outcome.
+func (s *Scheduler) finish(req *request, response Action) {
+	if response != nil {
+		s.emit(response)
+	}
+	req.done = true
+	s.openRequests = without(s.openRequests, req)
+	if req.inFlight == nil {
+		s.releaseState(req)
+		delete(s.requests, req.ID)
+		return
+	}
+	if req.stage != stageStreaming && s.cfg.Limits.Cancel {
+		s.emit(Cancel{ID: req.ID, Attempt: req.inFlight.number})
+	}
+	if req.stage == stagePrefilling && req.reserved != nil {
+		s.emit(Release{ID: req.ID}) // a place that is reserved during the prefill
+	}
+}
--- /dev/null
+++ b/scheduler/quota.go
@@ -0,0 +1,40 @@
+package scheduler
+
+// This file decides which requests are beyond their tenant's quota.
+
+const (
+	// quotaBurst is the time in seconds for which a tenant may save up its quota.
+	quotaBurst = 2.0
+	// quotaMinBurst is the least number of requests that a tenant may save up.
+	quotaMinBurst = 4
+)
+
+// beyondQuota counts a request of a tenant, and tells whether it exceeds this router's even part of the tenant's quota.
+func (s *Scheduler) beyondQuota(tenant int) bool {
+	if tenant < 0 || tenant >= len(s.quotas) || s.cfg.Tenants[tenant].Quota <= 0 {
+		return false
+	}
+	perSecond := s.cfg.Tenants[tenant].Quota / float64(s.cfg.NodeCount)
+	return !s.quotas[tenant].take(s.now, perSecond, max(quotaMinBurst, quotaBurst*perSecond))
+}
+
+// tokenBucket is a token bucket; it is full before its first use.
+type tokenBucket struct {
+	level    float64
+	filledAt float64
+}
+
+// take takes one token from a bucket that fills at a rate up to a size. It returns false where the bucket is empty.
+func (b *tokenBucket) take(now, perSecond, size float64) bool {
+	if b.filledAt == 0 {
+		b.level = size
+	} else {
+		b.level = min(size, b.level+perSecond*(now-b.filledAt))
+	}
+	b.filledAt = now
+	if b.level < 1 {
+		return false
+	}
+	b.level--
+	return true
+}
--- /dev/null
+++ b/scheduler/rules_test.go
@@ -0,0 +1,295 @@
+package scheduler
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+)
+
+// ruleChecker follows events and actions and keeps the first rule that the actions break. It knows nothing of the
+// scheduler's own state.
+type ruleChecker struct {
+	cfg       Config
+	now       float64
+	state     map[string]EngineState
+	role      map[string]Role
+	cell      map[string]int
+	requests  map[string]*trackedRequest
+	violation string
+}
+
+// trackedRequest is what the checker knows of a request.
+type trackedRequest struct {
+	class              int
+	deadline           float64
+	final              bool           // has its final response, or its client has left
+	inFlight           int            // attempts in flight
+	attemptsSent       int            // also the number of the next
+	engineOf           map[int]string // engine of each attempt in flight, by its number
+	sentAt             map[int]float64
+	mayHaveRun         bool // an attempt may have run
+	mayHaveRunSince    float64
+	mayHaveRunInCell   int
+	streaming          bool
+	stateReserved      bool
+	stateReservedSince float64
+}
+
+func newRuleChecker(cfg Config, engines []Engine) *ruleChecker {
+	c := &ruleChecker{cfg: cfg, now: 1, state: map[string]EngineState{}, role: map[string]Role{}, cell: map[string]int{},
+		requests: map[string]*trackedRequest{}}
+	for _, engine := range engines {
+		c.role[engine.ID] = cfg.Kinds[engine.Kind].Role
+		c.cell[engine.ID] = engine.Cell
+	}
+	return c
+}
+
+func (c *ruleChecker) fail(format string, args ...any) {
+	if c.violation == "" {
+		c.violation = fmt.Sprintf("at %.3f: ", c.now) + fmt.Sprintf(format, args...)
+	}
+}
+
+// checkDeadlines checks what must have happened by now.
+func (c *ruleChecker) checkDeadlines() {
+	for id, req := range c.requests {
+		if !req.final && !req.streaming && c.now > req.deadline+c.cfg.Rules.AnswerSlack {
+			c.fail("rule 1: %s has no final response", id)
+		}
+		if req.stateReserved && req.inFlight == 0 && c.now > req.stateReservedSince+c.cfg.Rules.StateReleaseLimit {
+			c.fail("rule 5: the state of %s is not released", id)
+		}
+	}
+}
+
+func (c *ruleChecker) checkActions(actions []Action) {
+	for _, action := range actions {
+		switch action := action.(type) {
+		case Send:
+			c.checkSend(action)
+		case Reject:
+			c.finalResponse(action.ID)
+			req := c.requests[action.ID]
+			if c.cfg.Classes[req.class].Effect != Idempotent && (req.mayHaveRun || req.inFlight > 0) {
+				c.fail("rule 2: %s may have run and is rejected", action.ID)
+			}
+		case Fail:
+			c.finalResponse(action.ID)
+		case Release:
+			c.requests[action.ID].stateReserved = false
+		}
+	}
+}
+
+func (c *ruleChecker) checkSend(send Send) {
+	req := c.requests[send.ID]
+	switch {
+	case req.final || req.streaming:
+		c.fail("rule 1: %s is forwarded after its end", send.ID)
+	case req.inFlight > 0:
+		c.fail("rule 2: %s has two attempts in flight", send.ID)
+	case c.state[send.Engine] != EngineReady:
+		c.fail("rule 3: %s goes to %s, which is not ready", send.ID, send.Engine)
+	case req.attemptsSent >= c.cfg.Limits.MaxAttempts:
+		c.fail("%s has too many attempts", send.ID)
+	case req.mayHaveRun && c.role[send.Engine] != Prefill:
+		c.checkRepeat(req, send)
+	}
+	req.engineOf[req.attemptsSent] = send.Engine
+	req.sentAt[req.attemptsSent] = c.now
+	req.inFlight++
+	req.attemptsSent++
+}
+
+// checkRepeat checks an attempt that may be the second with an effect. The by-key class of testConfig has a cell's scope.
+func (c *ruleChecker) checkRepeat(req *trackedRequest, send Send) {
+	class := c.cfg.Classes[req.class]
+	switch {
+	case class.Effect == AtMostOnce:
+		c.fail("rule 2: %s may have run and is sent again", send.ID)
+	case class.Effect == IdempotentByKey &&
+		(c.now > req.mayHaveRunSince+class.DedupWindow || c.cell[send.Engine] != req.mayHaveRunInCell):
+		c.fail("rule 2: %s is sent outside its scope or window", send.ID)
+	}
+}
+
+func (c *ruleChecker) finalResponse(id string) {
+	req := c.requests[id]
+	if req.final {
+		c.fail("rule 1: %s has two final responses", id)
+	}
+	req.final = true
+}
+
+// randomHost makes random legal events: engines that answer, fail, drain, leave and return, clients that disconnect.
+type randomHost struct {
+	*ruleChecker
+	scheduler *Scheduler
+	random    *rand.Rand
+	engines   []Engine
+	timers    []SetTimer
+	ids       []string // of all requests
+}
+
+func newRandomHost(t *testing.T, seed int64) *randomHost {
+	t.Helper()
+	random := rand.New(rand.NewSource(seed))
+	cfg := testConfig()
+	cfg.DecodeEnginesPrefill = random.Intn(2) == 0
+	cfg.ReservationOffered = random.Intn(2) == 0
+	scheduler, err := New(cfg, uint64(seed))
+	if err != nil {
+		t.Fatal(err)
+	}
+	engines := append(testFleet().Engines, testEngine("m0", 2, 0), testEngine("w1b", 1, 1))
+	return &randomHost{ruleChecker: newRuleChecker(cfg, engines), scheduler: scheduler, random: random, engines: engines}
+}
+
+func (h *randomHost) step(events []Event) {
+	actions := h.scheduler.Step(h.now, events)
+	h.checkActions(actions)
+	h.timers = append(h.timers, actionsOf[SetTimer](actions)...)
+}
+
+// advance moves the time by a random amount or, if that comes first, to a timer, whose event it returns.
+func (h *randomHost) advance() []Event {
+	at, due := h.now+h.random.Float64()*0.05, -1
+	for i, timer := range h.timers {
+		if timer.At <= at {
+			at, due = timer.At, i
+		}
+	}
+	h.now = max(h.now, at)
+	if due < 0 {
+		return nil
+	}
+	fired := TimerFired{Token: h.timers[due].Token}
+	h.timers = append(h.timers[:due:due], h.timers[due+1:]...)
+	return []Event{fired}
+}
+
+// events returns the random events of a step. Requests arrive only while arrivals is set.
+func (h *randomHost) events(step int, arrivals bool) []Event {
+	switch k := h.random.Intn(20); {
+	case k < 6 && arrivals:
+		return []Event{h.newRequest(fmt.Sprint("q", step))}
+	case k < 7:
+		return []Event{h.changeEngine()}
+	case k < 8 && len(h.ids) > 0:
+		return h.disconnect(h.ids[h.random.Intn(len(h.ids))])
+	}
+	return h.endAttempts()
+}
+
+func (h *randomHost) newRequest(id string) Event {
+	req := testRequest(id, h.random.Intn(3))
+	req.ClientTimeLeft = 0.02 + h.random.Float64()*3
+	req.PromptTokens = 100 + h.random.Float64()*4000
+	h.requests[id] = &trackedRequest{class: req.Class, deadline: h.now + req.ClientTimeLeft, engineOf: map[int]string{},
+		sentAt: map[int]float64{}}
+	h.ids = append(h.ids, id)
+	return req
+}
+
+func (h *randomHost) changeEngine() Event {
+	engine := h.engines[h.random.Intn(len(h.engines))]
+	engine.State = EngineState(h.random.Intn(3))
+	if engine.State == EngineReady && h.random.Intn(2) == 0 {
+		engine.BootTime = h.now
+	}
+	h.state[engine.ID] = engine.State
+	return EndpointUpdate{Form: UpdateIncremental, Engines: []Engine{engine}}
+}
+
+func (h *randomHost) disconnect(id string) []Event {
+	req := h.requests[id]
+	if req.final || req.streaming {
+		return nil
+	}
+	req.final = true
+	return []Event{ClientDisconnected{ID: id}}
+}
+
+func (h *randomHost) endAttempts() []Event {
+	var events []Event
+	for _, id := range h.ids {
+		req := h.requests[id]
+		for number := range req.attemptsSent {
+			if _, inFlight := req.engineOf[number]; inFlight && h.random.Intn(8) == 0 {
+				events = append(events, h.endAttempt(id, number))
+			}
+		}
+	}
+	return events
+}
+
+// endAttempt ends an attempt, or starts its stream.
+func (h *randomHost) endAttempt(id string, number int) Event {
+	req := h.requests[id]
+	engine := req.engineOf[number]
+	role := h.role[engine]
+	spent := h.now - req.sentAt[number]
+	if role != Prefill && !req.streaming && !req.final && h.random.Intn(2) == 0 {
+		req.streaming, req.stateReserved = true, false
+		return FirstToken{ID: id, Attempt: number, Engine: engine, Spent: spent}
+	}
+	delete(req.engineOf, number)
+	req.inFlight--
+	outcome := Outcome{ID: id, Attempt: number, Engine: engine, Spent: spent, Closed: req.final || req.streaming}
+	switch {
+	case req.streaming:
+		outcome.Status = Completed
+		req.final = true
+	case role == Prefill && h.random.Intn(4) > 0:
+		outcome.Status = Prefilled
+		req.stateReserved, req.stateReservedSince = true, h.now
+	default:
+		outcome.Status = h.failAttempt(req, number, engine)
+	}
+	return outcome
+}
+
+// failAttempt draws the status of an attempt that fails, and tracks its effect.
+func (h *randomHost) failAttempt(req *trackedRequest, number int, engine string) Status {
+	statuses := []Status{ServerError, TimedOut, ConnectionLost, Canceled, ConnectFailed, Rejected}
+	status := statuses[h.random.Intn(len(statuses))]
+	req.stateReservedSince = h.now
+	if h.role[engine] == Prefill {
+		req.stateReserved = false
+		return status
+	}
+	if status != Rejected && status != ConnectFailed && !req.mayHaveRun {
+		req.mayHaveRun = true
+		req.mayHaveRunSince = req.sentAt[number]
+		req.mayHaveRunInCell = h.cell[engine]
+	}
+	return status
+}
+
+func checkRulesOnRandomEvents(t *testing.T, seed int64, steps int) {
+	t.Helper()
+	h := newRandomHost(t, seed)
+	h.step([]Event{listOf(h.engines...)})
+	for i := 0; i < steps && h.violation == ""; i++ {
+		events := append(h.advance(), h.events(i, i < steps*3/4)...)
+		if len(events) > 0 {
+			h.step(events)
+		}
+		h.checkDeadlines()
+	}
+	if h.violation != "" {
+		t.Fatalf("seed %d: %s", seed, h.violation)
+	}
+}
+
+func TestRulesHoldUnderRandomEvents(t *testing.T) {
+	for seed := int64(1); seed <= 150; seed++ {
+		checkRulesOnRandomEvents(t, seed, 400)
+	}
+}
+
+func FuzzRules(f *testing.F) {
+	f.Add(int64(1))
+	f.Fuzz(func(t *testing.T, seed int64) { checkRulesOnRandomEvents(t, seed, 200) })
+}
