--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -200,8 +200,8 @@
 		prefills := e.role == Mixed || e.role == Decode && s.cfg.DecodeEnginesPrefill
 		return prefills && s.repeatAllowed(req, e) && s.slowStartAllows(req, e)
 	}) {
-		if left := s.spareCapacity(candidate, req); left.passes() && left.spare > most {
-			best, most = candidate, left.spare
+		if left := s.spareCapacity(candidate, req); left.passes() && left.amount > most {
+			best, most = candidate, left.amount
 		}
 	}
 	if best == nil {
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -42,7 +42,7 @@
 
 // capacity is what a decode engine has left for a request.
 type capacity struct {
-	spare                float64 // the greater, the better; comparable between engines only
+	amount                float64 // the greater, the better; comparable between engines only
 	meetsOutputObjective bool    // by the concurrency curve
 	fits                 bool    // by its memory and queue
 }
@@ -55,7 +55,7 @@
 	speed, memory := s.spareSpeed(target, req), s.memoryShareWith(target, req)
 	full := s.now < target.fullUntil || target.report.Waiting >= 1 && s.now-target.reportAt < queueReportTime
 	return capacity{
-		spare:                speed + 1 - memory - target.failureScore,
+		amount:                speed + 1 - memory - target.failureScore,
 		meetsOutputObjective: speed >= 0,
 		fits:                 memory <= memoryLimit && !full,
 	}
@@ -112,7 +112,7 @@
 
 // decodeScore is a candidate's spare capacity less its penalties as the decode engine for a state at another engine.
 func (s *Scheduler) decodeScore(req *request, from, candidate *engine, left capacity, timeLeft float64) float64 {
-	score := left.spare
+	score := left.amount
 	if !left.passes() {
 		score -= overfullPenalty
 	}
