--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -42,7 +42,7 @@
 
 // capacity is what a decode engine has left for a request.
 type capacity struct {
-	amount                float64 // the greater, the better; comparable between engines only
+	amount               float64 // the greater, the better; comparable between engines only
 	meetsOutputObjective bool    // by the concurrency curve
 	fits                 bool    // by its memory and queue
 }
@@ -55,7 +55,7 @@
 	speed, memory := s.spareSpeed(target, req), s.memoryShareWith(target, req)
 	full := s.now < target.fullUntil || target.report.Waiting >= 1 && s.now-target.reportAt < queueReportTime
 	return capacity{
-		amount:                speed + 1 - memory - target.failureScore,
+		amount:               speed + 1 - memory - target.failureScore,
 		meetsOutputObjective: speed >= 0,
 		fits:                 memory <= memoryLimit && !full,
 	}
