--- a/internal/decide/endpoints/golden_test.go
+++ b/internal/decide/endpoints/golden_test.go
@@ -98,7 +98,7 @@
 		state = "draining"
 	}
 	return fmt.Sprintf("id=%s address=%s kind=%d role=%d cell=%d zone=%d state=%s weight=%s started=%s",
-		e.ID, e.Address, e.Kind, e.Role, e.Cell, e.Zone, state, number(e.Weight), number(e.Boot))
+		e.ID, e.Address, e.Kind, e.Role, e.Cell, e.Zone, state, number(e.Weight), number(e.BootTime))
 }
 
 // pool is a random fleet that a source tells of.
@@ -111,7 +111,7 @@
 	p := &pool{r: r}
 	for i := range 6 {
 		p.engines = append(p.engines, Entry{ID: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("10.0.0.%d:80", i), Kind: i % 2, Role: i % 2,
-			Cell: i % 3, Zone: i % 2, Weight: 1, Boot: float64(i % 3 * 10)})
+			Cell: i % 3, Zone: i % 2, Weight: 1, BootTime: float64(i % 3 * 10)})
 	}
 	return p
 }
@@ -125,9 +125,9 @@
 	case 1, 2:
 		e.State = Ready
 	case 3:
-		e.Boot = now - float64(p.r.IntN(4))
+		e.BootTime = now - float64(p.r.IntN(4))
 	case 4:
-		e.Boot -= 5
+		e.BootTime -= 5
 	case 5:
 		e.Address = fmt.Sprintf("10.0.%d.%d:80", p.r.IntN(3), p.r.IntN(9))
 	case 6:
@@ -152,7 +152,7 @@
 			case 1:
 				twin.Address = "1.1.1.1:80"
 			case 2:
-				twin.Boot++
+				twin.BootTime++
 			case 3:
 				twin.State = Draining
 			}
@@ -172,11 +172,11 @@
 	for seed := range uint64(goldenSeeds) {
 		x.line("sequence %d", seed)
 		r := rand.New(rand.NewPCG(seed, 1))
-		settings := Defaults
+		settings := DefaultOptions
 		if seed%2 == 1 {
-			settings = Settings{ShrinkShare: 0.25, Confirm: 6, FlapCount: 2, FlapWindow: 60, FlapHold: 8}
+			settings = Options{ShrinkShare: 0.25, ConfirmAfter: 6, FlapCount: 2, FlapWindow: 60, FlapHold: 8}
 		}
-		view, p := New(settings), newPool(r)
+		view, p := NewView(settings), newPool(r)
 		now, index := 1000.0, uint64(5)
 		if seed >= 2 {
 			saved := p.list()
@@ -197,13 +197,13 @@
 }
 
 // viewStep tells the view one thing.
-func viewStep(x *transcript, r *rand.Rand, view *Believer, p *pool, now float64, index *uint64) {
+func viewStep(x *transcript, r *rand.Rand, view *View, p *pool, now float64, index *uint64) {
 	switch n := r.IntN(20); {
 	case n < 13:
 		if r.IntN(3) > 0 {
 			p.change(now)
 		}
-		answer := Answer{Index: *index, Entries: p.list()}
+		answer := List{Index: *index, Entries: p.list()}
 		switch r.IntN(8) {
 		case 0: // the same index again
 		case 1:
@@ -218,13 +218,13 @@
 		for _, e := range answer.Entries {
 			x.line("  told %s", engineLine(e))
 		}
-		x.line("  changed=%s", yesNo(view.Hear(now, answer)))
+		x.line("  changed=%s", yesNo(view.Apply(now, answer)))
 	case n < 18:
 		x.line("at %s time passes", number(now))
 		x.line("  changed=%s", yesNo(view.Tick(now)))
 	case n < 19:
 		x.line("at %s index fell", number(now))
-		view.Fell()
+		view.IndexReset()
 		*index = 1
 	default:
 		x.line("at %s restore of nothing", number(now))
@@ -233,13 +233,13 @@
 }
 
 // viewState writes all that the view gives out.
-func viewState(x *transcript, view *Believer, now float64) {
+func viewState(x *transcript, view *View, now float64) {
 	due := "never"
 	if at, ok := view.Next(); ok {
 		due = number(at)
 	}
-	b := view.Believed(now)
-	x.line("  due=%s waiting=%s index=%d since=%s saved=%s", due, strings.Join(view.Waiting(), ","), b.Index, number(b.Since), yesNo(b.Saved))
+	b := view.Snapshot(now)
+	x.line("  due=%s waiting=%s index=%d since=%s saved=%s", due, strings.Join(view.UnconfirmedRemovals(), ","), b.Index, number(b.ConfirmedAt), yesNo(b.Saved))
 	var use []string
 	for _, e := range b.Entries {
 		use = append(use, engineLine(e))
@@ -258,14 +258,14 @@
 // noteFigures finds what a note tells of: engines, addresses and figures. Its other words are for people and may be reworded.
 var noteFigures = regexp.MustCompile(`\be\d+\b|\d[\d.:%]*`)
 
-func wordLine(w Word) string { return engineLine(w.Entry) + " gone=" + yesNo(w.Gone) }
+func wordLine(w Update) string { return engineLine(w.Entry) + " gone=" + yesNo(w.Removed) }
 
 func TestGoldenTold(t *testing.T) {
 	x := &transcript{}
 	for seed := range uint64(goldenSeeds) {
 		x.line("sequence %d", seed)
 		r := rand.New(rand.NewPCG(seed, 2))
-		list, p := NewTold(), newPool(r)
+		list, p := NewNotifiedView(), newPool(r)
 		now, version := 1000.0, int64(0)
 		for range goldenSteps {
 			now += step(r)
@@ -278,7 +278,7 @@
 }
 
 // toldStep tells the list one answer, whole or of changes, now and then from the past.
-func toldStep(x *transcript, r *rand.Rand, list *Told, p *pool, now float64, version *int64) {
+func toldStep(x *transcript, r *rand.Rand, list *NotifiedView, p *pool, now float64, version *int64) {
 	p.change(now)
 	sent := *version
 	switch r.IntN(6) {
@@ -294,15 +294,15 @@
 	if !full {
 		entries = entries[:min(len(entries), r.IntN(3))]
 	}
-	var words []Word
+	var words []Update
 	for _, e := range entries {
-		words = append(words, Word{Entry: e, Gone: r.IntN(6) == 0})
+		words = append(words, Update{Entry: e, Removed: r.IntN(6) == 0})
 	}
 	x.line("at %s answer version=%d full=%s", number(now), sent, yesNo(full))
 	for _, w := range words {
 		x.line("  told %s", wordLine(w))
 	}
-	for _, w := range list.Hear(now, sent, full, words) {
+	for _, w := range list.Apply(now, sent, full, words) {
 		x.line("  changed %s", wordLine(w))
 	}
 }
@@ -312,7 +312,7 @@
 	for seed := range uint64(goldenSeeds) {
 		x.line("sequence %d", seed)
 		r := rand.New(rand.NewPCG(seed, 3))
-		starts := NewStarts()
+		starts := NewStartTimes()
 		now, offset := 1000.0, []float64{0, 0, 50, -50}[seed%4]
 		for range 2 * goldenSteps {
 			now += step(r)
@@ -326,14 +326,14 @@
 }
 
 // startsStep tells the memory of starts one thing.
-func startsStep(x *transcript, r *rand.Rand, starts *Starts, now, offset float64) {
+func startsStep(x *transcript, r *rand.Rand, starts *StartTimes, now, offset float64) {
 	id := fmt.Sprintf("e%d", r.IntN(4))
 	switch n := r.IntN(10); {
 	case n < 7:
 		told := now + offset - []float64{-30, -1, 0, 1, 10, 100, 2000}[r.IntN(7)]
 		told = []float64{told, told, told, 500, 500, 0, 990}[r.IntN(7)]
 		absent := []float64{0, 0, now - 1, now - 20, now - 200}[r.IntN(5)]
-		own := starts.Own(id, told, now, now+offset, absent)
+		own := starts.LocalTime(id, told, now, now+offset, absent)
 		x.line("at %s engine=%s told=%s wall=%s absent=%s own=%s", number(now), id, number(told), number(now+offset), number(absent), number(own))
 	case n < 9:
 		listed := map[string]string{}
@@ -348,36 +348,36 @@
 		starts.Retain(listed, now)
 		x.line("at %s whole list=%s", number(now), strings.Join(names, ","))
 	default:
-		starts.Gone(id, now)
+		starts.Remove(id, now)
 		x.line("at %s engine=%s gone", number(now), id)
 	}
 }
 
-func watchingLine(w Watching) string {
-	return fmt.Sprintf("hold=%s late=%s first=%s idle=%s whole=%s most=%s slow=%s calls=%d", number(w.Hold), number(w.Late),
-		number(w.First), number(w.Idle), number(w.Whole), number(w.Most), number(w.Slow), w.Calls)
+func watchingLine(w WatchTimeouts) string {
+	return fmt.Sprintf("hold=%s late=%s first=%s idle=%s whole=%s most=%s slow=%s calls=%d", number(w.Hold), number(w.ResponseSlack),
+		number(w.FirstByte), number(w.BetweenBytes), number(w.CompleteResponse), number(w.MaxSilence), number(w.MaxCallInterval), w.MaxCalls)
 }
 
 func TestGoldenWatching(t *testing.T) {
 	x := &transcript{}
 	draw := func() float64 { return 0.5 }
 	for _, told := range []float64{0.5, 2, 6, 20} {
-		watchingTable(x, fmt.Sprintf("own told=%s", number(told)), AgentPace(told, draw))
+		watchingTable(x, fmt.Sprintf("own told=%s", number(told)), AgentPollPolicy(told, draw))
 		for _, every := range []float64{1, 5, 30} {
-			watchingTable(x, fmt.Sprintf("shared told=%s every=%s", number(told), number(every)), SharedPace(told, every, draw))
+			watchingTable(x, fmt.Sprintf("shared told=%s every=%s", number(told), number(every)), SharedPollPolicy(told, every, draw))
 		}
-		x.line("plain told=%s %s", number(told), watchingLine(NewWatching(told)))
+		x.line("plain told=%s %s", number(told), watchingLine(NewWatchTimeouts(told)))
 	}
 	compareGolden(t, "watching", x.String())
 }
 
 // watchingTable writes the times of one way of following a source.
-func watchingTable(x *transcript, name string, pace Pace) {
-	x.line("%s spread=%s %s", name, number(pace.Spread), watchingLine(pace.Watching))
+func watchingTable(x *transcript, name string, pace PollPolicy) {
+	x.line("%s spread=%s %s", name, number(pace.FirstCallSpread), watchingLine(pace.WatchTimeouts))
 	for _, begun := range []float64{0, 1000.25} {
-		x.line("  begun=%s silent=%s", number(begun), number(pace.Silent(begun)))
+		x.line("  begun=%s silent=%s", number(begun), number(pace.WatchDeadline(begun)))
 		for silent := -1; silent <= 12; silent++ {
-			x.line("  begun=%s calls silent=%d until=%s", number(begun), silent, number(pace.Patience(begun, silent)))
+			x.line("  begun=%s calls silent=%d until=%s", number(begun), silent, number(pace.CallDeadline(begun, silent)))
 		}
 	}
 }
--- a/internal/decide/endpoints/notified_test.go
+++ b/internal/decide/endpoints/notified_test.go
@@ -7,28 +7,28 @@
 	"pgregory.net/rapid"
 )
 
-func up(id string) Word { return Word{Entry: Entry{ID: id, Address: id, Weight: 1}} }
+func readyUpdate(id string) Update { return Update{Entry: Entry{ID: id, Address: id, Weight: 1}} }
 
-func draining(id string) Word {
-	w := up(id)
+func drainingUpdate(id string) Update {
+	w := readyUpdate(id)
 	w.State = Draining
 	return w
 }
 
-func gone(id string) Word {
-	w := up(id)
-	w.Gone = true
+func removedUpdate(id string) Update {
+	w := readyUpdate(id)
+	w.Removed = true
 	return w
 }
 
-func TestToldStory(t *testing.T) {
-	told := NewTold()
-	step := func(name, want string, version int64, full bool, words ...Word) {
+func TestNotifiedViewSequenceOfUpdates(t *testing.T) {
+	view := NewNotifiedView()
+	step := func(name, want string, version int64, full bool, words ...Update) {
 		t.Helper()
 		got := ""
-		for _, w := range told.Hear(1, version, full, words) {
+		for _, w := range view.Apply(1, version, full, words) {
 			got += w.ID
-			if w.Gone {
+			if w.Removed {
 				got += "-"
 			} else if w.State == Draining {
 				got += "*"
@@ -39,31 +39,31 @@
 			t.Errorf("%s: changes %q, want %q", name, got, want)
 		}
 	}
-	step("the first list, of version 0", "a b ", 0, true, up("a"), up("b"))
-	if v, ok := told.Version(); v != 0 || !ok {
+	step("the first list, of version 0", "a b ", 0, true, readyUpdate("a"), readyUpdate("b"))
+	if v, ok := view.Version(); v != 0 || !ok {
 		t.Fatal("version 0 is a version: the whole list must not be asked for again")
 	}
 	step("nothing new", "", 0, false)
-	step("a drain", "a* ", 1, false, draining("a"))
-	step("an old answer does not take it back", "", 0, false, up("a"))
-	if _, ok := told.Version(); ok {
+	step("a drain", "a* ", 1, false, drainingUpdate("a"))
+	step("an old answer does not take it back", "", 0, false, readyUpdate("a"))
+	if _, ok := view.Version(); ok {
 		t.Fatal("after changes from the past the whole list is wanted")
 	}
-	step("the whole list", "c ", 3, true, draining("a"), up("b"), up("c"))
-	step("an older whole list takes away at once, and adds no drained one", "c- ", 2, true, up("a"), up("b"))
-	if v, ok := told.Version(); v != 2 || !ok {
+	step("the whole list", "c ", 3, true, drainingUpdate("a"), readyUpdate("b"), readyUpdate("c"))
+	step("an older whole list takes away at once, and adds no drained one", "c- ", 2, true, readyUpdate("a"), readyUpdate("b"))
+	if v, ok := view.Version(); v != 2 || !ok {
 		t.Fatal("a source that began anew is followed")
 	}
-	step("a newer word does", "a ", 3, false, up("a"))
-	step("removed and unknown", "", 4, false, gone("z"))
+	step("a newer word does", "a ", 3, false, readyUpdate("a"))
+	step("removed and unknown", "", 4, false, removedUpdate("z"))
 	step("all gone is believed", "a- b- ", 5, true)
 }
 
 // Over all interleavings: what was told last as draining or gone, by an answer no older than others, is never held ready.
-func TestToldNeverKeepsWhatWasTakenAway(t *testing.T) {
+func TestNotifiedViewNeverKeepsWithdrawnEndpointReady(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		told := NewTold()
-		state := map[string]Word{} // as the changes say
+		view := NewNotifiedView()
+		state := map[string]Update{} // as the changes say
 		version := int64(0)
 		for range rapid.IntRange(1, 30).Draw(t, "answers") {
 			back := rapid.IntRange(0, 3).Draw(t, "back") == 0
@@ -72,23 +72,23 @@
 				at = rapid.Int64Range(0, version).Draw(t, "version")
 			}
 			full := rapid.Bool().Draw(t, "full")
-			var words []Word
-			named := map[string]Word{}
+			var updates []Update
+			named := map[string]Update{}
 			for i := range rapid.IntRange(0, 4).Draw(t, "n") {
-				w := []func(string) Word{up, draining, gone}[rapid.IntRange(0, 2).Draw(t, "kind")](fmt.Sprint("e", (i+rapid.IntRange(0, 3).Draw(t, "id"))%5))
+				w := []func(string) Update{readyUpdate, drainingUpdate, removedUpdate}[rapid.IntRange(0, 2).Draw(t, "kind")](fmt.Sprint("e", (i+rapid.IntRange(0, 3).Draw(t, "id"))%5))
 				if _, twice := named[w.ID]; !twice {
-					words, named[w.ID] = append(words, w), w
+					updates, named[w.ID] = append(updates, w), w
 				}
 			}
-			for _, w := range told.Hear(float64(at), at, full, words) {
+			for _, w := range view.Apply(float64(at), at, full, updates) {
 				state[w.ID] = w
 			}
 			for id, w := range state {
-				said, inAnswer := named[id]
-				switch ready := !w.Gone && w.State == Ready; {
-				case inAnswer && takesAway(said) && ready:
-					t.Fatalf("%s was told %+v and is held ready", id, said)
-				case full && !inAnswer && !w.Gone:
+				reported, inAnswer := named[id]
+				switch ready := !w.Removed && w.State == Ready; {
+				case inAnswer && stopsNewWork(reported) && ready:
+					t.Fatalf("%s was told %+v and is held ready", id, reported)
+				case full && !inAnswer && !w.Removed:
 					t.Fatalf("%s is not in the whole list and is held", id)
 				}
 			}
@@ -99,23 +99,23 @@
 	})
 }
 
-func TestToldForgetsTheRemoved(t *testing.T) {
-	told := NewTold()
+func TestNotifiedViewForgetsRemovedEndpoints(t *testing.T) {
+	view := NewNotifiedView()
 	for i := range 10_000 {
 		id := fmt.Sprint("e", i)
-		told.Hear(float64(i), int64(2*i), false, []Word{up(id)})
-		told.Hear(float64(i), int64(2*i+1), false, []Word{gone(id)})
+		view.Apply(float64(i), int64(2*i), false, []Update{readyUpdate(id)})
+		view.Apply(float64(i), int64(2*i+1), false, []Update{removedUpdate(id)})
 	}
-	if len(told.known) > 200 {
-		t.Fatalf("%d engines are remembered of a day of replacements", len(told.known))
+	if len(view.endpoints) > 200 {
+		t.Fatalf("%d engines are remembered of a day of replacements", len(view.endpoints))
 	}
 }
 
 // A source that does not hold its answers is not asked without end, and a watch on it still goes on.
-func TestWatcherGoesOnWithinItsBudget(t *testing.T) {
-	a, now, calls := NewWatcher(func() float64 { return 0.5 }), 100.0, 0
+func TestAgentPollerContinuesWatchWithinCallBudget(t *testing.T) {
+	poller, now, calls := NewAgentPoller(func() float64 { return 0.5 }), 100.0, 0
 	for end := now + 10; now < end; calls++ {
-		at := a.After(now, true)
+		at := poller.AfterCall(now, true)
 		if at > now+0.2 {
 			t.Fatalf("the watch ends: the next call comes after %g s", at-now)
 		}
@@ -124,7 +124,7 @@
 	if calls > 130 {
 		t.Fatalf("%d calls in 10 s", calls)
 	}
-	if at := a.After(now, false); at > now+1.2 {
+	if at := poller.AfterCall(now, false); at > now+1.2 {
 		t.Fatalf("%g s after a failure", at-now)
 	}
 }
--- a/internal/decide/endpoints/starts_test.go
+++ b/internal/decide/endpoints/start_times_test.go
@@ -10,18 +10,18 @@
 const hour = 3600.0
 
 // An engine is as old as it is, or younger, whichever of the two clocks was stepped.
-func TestStartsByEitherClock(t *testing.T) {
+func TestStartTimeIsNeverOlderWhicheverClockStepped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := 1e9 + rapid.Float64Range(0, 1e6).Draw(t, "now")
 		age := rapid.Float64Range(0, 1000).Draw(t, "age")
 		step := rapid.SampledFrom([]float64{0, 2, -2, 30, -30, hour, -hour}).Draw(t, "step")
-		wall, told := now, now-age
+		wall, reported := now, now-age
 		if rapid.Bool().Draw(t, "the node's own clock is wrong") {
 			now += step
 		} else {
 			wall += step
 		}
-		own := NewStarts().Own("e", told, now, wall, 0)
+		own := NewStartTimes().LocalTime("e", reported, now, wall, 0)
 		got := now - own
 		if got < -1e-6 || got > age+1e-6 {
 			t.Fatalf("an engine that started %g s ago is taken for one of %g s; step %g", age, got, step)
@@ -32,41 +32,41 @@
 	})
 }
 
-func TestAStartThatWasToldStays(t *testing.T) {
-	s := NewStarts()
-	first := s.Own("e", 1000, 1010, 1010, 0)
-	if again := s.Own("e", 1000, 1020, 1020+hour, 0); again != first {
+func TestReportedStartTimeStaysAtItsLocalTime(t *testing.T) {
+	s := NewStartTimes()
+	first := s.LocalTime("e", 1000, 1010, 1010, 0)
+	if again := s.LocalTime("e", 1000, 1020, 1020+hour, 0); again != first {
 		t.Errorf("told again after a step: got %g, want %g", again, first)
 	}
-	if later := s.Own("e", 1030, 1031, 1031-hour, 0); later != 1030 {
+	if later := s.LocalTime("e", 1030, 1031, 1031-hour, 0); later != 1030 {
 		t.Errorf("a new start: got %g, want 1030", later)
 	}
-	if s.Own("e", 0, 1040, 1040, 0) != 0 {
+	if s.LocalTime("e", 0, 1040, 1040, 0) != 0 {
 		t.Error("long ago stays long ago")
 	}
-	if s.Own("f", 900, 1040, 1040, 0); s.Own("f", 900, 1050, 1050, 1049) != 900 {
+	if s.LocalTime("f", 900, 1040, 1040, 0); s.LocalTime("f", 900, 1050, 1050, 1049) != 900 {
 		t.Error("a start that was told before is not judged anew")
 	}
-	s.Gone("f", 1060)
-	if back := s.Own("f", 900, 1070, 1070, 1069); back != 900 {
+	s.Remove("f", 1060)
+	if back := s.LocalTime("f", 900, 1070, 1070, 1069); back != 900 {
 		t.Errorf("an engine that was cut off and comes back: got %g, want 900", back)
 	}
-	s.Gone("f", 1080)
-	s.Retain(map[string]string{}, 1080+keepGone+1)
-	if len(s.known) != 0 {
+	s.Remove("f", 1080)
+	s.Retain(map[string]string{}, 1080+removedRetention+1)
+	if len(s.records) != 0 {
 		t.Error("an engine that has gone long ago is remembered")
 	}
 }
 
 // An engine whose start the source did not have a moment ago is no older than it is, though the clock of the node's machine was ahead
 // when it started; a right clock is believed as long as the source may have been late.
-func TestStartsOfANodeWhoseClockIsAhead(t *testing.T) {
+func TestStartTimeWhenWallClockIsAhead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := 1e9 + rapid.Float64Range(0, 1e6).Draw(t, "now")
-		age := rapid.Float64Range(0, tellsWithin).Draw(t, "age")
+		age := rapid.Float64Range(0, maxReportDelay).Draw(t, "age")
 		silence := rapid.Float64Range(0, 100).Draw(t, "since the source was last heard")
 		ahead := rapid.SampledFrom([]float64{0, hour, 24 * hour}).Draw(t, "ahead")
-		got := now - NewStarts().Own("e", now-ahead-age, now, now, now-silence)
+		got := now - NewStartTimes().LocalTime("e", now-ahead-age, now, now, now-silence)
 		switch {
 		case got > age+1e-6 || got < -1e-6:
 			t.Fatalf("an engine that started %g s ago is taken for one of %g s", age, got)
--- a/internal/decide/endpoints/steady_test.go
+++ b/internal/decide/endpoints/steady_test.go
@@ -8,43 +8,43 @@
 	"pgregory.net/rapid"
 )
 
-// longestUnheard plays nodes that ask a shared source for ever, all of them at once at first, as after an outage: each is
+// longestWithoutResponse plays nodes that ask a shared source for ever, all of them at once at first, as after an outage: each is
 // answered in turn, so many seconds for one call of each, or turned away where it would wait for longer than 2 s. There is
 // always news, so that no watch waits. It returns the longest time, from some seconds on, in which a node heard nothing.
-func longestUnheard(nodes int, takes float64, spacing bool, seed uint64) (longest float64) {
+func longestWithoutResponse(nodes int, takes float64, paced bool, seed uint64) (longest float64) {
 	const from, until = 20.0, 80.0
 	rng := rand.New(rand.NewPCG(seed, uint64(nodes)))
-	askers, heard, when := make([]*Asker, nodes), make([]float64, nodes), calendar{}
+	pollers, respondedAt, queue := make([]*Poller, nodes), make([]float64, nodes), callQueue{}
 	for i := range nodes {
-		p := SharedPace(6, 10, rng.Float64)
-		askers[i] = p.Asker()
-		if !spacing {
-			askers[i].Spacing = 0
+		p := SharedPollPolicy(6, 10, rng.Float64)
+		pollers[i] = p.NewPoller()
+		if !paced {
+			pollers[i].MaxInterval = 0
 		}
-		when = append(when, due{0.1 * rng.Float64(), i})
+		queue = append(queue, scheduledCall{0.1 * rng.Float64(), i})
 	}
-	heap.Init(&when)
+	heap.Init(&queue)
 	cost, free := takes/float64(nodes), 0.0
-	for len(when) > 0 {
-		d := heap.Pop(&when).(due)
+	for len(queue) > 0 {
+		d := heap.Pop(&queue).(scheduledCall)
 		if d.at > until {
 			break
 		}
 		wait := max(0, free-d.at)
 		if wait > 2 {
-			free += turnedAwayCost * cost
-			heap.Push(&when, due{askers[d.node].TurnedAway(d.at), d.node})
+			free += rejectionCost * cost
+			heap.Push(&queue, scheduledCall{pollers[d.node].AfterRejection(d.at), d.node})
 			continue
 		}
 		free = max(free, d.at) + cost
 		answered := d.at + wait + cost
 		if answered > from {
-			longest = max(longest, answered-max(from, heard[d.node]))
+			longest = max(longest, answered-max(from, respondedAt[d.node]))
 		}
-		heard[d.node] = answered
-		heap.Push(&when, due{askers[d.node].Answered(answered, wait+cost), d.node})
+		respondedAt[d.node] = answered
+		heap.Push(&queue, scheduledCall{pollers[d.node].AfterResponse(answered, wait+cost), d.node})
 	}
-	for _, at := range heard {
+	for _, at := range respondedAt {
 		longest = max(longest, until-max(from, at))
 	}
 	return longest
@@ -52,15 +52,15 @@
 
 // However many nodes ask a source that can answer each of them once in 3 s, with news without end and calls that are turned away
 // costing most of one that is answered: from 20 s after an outage on, each hears of a change within the 6 s in which it counts as told.
-func TestSharedSourceIsFollowedInTime(t *testing.T) {
+func TestSharedSourceUpdatesArriveInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.SampledFrom([]int{2, 3, 24, 130, 300}).Draw(t, "nodes")
 		takes := rapid.Float64Range(0.2, 3).Draw(t, "takes")
-		if got := longestUnheard(nodes, takes, true, rapid.Uint64().Draw(t, "seed")); got > 6 {
+		if got := longestWithoutResponse(nodes, takes, true, rapid.Uint64().Draw(t, "seed")); got > 6 {
 			t.Fatalf("%d nodes, %.2f s for a call of each: one heard nothing for %.1f s", nodes, takes, got)
 		}
 	})
-	if got := longestUnheard(300, 3, false, 1); got <= 6 {
+	if got := longestWithoutResponse(300, 3, false, 1); got <= 6 {
 		t.Errorf("with no pause after answers all are heard within %.1f s: this test shows nothing", got)
 	}
 }
--- a/internal/decide/endpoints/watch.go
+++ b/internal/decide/endpoints/watch.go
@@ -1,50 +1,50 @@
 package endpoints
 
-// Watching says how long each step of following a list may take. Whatever a call came to, a change counts as told a fixed
+// WatchTimeouts says how long each step of following a list may take. Whatever a call came to, a change counts as told a fixed
 // time after its source had it and could be reached; from then on a node that still sends to an engine which drains breaks
 // rule 3. So a watch must not be waited for longer than a part of that time: one that has fallen silent is told apart from
 // one without news only by its own end, and the calls that follow it have to fit in as well. All times are in seconds.
-type Watching struct {
-	Hold  float64 // that a watch is asked to wait for news
-	Late  float64 // that its answer may be late by before the watch counts as silent
-	First float64 // for a new connection, and on it for the first byte of an answer that has nothing to wait for
-	Idle  float64 // between two bytes of an answer: one that comes slowly is not one that has stopped
-	Whole float64 // for a whole answer, from its first byte
-	Most  float64 // for the first byte of a call that has been silent, while others have been made beside it
-	Slow  float64 // the longest between two calls that are made beside silent ones
-	Calls int     // that are waited for at once; the oldest makes room
+type WatchTimeouts struct {
+	Hold             float64 // that a watch is asked to wait for news
+	ResponseSlack    float64 // that its answer may be late by before the watch counts as silent
+	FirstByte        float64 // for a new connection, and on it for the first byte of an answer that has nothing to wait for
+	BetweenBytes     float64 // between two bytes of an answer: one that comes slowly is not one that has stopped
+	CompleteResponse float64 // for a whole answer, from its first byte
+	MaxSilence       float64 // for the first byte of a call that has been silent, while others have been made beside it
+	MaxCallInterval  float64 // the longest between two calls that are made beside silent ones
+	MaxCalls         int     // that are waited for at once; the oldest makes room
 }
 
-// Pace is how a source of lists is followed.
-type Pace struct {
-	Watching
-	Spread float64       // over which the first calls of nodes that start together are spread
-	Asker  func() *Asker // makes what says when to call again
+// PollPolicy is how a source of lists is followed.
+type PollPolicy struct {
+	WatchTimeouts
+	FirstCallSpread float64        // over which the first calls of nodes that start together are spread
+	NewPoller       func() *Poller // makes what says when to call again
 }
 
-// AgentPace is the pace for a source that is the node's own, on its machine: it answers at once and at no cost, and what it
+// AgentPollPolicy is the pace for a source that is the node's own, on its machine: it answers at once and at no cost, and what it
 // has counts as told. told is when a change counts as told whatever became of calls.
-func AgentPace(told float64, draw func() float64) Pace {
-	return Pace{Watching: NewWatching(told), Asker: func() *Asker { return NewWatcher(draw) }}
+func AgentPollPolicy(told float64, draw func() float64) PollPolicy {
+	return PollPolicy{WatchTimeouts: NewWatchTimeouts(told), NewPoller: func() *Poller { return NewAgentPoller(draw) }}
 }
 
-// SharedPace is the pace for a source that all nodes ask, which can answer each of them only every few seconds and turns away
+// SharedPollPolicy is the pace for a source that all nodes ask, which can answer each of them only every few seconds and turns away
 // what would wait for longer than its time-out. Nodes that ask again at once keep it overloaded for ever: those that start with a
 // list that was known before spread their first calls, each waits by chance after a failure, and once it was turned away twice so
 // long that all who were do not overload it, but no longer than a change takes to count (askEvery is the time in which a node is
 // expected to ask, s). An answer may be queued
 // for that time-out, so that a call which waits for nothing is not silent before.
-func SharedPace(told, askEvery float64, draw func() float64) Pace {
-	w := NewWatching(told)
-	w.Hold, w.First = sharedHold*told, sharedTimeout*told
-	w.Slow, w.Calls = max(w.First, askEvery/2), sharedCalls
-	asker := func() *Asker {
-		a := NewWatcher(draw)
-		a.Least, a.Most, a.Longest = sharedLeast, sharedMost*told, told
-		a.Spacing, a.Late = sharedSpacing*told, sharedLate*told
+func SharedPollPolicy(told, askEvery float64, draw func() float64) PollPolicy {
+	w := NewWatchTimeouts(told)
+	w.Hold, w.FirstByte = sharedHold*told, sharedTimeout*told
+	w.MaxCallInterval, w.MaxCalls = max(w.FirstByte, askEvery/2), sharedCalls
+	asker := func() *Poller {
+		a := NewAgentPoller(draw)
+		a.MinBackoff, a.MaxBackoff, a.OverloadBackoff = sharedLeast, sharedMost*told, told
+		a.MaxInterval, a.CongestionDelay = sharedSpacing*told, sharedLate*told
 		return a
 	}
-	return Pace{Watching: w, Spread: min(sharedMost*told, sharedSpread*askEvery), Asker: asker}
+	return PollPolicy{WatchTimeouts: w, FirstCallSpread: min(sharedMost*told, sharedSpread*askEvery), NewPoller: asker}
 }
 
 // Figures of a shared source. Its time-out is a third of the time after which a change counts as told (2 s of 6 s; PROTOCOL,
@@ -72,17 +72,17 @@
 	slowPart  = 0.25 // while all calls are silent one more is made this often at the least
 )
 
-// NewWatching returns the times for a source whose changes count as told after so long (s).
-func NewWatching(told float64) Watching {
-	return Watching{Hold: holdPart * told, Late: latePart * told, First: firstPart * told, Idle: firstPart * told,
-		Whole: wholePart * told, Most: mostPart * told, Slow: slowPart * told, Calls: calls}
+// NewWatchTimeouts returns the times for a source whose changes count as told after so long (s).
+func NewWatchTimeouts(told float64) WatchTimeouts {
+	return WatchTimeouts{Hold: holdPart * told, ResponseSlack: latePart * told, FirstByte: firstPart * told, BetweenBytes: firstPart * told,
+		CompleteResponse: wholePart * told, MaxSilence: mostPart * told, MaxCallInterval: slowPart * told, MaxCalls: calls}
 }
 
-// Silent is when a watch that was begun at a time counts as silent, if no byte has come.
-func (w Watching) Silent(begun float64) float64 { return begun + w.Hold + w.Late }
+// WatchDeadline is when a watch that was begun at a time counts as silent, if no byte has come.
+func (w WatchTimeouts) WatchDeadline(begun float64) float64 { return begun + w.Hold + w.ResponseSlack }
 
-// Patience is when a call that was begun at a time and has nothing to wait for counts as silent, so many having been silent
+// CallDeadline is when a call that was begun at a time and has nothing to wait for counts as silent, so many having been silent
 // before it: the longer an outage, the fewer calls are made into it.
-func (w Watching) Patience(begun float64, silent int) float64 {
-	return begun + min(w.Slow, w.First*float64(int(1)<<min(max(0, silent-1), 8)))
+func (w WatchTimeouts) CallDeadline(begun float64, silent int) float64 {
+	return begun + min(w.MaxCallInterval, w.FirstByte*float64(int(1)<<min(max(0, silent-1), 8)))
 }
--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -23,7 +23,7 @@
 	wait    time.Duration // for which the server may hold a call
 	parser  *Parser
 	clock   clock.Clock
-	asker   *endpoints.Asker
+	asker   *endpoints.Poller
 
 	mu   sync.Mutex
 	conn *http1.ClientConn
@@ -41,7 +41,7 @@
 		case <-ended:
 		}
 	}()
-	at, index := c.asker.Start(c.clock.Now()), uint64(0)
+	at, index := c.asker.FirstCall(c.clock.Now()), uint64(0)
 	for {
 		timer := time.NewTimer(max(0, seconds(at-c.clock.Now())))
 		select {
@@ -62,7 +62,7 @@
 		case <-stop:
 			return
 		}
-		at = c.asker.After(c.clock.Now(), a.err == nil)
+		at = c.asker.AfterCall(c.clock.Now(), a.err == nil)
 	}
 }
 
@@ -112,11 +112,11 @@
 	if err != nil || next == 0 {
 		return answer{err: fmt.Errorf("list server: X-Consul-Index is %q", resp.Header.Get("X-Consul-Index"))}, 0
 	}
-	entries, err := c.parser.Consul(body)
+	entries, err := c.parser.ParseConsul(body)
 	if err != nil {
 		return answer{err: fmt.Errorf("list server:\n%w", err)}, 0
 	}
-	return answer{list: endpoints.Answer{Index: next, Entries: entries}}, next
+	return answer{list: endpoints.List{Index: next, Entries: entries}}, next
 }
 
 // instance is one entry of Consul's health endpoint, as far as it is read.
@@ -134,9 +134,9 @@
 	Checks []struct{ Status string }
 }
 
-// Consul reads an answer of the health endpoint. Kind, cell, zone, state and start time are in Service.Meta under the
+// ParseConsul reads an answer of the health endpoint. Kind, cell, zone, state and start time are in Service.Meta under the
 // names of the list file; an instance with a critical check gets no new work.
-func (p *Parser) Consul(text []byte) ([]endpoints.Entry, error) {
+func (p *Parser) ParseConsul(text []byte) ([]endpoints.Entry, error) {
 	var instances []instance
 	if err := json.Unmarshal(text, &instances); err != nil {
 		return nil, config.Problems{{Pointer: "", Text: "not a list of instances: " + err.Error()}}
--- a/internal/discovery/consul_test.go
+++ b/internal/discovery/consul_test.go
@@ -18,8 +18,8 @@
 	return xs
 }
 
-// listed starts a list server and follows it.
-func listed(t *testing.T, ids ...string) (*emulator.ListServer, chan protocol.EndpointList, chan string) {
+// followListServer starts a list server and follows it.
+func followListServer(t *testing.T, ids ...string) (*emulator.ListServer, chan protocol.EndpointList, chan string) {
 	t.Helper()
 	s := emulator.NewListServer(100)
 	if err := s.Start(); err != nil {
@@ -27,22 +27,22 @@
 	}
 	t.Cleanup(func() { s.Stop() })
 	s.Set(instances(ids...))
-	c := parser(t).Config
+	c := testParser(t).Config
 	c.Engines = config.Engines{Consul: s.Address(), Service: "engines", Wait: 0.2}
 	lists, words, err := follow(t, c, "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, lists, strings.Join(ids, " "))
+	awaitEngines(t, lists, strings.Join(ids, " "))
 	return s, lists, words
 }
 
-// until reads beliefs until one names just these engines; draining ones carry a mark.
-func until(t *testing.T, lists chan protocol.EndpointList, want string) protocol.EndpointList {
+// awaitEngines reads beliefs until one names just these engines; draining ones carry a mark.
+func awaitEngines(t *testing.T, lists chan protocol.EndpointList, want string) protocol.EndpointList {
 	t.Helper()
 	got := ""
 	for range 50 {
-		l := next(t, lists)
+		l := receive(t, lists)
 		var ids []string
 		for _, e := range l.Engines {
 			id := e.ID
@@ -59,27 +59,27 @@
 	return protocol.EndpointList{}
 }
 
-func TestBlockingQueriesBringChangesAtOnce(t *testing.T) {
-	s, lists, _ := listed(t, "a", "b")
+func TestBlockingQueryDeliversChangesAtOnce(t *testing.T) {
+	s, lists, _ := followListServer(t, "a", "b")
 	s.Set(instances("a", "b", "c"))
-	l := until(t, lists, "a b c")
+	l := awaitEngines(t, lists, "a b c")
 	if e := l.Engines[2]; e.Zone != 1 || e.Kind != 0 || l.Addresses["c"] != "127.0.0.1:9" {
 		t.Fatalf("%+v", l)
 	}
 	xs := instances("a", "b", "c")
 	xs[1].Critical = true
 	s.Set(xs)
-	until(t, lists, "a b* c")
+	awaitEngines(t, lists, "a b* c")
 }
 
-func TestSickListServerLeavesTheLastList(t *testing.T) {
+func TestFaultyListServerKeepsPreviousList(t *testing.T) {
 	for name, f := range map[string]emulator.ListFaults{"truncated": {Truncate: true}, "errors": {Errors: true},
 		"no index": {NoIndex: true}, "malformed": {Malformed: true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, lists, words := listed(t, "a", "b")
+			s, lists, words := followListServer(t, "a", "b")
 			s.SetFaults(f)
-			if text := next(t, words); !strings.Contains(text, "the last one stays") {
+			if text := receive(t, words); !strings.Contains(text, "the last one stays") {
 				t.Fatal(text)
 			}
 			select {
@@ -89,51 +89,51 @@
 			}
 			s.SetFaults(emulator.ListFaults{})
 			s.Set(instances("a", "b", "d"))
-			until(t, lists, "a b d")
+			awaitEngines(t, lists, "a b d")
 		})
 	}
 }
 
-func TestServerThatHangsIsLeftByItsTime(t *testing.T) {
-	s, lists, words := listed(t, "a")
+func TestHangingListServerTimesOut(t *testing.T) {
+	s, lists, words := followListServer(t, "a")
 	s.SetFaults(emulator.ListFaults{Hang: true})
-	if text := next(t, words); !strings.Contains(text, "timeout") {
+	if text := receive(t, words); !strings.Contains(text, "timeout") {
 		t.Fatal(text)
 	}
 	s.SetFaults(emulator.ListFaults{})
 	s.Set(instances("a", "b"))
-	until(t, lists, "a b")
+	awaitEngines(t, lists, "a b")
 }
 
-func TestServerThatForgotIsAskedFromTheStart(t *testing.T) {
-	s, lists, words := listed(t, "a", "b")
+func TestListServerIndexResetIsPolledFromStart(t *testing.T) {
+	s, lists, words := followListServer(t, "a", "b")
 	s.Reset(3)
-	if text := next(t, words); !strings.Contains(text, "fell") {
+	if text := receive(t, words); !strings.Contains(text, "fell") {
 		t.Fatal(text)
 	}
 	s.Set(instances("a", "b", "c"))
-	until(t, lists, "a b c")
+	awaitEngines(t, lists, "a b c")
 }
 
-func TestOldAndEmptyAnswersAreNotBelieved(t *testing.T) {
-	s, lists, _ := listed(t, "a", "b", "c", "d")
+func TestEmptyListNeedsConfirmation(t *testing.T) {
+	s, lists, _ := followListServer(t, "a", "b", "c", "d")
 	s.SetFaults(emulator.ListFaults{Empty: true})
 	start := time.Now()
 	s.Set(instances("a", "b", "c", "d", "e"))
 	// The empty answer stands until its confirmation is due; the full one before that wins.
 	s.SetFaults(emulator.ListFaults{})
-	if l := until(t, lists, "a b c d e"); len(l.Engines) == 0 || time.Since(start) > 15*time.Second {
+	if l := awaitEngines(t, lists, "a b c d e"); len(l.Engines) == 0 || time.Since(start) > 15*time.Second {
 		t.Fatal("late")
 	}
 }
 
-func TestServerThatRestartsIsFoundAgain(t *testing.T) {
-	s, lists, words := listed(t, "a")
+func TestRestartedListServerIsPolledAgain(t *testing.T) {
+	s, lists, words := followListServer(t, "a")
 	s.Stop()
-	next(t, words)
+	receive(t, words)
 	if err := s.Start(); err != nil {
 		t.Fatal(err)
 	}
 	s.Set(instances("a", "z"))
-	until(t, lists, "a z")
+	awaitEngines(t, lists, "a z")
 }
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -63,7 +63,7 @@
 }
 
 // read returns the list, and whether it differs from the last one read.
-func (w *file) read() (list endpoints.Answer, changed bool, err error) {
+func (w *file) read() (list endpoints.List, changed bool, err error) {
 	info, err := os.Stat(w.path)
 	if err != nil {
 		return list, false, err
@@ -81,19 +81,19 @@
 	if w.last != nil && bytes.Equal(text, w.last) {
 		return list, false, nil
 	}
-	entries, err := w.parser.Parse(text)
+	entries, err := w.parser.ParseFile(text)
 	if err != nil {
 		return list, false, fmt.Errorf("%s:\n%w", w.path, err)
 	}
 	w.last, w.seen = text, info
-	return endpoints.Answer{Entries: entries}, true, nil
+	return endpoints.List{Entries: entries}, true, nil
 }
 
 // halfWritten is the pattern of names under which Replace writes.
 const halfWritten = ".list-*"
 
-// Replace writes a file in one step, so that no reader sees half of it, and does not return before it lasts.
-func Replace(path string, text []byte) error {
+// ReplaceFile writes a file in one step, so that no reader sees half of it, and does not return before it lasts.
+func ReplaceFile(path string, text []byte) error {
 	dir := filepath.Dir(path)
 	f, err := os.CreateTemp(dir, halfWritten)
 	if err != nil {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -34,8 +34,8 @@
 	cells  map[string]int
 }
 
-// Parse reads a whole list file. All that is wrong is told at once, and then nothing of it is taken.
-func (p *Parser) Parse(text []byte) ([]endpoints.Entry, error) {
+// ParseFile reads a whole list file. All that is wrong is told at once, and then nothing of it is taken.
+func (p *Parser) ParseFile(text []byte) ([]endpoints.Entry, error) {
 	var f File
 	if err := schema.Decode(text, &f); err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 	if !ok {
 		ps = append(ps, config.Problem{Pointer: "/zone", Text: fmt.Sprintf("%q is not one of the node's zones", e.Zone)})
 	}
-	n := endpoints.Entry{ID: e.ID, Address: e.Address, Kind: kind, Zone: zone, Weight: 1, Boot: e.BootTime}
+	n := endpoints.Entry{ID: e.ID, Address: e.Address, Kind: kind, Zone: zone, Weight: 1, BootTime: e.BootTime}
 	if len(ps) == 0 {
 		n.Role = int(p.Config.Scheduler().Kinds[kind].Role)
 	}
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -20,7 +20,7 @@
 
 // answer is what a source gave, or why it gave nothing.
 type answer struct {
-	list  endpoints.Answer
+	list  endpoints.List
 	again bool // the source's index fell: it began anew
 	err   error
 }
@@ -34,9 +34,9 @@
 // Follower follows a source and tells of each change of what is believed. Its believer belongs to its goroutine.
 type Follower struct {
 	cfg      *config.Config
-	believer *endpoints.Believer
+	believer *endpoints.View
 	clock    clock.Clock
-	starts   *endpoints.Starts
+	starts   *endpoints.StartTimes
 	src      source
 	parser   *Parser
 	saved    string // file in which the believed list is kept; "" = none
@@ -53,26 +53,26 @@
 
 // FollowOptions say where lists come from and who is told.
 type FollowOptions struct {
-	Config   *config.Config
-	Saved    string                      // file of the last believed list, read at the start; "" = none
-	Take     func(protocol.EndpointList) // a new belief; called on the follower's goroutine
-	Complain func(string)                // why something was not believed, once for each cause
-	Clock    clock.Clock                 // of the node, in whose times lists are told; the zero clock = one of its own
-	Draw     func() float64              // chance for the spread of calls; nil = the system's
+	Config    *config.Config
+	SavedList string                      // file of the last believed list, read at the start; "" = none
+	OnUpdate  func(protocol.EndpointList) // a new belief; called on the follower's goroutine
+	OnProblem func(string)                // why something was not believed, once for each cause
+	Clock     clock.Clock                 // of the node, in whose times lists are told; the zero clock = one of its own
+	Random    func() float64              // chance for the spread of calls; nil = the system's
 }
 
 // Follow starts following. Where nothing was saved, a list file that cannot be read is an error; a list server that
 // does not answer is waited for.
 func Follow(o FollowOptions) (*Follower, error) {
-	f := &Follower{cfg: o.Config, believer: endpoints.New(endpoints.Defaults), starts: endpoints.NewStarts(), saved: o.Saved, take: o.Take, complain: o.Complain,
+	f := &Follower{cfg: o.Config, believer: endpoints.NewView(endpoints.DefaultOptions), starts: endpoints.NewStartTimes(), saved: o.SavedList, take: o.OnUpdate, complain: o.OnProblem,
 		saves: make(chan save, 1), stop: make(chan struct{}), done: make(chan struct{}), kept: make(chan struct{})}
 	f.keeps.Store(true)
 	if o.Clock == (clock.Clock{}) {
 		o.Clock = clock.New()
 	}
 	f.clock = o.Clock
-	if o.Draw == nil {
-		o.Draw = rand.Float64
+	if o.Random == nil {
+		o.Random = rand.Float64
 	}
 	parser := &Parser{Config: o.Config}
 	f.parser = parser
@@ -80,11 +80,11 @@
 	go f.keep()
 	e := o.Config.Engines
 	if e.Consul != "" {
-		f.src = &consul{address: e.Consul, service: e.Service, wait: seconds(e.Wait), parser: parser, clock: o.Clock, asker: endpoints.NewAsker(o.Draw)}
+		f.src = &consul{address: e.Consul, service: e.Service, wait: seconds(e.Wait), parser: parser, clock: o.Clock, asker: endpoints.NewPoller(o.Random)}
 	} else {
 		w := &file{path: e.File, poll: seconds(e.Poll), parser: parser}
 		list, _, err := w.read()
-		if err != nil && len(f.believer.Believed(0).Entries) == 0 {
+		if err != nil && len(f.believer.Snapshot(0).Entries) == 0 {
 			close(f.stop)
 			return nil, err
 		}
@@ -151,9 +151,9 @@
 	}
 	f.broken = ""
 	if a.again {
-		f.believer.Fell()
+		f.believer.IndexReset()
 	}
-	if f.believer.Hear(now, a.list) {
+	if f.believer.Apply(now, a.list) {
 		f.tell(now)
 	}
 	f.heard = now
@@ -164,10 +164,10 @@
 
 // tell hands the belief on, and saves it.
 func (f *Follower) tell(now float64) {
-	b := f.believer.Believed(now)
+	b := f.believer.Snapshot(now)
 	l := protocol.EndpointList{Form: scheduler.UpdateComplete, Addresses: map[string]string{}, Saved: b.Saved}
 	for _, e := range b.Entries {
-		n := scheduler.Engine{ID: e.ID, Kind: e.Kind, Cell: e.Cell, Zone: e.Zone, Weight: e.Weight, BootTime: f.starts.Own(e.ID, e.Boot, now, f.clock.Wall(), f.heard)}
+		n := scheduler.Engine{ID: e.ID, Kind: e.Kind, Cell: e.Cell, Zone: e.Zone, Weight: e.Weight, BootTime: f.starts.LocalTime(e.ID, e.BootTime, now, f.clock.Wall(), f.heard)}
 		if e.State == endpoints.Draining {
 			n.State = scheduler.EngineDraining
 		}
@@ -233,7 +233,7 @@
 // write writes a list, or a newer one, until it is written or the follower stops.
 func (f *Follower) write(x save) {
 	for pause := savePause; f.keeps.Load(); pause = min(2*pause, longSavePause) {
-		err := Replace(f.saved, x.text)
+		err := ReplaceFile(f.saved, x.text)
 		f.tried(x)
 		if err == nil {
 			return
@@ -279,7 +279,7 @@
 	}
 	var entries []endpoints.Entry
 	if err == nil {
-		entries, err = parser.Parse(text)
+		entries, err = parser.ParseFile(text)
 	}
 	if err != nil {
 		f.complain(fmt.Sprintf("saved engine list not used: %s: %v", f.saved, err))
@@ -291,11 +291,11 @@
 }
 
 // encode gives the belief the form of a list file.
-func (f *Follower) encode(b endpoints.Belief) ([]byte, error) {
+func (f *Follower) encode(b endpoints.Snapshot) ([]byte, error) {
 	out := File{Engines: []Entry{}}
 	for _, e := range b.Entries {
 		weight := e.Weight
-		n := Entry{ID: e.ID, Address: e.Address, Kind: f.cfg.Kinds[e.Kind].Name, Cell: f.parser.name(e.Cell), Weight: &weight, BootTime: e.Boot}
+		n := Entry{ID: e.ID, Address: e.Address, Kind: f.cfg.Kinds[e.Kind].Name, Cell: f.parser.name(e.Cell), Weight: &weight, BootTime: e.BootTime}
 		if e.Zone < len(f.cfg.Zones) {
 			n.Zone = f.cfg.Zones[e.Zone]
 		}
--- a/internal/node/openai.go
+++ b/internal/node/openai.go
@@ -42,8 +42,8 @@
 	if err := n.listen(cfg, o.listener, o.admin); err != nil {
 		return nil, err
 	}
-	n.lists, err = discovery.Follow(discovery.FollowOptions{Config: cfg, Clock: n.core.clock, Saved: savedList(cfg), Take: n.takeList,
-		Complain: func(text string) { n.log.Error("engine list", "text", text) }})
+	n.lists, err = discovery.Follow(discovery.FollowOptions{Config: cfg, Clock: n.core.clock, SavedList: savedList(cfg), OnUpdate: n.takeList,
+		OnProblem: func(text string) { n.log.Error("engine list", "text", text) }})
 	if err != nil {
 		n.server.Close()
 		if n.admin != nil {
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -42,7 +42,7 @@
 }
 
 // Reload takes a new configuration: discovery may have moved.
-func (r *RelayNode) Reload(next *relay.Config) { r.discovery.Move(next.Discovery) }
+func (r *RelayNode) Reload(next *relay.Config) { r.discovery.SetAddress(next.Discovery) }
 
 // relayPlan is the host's part of the configuration.
 func relayPlan(cfg *relay.Config) plan {
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -21,14 +21,14 @@
 	"dillroute/scheduler"
 )
 
-// answer is discovery's form of a list.
-type answer struct {
-	Version int64   `json:"version"`
-	Full    bool    `json:"full"`
-	Servers []entry `json:"servers"`
+// listResponse is discovery's form of a list.
+type listResponse struct {
+	Version int64       `json:"version"`
+	Full    bool        `json:"full"`
+	Servers []listEntry `json:"servers"`
 }
 
-type entry struct {
+type listEntry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
 	Zone    string  `json:"zone"`
@@ -47,24 +47,24 @@
 
 // Discovery follows the list of engines.
 type Discovery struct {
-	log   *slog.Logger
-	times endpoints.Pace
-	kinds map[string]int
-	zones map[string]int
-	roles []scheduler.Kind
-	take  func(protocol.EndpointList)
-	wg    sync.WaitGroup
+	log      *slog.Logger
+	times    endpoints.PollPolicy
+	kinds    map[string]int
+	zones    map[string]int
+	roles    []scheduler.Kind
+	onUpdate func(protocol.EndpointList)
+	wg       sync.WaitGroup
 
 	clock   clock.Clock
 	connect http1.DialFunc
 
-	mu     sync.Mutex
-	told   *endpoints.Told
-	starts *endpoints.Starts
-	known  bool    // a list was known at the start
-	heard  float64 // when the source last answered (s); 0 = it has not yet
-	watch  *watch
-	closed bool
+	mu         sync.Mutex
+	view       *endpoints.NotifiedView
+	startTimes *endpoints.StartTimes
+	known      bool    // a list was known at the start
+	heard      float64 // when the source last answered (s); 0 = it has not yet
+	watch      *watch
+	closed     bool
 }
 
 // watch is one address that is followed. Where it goes on from is its own: another address may count versions anew. All but
@@ -74,7 +74,7 @@
 	ctx     context.Context // ends with the watch
 	cancel  context.CancelFunc
 	stop    chan struct{}
-	replies chan reply
+	results chan callResult
 	open    []*call // that have not ended, the newest last
 	version int64   // that changes are asked from, once a whole list was told
 	going   bool
@@ -91,52 +91,52 @@
 	on     *http1.ClientConn // its connection, guarded by the watch's lock; nil = a new one is to be made
 }
 
-// reply is what became of a call.
-type reply struct {
+// callResult is what became of a call.
+type callResult struct {
 	*call
-	line *http1.ClientConn // that it went on; nil = none could be made
-	a    *answer
-	err  error
+	conn     *http1.ClientConn // that it went on; nil = none could be made
+	response *listResponse
+	err      error
 }
 
 // Follow starts following discovery at an address, from what was known before (may be empty).
 // clk is the clock of the node, in whose times lists are told; connect makes connections (nil = on the network).
 func Follow(addr string, known []byte, s *settings.Settings, clk clock.Clock, connect http1.DialFunc, take func(protocol.EndpointList), log *slog.Logger) *Discovery {
-	return follow(addr, known, s, paceOf(s), clk, connect, take, log)
+	return startDiscovery(addr, known, s, paceOf(s), clk, connect, take, log)
 }
 
 // paceOf is the pace at which the discovery of the settings is followed.
-func paceOf(s *settings.Settings) endpoints.Pace {
+func paceOf(s *settings.Settings) endpoints.PollPolicy {
 	if s.Scheduler.PollsDiscovery {
-		return endpoints.SharedPace(toldAfter, s.Scheduler.Rules.PollInterval, rand.Float64)
+		return endpoints.SharedPollPolicy(toldAfter, s.Scheduler.Rules.PollInterval, rand.Float64)
 	}
-	return endpoints.AgentPace(toldAfter, rand.Float64)
+	return endpoints.AgentPollPolicy(toldAfter, rand.Float64)
 }
 
-func follow(addr string, known []byte, s *settings.Settings, times endpoints.Pace, clk clock.Clock, connect http1.DialFunc, take func(protocol.EndpointList), log *slog.Logger) *Discovery {
-	d := &Discovery{log: log, times: times, kinds: index(s.Kinds), zones: index(s.Zones), roles: s.Scheduler.Kinds, take: take,
-		told: newTold(), starts: endpoints.NewStarts(), clock: clk, connect: connect}
-	var a answer
+func startDiscovery(addr string, known []byte, s *settings.Settings, times endpoints.PollPolicy, clk clock.Clock, connect http1.DialFunc, take func(protocol.EndpointList), log *slog.Logger) *Discovery {
+	d := &Discovery{log: log, times: times, kinds: index(s.Kinds), zones: index(s.Zones), roles: s.Scheduler.Kinds, onUpdate: take,
+		view: newView(), startTimes: endpoints.NewStartTimes(), clock: clk, connect: connect}
+	var a listResponse
 	if len(known) > 0 {
 		if err := json.Unmarshal(known, &a); err != nil {
 			log.Warn("the list known before is not used", "error", err.Error())
 		} else {
-			d.hear(&a, true)
+			d.apply(&a, true)
 			d.known = true
 		}
 	}
-	d.Move(addr)
+	d.SetAddress(addr)
 	return d
 }
 
-// newTold returns the list of which every word counts.
-func newTold() *endpoints.Told { return endpoints.NewTold() }
+// newView returns the list of which every word counts.
+func newView() *endpoints.NotifiedView { return endpoints.NewNotifiedView() }
 
 // SaveState is of no use here: no disk survives the node.
 func (d *Discovery) SaveState(bool) {}
 
-// Move follows another address from now on. The one before is given up once the new one has answered.
-func (d *Discovery) Move(addr string) {
+// SetAddress follows another address from now on. The one before is given up once the new one has answered.
+func (d *Discovery) SetAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed || d.watch != nil && d.watch.addr == addr {
@@ -144,7 +144,7 @@
 	}
 	before := d.watch
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &watch{addr: addr, ctx: ctx, cancel: cancel, stop: make(chan struct{}), replies: make(chan reply), conns: map[*http1.ClientConn]bool{}}
+	w := &watch{addr: addr, ctx: ctx, cancel: cancel, stop: make(chan struct{}), results: make(chan callResult), conns: map[*http1.ClientConn]bool{}}
 	d.watch = w
 	d.wg.Add(1)
 	go func() { defer d.wg.Done(); d.follow(w, before) }()
@@ -174,8 +174,8 @@
 	}
 }
 
-// hold notes the connection of a call, which end closes; false = the watch has ended. drop closes one and forgets it.
-func (w *watch) hold(c *call, on *http1.ClientConn) bool {
+// addConn notes the connection of a call, which end closes; false = the watch has ended. drop closes one and forgets it.
+func (w *watch) addConn(c *call, on *http1.ClientConn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c.on, w.conns[on] = on, true
@@ -207,7 +207,7 @@
 			before.end()
 		}
 	}()
-	asker := d.times.Asker()
+	asker := d.times.NewPoller()
 	var lead *call
 	var line *http1.ClientConn // that the next call goes on; nil = a new one
 	silent := 0                // calls that have led and said nothing since the last answer
@@ -224,14 +224,14 @@
 				silent++
 				d.log.Info("discovery is silent", "address", w.addr, "calls", silent)
 			}
-			lead, at = w.begin(d.clock.Now(), line, d.times.Watching, silent)
+			lead, at = w.begin(d.clock.Now(), line, d.times.WatchTimeouts, silent)
 			line = nil
 			calls.Add(1)
 			go func(c *call) { defer calls.Done(); d.call(w, pool, c) }(lead)
-		case r := <-w.replies:
+		case r := <-w.results:
 			w.ended(r.call) // one that was given up may have been answered all the same: that counts as told
 			if r.err != nil {
-				w.drop(r.line)
+				w.drop(r.conn)
 				if r.call == lead {
 					d.log.Info("discovery", "address", w.addr, "error", r.err.Error())
 					lead, at = nil, d.again(asker, r.err)
@@ -242,24 +242,24 @@
 				before.end()
 				before = nil
 			}
-			if r.call == lead || !w.going || r.a.Version >= w.version { // else the one that leads has told more
-				w.version, w.going = d.hear(r.a, false)
+			if r.call == lead || !w.going || r.response.Version >= w.version { // else the one that leads has told more
+				w.version, w.going = d.apply(r.response, false)
 			}
 			if r.call != lead && silent == 0 {
-				w.drop(r.line)
+				w.drop(r.conn)
 				continue
 			}
-			lead, line, silent, at = nil, r.line, 0, asker.Answered(d.clock.Now(), d.clock.Now()-r.call.due)
+			lead, line, silent, at = nil, r.conn, 0, asker.AfterResponse(d.clock.Now(), d.clock.Now()-r.call.due)
 		}
 	}
 }
 
 // again is when to call again after a call that led to an error.
-func (d *Discovery) again(asker *endpoints.Asker, err error) float64 {
+func (d *Discovery) again(asker *endpoints.Poller, err error) float64 {
 	if errors.Is(err, errTurnedAway) {
-		return asker.TurnedAway(d.clock.Now())
+		return asker.AfterRejection(d.clock.Now())
 	}
-	return asker.After(d.clock.Now(), false)
+	return asker.AfterCall(d.clock.Now(), false)
 }
 
 // begins is when the first call of a watch is made (s): at once where nothing is known, or where it follows upon another.
@@ -269,21 +269,21 @@
 	if before != nil || !d.known {
 		return d.clock.Now()
 	}
-	return d.clock.Now() + d.times.Spread*rand.Float64()
+	return d.clock.Now() + d.times.FirstCallSpread*rand.Float64()
 }
 
 // begin notes a call and returns when it counts as silent (s). On a connection that has just answered it waits for news;
 // the first one on a new connection waits for nothing. Changes are asked for where they are enough: they are less to send.
-func (w *watch) begin(now float64, line *http1.ClientConn, times endpoints.Watching, silent int) (*call, float64) {
-	c, late := &call{on: line, target: pathList, due: now}, times.Patience(now, silent)
+func (w *watch) begin(now float64, line *http1.ClientConn, times endpoints.WatchTimeouts, silent int) (*call, float64) {
+	c, late := &call{on: line, target: pathList, due: now}, times.CallDeadline(now, silent)
 	if w.going {
 		hold := 1e-3
 		if line != nil {
-			hold, late, c.due = times.Hold, times.Silent(now), now+times.Hold
+			hold, late, c.due = times.Hold, times.WatchDeadline(now), now+times.Hold
 		}
 		c.target += "?from=" + strconv.FormatInt(w.version, 10) + "&hold_ms=" + strconv.FormatInt(seconds(hold).Milliseconds(), 10)
 	}
-	if w.open = append(w.open, c); len(w.open) > times.Calls {
+	if w.open = append(w.open, c); len(w.open) > times.MaxCalls {
 		w.mu.Lock()
 		on := w.open[0].on
 		w.mu.Unlock()
@@ -306,21 +306,21 @@
 
 // call makes a call, and hands on what became of it.
 func (d *Discovery) call(w *watch, pool *http1.Pool, c *call) {
-	r := reply{call: c}
+	r := callResult{call: c}
 	on := c.on
 	if on == nil {
-		on, r.err = pool.Dial(w.ctx, w.addr, seconds(d.times.First))
+		on, r.err = pool.Dial(w.ctx, w.addr, seconds(d.times.FirstByte))
 	}
 	if r.err == nil {
-		if w.hold(c, on) {
-			r.a, r.err = d.ask(on, c.target)
+		if w.addConn(c, on) {
+			r.response, r.err = d.ask(on, c.target)
 		} else {
 			r.err = errStopped
 		}
 	}
-	r.line = on
+	r.conn = on
 	select {
-	case w.replies <- r:
+	case w.results <- r:
 	case <-w.stop:
 		if on != nil {
 			on.Close()
@@ -330,21 +330,21 @@
 
 // ask makes one call. How long its first byte may take is for others to judge; from there its bytes have to keep coming: lists
 // may come in pieces as small as one byte.
-func (d *Discovery) ask(c *http1.ClientConn, target string) (*answer, error) {
-	c.SetDeadline(time.Now().Add(seconds(d.times.Most)))
+func (d *Discovery) ask(c *http1.ClientConn, target string) (*listResponse, error) {
+	c.SetDeadline(time.Now().Add(seconds(d.times.MaxSilence)))
 	if _, _, err := c.Send("GET", target, nil, nil); err != nil {
 		return nil, err
 	}
 	if err := c.Await(); err != nil {
 		return nil, err
 	}
-	end := time.Now().Add(seconds(d.times.Whole))
+	end := time.Now().Add(seconds(d.times.CompleteResponse))
 	c.SetDeadline(end)
 	resp, err := c.ReadResponse()
 	if err != nil {
 		return nil, err
 	}
-	resp.Body = &steady{c: c, r: resp.Body, idle: seconds(d.times.Idle), end: end}
+	resp.Body = &steady{c: c, r: resp.Body, idle: seconds(d.times.BetweenBytes), end: end}
 	body, err := resp.ReadAll(maxList)
 	if err != nil {
 		return nil, err
@@ -377,8 +377,8 @@
 }
 
 // readList reads an answer; an entry that cannot be spoils it.
-func readList(body []byte) (*answer, error) {
-	var a answer
+func readList(body []byte) (*listResponse, error) {
+	var a listResponse
 	if err := json.Unmarshal(body, &a); err != nil {
 		return nil, fmt.Errorf("relay: list: %w", err)
 	}
@@ -393,19 +393,19 @@
 	return &a, nil
 }
 
-// hear files an answer and hands on what it changes. It returns the version to go on from, if the whole list is not wanted.
-func (d *Discovery) hear(a *answer, known bool) (version int64, ok bool) {
+// apply files an answer and hands on what it changes. It returns the version to go on from, if the whole list is not wanted.
+func (d *Discovery) apply(a *listResponse, known bool) (version int64, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var words []endpoints.Word
+	var words []endpoints.Update
 	for _, e := range a.Servers {
 		kind, ok := d.kinds[e.Kind]
 		if !ok && e.State != "removed" {
 			d.log.Warn("engine of an unknown kind", "engine", e.ID, "kind", clip(e.Kind))
 			continue
 		}
-		w := endpoints.Word{Gone: e.State == "removed", Entry: endpoints.Entry{ID: e.ID, Address: e.Addr, Kind: kind, Cell: e.Cell,
-			Zone: d.zones[e.Zone], Weight: e.Weight, Boot: e.Started / 1000}}
+		w := endpoints.Update{Removed: e.State == "removed", Entry: endpoints.Entry{ID: e.ID, Address: e.Addr, Kind: kind, Cell: e.Cell,
+			Zone: d.zones[e.Zone], Weight: e.Weight, BootTime: e.Started / 1000}}
 		if ok {
 			w.Role = int(d.roles[kind].Role)
 		}
@@ -414,27 +414,27 @@
 		}
 		words = append(words, w)
 	}
-	changes := d.told.Hear(d.clock.Now(), a.Version, a.Full, words)
+	changes := d.view.Apply(d.clock.Now(), a.Version, a.Full, words)
 	if len(changes) > 0 {
-		d.take(d.list(changes, known))
+		d.onUpdate(d.list(changes, known))
 	}
 	if !known {
 		d.heard = d.clock.Now()
 	}
-	return d.told.Version()
+	return d.view.Version()
 }
 
 // list turns changes into what the host takes. The lock is held.
-func (d *Discovery) list(changes []endpoints.Word, known bool) protocol.EndpointList {
+func (d *Discovery) list(changes []endpoints.Update, known bool) protocol.EndpointList {
 	now, wall := d.clock.Now(), d.clock.Wall()
 	l := protocol.EndpointList{Form: scheduler.UpdateIncremental, Addresses: map[string]string{}, Saved: known}
 	for _, w := range changes {
 		e := scheduler.Engine{ID: w.ID, Kind: w.Kind, Cell: w.Cell, Zone: w.Zone, Weight: w.Weight,
-			BootTime: d.starts.Own(w.ID, w.Boot, now, wall, d.heard)}
+			BootTime: d.startTimes.LocalTime(w.ID, w.BootTime, now, wall, d.heard)}
 		switch {
-		case w.Gone:
+		case w.Removed:
 			e.State = scheduler.EngineRemoved
-			d.starts.Gone(w.ID, now)
+			d.startTimes.Remove(w.ID, now)
 		case w.State == endpoints.Draining:
 			e.State = scheduler.EngineDraining
 		}
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -23,30 +23,30 @@
 	"dillroute/scheduler"
 )
 
-// source is a discovery whose calls are answered as a test says. Its list holds one engine, e0, that is up until drain.
-type source struct {
-	l     net.Listener
-	mu    sync.Mutex
-	drain bool
-	news  chan struct{}
-	calls []string                                    // targets
-	act   func(n int, target string, c net.Conn) bool // false = answer as discovery does
+// fakeDiscovery is a discovery whose calls are answered as a test says. Its list holds one engine, e0, that is up until drain.
+type fakeDiscovery struct {
+	listener net.Listener
+	mu       sync.Mutex
+	drain    bool
+	changed  chan struct{}
+	calls    []string                                    // targets
+	respond  func(n int, target string, c net.Conn) bool // false = answer as discovery does
 }
 
-func newSource(t *testing.T, act func(n int, target string, c net.Conn) bool) *source {
+func newFakeDiscovery(t *testing.T, act func(n int, target string, c net.Conn) bool) *fakeDiscovery {
 	t.Helper()
-	s := &source{news: make(chan struct{}), act: act}
+	s := &fakeDiscovery{changed: make(chan struct{}), respond: act}
 	s.listen(t, "127.0.0.1:0")
 	return s
 }
 
-func (s *source) listen(t *testing.T, addr string) {
+func (s *fakeDiscovery) listen(t *testing.T, addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.l = l
+	s.listener = l
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -60,7 +60,7 @@
 	}()
 }
 
-func (s *source) serve(c net.Conn) {
+func (s *fakeDiscovery) serve(c net.Conn) {
 	br := bufio.NewReader(c)
 	for {
 		r, err := http.ReadRequest(br)
@@ -70,7 +70,7 @@
 		s.mu.Lock()
 		n := len(s.calls)
 		s.calls = append(s.calls, r.URL.RequestURI())
-		news, drained, act := s.news, s.drain, s.act
+		news, drained, act := s.changed, s.drain, s.respond
 		s.mu.Unlock()
 		if act != nil && act(n, r.URL.RequestURI(), c) {
 			continue
@@ -87,8 +87,8 @@
 	}
 }
 
-// text is an answer.
-func (s *source) text(full bool) string {
+// listJSON is an answer.
+func (s *fakeDiscovery) listJSON(full bool) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	version, state := 1, "up"
@@ -100,42 +100,42 @@
 	return string(b)
 }
 
-func (s *source) write(c net.Conn, full bool) {
-	text := s.text(full)
+func (s *fakeDiscovery) write(c net.Conn, full bool) {
+	text := s.listJSON(full)
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 }
 
-// await waits until e0 drains.
-func (s *source) await() {
+// awaitDrain waits until e0 drains.
+func (s *fakeDiscovery) awaitDrain() {
 	s.mu.Lock()
-	news, drained := s.news, s.drain
+	news, drained := s.changed, s.drain
 	s.mu.Unlock()
 	if !drained {
 		<-news
 	}
 }
 
-// change has e0 drain.
-func (s *source) change() {
+// startDrain has e0 drain.
+func (s *fakeDiscovery) startDrain() {
 	s.mu.Lock()
 	s.drain = true
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 	s.mu.Unlock()
 }
 
-func (s *source) count() int {
+func (s *fakeDiscovery) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.calls)
 }
 
-// heard follows a source, and tells when the drain of e0 was taken.
-type heard struct {
+// updateTimes follows a source, and tells when the drain of e0 was taken.
+type updateTimes struct {
 	up, drained atomic.Int64 // Unix nanoseconds
 }
 
-func (h *heard) take(l protocol.EndpointList) {
+func (h *updateTimes) onUpdate(l protocol.EndpointList) {
 	for _, e := range l.Engines {
 		switch now := time.Now().UnixNano(); e.State {
 		case scheduler.EngineDraining:
@@ -146,7 +146,7 @@
 	}
 }
 
-func within(t *testing.T, what string, limit time.Duration, ok func() bool) {
+func waitUntil(t *testing.T, what string, limit time.Duration, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(limit); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -157,32 +157,32 @@
 
 // Whatever becomes of the calls to discovery, a change is heard before it counts as told. The clock is a quarter of the real
 // one, so that the test is short; the parts are the same.
-func TestChangesAreHeardInTimeWhateverCallsCameTo(t *testing.T) {
+func TestChangesArriveInTimeDespiteFailedCalls(t *testing.T) {
 	const told = 1.5
 	reset := func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }
 	isWatch := func(target string) bool { return strings.Contains(target, "hold_ms") }
-	var bytes1 = func(s **source) func(int, string, net.Conn) bool {
+	var bytes1 = func(s **fakeDiscovery) func(int, string, net.Conn) bool {
 		return func(_ int, target string, c net.Conn) bool {
 			if !isWatch(target) {
 				return false
 			}
 			src := *s
-			src.await()
-			text := src.text(false)
+			src.awaitDrain()
+			text := src.listJSON(false)
 			for _, b := range fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text) {
 				c.Write([]byte{b})
 			}
 			return true
 		}
 	}
-	for name, make := range map[string]func(s **source) func(int, string, net.Conn) bool{
-		"the first watch is silent": func(**source) func(int, string, net.Conn) bool {
+	for name, make := range map[string]func(s **fakeDiscovery) func(int, string, net.Conn) bool{
+		"the first watch is silent": func(**fakeDiscovery) func(int, string, net.Conn) bool {
 			return func(n int, _ string, _ net.Conn) bool { return n == 1 }
 		},
-		"the first watch and the call after it are silent": func(**source) func(int, string, net.Conn) bool {
+		"the first watch and the call after it are silent": func(**fakeDiscovery) func(int, string, net.Conn) bool {
 			return func(n int, _ string, _ net.Conn) bool { return n == 1 || n == 2 }
 		},
-		"the watch is reset": func(**source) func(int, string, net.Conn) bool {
+		"the watch is reset": func(**fakeDiscovery) func(int, string, net.Conn) bool {
 			return func(n int, _ string, c net.Conn) bool {
 				if n == 1 {
 					time.Sleep(100 * time.Millisecond)
@@ -191,7 +191,7 @@
 				return n == 1
 			}
 		},
-		"calls are refused twice behind a silent watch": func(**source) func(int, string, net.Conn) bool {
+		"calls are refused twice behind a silent watch": func(**fakeDiscovery) func(int, string, net.Conn) bool {
 			return func(n int, _ string, c net.Conn) bool {
 				if n == 2 || n == 3 {
 					reset(c)
@@ -199,7 +199,7 @@
 				return n >= 1 && n <= 3
 			}
 		},
-		"the answer stops in the middle": func(**source) func(int, string, net.Conn) bool {
+		"the answer stops in the middle": func(**fakeDiscovery) func(int, string, net.Conn) bool {
 			return func(n int, _ string, c net.Conn) bool {
 				if n == 1 {
 					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"version\":2,")
@@ -207,7 +207,7 @@
 				return n == 1
 			}
 		},
-		"errors in place of lists": func(**source) func(int, string, net.Conn) bool {
+		"errors in place of lists": func(**fakeDiscovery) func(int, string, net.Conn) bool {
 			return func(n int, _ string, c net.Conn) bool {
 				if n == 1 || n == 2 {
 					io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
@@ -215,11 +215,11 @@
 				return n == 1 || n == 2
 			}
 		},
-		"the whole list where changes were due": func(s **source) func(int, string, net.Conn) bool {
+		"the whole list where changes were due": func(s **fakeDiscovery) func(int, string, net.Conn) bool {
 			return func(_ int, target string, c net.Conn) bool {
 				if isWatch(target) {
 					src := *s
-					src.await()
+					src.awaitDrain()
 					src.write(c, true)
 				}
 				return isWatch(target)
@@ -229,42 +229,42 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var s *source
-			s = newSource(t, make(&s))
-			h := &heard{}
-			d := follow(s.l.Addr().String(), nil, given(t), endpoints.AgentPace(told, rand.Float64), clock.New(), nil, h.take, slog.New(slog.NewTextHandler(io.Discard, nil)))
+			var s *fakeDiscovery
+			s = newFakeDiscovery(t, make(&s))
+			h := &updateTimes{}
+			d := startDiscovery(s.listener.Addr().String(), nil, given(t), endpoints.AgentPollPolicy(told, rand.Float64), clock.New(), nil, h.onUpdate, slog.New(slog.NewTextHandler(io.Discard, nil)))
 			defer d.Close()
-			within(t, "the list", 2*time.Second, func() bool { return h.up.Load() > 0 })
-			within(t, "the watch", 2*time.Second, func() bool { return s.count() >= 2 })
+			waitUntil(t, "the list", 2*time.Second, func() bool { return h.up.Load() > 0 })
+			waitUntil(t, "the watch", 2*time.Second, func() bool { return s.count() >= 2 })
 			at := time.Now()
-			s.change()
-			within(t, "the change", time.Duration(told*1e9), func() bool { return h.drained.Load() > 0 })
+			s.startDrain()
+			waitUntil(t, "the change", time.Duration(told*1e9), func() bool { return h.drained.Load() > 0 })
 			t.Logf("heard after %v, %d calls", time.Since(at), s.count())
 		})
 	}
 }
 
 // While discovery is down the list known before serves; at its return it is asked at once, and not by whole lists without end.
-func TestDiscoveryDownAndBack(t *testing.T) {
+func TestDiscoveryOutageAndRecovery(t *testing.T) {
 	const told = 1.5
-	s := newSource(t, nil)
-	addr := s.l.Addr().String()
-	h := &heard{}
-	d := follow(addr, nil, given(t), endpoints.AgentPace(told, rand.Float64), clock.New(), nil, h.take, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s := newFakeDiscovery(t, nil)
+	addr := s.listener.Addr().String()
+	h := &updateTimes{}
+	d := startDiscovery(addr, nil, given(t), endpoints.AgentPollPolicy(told, rand.Float64), clock.New(), nil, h.onUpdate, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	defer d.Close()
-	within(t, "the list", 2*time.Second, func() bool { return h.up.Load() > 0 })
-	s.l.Close()
+	waitUntil(t, "the list", 2*time.Second, func() bool { return h.up.Load() > 0 })
+	s.listener.Close()
 	s.mu.Lock()
-	s.act = func(_ int, _ string, c net.Conn) bool { c.Close(); return true }
-	close(s.news) // the open watch ends
-	s.news = make(chan struct{})
+	s.respond = func(_ int, _ string, c net.Conn) bool { c.Close(); return true }
+	close(s.changed) // the open watch ends
+	s.changed = make(chan struct{})
 	s.mu.Unlock()
 	time.Sleep(time.Second)
-	s2 := newSource(t, nil)
-	s2.l.Close()
+	s2 := newFakeDiscovery(t, nil)
+	s2.listener.Close()
 	s2.listen(t, addr)
-	s2.change()
-	within(t, "the change", time.Duration(told*1e9), func() bool { return h.drained.Load() > 0 })
+	s2.startDrain()
+	waitUntil(t, "the change", time.Duration(told*1e9), func() bool { return h.drained.Load() > 0 })
 	time.Sleep(200 * time.Millisecond)
 	if n := s2.count(); n > 4 {
 		t.Errorf("%d calls within 0.2 s of the return", n)
@@ -272,12 +272,12 @@
 }
 
 // The next call follows the last answer at once, so that the watch goes on, and asks for changes alone.
-func TestWatchGoesOn(t *testing.T) {
-	s := newSource(t, nil)
-	h := &heard{}
-	d := follow(s.l.Addr().String(), nil, given(t), endpoints.AgentPace(0.4, rand.Float64), clock.New(), nil, h.take, slog.New(slog.NewTextHandler(io.Discard, nil)))
+func TestWatchContinuesAfterResponse(t *testing.T) {
+	s := newFakeDiscovery(t, nil)
+	h := &updateTimes{}
+	d := startDiscovery(s.listener.Addr().String(), nil, given(t), endpoints.AgentPollPolicy(0.4, rand.Float64), clock.New(), nil, h.onUpdate, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	defer d.Close()
-	within(t, "five calls", 3*time.Second, func() bool { return s.count() >= 5 })
+	waitUntil(t, "five calls", 3*time.Second, func() bool { return s.count() >= 5 })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, target := range s.calls {
@@ -289,19 +289,19 @@
 
 // A source that was silent says first, to whoever waits, what it has at its return: a node has a call out at any time, so that
 // it hears of a drain at once, however long the outage was.
-func TestAReturnIsHeardAtOnce(t *testing.T) {
+func TestRecoveredDiscoveryIsReadAtOnce(t *testing.T) {
 	back := make(chan struct{})
 	var down atomic.Bool
-	s := newSource(t, func(_ int, _ string, _ net.Conn) bool {
+	s := newFakeDiscovery(t, func(_ int, _ string, _ net.Conn) bool {
 		if down.Load() {
 			<-back
 		}
 		return false
 	})
-	h := &heard{}
-	d := follow(s.l.Addr().String(), nil, given(t), endpoints.AgentPace(0.6, rand.Float64), clock.New(), nil, h.take, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	h := &updateTimes{}
+	d := startDiscovery(s.listener.Addr().String(), nil, given(t), endpoints.AgentPollPolicy(0.6, rand.Float64), clock.New(), nil, h.onUpdate, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	defer d.Close()
-	within(t, "the list", 2*time.Second, func() bool { return h.up.Load() > 0 })
+	waitUntil(t, "the list", 2*time.Second, func() bool { return h.up.Load() > 0 })
 	down.Store(true)
 	time.Sleep(1500 * time.Millisecond) // several calls have fallen silent
 	if n := s.count(); n > 30 {
@@ -312,7 +312,7 @@
 	s.drain = true
 	s.mu.Unlock()
 	close(back)
-	within(t, "the drain", 100*time.Millisecond, func() bool { return h.drained.Load() > 0 })
+	waitUntil(t, "the drain", 100*time.Millisecond, func() bool { return h.drained.Load() > 0 })
 	time.Sleep(time.Second)
 	d.watch.mu.Lock()
 	defer d.watch.mu.Unlock()
@@ -323,22 +323,22 @@
 
 // A call that was given up before it had a connection may be answered all the same: what it was told counts, and its connection
 // is not left open.
-func TestAnAnswerToACallGivenUpCounts(t *testing.T) {
-	s := newSource(t, nil)
-	h := &heard{}
-	d := follow(s.l.Addr().String(), nil, given(t), endpoints.AgentPace(20, rand.Float64), clock.New(), nil, h.take, slog.New(slog.NewTextHandler(io.Discard, nil)))
+func TestResponseToAbandonedCallApplies(t *testing.T) {
+	s := newFakeDiscovery(t, nil)
+	h := &updateTimes{}
+	d := startDiscovery(s.listener.Addr().String(), nil, given(t), endpoints.AgentPollPolicy(20, rand.Float64), clock.New(), nil, h.onUpdate, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	defer d.Close()
-	within(t, "the list", 2*time.Second, func() bool { return h.up.Load() > 0 })
-	on, err := (&http1.Pool{}).Dial(context.Background(), s.l.Addr().String(), time.Second)
+	waitUntil(t, "the list", 2*time.Second, func() bool { return h.up.Load() > 0 })
+	on, err := (&http1.Pool{}).Dial(context.Background(), s.listener.Addr().String(), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := &call{}
-	d.watch.hold(c, on)
-	d.watch.replies <- reply{call: c, line: on, a: &answer{Version: 2, Servers: []entry{{ID: "e0", Addr: "127.0.0.1:9", Zone: "z", Kind: "read",
+	d.watch.addConn(c, on)
+	d.watch.results <- callResult{call: c, conn: on, response: &listResponse{Version: 2, Servers: []listEntry{{ID: "e0", Addr: "127.0.0.1:9", Zone: "z", Kind: "read",
 		Cell: 1, State: "draining", Weight: 1}}}}
-	within(t, "the drain", time.Second, func() bool { return h.drained.Load() > 0 })
-	within(t, "the close", time.Second, func() bool {
+	waitUntil(t, "the drain", time.Second, func() bool { return h.drained.Load() > 0 })
+	waitUntil(t, "the close", time.Second, func() bool {
 		d.watch.mu.Lock()
 		defer d.watch.mu.Unlock()
 		return !d.watch.conns[on]
@@ -347,23 +347,23 @@
 
 // A node whose wall clock was an hour ahead when it started takes an engine that it has just been told of for one that has just started,
 // whatever its stamp: it cannot have been there an hour ago, for no list named it.
-func TestEngineThatHasJustComeIsColdWhateverTheClock(t *testing.T) {
+func TestNewEngineWarmsUpWhateverWallClock(t *testing.T) {
 	s := given(t)
 	const ahead = 3600.0
 	boots := map[string]float64{}
 	d := &Discovery{log: slog.New(slog.NewTextHandler(io.Discard, nil)), kinds: index(s.Kinds), zones: index(s.Zones), roles: s.Scheduler.Kinds,
-		starts: endpoints.NewStarts(), clock: clock.New(), told: newTold(), take: func(l protocol.EndpointList) {
+		startTimes: endpoints.NewStartTimes(), clock: clock.New(), view: newView(), onUpdate: func(l protocol.EndpointList) {
 			for _, e := range l.Engines {
 				boots[e.ID] = e.BootTime
 			}
 		}}
 	stamp := func(age float64) float64 { return (d.clock.Now() - ahead - age) * 1000 }
-	up := func(id string, started float64) entry {
-		return entry{ID: id, Addr: "127.0.0.1:9", Zone: "z", Kind: "read", State: "up", Weight: 1, Started: started}
+	up := func(id string, started float64) listEntry {
+		return listEntry{ID: id, Addr: "127.0.0.1:9", Zone: "z", Kind: "read", State: "up", Weight: 1, Started: started}
 	}
-	d.hear(&answer{Version: 1, Full: true, Servers: []entry{up("e0", 0), up("e1", stamp(500))}}, false)
-	d.hear(&answer{Version: 2, Servers: []entry{up("e2", stamp(1))}}, false)
-	d.hear(&answer{Version: 3, Servers: []entry{up("e1", stamp(0.5))}}, false)
+	d.apply(&listResponse{Version: 1, Full: true, Servers: []listEntry{up("e0", 0), up("e1", stamp(500))}}, false)
+	d.apply(&listResponse{Version: 2, Servers: []listEntry{up("e2", stamp(1))}}, false)
+	d.apply(&listResponse{Version: 3, Servers: []listEntry{up("e1", stamp(0.5))}}, false)
 	for id, most := range map[string]float64{"e1": 1, "e2": 2} {
 		if age := d.clock.Now() - boots[id]; age < 0 || age > most {
 			t.Errorf("%s has just started, and is taken for one that started %.1f s ago", id, age)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -122,15 +122,15 @@
 			return
 		}
 		d := &Discovery{log: slog.New(slog.NewTextHandler(io.Discard, nil)), kinds: index(s.Kinds), zones: index(s.Zones), roles: s.Scheduler.Kinds,
-			starts: endpoints.NewStarts(), clock: clock.New(),
-			told: newTold(), take: func(l protocol.EndpointList) {
+			startTimes: endpoints.NewStartTimes(), clock: clock.New(),
+			view: newView(), onUpdate: func(l protocol.EndpointList) {
 				for _, e := range l.Engines {
 					if e.ID == "" || e.Kind < 0 || e.Kind >= len(s.Kinds) || e.Zone < 0 || e.Zone >= len(s.Zones) {
 						t.Fatalf("%+v", e)
 					}
 				}
 			}}
-		d.hear(a, false)
+		d.apply(a, false)
 	})
 }
 
