--- a/internal/decide/endpoints/notified.go
+++ b/internal/decide/endpoints/notified.go
@@ -1,92 +1,112 @@
 package endpoints
 
-import (
-	"maps"
-	"slices"
-)
+import "maps"
 
-// Update is one engine as a list that counts as told names it.
+// Update is one engine of an update that counts as notified from the moment it was sent.
 type Update struct {
 	Entry
-	Removed bool // removed
+	Removed bool
 }
 
-// NotifiedView keeps a list of which every word counts from the moment it is sent: a node that went on sending to an engine which
-// it was told drains would break a rule, however odd the list looks. So what takes away is believed at once, always; only
-// what adds may be doubted, and that is done where an answer is older than one heard before. It is not safe for
-// concurrent use.
+// stopsNewWork tells whether an engine must not be sent new work.
+func (u Update) stopsNewWork() bool { return u.Removed || u.State != Ready }
+
+// NotifiedView is the endpoint view of a source whose updates count as notified from the moment they are sent: a node that goes
+// on sending to an engine of which it was notified that it drains breaks a rule, however odd the list looks. So a removal
+// or a drain is applied at once, always. An update that adds work is ignored only where it is older than one already
+// applied. It is not safe for concurrent use.
 type NotifiedView struct {
 	version   int64
-	whole     bool // a whole list was heard, so that changes from version on are enough
-	endpoints map[string]told
+	complete  bool // a complete list was applied, so that the source may be polled for changes since version
+	endpoints map[string]notifiedEndpoint
 }
 
-type told struct {
+// notifiedEndpoint is the latest update of an engine.
+type notifiedEndpoint struct {
 	Update
-	at float64 // when it was last told
+	notifiedAt float64 // when it was last reported
 }
 
-// removedRetention is how long an engine that was removed is remembered (s), so that an old answer does not bring it back.
+// removedRetention is the time for which a removed engine is remembered (s), so that an old response does not add it again.
 const removedRetention = 120
 
-// NewNotifiedView returns an empty list.
-func NewNotifiedView() *NotifiedView { return &NotifiedView{endpoints: map[string]told{}} }
+// NewNotifiedView returns an empty view.
+func NewNotifiedView() *NotifiedView {
+	return &NotifiedView{endpoints: map[string]notifiedEndpoint{}}
+}
 
-// Version is the version to go on from; ok is false where the whole list is wanted. Versions may begin at 0.
-func (t *NotifiedView) Version() (version int64, ok bool) { return t.version, t.whole }
+// Version returns the version after which changes are wanted; ok is false where the complete list is. The first version
+// may be 0.
+func (v *NotifiedView) Version() (version int64, ok bool) { return v.version, v.complete }
 
-// Apply takes an answer and returns what it changes, in order of id.
-func (t *NotifiedView) Apply(now float64, version int64, full bool, words []Update) []Update {
+// Apply applies a response of the source, which is complete (full) or holds the changes up to its version. It returns what
+// has changed, in order of id.
+func (v *NotifiedView) Apply(now float64, version int64, full bool, updates []Update) []Update {
 	changes := map[string]Update{}
-	old := t.whole && version < t.version
-	for _, w := range words {
-		k, known := t.endpoints[w.ID]
-		if old && known && stopsNewWork(k.Update) && !stopsNewWork(w) && w.BootTime <= k.BootTime {
-			continue // it was told later that this start of it drains or is gone
-		}
-		if !known && w.Removed {
-			continue
-		}
-		if !known || k.Update != w {
-			changes[w.ID] = w
-		}
-		t.endpoints[w.ID] = told{w, now}
+	outdated := v.complete && version < v.version
+	for _, update := range updates {
+		v.applyUpdate(now, update, outdated, changes)
 	}
 	if full {
-		named := map[string]bool{}
-		for _, w := range words {
-			named[w.ID] = true
-		}
-		for id, k := range t.endpoints {
-			if !named[id] && !k.Removed {
-				k.Removed, k.at = true, now
-				t.endpoints[id], changes[id] = k, k.Update
-			}
-		}
+		v.removeUnnamed(now, updates, changes)
 	}
-	t.forget(now)
-	switch {
-	case full: // an older one too: the source began anew
-		t.version, t.whole = version, true
-	case old: // changes from the past: what lies between is not known
-		t.whole = false
-	default:
-		t.version = version
+	v.forgetRemoved(now)
+	v.advance(version, full, outdated)
+	ordered := make([]Update, 0, len(changes))
+	for _, id := range sortedIDs(changes) {
+		ordered = append(ordered, changes[id])
+	}
+	return ordered
+}
+
+// applyUpdate records an engine's update and adds it to the changes where it is one.
+func (v *NotifiedView) applyUpdate(now float64, update Update, outdated bool, changes map[string]Update) {
+	endpoint, known := v.endpoints[update.ID]
+	if outdated && known && endpoint.stopsNewWork() && !update.stopsNewWork() && update.BootTime <= endpoint.BootTime {
+		return // a later update reported that this incarnation of the engine drains or is removed
+	}
+	if !known && update.Removed {
+		return
 	}
-	return ordered(changes)
+	if !known || endpoint.Update != update {
+		changes[update.ID] = update
+	}
+	v.endpoints[update.ID] = notifiedEndpoint{Update: update, notifiedAt: now}
 }
 
-func stopsNewWork(w Update) bool { return w.Removed || w.State != Ready }
+// removeUnnamed removes the engines that a complete list does not name.
+func (v *NotifiedView) removeUnnamed(now float64, updates []Update, changes map[string]Update) {
+	named := map[string]bool{}
+	for _, update := range updates {
+		named[update.ID] = true
+	}
+	for id, endpoint := range v.endpoints {
+		if named[id] || endpoint.Removed {
+			continue
+		}
+		endpoint.Removed = true
+		endpoint.notifiedAt = now
+		v.endpoints[id] = endpoint
+		changes[id] = endpoint.Update
+	}
+}
 
-// forget drops engines that were removed long ago.
-func (t *NotifiedView) forget(now float64) {
-	maps.DeleteFunc(t.endpoints, func(_ string, k told) bool { return k.Removed && now > k.at+removedRetention })
+// forgetRemoved drops engines that were removed long ago.
+func (v *NotifiedView) forgetRemoved(now float64) {
+	maps.DeleteFunc(v.endpoints, func(_ string, endpoint notifiedEndpoint) bool {
+		return endpoint.Removed && now > endpoint.notifiedAt+removedRetention
+	})
 }
 
-func ordered(ws map[string]Update) []Update {
-	out := make([]Update, 0, len(ws))
-	for _, id := range slices.Sorted(maps.Keys(ws)) {
-		out = append(out, ws[id])
+// advance sets the version after which changes are wanted.
+func (v *NotifiedView) advance(version int64, full, outdated bool) {
+	switch {
+	case full: // an older one too: the source started anew
+		v.version = version
+		v.complete = true
+	case outdated: // the changes between this version and the view's are unknown
+		v.complete = false
+	default:
+		v.version = version
 	}
-	return out
 }
--- a/internal/decide/endpoints/poller.go
+++ b/internal/decide/endpoints/poller.go
@@ -1,109 +1,128 @@
 package endpoints
 
-// Poller decides when a node asks the source of the list again. Hundreds of nodes ask the same source: after a failure
-// each waits longer and by chance, and none asks more often than its budget, whatever the source answers. Times are in
-// seconds.
+// Poller decides when a node calls the source of the engine list again. Hundreds of nodes poll the same source: after a
+// failure each of them backs off with jitter, and none exceeds its budget of calls, whatever the source responds. Times are
+// in seconds. It is not safe for concurrent use.
 type Poller struct {
-	MinBackoff, MaxBackoff float64 // wait after a failure, at first and at last
-	OverloadBackoff        float64 // half to all of it is waited once the source is overloaded (TurnedAway); 0 = never
-	CallsPerSecond, Burst  float64 // budget of calls
-	MaxInterval            float64 // the longest pause after an answer, while the source is congested; 0 = none is made
-	CongestionDelay        float64 // by how much an answer of a congested source comes late
-	Random                 func() float64
-	pause                  float64 // after an answer, now
-	wait                   float64
-	tokens                 float64
-	at                     float64
-	begun                  bool
-	turnedAway             int  // calls that were, in a row
-	answered               bool // a call has been answered
+	MinBackoff, MaxBackoff float64        // bounds of the backoff after a failed call
+	OverloadBackoff        float64        // longest backoff while the source is overloaded (AfterRejection); 0 = none of its own
+	CallsPerSecond, Burst  float64        // budget of calls
+	MaxInterval            float64        // longest poll interval after a response, while the source is congested; 0 = no interval
+	CongestionDelay        float64        // a response that comes later than this shows that the source is congested
+	Random                 func() float64 // returns numbers from 0 up to 1; the only source of chance
+
+	interval              float64 // poll interval after a response, now
+	backoff               float64 // backoff after a failed call, now
+	tokens                float64 // calls that the budget still allows
+	refilledAt            float64
+	started               bool
+	consecutiveRejections int
+	hasSucceeded          bool // a call has succeeded
 }
 
-// overloaded is how many calls in a row a source turns away that is taken to be overloaded by those who ask it, before it has
-// answered one and since: who has had an answer comes back at another time than all others.
+// A source counts as overloaded after this number of rejections in a row: before its first response to this node, when all
+// nodes call at the same time, and since then, when they call at different times.
+const (
+	rejectionsBeforeResponse = 2
+	rejectionsAfterResponse  = 4
+)
+
+// Poll interval of a congested source (AfterResponse).
 const (
-	overloaded              = 2
-	rejectionsAfterResponse = 4
+	initialInterval       = 0.25 // s; the first interval when congestion begins
+	intervalDecreaseShare = 0.25 // of initialInterval that each response in time takes off
 )
 
-// NewPoller returns one with our starting values. draw gives numbers from 0 up to 1, and is the only source of chance.
-func NewPoller(draw func() float64) *Poller {
-	return &Poller{MinBackoff: 0.25, MaxBackoff: 20, CallsPerSecond: 2, Burst: 4, Random: draw}
+// backoffGrowth is the factor by which a backoff may exceed the one before it (decorrelated jitter).
+const backoffGrowth = 3
+
+// NewPoller returns a poller for a source that many nodes share, with starting values that no page prescribes.
+func NewPoller(random func() float64) *Poller {
+	return &Poller{MinBackoff: 0.25, MaxBackoff: 20, CallsPerSecond: 2, Burst: 4, Random: random}
 }
 
-// NewAgentPoller returns one for a source that is the node's own (an agent on its machine): it need not be spared by chance
-// over seconds, a watch goes on only if its next call comes within 0.2 s, and what the source has at its return may count
-// as told at once.
-func NewAgentPoller(draw func() float64) *Poller {
-	return &Poller{MinBackoff: 0.05, MaxBackoff: 0.2, CallsPerSecond: 10, Burst: 20, Random: draw}
+// NewAgentPoller returns a poller for a source of the node's own, an agent on its machine. It needs no backoff of several
+// seconds. A watch continues only if its next call comes within 0.2 s, and what the source has when it recovers may
+// count as notified at once.
+func NewAgentPoller(random func() float64) *Poller {
+	return &Poller{MinBackoff: 0.05, MaxBackoff: 0.2, CallsPerSecond: 10, Burst: 20, Random: random}
 }
 
-// FirstCall returns when the first call may be made: nodes that start together do not ask together.
-func (a *Poller) FirstCall(now float64) float64 { return a.spend(now + a.MinBackoff*a.Random()) }
+// FirstCall returns when the first call may be made: nodes that start together do not call together.
+func (p *Poller) FirstCall(now float64) float64 {
+	return p.takeToken(now + p.MinBackoff*p.Random())
+}
 
-// AfterCall returns when to call again after a call that ended at now, in success or not. A good answer is asked after at
-// once (the source holds the call until there is news), within the budget. A failure is waited out by decorrelated
-// jitter (Brooker, "Exponential Backoff and Jitter", 2015).
-func (a *Poller) AfterCall(now float64, good bool) float64 {
-	if good {
-		a.wait, a.turnedAway, a.answered = 0, 0, true
-		return a.spend(now)
+// AfterCall returns when to call again after a call that ended at now. After a success that is at once, within the budget:
+// the source holds the call until there is a change. After a failure it is a backoff with decorrelated jitter (Brooker,
+// "Exponential Backoff and Jitter", 2015).
+func (p *Poller) AfterCall(now float64, succeeded bool) float64 {
+	if succeeded {
+		p.recordSuccess()
+		return p.takeToken(now)
 	}
-	from := max(a.MinBackoff, a.wait)
-	a.wait = min(a.MaxBackoff, a.MinBackoff+a.Random()*(3*from-a.MinBackoff))
-	return a.spend(now + a.wait)
+	previous := max(p.MinBackoff, p.backoff)
+	p.backoff = min(p.MaxBackoff, p.MinBackoff+p.Random()*(backoffGrowth*previous-p.MinBackoff))
+	return p.takeToken(now + p.backoff)
 }
 
-// AfterResponse returns when to call again after an answer that came so late (s): what all nodes ask has to fit what the source can
-// answer. The pause after an answer doubles while the source is congested and shrinks bit by bit while it is not, as TCP's
-// congestion avoidance does (Chiu and Jain, 1989). Of N nodes that each pause for p and then wait for their turn, of which the
-// source answers C a second, none is turned away if N/C is at most p and the time for which a call may wait.
-func (a *Poller) AfterResponse(now, late float64) float64 {
-	a.congested(late > a.CongestionDelay)
-	a.wait, a.turnedAway, a.answered = 0, 0, true
-	return a.spend(now + a.pause*(1+a.Random())/2)
+// AfterResponse returns when to call again after a response that came so late (s): the calls of all nodes must not exceed
+// what the source can answer. The poll interval doubles while the source is congested and shrinks step by step while it is
+// not, as in TCP's congestion avoidance (Chiu and Jain, 1989). Of N nodes that each pause for an interval p and then queue, of
+// which the source answers C a second, none is rejected if N/C is at most p and the time for which a call may queue.
+func (p *Poller) AfterResponse(now, late float64) float64 {
+	p.adjustInterval(late > p.CongestionDelay)
+	p.recordSuccess()
+	return p.takeToken(now + p.interval*(1+p.Random())/2)
 }
 
-// leastPause is the first pause (s), and what is taken off at each answer in time is a part of it.
-const (
-	leastPause = 0.25
-	pauseStep  = 0.25
-)
-
-func (a *Poller) congested(is bool) {
-	if is {
-		a.pause = min(a.MaxInterval, max(leastPause, 2*a.pause))
-		return
+// AfterRejection returns when to call again after the source has responded that it cannot answer now. The first rejections
+// lead to the backoff of any failure; more of them lead to one so long that the calls of all rejected nodes no longer keep
+// the source overloaded.
+func (p *Poller) AfterRejection(now float64) float64 {
+	p.adjustInterval(true)
+	p.consecutiveRejections++
+	limit := rejectionsBeforeResponse
+	if p.hasSucceeded {
+		limit = rejectionsAfterResponse
 	}
-	a.pause = max(0, a.pause-pauseStep*leastPause)
+	if p.consecutiveRejections < limit || p.OverloadBackoff <= 0 {
+		return p.AfterCall(now, false)
+	}
+	p.backoff = p.OverloadBackoff * (1 + p.Random()) / 2
+	return p.takeToken(now + p.backoff)
 }
 
-// AfterRejection returns when to call again after the source has answered that it cannot: as after any failure at first, and then so
-// late that the calls of all who were turned away do not keep it overloaded.
-func (a *Poller) AfterRejection(now float64) float64 {
-	a.congested(true)
-	most := overloaded
-	if a.answered {
-		most = rejectionsAfterResponse
-	}
-	if a.turnedAway++; a.turnedAway < most || a.OverloadBackoff <= 0 {
-		return a.AfterCall(now, false)
+// recordSuccess ends the backoff.
+func (p *Poller) recordSuccess() {
+	p.backoff = 0
+	p.consecutiveRejections = 0
+	p.hasSucceeded = true
+}
+
+// adjustInterval doubles the poll interval of a congested source and shortens it step by step otherwise.
+func (p *Poller) adjustInterval(congested bool) {
+	if congested {
+		p.interval = min(p.MaxInterval, max(initialInterval, 2*p.interval))
+		return
 	}
-	a.wait = a.OverloadBackoff * (1 + a.Random()) / 2
-	return a.spend(now + a.wait)
+	p.interval = max(0, p.interval-intervalDecreaseShare*initialInterval)
 }
 
-// spend takes one call from the budget and returns when it may be made, not before the time given.
-func (a *Poller) spend(at float64) float64 {
-	if !a.begun {
-		a.begun, a.tokens, a.at = true, a.Burst, at
+// takeToken takes one call from the budget (a token bucket) and returns when it may be made, not before the time given.
+func (p *Poller) takeToken(at float64) float64 {
+	if !p.started {
+		p.started = true
+		p.tokens = p.Burst
+		p.refilledAt = at
 	}
-	if at > a.at {
-		a.tokens, a.at = min(a.Burst, a.tokens+a.CallsPerSecond*(at-a.at)), at
+	if at > p.refilledAt {
+		p.tokens = min(p.Burst, p.tokens+p.CallsPerSecond*(at-p.refilledAt))
+		p.refilledAt = at
 	}
-	a.tokens--
-	if a.tokens >= 0 {
+	p.tokens--
+	if p.tokens >= 0 {
 		return at
 	}
-	return at - a.tokens/a.CallsPerSecond
+	return at - p.tokens/p.CallsPerSecond
 }
--- a/internal/decide/endpoints/view.go
+++ b/internal/decide/endpoints/view.go
@@ -1,321 +1,249 @@
-// Package endpoints decides which engine list a node believes, and when it asks for the next. Lists come late, twice,
-// out of order, from servers that forgot, and now and then with most of the fleet missing. It does no I/O and reads no
-// clock; times are in seconds.
-//
-// What is believed at once: that an engine drains, that one has come, started anew, moved or changed its role. What
-// has to be confirmed: that a large part of a role has gone in one step, and that an engine which keeps coming and
-// going is there to stay. Both errors are bounded: a node that waits sends for at most Confirm seconds to engines that
-// have gone, which fail at once; a node that does not wait refuses everything on the word of one broken answer.
 package endpoints
 
-import (
-	"cmp"
-	"fmt"
-	"maps"
-	"slices"
-)
+import "fmt"
 
-// Options bound the distrust.
+// Options bound how far a View trusts a list as it came.
 type Options struct {
-	ShrinkShare  float64 // a list that lacks more than this share of a role's engines has to be confirmed,
-	ConfirmAfter float64 // by a second answer, or by standing for so long
-	FlapCount    int     // an engine that left so often
-	FlapWindow   float64 // within this time
-	FlapHold     float64 // must stay for this long to be believed ready; it drains until then
+	ShrinkShare  float64 // a list that lacks more than this share of a role's engines needs confirmation
+	ConfirmAfter float64 // seconds after which a removal is confirmed without a second list
+	FlapCount    int     // an engine that was removed this often within FlapWindow is flapping
+	FlapWindow   float64 // seconds within which removals are counted
+	FlapHold     float64 // seconds for which a flapping engine must stay listed; it drains until then
 }
 
-// DefaultOptions are starting values of ours.
+// DefaultOptions are starting values that no page or measurement prescribes.
 var DefaultOptions = Options{ShrinkShare: 0.5, ConfirmAfter: 2, FlapCount: 3, FlapWindow: 30, FlapHold: 5}
 
-// State is what a list says of an engine.
-type State int
-
-// States of a listed engine.
 const (
-	Ready State = iota
-	Draining
+	// retentionWindows is the time for which a removed engine is remembered, in units of FlapWindow, so that one which
+	// comes back later still counts as flapping.
+	retentionWindows = 10
+	// retentionSlack is added to that time (s), so that Tick finds the time exceeded when Next says that it is due.
+	retentionSlack = 1
+	// removalsToConfirm is the number of different lists that have to lack an engine before a large removal is applied.
+	removalsToConfirm = 2
+	// maxNotes bounds the notes between two calls of Notes: a broken source may cause any number.
+	maxNotes = 100
 )
 
-// Entry is one engine in a list.
-type Entry struct {
-	ID, Address string
-	Kind, Role  int
-	Cell, Zone  int
-	State       State
-	Weight      float64
-	BootTime    float64 // last start; 0 = long ago
-}
-
-// List is a list as a source gave it. Index orders the answers of one source; 0 = it has none.
-type List struct {
-	Index   uint64
-	Entries []Entry
-}
-
-// Snapshot is what the node goes by.
+// Snapshot is the list of engines that the node uses at one time.
 type Snapshot struct {
 	Entries     []Entry // in order of id
-	Index       uint64  // of the answer that it rests on
-	ConfirmedAt float64 // when it was last confirmed by a source
-	Saved       bool    // it rests on what was saved by an earlier run alone
+	Index       uint64  // of the list that it rests on
+	ConfirmedAt float64 // when a source last confirmed it
+	Saved       bool    // it rests on a list that an earlier run saved, and no source has responded yet
 }
 
-// Note is something for the operators: why a list was not believed as it came.
+// Note tells the operators why a list was not applied as it came.
 type Note struct{ Text string }
 
-// known is what is remembered of an engine.
-type known struct {
+// viewRecord is the history of one engine. An engine that was removed stays recorded for some time.
+type viewRecord struct {
 	Entry
-	left     []float64 // when it left, lately
-	there    bool
-	returned float64 // when it last came back
-	absent   float64 // since when answers lack it, while that is not believed; 0 = they do not
-	lacking  int     // answers that lacked it since
+	listed       bool      // it is part of the snapshot
+	listedSince  float64   // when it was last added
+	removals     []float64 // times of the latest removals, the oldest first; at most FlapCount
+	missingSince float64   // when lists began to lack it, while its removal is unconfirmed; 0 = they name it
+	missingLists int       // number of different lists that lacked it since
 }
 
-// View holds what is believed. It is not safe for concurrent use.
+// View is the endpoint view that a node builds from complete lists. It is not safe for concurrent use.
 type View struct {
-	set     Options
-	engines map[string]*known
-	index   uint64
-	since   float64
-	heard   bool
-	notes   []Note
-	changed bool
+	options     Options
+	records     map[string]*viewRecord
+	index       uint64
+	confirmedAt float64
+	responded   bool // a source has responded since the start
+	changed     bool // the call in progress has changed the snapshot
+	notes       []Note
 }
 
-// NewView returns a believer that knows of no engine.
-func NewView(s Options) *View {
-	return &View{set: s, engines: map[string]*known{}}
+// NewView returns a view without engines.
+func NewView(options Options) *View {
+	return &View{options: options, records: map[string]*viewRecord{}}
 }
 
-// Restore takes the list that an earlier run saved. It is believed until a source has answered, however old: an engine
-// on it that has gone fails at once, and one that is missing is told of by the first answer. Starts are kept as they
-// were, so that an engine which was cold is still cold.
-func (b *View) Restore(now float64, saved []Entry) {
-	if b.heard || len(b.engines) > 0 {
+// Restore applies the list that an earlier run saved. It is used until a source has responded, however old it is: calls
+// to a listed engine that no longer exists fail at once, and the first response adds engines that are missing. Start times
+// are restored as they were, so that an engine which was warming up still is. Restore does nothing once the view has content.
+func (v *View) Restore(now float64, saved []Entry) {
+	if v.responded || len(v.records) > 0 {
 		return
 	}
-	for _, e := range b.unique(now, saved) {
-		b.engines[e.ID] = &known{Entry: e, there: true, returned: now}
+	for _, entry := range v.withoutDuplicates(saved) {
+		v.records[entry.ID] = &viewRecord{Entry: entry, listed: true, listedSince: now}
 	}
-	b.since, b.changed = now, true
+	v.confirmedAt = now
+	v.changed = true
 }
 
-// Apply takes an answer and tells whether the belief has changed. An answer older than what is believed is dropped,
-// unless the source has begun anew (see Fell).
-func (b *View) Apply(now float64, a List) bool {
-	b.changed = false
-	if a.Index > 0 && a.Index < b.index {
-		b.note("list with index %d dropped, %d is believed", a.Index, b.index)
+// Apply applies a list and returns whether the snapshot has changed. A list with an index older than the view's is
+// rejected, unless the source's index was reset (see IndexReset).
+func (v *View) Apply(now float64, list List) bool {
+	v.changed = false
+	if list.Index > 0 && list.Index < v.index {
+		v.addNote("endpoint list rejected: its index %d is older than the current index %d", list.Index, v.index)
 		return false
 	}
-	again := a.Index > 0 && a.Index == b.index && b.heard
-	b.index, b.since = a.Index, now
-	entries := b.unique(now, a.Entries)
-	for _, e := range entries {
-		b.see(now, e)
+	repeated := list.Index > 0 && list.Index == v.index && v.responded
+	v.index = list.Index
+	v.confirmedAt = now
+	entries := v.withoutDuplicates(list.Entries)
+	for _, entry := range entries {
+		v.applyEntry(now, entry)
 	}
-	b.miss(now, entries, again)
-	b.heard = true
-	return b.changed
+	v.applyMissing(now, entries, repeated)
+	v.responded = true
+	return v.changed
 }
 
-// IndexReset is told that a source's index went backwards: it was restored or replaced. Its answers count from the start
-// again; what they lack has to be confirmed like any other shrinking.
-func (b *View) IndexReset() {
-	b.note("the source's index fell below %d; it is asked from the start", b.index)
-	b.index = 0
+// IndexReset makes the view accept lists from the lowest index on: the source's index went backwards, because the source
+// was restored or replaced. Engines that its lists lack still need confirmation like those of any other large removal.
+func (v *View) IndexReset() {
+	v.addNote("the list server's index fell below %d; polling it from the start", v.index)
+	v.index = 0
 }
 
-// unique drops what stands twice. The newest start wins; where that does not settle it, nobody knows which is meant,
-// and the engine gets no new work.
-func (b *View) unique(now float64, entries []Entry) []Entry {
-	byID := map[string]Entry{}
-	for _, e := range entries {
-		old, twice := byID[e.ID]
-		switch {
-		case !twice || e.BootTime > old.BootTime:
-			byID[e.ID] = e
-		case e.BootTime == old.BootTime && (e.Address != old.Address || e.Kind != old.Kind):
-			b.note("engine %s stands twice, at %s and %s: it drains until the list is mended", e.ID, old.Address, e.Address)
-			if e.Address < old.Address {
-				old = e
-			}
-			old.State = Draining
-			byID[e.ID] = old
-		case e.BootTime == old.BootTime && e.State == Draining:
-			byID[e.ID] = e
-		}
-	}
-	return slices.SortedFunc(maps.Values(byID), func(x, y Entry) int { return cmp.Compare(x.ID, y.ID) })
-}
-
-// see files an engine that an answer holds.
-func (b *View) see(now float64, e Entry) {
-	k := b.engines[e.ID]
-	if k == nil {
-		b.engines[e.ID] = &known{Entry: e, there: true, returned: now}
-		b.changed = true
+// applyEntry records an engine that a list names.
+func (v *View) applyEntry(now float64, entry Entry) {
+	record := v.records[entry.ID]
+	if record == nil {
+		v.records[entry.ID] = &viewRecord{Entry: entry, listed: true, listedSince: now}
+		v.changed = true
 		return
 	}
-	if !k.there {
-		k.there, k.returned, b.changed = true, now, true
-		if e.BootTime <= k.BootTime { // it was away and tells no new start: whatever it had kept may be gone
-			e.BootTime = now
+	switch {
+	case !record.listed:
+		record.listed = true
+		record.listedSince = now
+		v.changed = true
+		if entry.BootTime <= record.BootTime {
+			entry.BootTime = now // the list reports no restart, but the engine's cache may be gone all the same
 		}
-	} else if e.Address != k.Address || e.Kind != k.Kind {
-		b.note("engine %s was %s, kind %d, and is %s, kind %d: it counts as newly started", e.ID, k.Address, k.Kind, e.Address, e.Kind)
-		if e.BootTime <= k.BootTime {
-			e.BootTime = now
+	case entry.Address != record.Address || entry.Kind != record.Kind:
+		v.addNote("engine %s was %s, kind %d, and is %s, kind %d: it counts as restarted",
+			entry.ID, record.Address, record.Kind, entry.Address, entry.Kind)
+		if entry.BootTime <= record.BootTime {
+			entry.BootTime = now
 		}
-	} else {
-		e.BootTime = max(e.BootTime, k.BootTime) // an older start is an older word
+	default:
+		entry.BootTime = max(entry.BootTime, record.BootTime) // an earlier start time comes from an older report
 	}
-	k.absent, k.lacking = 0, 0
-	if k.Entry != e {
-		k.Entry, b.changed = e, true
+	record.missingSince = 0
+	record.missingLists = 0
+	if record.Entry != entry {
+		record.Entry = entry
+		v.changed = true
 	}
 }
 
-// miss deals with the engines that an answer lacks.
-func (b *View) miss(now float64, entries []Entry, again bool) {
-	listed := map[string]bool{}
-	for _, e := range entries {
-		listed[e.ID] = true
+// applyMissing removes the engines that a list lacks, or records that their removal needs confirmation. A repeated list
+// confirms nothing.
+func (v *View) applyMissing(now float64, entries []Entry, repeated bool) {
+	named := map[string]bool{}
+	for _, entry := range entries {
+		named[entry.ID] = true
 	}
-	doubt := b.doubtful(listed)
-	for _, id := range b.ids() {
-		k := b.engines[id]
-		if !k.there || listed[id] {
+	unconfirmedRoles := v.rolesToConfirm(named)
+	for _, id := range sortedIDs(v.records) {
+		record := v.records[id]
+		if !record.listed || named[id] {
 			continue
 		}
-		if k.absent == 0 {
-			k.absent = now
+		if record.missingSince == 0 {
+			record.missingSince = now
 		}
-		if !again {
-			k.lacking++
+		if !repeated {
+			record.missingLists++
 		}
-		if doubt[k.Role] && k.lacking < 2 && now < k.absent+b.set.ConfirmAfter {
-			continue
+		confirmed := record.missingLists >= removalsToConfirm || now >= record.missingSince+v.options.ConfirmAfter
+		if !unconfirmedRoles[record.Role] || confirmed {
+			v.remove(now, record)
 		}
-		b.leave(now, k)
 	}
-	for role, d := range doubt {
-		if d && len(b.UnconfirmedRemovals()) > 0 {
-			b.note("the list lacks more than %.0f%% of role %d at once: confirmed by a second one, or in %g s", 100*b.set.ShrinkShare, role, b.set.ConfirmAfter)
+	for role, unconfirmed := range unconfirmedRoles {
+		if unconfirmed && len(v.UnconfirmedRemovals()) > 0 {
+			v.addNote("the list lacks more than %.0f%% of role %d at once: it is applied after a second one, or in %g s",
+				100*v.options.ShrinkShare, role, v.options.ConfirmAfter)
 		}
 	}
 }
 
-// doubtful tells for each role whether an answer lacks too much of it to be believed at once. A single engine is not
-// doubted: it may well be the only one.
-func (b *View) doubtful(listed map[string]bool) map[int]bool {
-	all, gone := map[int]int{}, map[int]int{}
-	for id, k := range b.engines {
-		if k.there {
-			all[k.Role]++
-			if !listed[id] {
-				gone[k.Role]++
-			}
+// rolesToConfirm returns for each role that a list shrinks whether the removal needs confirmation. A single engine does
+// not: it may be the only one of its role.
+func (v *View) rolesToConfirm(named map[string]bool) map[int]bool {
+	listed := map[int]int{}
+	missing := map[int]int{}
+	for id, record := range v.records {
+		if !record.listed {
+			continue
+		}
+		listed[record.Role]++
+		if !named[id] {
+			missing[record.Role]++
 		}
 	}
-	doubt := map[int]bool{}
-	for role, n := range gone {
-		doubt[role] = n > 1 && float64(n) > b.set.ShrinkShare*float64(all[role])
+	unconfirmed := map[int]bool{}
+	for role, count := range missing {
+		unconfirmed[role] = count > 1 && float64(count) > v.options.ShrinkShare*float64(listed[role])
 	}
-	return doubt
-}
-
-func (b *View) leave(now float64, k *known) {
-	k.there, k.absent, k.lacking, b.changed = false, 0, 0, true
-	k.left = append(k.left, now)
-	k.left = k.left[max(0, len(k.left)-max(1, b.set.FlapCount)):]
+	return unconfirmed
 }
 
-// Tick is told the time and tells whether the belief has changed by it: a doubted absence has stood for long enough,
-// or an engine that came and went has stayed. Next says when to call it.
-func (b *View) Tick(now float64) bool {
-	b.changed = false
-	for _, id := range b.ids() {
-		k := b.engines[id]
-		switch {
-		case k.there && k.absent > 0 && now >= k.absent+b.set.ConfirmAfter:
-			b.leave(now, k)
-		case k.there && len(k.left) >= b.set.FlapCount && now >= k.returned+b.set.FlapHold:
-			k.left, b.changed = nil, true
-		case !k.there && len(k.left) > 0 && now > k.left[len(k.left)-1]+10*b.set.FlapWindow:
-			delete(b.engines, id) // long gone: forgotten
-		}
-	}
-	return b.changed
+// remove takes an engine out of the snapshot and records the time.
+func (v *View) remove(now float64, record *viewRecord) {
+	record.listed = false
+	record.missingSince = 0
+	record.missingLists = 0
+	record.removals = append(record.removals, now)
+	record.removals = record.removals[max(0, len(record.removals)-max(1, v.options.FlapCount)):]
+	v.changed = true
 }
 
-// Next returns when Tick is due; ok is false where time alone changes nothing.
-func (b *View) Next() (at float64, ok bool) {
-	for _, k := range b.engines {
-		due := 0.0
-		switch {
-		case k.there && k.absent > 0:
-			due = k.absent + b.set.ConfirmAfter
-		case k.there && len(k.left) >= b.set.FlapCount:
-			due = k.returned + b.set.FlapHold
-		case !k.there && len(k.left) > 0:
-			due = k.left[len(k.left)-1] + 10*b.set.FlapWindow + 1
-		default:
+// Snapshot returns the list that the node uses at a time.
+func (v *View) Snapshot(now float64) Snapshot {
+	snapshot := Snapshot{Index: v.index, ConfirmedAt: v.confirmedAt, Saved: !v.responded}
+	for _, id := range sortedIDs(v.records) {
+		record := v.records[id]
+		if !record.listed {
 			continue
 		}
-		if !ok || due < at {
-			at, ok = due, true
+		entry := record.Entry
+		if v.isFlapping(now, record) {
+			entry.State = Draining
 		}
+		snapshot.Entries = append(snapshot.Entries, entry)
 	}
-	return at, ok
-}
-
-// flaps tells whether an engine has come and gone too often to be sent new work yet.
-func (b *View) flaps(now float64, k *known) bool {
-	return len(k.left) >= b.set.FlapCount && k.left[0] > k.returned-b.set.FlapWindow && now < k.returned+b.set.FlapHold
+	return snapshot
 }
 
-// Snapshot returns what the node goes by at a time.
-func (b *View) Snapshot(now float64) Snapshot {
-	out := Snapshot{Index: b.index, ConfirmedAt: b.since, Saved: !b.heard}
-	for _, id := range b.ids() {
-		k := b.engines[id]
-		if !k.there {
-			continue
-		}
-		e := k.Entry
-		if b.flaps(now, k) {
-			e.State = Draining
-		}
-		out.Entries = append(out.Entries, e)
-	}
-	return out
+// isFlapping tells whether an engine was removed and added too often to get new work yet.
+func (v *View) isFlapping(now float64, record *viewRecord) bool {
+	return len(record.removals) >= v.options.FlapCount &&
+		record.removals[0] > record.listedSince-v.options.FlapWindow &&
+		now < record.listedSince+v.options.FlapHold
 }
 
-// UnconfirmedRemovals lists the engines whose absence is not believed yet.
-func (b *View) UnconfirmedRemovals() []string {
+// UnconfirmedRemovals returns the ids of the engines that lists lack and the snapshot still holds.
+func (v *View) UnconfirmedRemovals() []string {
 	var ids []string
-	for _, id := range b.ids() {
-		if k := b.engines[id]; k.there && k.absent > 0 {
+	for _, id := range sortedIDs(v.records) {
+		if record := v.records[id]; record.listed && record.missingSince > 0 {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// Notes drains what is to be told to the operators.
-func (b *View) Notes() []Note {
-	n := b.notes
-	b.notes = nil
-	return n
+// Notes returns the notes since its last call.
+func (v *View) Notes() []Note {
+	notes := v.notes
+	v.notes = nil
+	return notes
 }
 
-func (b *View) ids() []string { return slices.Sorted(maps.Keys(b.engines)) }
-
-func (b *View) note(format string, args ...any) {
-	if len(b.notes) < 100 { // a broken source may give cause for any number
-		b.notes = append(b.notes, Note{fmt.Sprintf(format, args...)})
+func (v *View) addNote(format string, args ...any) {
+	if len(v.notes) < maxNotes {
+		v.notes = append(v.notes, Note{Text: fmt.Sprintf(format, args...)})
 	}
 }
--- /dev/null
+++ b/internal/decide/endpoints/view_property_test.go
@@ -0,0 +1,150 @@
+package endpoints
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// viewMachine applies random events to a view and checks what holds after each of them.
+type viewMachine struct {
+	view      *View
+	now       float64
+	lastIndex uint64
+	lists     []List // sent since the source started
+}
+
+// drawList draws a list of up to five engines, some of them listed twice.
+func (m *viewMachine) drawList(t *rapid.T, label string) []Entry {
+	var entries []Entry
+	for _, id := range []string{"a", "b", "c", "d", "e"} {
+		for range rapid.SampledFrom([]int{0, 1, 1, 1, 1, 2}).Draw(t, label+id) {
+			entries = append(entries, Entry{
+				ID:       id,
+				Address:  rapid.SampledFrom([]string{"p", "q"}).Draw(t, "address"),
+				Kind:     rapid.IntRange(0, 1).Draw(t, "kind"),
+				State:    State(rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(t, "state")),
+				BootTime: rapid.SampledFrom([]float64{0, 0, 50, m.now}).Draw(t, "boot"),
+			})
+		}
+	}
+	return entries
+}
+
+// step applies one random event.
+func (m *viewMachine) step(t *rapid.T) {
+	m.now += rapid.SampledFrom([]float64{0, 0.1, 1, 3, 40}).Draw(t, "pass")
+	if at, ok := m.view.Next(); ok && at <= m.now {
+		m.view.Tick(m.now)
+	}
+	switch rapid.IntRange(0, 5).Draw(t, "what") {
+	case 0, 1, 2: // a new list
+		m.lastIndex++
+		m.lists = append(m.lists, List{Index: m.lastIndex, Entries: m.drawList(t, "new")})
+		m.view.Apply(m.now, m.lists[len(m.lists)-1])
+	case 3: // an older or repeated list
+		if len(m.lists) > 0 {
+			m.applyOldList(t)
+		}
+	case 4: // the source starts anew
+		m.view.IndexReset()
+		m.lastIndex = 0
+		m.lists = nil
+	case 5:
+		m.view.Tick(m.now)
+	}
+	m.checkUnique(t)
+}
+
+func (m *viewMachine) applyOldList(t *rapid.T) {
+	old := rapid.SampledFrom(m.lists).Draw(t, "old")
+	before := snapshotIDs(m.view, m.now)
+	m.view.Apply(m.now, old)
+	if old.Index < m.view.index && snapshotIDs(m.view, m.now) != before {
+		t.Fatalf("a list older than %d changed the snapshot", m.view.index)
+	}
+}
+
+func (m *viewMachine) checkUnique(t *rapid.T) {
+	seen := map[string]bool{}
+	for _, entry := range m.view.Snapshot(m.now).Entries {
+		if seen[entry.ID] {
+			t.Fatalf("%s is listed twice", entry.ID)
+		}
+		seen[entry.ID] = true
+	}
+}
+
+// checkDraining checks, right after a list was applied, that no draining engine gets new work.
+func (m *viewMachine) checkDraining(t *rapid.T, list []Entry) {
+	for _, listed := range list {
+		for _, entry := range m.view.Snapshot(m.now).Entries {
+			unambiguous := len(entriesOf(list, listed.ID)) == 1
+			if entry.ID == listed.ID && unambiguous && listed.State == Draining && entry.State != Draining {
+				t.Fatalf("%s drains and is ready in the snapshot", listed.ID)
+			}
+		}
+	}
+}
+
+// settle lets time pass until it changes nothing more.
+func (m *viewMachine) settle() {
+	for range 20 {
+		at, ok := m.view.Next()
+		if !ok || at > m.now+100 {
+			return
+		}
+		m.now = max(m.now, at)
+		m.view.Tick(m.now)
+	}
+}
+
+// checkEquals checks that the snapshot holds what a list does.
+func (m *viewMachine) checkEquals(t *rapid.T, list []Entry) {
+	want := map[string]bool{}
+	for _, entry := range list {
+		want[entry.ID] = true
+	}
+	got := m.view.Snapshot(m.now).Entries
+	if len(got) != len(want) {
+		t.Fatalf("snapshot %v, listed %v", got, list)
+	}
+	for _, entry := range got {
+		listed := entriesOf(list, entry.ID)
+		if len(listed) == 0 {
+			t.Fatalf("snapshot %+v, not listed", entry)
+		}
+		if len(listed) > 1 {
+			continue
+		}
+		if want := listed[0]; entry.State != want.State || entry.Address != want.Address || entry.BootTime < want.BootTime {
+			t.Fatalf("snapshot %+v, listed %+v", entry, want)
+		}
+	}
+}
+
+// In any order of events: no engine is listed twice, a draining one is never ready, an older list changes nothing, and the
+// snapshot becomes the list that a source has sent for long enough.
+func TestViewConvergesToListUnderAnyInterleaving(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := &viewMachine{view: NewView(DefaultOptions), now: 100}
+		for range rapid.IntRange(1, 25).Draw(t, "steps") {
+			m.step(t)
+		}
+		final := m.drawList(t, "final")
+		m.lastIndex++
+		m.view.Apply(m.now, List{Index: m.lastIndex, Entries: final})
+		m.checkDraining(t, final)
+		m.settle()
+		m.checkEquals(t, final)
+	})
+}
+
+func entriesOf(es []Entry, id string) (out []Entry) {
+	for _, e := range es {
+		if e.ID == id {
+			out = append(out, e)
+		}
+	}
+	return out
+}
