--- a/internal/decide/endpoints/notified_test.go
+++ b/internal/decide/endpoints/notified_test.go
@@ -59,43 +59,54 @@
 	step("removal of all engines is applied", "a- b- ", 5, true)
 }
 
+// drawUpdates draws up to four updates of different engines.
+func drawUpdates(t *rapid.T) (updates []Update, named map[string]Update) {
+	kinds := []func(string) Update{readyUpdate, drainingUpdate, removedUpdate}
+	named = map[string]Update{}
+	for i := range rapid.IntRange(0, 4).Draw(t, "n") {
+		makeUpdate := kinds[rapid.IntRange(0, 2).Draw(t, "kind")]
+		update := makeUpdate(fmt.Sprint("e", (i+rapid.IntRange(0, 3).Draw(t, "id"))%5))
+		if _, duplicate := named[update.ID]; !duplicate {
+			updates = append(updates, update)
+			named[update.ID] = update
+		}
+	}
+	return updates, named
+}
+
+// checkWithdrawn checks that a view holds no engine ready that the latest response withdrew.
+func checkWithdrawn(t *rapid.T, state, named map[string]Update, full bool) {
+	for id, update := range state {
+		reported, inResponse := named[id]
+		ready := !update.Removed && update.State == Ready
+		switch {
+		case inResponse && reported.stopsNewWork() && ready:
+			t.Fatalf("%s was reported as %+v and is ready in the view", id, reported)
+		case full && !inResponse && !update.Removed:
+			t.Fatalf("%s is not in the complete list and is in the view", id)
+		}
+	}
+}
+
 // Over all interleavings: an engine that was last reported draining or removed, by a response no older than others, is never ready.
 func TestNotifiedViewNeverKeepsWithdrawnEndpointReady(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := NewNotifiedView()
 		state := map[string]Update{} // as the returned changes leave it
 		version := int64(0)
-		kinds := []func(string) Update{readyUpdate, drainingUpdate, removedUpdate}
 		for range rapid.IntRange(1, 30).Draw(t, "answers") {
-			back := rapid.IntRange(0, 3).Draw(t, "back") == 0
+			older := rapid.IntRange(0, 3).Draw(t, "back") == 0
 			at := version + 1
-			if back {
+			if older {
 				at = rapid.Int64Range(0, version).Draw(t, "version")
 			}
 			full := rapid.Bool().Draw(t, "full")
-			var updates []Update
-			named := map[string]Update{}
-			for i := range rapid.IntRange(0, 4).Draw(t, "n") {
-				makeUpdate := kinds[rapid.IntRange(0, 2).Draw(t, "kind")]
-				update := makeUpdate(fmt.Sprint("e", (i+rapid.IntRange(0, 3).Draw(t, "id"))%5))
-				if _, duplicate := named[update.ID]; !duplicate {
-					updates = append(updates, update)
-					named[update.ID] = update
-				}
-			}
-			for _, w := range view.Apply(float64(at), at, full, updates) {
-				state[w.ID] = w
-			}
-			for id, w := range state {
-				reported, inResponse := named[id]
-				switch ready := !w.Removed && w.State == Ready; {
-				case inResponse && reported.stopsNewWork() && ready:
-					t.Fatalf("%s was reported as %+v and is ready in the view", id, reported)
-				case full && !inResponse && !w.Removed:
-					t.Fatalf("%s is not in the complete list and is in the view", id)
-				}
+			updates, named := drawUpdates(t)
+			for _, change := range view.Apply(float64(at), at, full, updates) {
+				state[change.ID] = change
 			}
-			if !back || full {
+			checkWithdrawn(t, state, named, full)
+			if !older || full {
 				version = at
 			}
 		}
--- /dev/null
+++ b/internal/relay/discovery_list.go
@@ -0,0 +1,151 @@
+package relay
+
+import (
+	"encoding/json"
+	"fmt"
+	"log/slog"
+
+	"dillroute/internal/decide/endpoints"
+	"dillroute/internal/protocol"
+	"dillroute/internal/settings"
+	"dillroute/scheduler"
+)
+
+// maxListBytes bounds the body of a list response.
+const maxListBytes = 4 << 20
+
+// millisecondsPerSecond converts the times of a list, which are in milliseconds.
+const millisecondsPerSecond = 1000
+
+// States of an engine in discovery's lists (PROTOCOL).
+const (
+	stateUp       = "up"
+	stateDraining = "draining"
+	stateRemoved  = "removed"
+)
+
+// listResponse is a list in discovery's form.
+type listResponse struct {
+	Version int64       `json:"version"`
+	Full    bool        `json:"full"` // false = it holds the changes since the version that was asked for
+	Servers []listEntry `json:"servers"`
+}
+
+// listEntry is one engine of a listResponse.
+type listEntry struct {
+	ID      string  `json:"id"`
+	Addr    string  `json:"addr"`
+	Zone    string  `json:"zone"`
+	Kind    string  `json:"kind"`
+	Cell    int     `json:"cell"`
+	State   string  `json:"state"`
+	Weight  float64 `json:"weight"`
+	Started float64 `json:"started_ms"`
+}
+
+// unmarshalList reads a list without looking at its content.
+func unmarshalList(body []byte) (*listResponse, error) {
+	var list listResponse
+	if err := json.Unmarshal(body, &list); err != nil {
+		return nil, err
+	}
+	return &list, nil
+}
+
+// readList reads the list of a response. One entry that cannot be used makes the whole list unusable.
+func readList(body []byte) (*listResponse, error) {
+	list, err := unmarshalList(body)
+	if err != nil {
+		return nil, fmt.Errorf("relay: list: %w", err)
+	}
+	if list.Version < 0 {
+		return nil, fmt.Errorf("relay: list: version %d", list.Version)
+	}
+	for i, entry := range list.Servers {
+		if !entry.valid() {
+			return nil, fmt.Errorf("relay: list: servers[%d] has no id, or the state %q", i, clip(entry.State))
+		}
+	}
+	return list, nil
+}
+
+// valid tells whether an entry names its engine and a known state.
+func (e *listEntry) valid() bool {
+	if e.ID == "" {
+		return false
+	}
+	return e.State == stateUp || e.State == stateDraining || e.State == stateRemoved
+}
+
+// listDecoder translates the names in lists into the numbers of the settings.
+type listDecoder struct {
+	kinds map[string]int
+	zones map[string]int
+	roles []scheduler.Kind // by number of the kind
+	log   *slog.Logger
+}
+
+func newListDecoder(s *settings.Settings, log *slog.Logger) listDecoder {
+	return listDecoder{kinds: index(s.Kinds), zones: index(s.Zones), roles: s.Scheduler.Kinds, log: log}
+}
+
+// updates translates a list. An engine of a kind that the settings lack is left out, unless it was removed.
+func (d listDecoder) updates(list *listResponse) []endpoints.Update {
+	var updates []endpoints.Update
+	for _, entry := range list.Servers {
+		kind, known := d.kinds[entry.Kind]
+		if !known && entry.State != stateRemoved {
+			d.log.Warn("endpoint rejected", "reason", "unknown kind", "engine", entry.ID, "kind", clip(entry.Kind))
+			continue
+		}
+		update := endpoints.Update{
+			Removed: entry.State == stateRemoved,
+			Entry: endpoints.Entry{
+				ID:       entry.ID,
+				Address:  entry.Addr,
+				Kind:     kind,
+				Cell:     entry.Cell,
+				Zone:     d.zones[entry.Zone],
+				Weight:   entry.Weight,
+				BootTime: entry.Started / millisecondsPerSecond,
+			},
+		}
+		if known {
+			update.Role = int(d.roles[kind].Role)
+		}
+		if entry.State == stateDraining {
+			update.State = endpoints.Draining
+		}
+		updates = append(updates, update)
+	}
+	return updates
+}
+
+// endpointList turns changes, which are in order of id, into the host's form. The lock is held.
+func (d *Discovery) endpointList(changes []endpoints.Update, saved bool) protocol.EndpointList {
+	now := d.clock.Now()
+	wall := d.clock.Wall()
+	list := protocol.EndpointList{Form: scheduler.UpdateIncremental, Addresses: map[string]string{}, Saved: saved}
+	for _, change := range changes {
+		engine := scheduler.Engine{
+			ID:       change.ID,
+			Kind:     change.Kind,
+			Cell:     change.Cell,
+			Zone:     change.Zone,
+			Weight:   change.Weight,
+			BootTime: d.startTimes.LocalTime(change.ID, change.BootTime, now, wall, d.lastResponse),
+		}
+		switch {
+		case change.Removed:
+			engine.State = scheduler.EngineRemoved
+			d.startTimes.Remove(change.ID, now)
+		case change.State == endpoints.Draining:
+			engine.State = scheduler.EngineDraining
+		}
+		list.Engines = append(list.Engines, engine)
+		if change.Address != "" {
+			list.Addresses[change.ID] = change.Address
+		}
+	}
+	return list
+}
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -23,19 +23,22 @@
 	"dillroute/scheduler"
 )
 
-// fakeDiscovery is a discovery whose calls are answered as a test says. Its list holds one engine, e0, that is up until drain.
+// responder handles call number n; false = respond as discovery does.
+type responder func(s *fakeDiscovery, n int, target string, c net.Conn) bool
+
+// fakeDiscovery is a discovery service whose responses a test determines. Its list holds one engine, e0, that is up until startDrain.
 type fakeDiscovery struct {
 	listener net.Listener
 	mu       sync.Mutex
 	drain    bool
 	changed  chan struct{}
-	calls    []string                                    // targets
-	respond  func(n int, target string, c net.Conn) bool // false = answer as discovery does
+	calls    []string // their targets
+	respond  responder
 }
 
-func newFakeDiscovery(t *testing.T, act func(n int, target string, c net.Conn) bool) *fakeDiscovery {
+func newFakeDiscovery(t *testing.T, respond responder) *fakeDiscovery {
 	t.Helper()
-	s := &fakeDiscovery{changed: make(chan struct{}), respond: act}
+	s := &fakeDiscovery{changed: make(chan struct{}), respond: respond}
 	s.listen(t, "127.0.0.1:0")
 	return s
 }
@@ -70,16 +73,16 @@
 		s.mu.Lock()
 		n := len(s.calls)
 		s.calls = append(s.calls, r.URL.RequestURI())
-		news, drained, act := s.changed, s.drain, s.respond
+		changed, drained, respond := s.changed, s.drain, s.respond
 		s.mu.Unlock()
-		if act != nil && act(n, r.URL.RequestURI(), c) {
+		if respond != nil && respond(s, n, r.URL.RequestURI(), c) {
 			continue
 		}
 		if ms := r.URL.Query().Get("hold_ms"); ms != "" && !(drained && r.URL.Query().Get("from") == "1") {
 			var hold int
 			fmt.Sscan(ms, &hold)
 			select {
-			case <-news:
+			case <-changed:
 			case <-time.After(time.Duration(hold) * time.Millisecond):
 			}
 		}
@@ -87,7 +90,7 @@
 	}
 }
 
-// listJSON is an answer.
+// listJSON returns the list of a response.
 func (s *fakeDiscovery) listJSON(full bool) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,14 +111,14 @@
 // awaitDrain waits until e0 drains.
 func (s *fakeDiscovery) awaitDrain() {
 	s.mu.Lock()
-	news, drained := s.changed, s.drain
+	changed, drained := s.changed, s.drain
 	s.mu.Unlock()
 	if !drained {
-		<-news
+		<-changed
 	}
 }
 
-// startDrain has e0 drain.
+// startDrain makes e0 drain.
 func (s *fakeDiscovery) startDrain() {
 	s.mu.Lock()
 	s.drain = true
@@ -130,18 +133,18 @@
 	return len(s.calls)
 }
 
-// updateTimes follows a source, and tells when the drain of e0 was taken.
+// updateTimes records when updates of e0 arrived.
 type updateTimes struct {
-	up, drained atomic.Int64 // Unix nanoseconds
+	up, drained atomic.Int64 // Unix nanoseconds; 0 = not yet
 }
 
-func (h *updateTimes) onUpdate(l protocol.EndpointList) {
+func (times *updateTimes) onUpdate(l protocol.EndpointList) {
 	for _, e := range l.Engines {
 		switch now := time.Now().UnixNano(); e.State {
 		case scheduler.EngineDraining:
-			h.drained.CompareAndSwap(0, now)
+			times.drained.CompareAndSwap(0, now)
 		case scheduler.EngineReady:
-			h.up.CompareAndSwap(0, now)
+			times.up.CompareAndSwap(0, now)
 		}
 	}
 }
@@ -155,107 +158,117 @@
 	}
 }
 
-// Whatever becomes of the calls to discovery, a change is heard before it counts as told. The clock is a quarter of the real
-// one, so that the test is short; the parts are the same.
-func TestChangesArriveInTimeDespiteFailedCalls(t *testing.T) {
-	const told = 1.5
-	reset := func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }
-	isWatch := func(target string) bool { return strings.Contains(target, "hold_ms") }
-	var bytes1 = func(s **fakeDiscovery) func(int, string, net.Conn) bool {
-		return func(_ int, target string, c net.Conn) bool {
-			if !isWatch(target) {
-				return false
-			}
-			src := *s
-			src.awaitDrain()
-			text := src.listJSON(false)
-			for _, b := range fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text) {
-				c.Write([]byte{b})
-			}
-			return true
-		}
+// testOptions are those of a discovery on an agent of the node's own, whose changes count as notified after so long (s).
+func testOptions(t testing.TB, notified float64, onUpdate func(protocol.EndpointList)) discoveryOptions {
+	t.Helper()
+	return discoveryOptions{
+		settings: given(t),
+		policy:   endpoints.AgentPollPolicy(notified, rand.Float64),
+		clock:    clock.New(),
+		onUpdate: onUpdate,
+		log:      slog.New(slog.NewTextHandler(io.Discard, nil)),
 	}
-	for name, make := range map[string]func(s **fakeDiscovery) func(int, string, net.Conn) bool{
-		"the first watch is silent": func(**fakeDiscovery) func(int, string, net.Conn) bool {
-			return func(n int, _ string, _ net.Conn) bool { return n == 1 }
-		},
-		"the first watch and the call after it are silent": func(**fakeDiscovery) func(int, string, net.Conn) bool {
-			return func(n int, _ string, _ net.Conn) bool { return n == 1 || n == 2 }
-		},
-		"the watch is reset": func(**fakeDiscovery) func(int, string, net.Conn) bool {
-			return func(n int, _ string, c net.Conn) bool {
-				if n == 1 {
-					time.Sleep(100 * time.Millisecond)
-					reset(c)
-				}
-				return n == 1
-			}
-		},
-		"calls are refused twice behind a silent watch": func(**fakeDiscovery) func(int, string, net.Conn) bool {
-			return func(n int, _ string, c net.Conn) bool {
-				if n == 2 || n == 3 {
-					reset(c)
-				}
-				return n >= 1 && n <= 3
-			}
-		},
-		"the answer stops in the middle": func(**fakeDiscovery) func(int, string, net.Conn) bool {
-			return func(n int, _ string, c net.Conn) bool {
-				if n == 1 {
-					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"version\":2,")
-				}
-				return n == 1
-			}
-		},
-		"errors in place of lists": func(**fakeDiscovery) func(int, string, net.Conn) bool {
-			return func(n int, _ string, c net.Conn) bool {
-				if n == 1 || n == 2 {
-					io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
-				}
-				return n == 1 || n == 2
-			}
-		},
-		"the whole list where changes were due": func(s **fakeDiscovery) func(int, string, net.Conn) bool {
-			return func(_ int, target string, c net.Conn) bool {
-				if isWatch(target) {
-					src := *s
-					src.awaitDrain()
-					src.write(c, true)
-				}
-				return isWatch(target)
-			}
-		},
-		"lists in single bytes": bytes1,
-	} {
-		t.Run(name, func(t *testing.T) {
+}
+
+func startTestDiscovery(t *testing.T, addr string, notified float64, times *updateTimes) *Discovery {
+	t.Helper()
+	return startDiscovery(addr, nil, testOptions(t, notified, times.onUpdate))
+}
+
+// resetConn closes a connection so that the peer sees a reset.
+func resetConn(c net.Conn) {
+	c.(*net.TCPConn).SetLinger(0)
+	c.Close()
+}
+
+func isWatch(target string) bool { return strings.Contains(target, "hold_ms") }
+
+// callFaults are the ways in which calls fail in TestChangesArriveInTimeDespiteFailedCalls. Call 0 asks for the complete list,
+// call 1 is the first watch.
+var callFaults = []struct {
+	name    string
+	respond responder
+}{
+	{"the first watch is silent", func(_ *fakeDiscovery, n int, _ string, _ net.Conn) bool { return n == 1 }},
+	{"the first watch and the call after it are silent", func(_ *fakeDiscovery, n int, _ string, _ net.Conn) bool { return n == 1 || n == 2 }},
+	{"the watch is reset", func(_ *fakeDiscovery, n int, _ string, c net.Conn) bool {
+		if n == 1 {
+			time.Sleep(100 * time.Millisecond)
+			resetConn(c)
+		}
+		return n == 1
+	}},
+	{"calls are refused twice after a silent watch", func(_ *fakeDiscovery, n int, _ string, c net.Conn) bool {
+		if n == 2 || n == 3 {
+			resetConn(c)
+		}
+		return n >= 1 && n <= 3
+	}},
+	{"the response stops in the middle", func(_ *fakeDiscovery, n int, _ string, c net.Conn) bool {
+		if n == 1 {
+			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"version\":2,")
+		}
+		return n == 1
+	}},
+	{"errors in place of lists", func(_ *fakeDiscovery, n int, _ string, c net.Conn) bool {
+		if n == 1 || n == 2 {
+			io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+		}
+		return n == 1 || n == 2
+	}},
+	{"the complete list in place of changes", func(s *fakeDiscovery, _ int, target string, c net.Conn) bool {
+		if isWatch(target) {
+			s.awaitDrain()
+			s.write(c, true)
+		}
+		return isWatch(target)
+	}},
+	{"lists in single bytes", func(s *fakeDiscovery, _ int, target string, c net.Conn) bool {
+		if !isWatch(target) {
+			return false
+		}
+		s.awaitDrain()
+		text := s.listJSON(false)
+		for _, b := range fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text) {
+			c.Write([]byte{b})
+		}
+		return true
+	}},
+}
+
+// Whatever becomes of the calls to discovery, a change arrives before it counts as notified. All times are a quarter of the real
+// ones, so that the test is short; their shares are the same.
+func TestChangesArriveInTimeDespiteFailedCalls(t *testing.T) {
+	const notified = 1.5 // s
+	for _, fault := range callFaults {
+		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
-			var s *fakeDiscovery
-			s = newFakeDiscovery(t, make(&s))
-			h := &updateTimes{}
-			d := startDiscovery(s.listener.Addr().String(), nil, given(t), endpoints.AgentPollPolicy(told, rand.Float64), clock.New(), nil, h.onUpdate, slog.New(slog.NewTextHandler(io.Discard, nil)))
+			s := newFakeDiscovery(t, fault.respond)
+			times := &updateTimes{}
+			d := startTestDiscovery(t, s.listener.Addr().String(), notified, times)
 			defer d.Close()
-			waitUntil(t, "the list", 2*time.Second, func() bool { return h.up.Load() > 0 })
+			waitUntil(t, "the list", 2*time.Second, func() bool { return times.up.Load() > 0 })
 			waitUntil(t, "the watch", 2*time.Second, func() bool { return s.count() >= 2 })
 			at := time.Now()
 			s.startDrain()
-			waitUntil(t, "the change", time.Duration(told*1e9), func() bool { return h.drained.Load() > 0 })
-			t.Logf("heard after %v, %d calls", time.Since(at), s.count())
+			waitUntil(t, "the change", seconds(notified), func() bool { return times.drained.Load() > 0 })
+			t.Logf("the change arrived after %v, %d calls", time.Since(at), s.count())
 		})
 	}
 }
 
-// While discovery is down the list known before serves; at its return it is asked at once, and not by whole lists without end.
+// While discovery is down the last list is used; when it recovers it is polled at once, and not for complete lists without end.
 func TestDiscoveryOutageAndRecovery(t *testing.T) {
-	const told = 1.5
+	const notified = 1.5 // s
 	s := newFakeDiscovery(t, nil)
 	addr := s.listener.Addr().String()
-	h := &updateTimes{}
-	d := startDiscovery(addr, nil, given(t), endpoints.AgentPollPolicy(told, rand.Float64), clock.New(), nil, h.onUpdate, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	times := &updateTimes{}
+	d := startTestDiscovery(t, addr, notified, times)
 	defer d.Close()
-	waitUntil(t, "the list", 2*time.Second, func() bool { return h.up.Load() > 0 })
+	waitUntil(t, "the list", 2*time.Second, func() bool { return times.up.Load() > 0 })
 	s.listener.Close()
 	s.mu.Lock()
-	s.respond = func(_ int, _ string, c net.Conn) bool { c.Close(); return true }
+	s.respond = func(_ *fakeDiscovery, _ int, _ string, c net.Conn) bool { c.Close(); return true }
 	close(s.changed) // the open watch ends
 	s.changed = make(chan struct{})
 	s.mu.Unlock()
@@ -264,18 +277,18 @@
 	s2.listener.Close()
 	s2.listen(t, addr)
 	s2.startDrain()
-	waitUntil(t, "the change", time.Duration(told*1e9), func() bool { return h.drained.Load() > 0 })
+	waitUntil(t, "the change", seconds(notified), func() bool { return times.drained.Load() > 0 })
 	time.Sleep(200 * time.Millisecond)
 	if n := s2.count(); n > 4 {
-		t.Errorf("%d calls within 0.2 s of the return", n)
+		t.Errorf("%d calls within 0.2 s of the recovery", n)
 	}
 }
 
-// The next call follows the last answer at once, so that the watch goes on, and asks for changes alone.
+// The next call follows the last response at once, so that the watch continues, and asks for changes alone.
 func TestWatchContinuesAfterResponse(t *testing.T) {
 	s := newFakeDiscovery(t, nil)
-	h := &updateTimes{}
-	d := startDiscovery(s.listener.Addr().String(), nil, given(t), endpoints.AgentPollPolicy(0.4, rand.Float64), clock.New(), nil, h.onUpdate, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	times := &updateTimes{}
+	d := startTestDiscovery(t, s.listener.Addr().String(), 0.4, times)
 	defer d.Close()
 	waitUntil(t, "five calls", 3*time.Second, func() bool { return s.count() >= 5 })
 	s.mu.Lock()
@@ -287,23 +300,23 @@
 	}
 }
 
-// A source that was silent says first, to whoever waits, what it has at its return: a node has a call out at any time, so that
-// it hears of a drain at once, however long the outage was.
+// A source that was silent responds first to the calls that wait when it recovers. A node has a call in flight at any time, so
+// that a drain arrives at once, however long the outage was.
 func TestRecoveredDiscoveryIsReadAtOnce(t *testing.T) {
 	back := make(chan struct{})
 	var down atomic.Bool
-	s := newFakeDiscovery(t, func(_ int, _ string, _ net.Conn) bool {
+	s := newFakeDiscovery(t, func(_ *fakeDiscovery, _ int, _ string, _ net.Conn) bool {
 		if down.Load() {
 			<-back
 		}
 		return false
 	})
-	h := &updateTimes{}
-	d := startDiscovery(s.listener.Addr().String(), nil, given(t), endpoints.AgentPollPolicy(0.6, rand.Float64), clock.New(), nil, h.onUpdate, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	times := &updateTimes{}
+	d := startTestDiscovery(t, s.listener.Addr().String(), 0.6, times)
 	defer d.Close()
-	waitUntil(t, "the list", 2*time.Second, func() bool { return h.up.Load() > 0 })
+	waitUntil(t, "the list", 2*time.Second, func() bool { return times.up.Load() > 0 })
 	down.Store(true)
-	time.Sleep(1500 * time.Millisecond) // several calls have fallen silent
+	time.Sleep(1500 * time.Millisecond) // several calls have become silent
 	if n := s.count(); n > 30 {
 		t.Errorf("%d calls into an outage", n)
 	}
@@ -312,51 +325,49 @@
 	s.drain = true
 	s.mu.Unlock()
 	close(back)
-	waitUntil(t, "the drain", 100*time.Millisecond, func() bool { return h.drained.Load() > 0 })
+	waitUntil(t, "the drain", 100*time.Millisecond, func() bool { return times.drained.Load() > 0 })
 	time.Sleep(time.Second)
 	d.watch.mu.Lock()
 	defer d.watch.mu.Unlock()
 	if n := len(d.watch.conns); n > 2 {
-		t.Errorf("%d connections are open after the return", n)
+		t.Errorf("%d connections are open after the recovery", n)
 	}
 }
 
-// A call that was given up before it had a connection may be answered all the same: what it was told counts, and its connection
-// is not left open.
+// A call that was abandoned before it had a connection may be answered all the same: the response is applied, and its connection
+// is closed.
 func TestResponseToAbandonedCallApplies(t *testing.T) {
 	s := newFakeDiscovery(t, nil)
-	h := &updateTimes{}
-	d := startDiscovery(s.listener.Addr().String(), nil, given(t), endpoints.AgentPollPolicy(20, rand.Float64), clock.New(), nil, h.onUpdate, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	times := &updateTimes{}
+	d := startTestDiscovery(t, s.listener.Addr().String(), 20, times)
 	defer d.Close()
-	waitUntil(t, "the list", 2*time.Second, func() bool { return h.up.Load() > 0 })
-	on, err := (&http1.Pool{}).Dial(context.Background(), s.listener.Addr().String(), time.Second)
+	waitUntil(t, "the list", 2*time.Second, func() bool { return times.up.Load() > 0 })
+	conn, err := (&http1.Pool{}).Dial(context.Background(), s.listener.Addr().String(), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := &call{}
-	d.watch.addConn(c, on)
-	d.watch.results <- callResult{call: c, conn: on, response: &listResponse{Version: 2, Servers: []listEntry{{ID: "e0", Addr: "127.0.0.1:9", Zone: "z", Kind: "read",
-		Cell: 1, State: "draining", Weight: 1}}}}
-	waitUntil(t, "the drain", time.Second, func() bool { return h.drained.Load() > 0 })
+	d.watch.addConn(c, conn)
+	drained := listEntry{ID: "e0", Addr: "127.0.0.1:9", Zone: "z", Kind: "read", Cell: 1, State: "draining", Weight: 1}
+	d.watch.results <- callResult{call: c, conn: conn, response: &listResponse{Version: 2, Servers: []listEntry{drained}}}
+	waitUntil(t, "the drain", time.Second, func() bool { return times.drained.Load() > 0 })
 	waitUntil(t, "the close", time.Second, func() bool {
 		d.watch.mu.Lock()
 		defer d.watch.mu.Unlock()
-		return !d.watch.conns[on]
+		return !d.watch.conns[conn]
 	})
 }
 
-// A node whose wall clock was an hour ahead when it started takes an engine that it has just been told of for one that has just started,
-// whatever its stamp: it cannot have been there an hour ago, for no list named it.
+// A node whose wall clock was an hour ahead when it started treats an engine that a list has just added as one that has just started,
+// whatever its time stamp: it cannot have been there an hour ago, for no list named it.
 func TestNewEngineWarmsUpWhateverWallClock(t *testing.T) {
-	s := given(t)
-	const ahead = 3600.0
+	const ahead = 3600.0 // s
 	boots := map[string]float64{}
-	d := &Discovery{log: slog.New(slog.NewTextHandler(io.Discard, nil)), kinds: index(s.Kinds), zones: index(s.Zones), roles: s.Scheduler.Kinds,
-		startTimes: endpoints.NewStartTimes(), clock: clock.New(), view: newView(), onUpdate: func(l protocol.EndpointList) {
-			for _, e := range l.Engines {
-				boots[e.ID] = e.BootTime
-			}
-		}}
+	d := newDiscovery(testOptions(t, 6, func(l protocol.EndpointList) {
+		for _, e := range l.Engines {
+			boots[e.ID] = e.BootTime
+		}
+	}))
 	stamp := func(age float64) float64 { return (d.clock.Now() - ahead - age) * 1000 }
 	up := func(id string, started float64) listEntry {
 		return listEntry{ID: id, Addr: "127.0.0.1:9", Zone: "z", Kind: "read", State: "up", Weight: 1, Started: started}
@@ -366,10 +377,10 @@
 	d.apply(&listResponse{Version: 3, Servers: []listEntry{up("e1", stamp(0.5))}}, false)
 	for id, most := range map[string]float64{"e1": 1, "e2": 2} {
 		if age := d.clock.Now() - boots[id]; age < 0 || age > most {
-			t.Errorf("%s has just started, and is taken for one that started %.1f s ago", id, age)
+			t.Errorf("%s has just started, and its start is recorded as %.1f s ago", id, age)
 		}
 	}
 	if boots["e0"] != 0 {
-		t.Errorf("e0 started long ago, and is taken for one that started at %g", boots["e0"])
+		t.Errorf("e0 started long ago, and its start is recorded at %g", boots["e0"])
 	}
 }
--- /dev/null
+++ b/internal/relay/discovery_watch.go
@@ -0,0 +1,134 @@
+package relay
+
+import (
+	"context"
+	"slices"
+	"strconv"
+	"sync"
+
+	"dillroute/internal/decide/endpoints"
+	"dillroute/internal/http1"
+)
+
+// minHold is the hold of a call that waits for nothing, in seconds: the shortest that a call for changes can ask for.
+const minHold = 1e-3
+
+// watch is the state of following one address. The version after which it asks for changes is its own: another address may
+// count versions from the start. All but what the lock guards belongs to the goroutine of its poller.
+type watch struct {
+	addr        string
+	ctx         context.Context // ends with the watch
+	cancel      context.CancelFunc
+	stop        chan struct{} // closed when the watch ends
+	results     chan callResult
+	inFlight    []*call // the newest last
+	version     int64   // after which changes are asked for
+	incremental bool    // changes are enough: a complete list was applied
+
+	mu    sync.Mutex
+	conns map[*http1.ClientConn]bool // that end closes
+	ended bool
+}
+
+// call is one call to discovery.
+type call struct {
+	target     string
+	responseBy float64           // when its response comes at the latest, if discovery is not congested (s)
+	conn       *http1.ClientConn // guarded by the watch's lock; nil = none yet
+}
+
+// callResult is the outcome of a call.
+type callResult struct {
+	*call
+	conn     *http1.ClientConn // that it was made on; nil = no connection was made
+	response *listResponse
+	err      error
+}
+
+func newWatch(addr string) *watch {
+	ctx, cancel := context.WithCancel(context.Background())
+	return &watch{
+		addr:    addr,
+		ctx:     ctx,
+		cancel:  cancel,
+		stop:    make(chan struct{}),
+		results: make(chan callResult),
+		conns:   map[*http1.ClientConn]bool{},
+	}
+}
+
+// end ends the watch and closes its connections, whatever it waits for. It may be called more than once.
+func (w *watch) end() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.ended {
+		return
+	}
+	w.ended = true
+	close(w.stop)
+	w.cancel()
+	for conn := range w.conns {
+		conn.Close()
+	}
+}
+
+// addConn records the connection of a call, so that end closes it; false = the watch has ended.
+func (w *watch) addConn(c *call, conn *http1.ClientConn) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	c.conn = conn
+	w.conns[conn] = true
+	return !w.ended
+}
+
+// closeConn closes a connection, if there is one, and forgets it.
+func (w *watch) closeConn(conn *http1.ClientConn) {
+	if conn == nil {
+		return
+	}
+	conn.Close()
+	w.mu.Lock()
+	delete(w.conns, conn)
+	w.mu.Unlock()
+}
+
+// newCall records a new call and returns when it counts as silent (s). On a connection that has just responded it waits
+// for a change; the first call on a new connection (conn is nil) waits for nothing. It asks for changes where they are
+// enough, because they are less to send.
+func (w *watch) newCall(now float64, conn *http1.ClientConn, timeouts endpoints.WatchTimeouts, silentCalls int) (c *call, deadline float64) {
+	c = &call{conn: conn, target: pathList, responseBy: now}
+	deadline = timeouts.CallDeadline(now, silentCalls)
+	if w.incremental {
+		hold := minHold
+		if conn != nil {
+			hold = timeouts.Hold
+			deadline = timeouts.WatchDeadline(now)
+			c.responseBy = now + timeouts.Hold
+		}
+		c.target = changesTarget(w.version, hold)
+	}
+	w.inFlight = append(w.inFlight, c)
+	if len(w.inFlight) > timeouts.MaxCalls {
+		w.abandonOldest()
+	}
+	return c, deadline
+}
+
+// changesTarget returns the target of a call that waits for changes after a version, for hold seconds at most.
+func changesTarget(version int64, hold float64) string {
+	return pathList + "?from=" + strconv.FormatInt(version, 10) + "&hold_ms=" + strconv.FormatInt(seconds(hold).Milliseconds(), 10)
+}
+
+// abandonOldest closes the connection of the oldest call in flight, if it has one, and forgets the call.
+func (w *watch) abandonOldest() {
+	w.mu.Lock()
+	conn := w.inFlight[0].conn
+	w.mu.Unlock()
+	w.closeConn(conn)
+	w.inFlight = w.inFlight[1:]
+}
+
+// removeCall forgets a call that has ended.
+func (w *watch) removeCall(ended *call) {
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(c *call) bool { return c == ended })
+}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -9,8 +9,6 @@
 	"strings"
 	"testing"
 
-	"dillroute/internal/clock"
-	"dillroute/internal/decide/endpoints"
 	"dillroute/internal/decide/outcome"
 	"dillroute/internal/http1"
 	"dillroute/internal/protocol"
@@ -121,15 +119,13 @@
 		if err != nil {
 			return
 		}
-		d := &Discovery{log: slog.New(slog.NewTextHandler(io.Discard, nil)), kinds: index(s.Kinds), zones: index(s.Zones), roles: s.Scheduler.Kinds,
-			startTimes: endpoints.NewStartTimes(), clock: clock.New(),
-			view: newView(), onUpdate: func(l protocol.EndpointList) {
-				for _, e := range l.Engines {
-					if e.ID == "" || e.Kind < 0 || e.Kind >= len(s.Kinds) || e.Zone < 0 || e.Zone >= len(s.Zones) {
-						t.Fatalf("%+v", e)
-					}
+		d := newDiscovery(testOptions(t, notifiedAfter, func(l protocol.EndpointList) {
+			for _, e := range l.Engines {
+				if e.ID == "" || e.Kind < 0 || e.Kind >= len(s.Kinds) || e.Zone < 0 || e.Zone >= len(s.Zones) {
+					t.Fatalf("%+v", e)
 				}
-			}}
+			}
+		}))
 		d.apply(a, false)
 	})
 }
