--- /dev/null
+++ b/internal/discovery/consul_parser.go
@@ -0,0 +1,103 @@
+package discovery
+
+import (
+	"encoding/json"
+	"fmt"
+	"strconv"
+
+	"dillroute/internal/config"
+	"dillroute/internal/decide/endpoints"
+)
+
+// maxPort is the highest port of TCP.
+const maxPort = 65535
+
+// consulInstance is one entry of Consul's health endpoint, as far as it is read.
+type consulInstance struct {
+	Node struct {
+		Node, Address, Datacenter string
+		Meta                      map[string]string
+	}
+	Service struct {
+		ID, Address string
+		Port        int
+		Meta        map[string]string
+		Weights     struct{ Passing, Warning int }
+	}
+	Checks []struct{ Status string }
+}
+
+// ParseConsul reads a response of the health endpoint. Kind, cell, zone, state and start time are in Service.Meta under the
+// names of the list file; an instance with a critical check gets no new work.
+func (p *Parser) ParseConsul(text []byte) ([]endpoints.Entry, error) {
+	var instances []consulInstance
+	if err := json.Unmarshal(text, &instances); err != nil {
+		return nil, config.Problems{{Pointer: "", Text: "not a list of instances: " + err.Error()}}
+	}
+	var problems config.Problems
+	entries := []endpoints.Entry{}
+	for i, instance := range instances {
+		listed, problem := instance.entry()
+		if problem != nil {
+			problems = appendProblems(problems, fmt.Sprintf("/%d", i), config.Problems{*problem})
+			continue
+		}
+		entry, found := p.entry(listed)
+		problems = appendProblems(problems, fmt.Sprintf("/%d/Service/Meta", i), found)
+		entries = append(entries, entry)
+	}
+	if len(problems) > 0 {
+		return nil, problems
+	}
+	for i, instance := range instances {
+		entries[i].Cell = p.cellNumber(instance.Service.Meta["cell"])
+	}
+	return entries, nil
+}
+
+// entry turns an instance into the entry of a list file.
+func (x *consulInstance) entry() (Entry, *config.Problem) {
+	meta := x.Service.Meta
+	address := x.Service.Address
+	if address == "" {
+		address = x.Node.Address
+	}
+	switch {
+	case x.Service.ID == "":
+		return Entry{}, &config.Problem{Pointer: "/Service/ID", Text: "is missing"}
+	case address == "" || x.Service.Port < 1 || x.Service.Port > maxPort:
+		return Entry{}, &config.Problem{Pointer: "/Service", Text: "has no usable address and port"}
+	}
+	entry := Entry{
+		ID:      x.Service.ID,
+		Address: fmt.Sprintf("%s:%d", address, x.Service.Port),
+		Kind:    meta["kind"],
+		Cell:    meta["cell"],
+		Zone:    meta["zone"],
+		State:   meta["state"],
+	}
+	if text := meta["boot_time"]; text != "" {
+		bootTime, err := strconv.ParseFloat(text, 64)
+		if err != nil || !(bootTime >= 0) { // the comparison is false for a NaN too
+			return Entry{}, &config.Problem{Pointer: "/Service/Meta/boot_time", Text: fmt.Sprintf("%q is not a time", text)}
+		}
+		entry.BootTime = bootTime
+	}
+	if weight := float64(x.Service.Weights.Passing); weight > 0 {
+		entry.Weight = &weight
+	}
+	if x.critical() {
+		entry.State = stateDraining
+	}
+	return entry, nil
+}
+
+// critical tells whether a check of the instance has failed.
+func (x *consulInstance) critical() bool {
+	for _, check := range x.Checks {
+		if check.Status == "critical" {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/discovery/consul_test.go
+++ b/internal/discovery/consul_test.go
@@ -1,12 +1,12 @@
 package discovery
 
 import (
-	"dillroute/internal/protocol"
 	"strings"
 	"testing"
 	"time"
 
 	"dillroute/internal/config"
+	"dillroute/internal/protocol"
 	"dillroute/lab/emulator"
 )
 
@@ -29,15 +29,15 @@
 	s.Set(instances(ids...))
 	c := testParser(t).Config
 	c.Engines = config.Engines{Consul: s.Address(), Service: "engines", Wait: 0.2}
-	lists, words, err := follow(t, c, "")
+	lists, problems, err := follow(t, c, "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	awaitEngines(t, lists, strings.Join(ids, " "))
-	return s, lists, words
+	return s, lists, problems
 }
 
-// awaitEngines reads beliefs until one names just these engines; draining ones carry a mark.
+// awaitEngines reads lists until one names just these engines; draining ones carry a mark.
 func awaitEngines(t *testing.T, lists chan protocol.EndpointList, want string) protocol.EndpointList {
 	t.Helper()
 	got := ""
@@ -55,7 +55,7 @@
 			return l
 		}
 	}
-	t.Fatalf("believed %q at last, want %q", got, want)
+	t.Fatalf("the last list is %q, want %q", got, want)
 	return protocol.EndpointList{}
 }
 
@@ -77,14 +77,14 @@
 		"no index": {NoIndex: true}, "malformed": {Malformed: true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, lists, words := followListServer(t, "a", "b")
+			s, lists, problems := followListServer(t, "a", "b")
 			s.SetFaults(f)
-			if text := receive(t, words); !strings.Contains(text, "the last one stays") {
+			if text := receive(t, problems); !strings.Contains(text, "keeping the previous one") {
 				t.Fatal(text)
 			}
 			select {
 			case l := <-lists:
-				t.Fatalf("believed %+v", l)
+				t.Fatalf("a faulty response led to the list %+v", l)
 			default:
 			}
 			s.SetFaults(emulator.ListFaults{})
@@ -95,9 +95,9 @@
 }
 
 func TestHangingListServerTimesOut(t *testing.T) {
-	s, lists, words := followListServer(t, "a")
+	s, lists, problems := followListServer(t, "a")
 	s.SetFaults(emulator.ListFaults{Hang: true})
-	if text := receive(t, words); !strings.Contains(text, "timeout") {
+	if text := receive(t, problems); !strings.Contains(text, "timeout") {
 		t.Fatal(text)
 	}
 	s.SetFaults(emulator.ListFaults{})
@@ -106,9 +106,9 @@
 }
 
 func TestListServerIndexResetIsPolledFromStart(t *testing.T) {
-	s, lists, words := followListServer(t, "a", "b")
+	s, lists, problems := followListServer(t, "a", "b")
 	s.Reset(3)
-	if text := receive(t, words); !strings.Contains(text, "fell") {
+	if text := receive(t, problems); !strings.Contains(text, "fell") {
 		t.Fatal(text)
 	}
 	s.Set(instances("a", "b", "c"))
@@ -123,14 +123,14 @@
 	// The empty answer stands until its confirmation is due; the full one before that wins.
 	s.SetFaults(emulator.ListFaults{})
 	if l := awaitEngines(t, lists, "a b c d e"); len(l.Engines) == 0 || time.Since(start) > 15*time.Second {
-		t.Fatal("late")
+		t.Fatal("the list came late, or empty")
 	}
 }
 
 func TestRestartedListServerIsPolledAgain(t *testing.T) {
-	s, lists, words := followListServer(t, "a")
+	s, lists, problems := followListServer(t, "a")
 	s.Stop()
-	receive(t, words)
+	receive(t, problems)
 	if err := s.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -13,49 +12,50 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// file is a list file that is replaced by rename.
-type file struct {
-	path   string
-	poll   time.Duration
-	parser *Parser
-	last   []byte
-	seen   os.FileInfo
-}
+// minFileInterval is the shortest interval at which a list file is polled.
+const minFileInterval = 10 * time.Millisecond
 
-// maxList bounds the bytes of a list.
-const maxList = 64 << 20
+// fileSource reads a list file that is replaced by rename.
+type fileSource struct {
+	path     string
+	interval time.Duration // poll interval
+	parser   *Parser
+	lastText []byte      // content of the last list that was read; nil = none
+	lastInfo os.FileInfo // of that file
+}
 
-// run watches the folder, for a rename replaces the file itself, and looks now and then all the same: without notice,
-// or after too many of them, the poll finds out.
-func (w *file) run(answers chan<- answer, stop <-chan struct{}) {
+// run watches the directory, because a rename replaces the file itself, and polls the file as well: the poll notices a
+// change without an event, or after the watcher has lost events.
+func (s *fileSource) run(responses chan<- response, stop <-chan struct{}) {
 	var events chan fsnotify.Event
-	var errs chan error
-	if n, err := fsnotify.NewWatcher(); err == nil {
-		defer n.Close()
-		if n.Add(filepath.Dir(w.path)) == nil {
-			events, errs = n.Events, n.Errors
+	var watchErrors chan error
+	if watcher, err := fsnotify.NewWatcher(); err == nil {
+		defer watcher.Close()
+		if watcher.Add(filepath.Dir(s.path)) == nil {
+			events = watcher.Events
+			watchErrors = watcher.Errors
 		}
 	}
-	tick := time.NewTicker(max(w.poll, 10*time.Millisecond))
-	defer tick.Stop()
+	ticker := time.NewTicker(max(s.interval, minFileInterval))
+	defer ticker.Stop()
 	for {
 		select {
 		case <-stop:
 			return
-		case e := <-events:
-			if filepath.Base(e.Name) != filepath.Base(w.path) {
+		case event := <-events:
+			if filepath.Base(event.Name) != filepath.Base(s.path) {
 				continue
 			}
-		case <-errs:
+		case <-watchErrors:
 			continue
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		list, changed, err := w.read()
+		list, changed, err := s.read()
 		if err == nil && !changed {
 			continue
 		}
 		select {
-		case answers <- answer{list: list, err: err}:
+		case responses <- response{list: list, err: err}:
 		case <-stop:
 			return
 		}
@@ -63,70 +63,35 @@
 }
 
 // read returns the list, and whether it differs from the last one read.
-func (w *file) read() (list endpoints.List, changed bool, err error) {
-	info, err := os.Stat(w.path)
+func (s *fileSource) read() (list endpoints.List, changed bool, err error) {
+	info, err := os.Stat(s.path)
 	if err != nil {
 		return list, false, err
 	}
-	if w.seen != nil && os.SameFile(w.seen, info) && w.seen.ModTime().Equal(info.ModTime()) && w.seen.Size() == info.Size() {
+	if s.unchanged(info) {
 		return list, false, nil // most polls end here
 	}
-	if info.Size() > maxList {
-		return list, false, fmt.Errorf("%s: %d bytes exceed the %d that a list may have", w.path, info.Size(), maxList)
+	if info.Size() > maxListBytes {
+		return list, false, fmt.Errorf("%s: %d bytes exceed the %d that a list may have", s.path, info.Size(), maxListBytes)
 	}
-	text, err := os.ReadFile(w.path)
+	text, err := os.ReadFile(s.path)
 	if err != nil {
 		return list, false, err
 	}
-	if w.last != nil && bytes.Equal(text, w.last) {
+	if s.lastText != nil && bytes.Equal(text, s.lastText) {
 		return list, false, nil
 	}
-	entries, err := w.parser.ParseFile(text)
+	entries, err := s.parser.ParseFile(text)
 	if err != nil {
-		return list, false, fmt.Errorf("%s:\n%w", w.path, err)
+		return list, false, fmt.Errorf("%s:\n%w", s.path, err)
 	}
-	w.last, w.seen = text, info
+	s.lastText = text
+	s.lastInfo = info
 	return endpoints.List{Entries: entries}, true, nil
 }
 
-// halfWritten is the pattern of names under which Replace writes.
-const halfWritten = ".list-*"
-
-// ReplaceFile writes a file in one step, so that no reader sees half of it, and does not return before it lasts.
-func ReplaceFile(path string, text []byte) error {
-	dir := filepath.Dir(path)
-	f, err := os.CreateTemp(dir, halfWritten)
-	if err != nil {
-		return err
-	}
-	_, err = f.Write(text)
-	err = errors.Join(err, f.Sync(), f.Close())
-	if err == nil {
-		err = os.Rename(f.Name(), path)
-	}
-	if err != nil {
-		os.Remove(f.Name())
-		return err
-	}
-	return syncFolder(dir)
-}
-
-// syncFolder makes a rename last.
-func syncFolder(dir string) error {
-	d, err := os.Open(dir)
-	if err != nil {
-		return err
-	}
-	return errors.Join(d.Sync(), d.Close())
-}
-
-// removeHalfWritten takes away what a process that was killed had not written to its end.
-func removeHalfWritten(dir string) {
-	names, err := filepath.Glob(filepath.Join(dir, halfWritten))
-	if err != nil {
-		return // the pattern is a constant
-	}
-	for _, name := range names {
-		os.Remove(name) // what cannot be removed harms nobody
-	}
+// unchanged tells whether a file is the one that was last read, with the same time and size.
+func (s *fileSource) unchanged(info os.FileInfo) bool {
+	last := s.lastInfo
+	return last != nil && os.SameFile(last, info) && last.ModTime().Equal(info.ModTime()) && last.Size() == info.Size()
 }
--- /dev/null
+++ b/internal/discovery/follower.go
@@ -0,0 +1,211 @@
+package discovery
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"dillroute/internal/clock"
+	"dillroute/internal/config"
+	"dillroute/internal/decide/endpoints"
+	"dillroute/internal/protocol"
+	"dillroute/scheduler"
+)
+
+// closeTimeout bounds how long Close waits for a list that is being written: a disk may hang.
+const closeTimeout = time.Second
+
+// idleWait is the wait of a timer that has nothing to wait for.
+const idleWait = time.Hour
+
+// FollowOptions say where lists come from and what is called with them.
+type FollowOptions struct {
+	Config    *config.Config
+	SavedList string                      // file of the last list that was used, read at the start; "" = none
+	OnUpdate  func(protocol.EndpointList) // called with each new list, on the follower's goroutine
+	OnProblem func(string)                // called with the reason when a list is not used as it came, once for each cause
+	Clock     clock.Clock                 // of the node, in whose time start times are given; the zero clock = one of its own
+	Random    func() float64              // numbers from 0 up to 1 that spread calls; nil = the system's
+}
+
+// Follower follows a source of lists and hands on each change of the endpoint view. The view belongs to its goroutine.
+type Follower struct {
+	options      FollowOptions
+	view         *endpoints.View
+	startTimes   *endpoints.StartTimes
+	parser       *Parser
+	source       source
+	saver        *listSaver // nil = lists are not saved
+	stop         chan struct{}
+	done         chan struct{}
+	lastProblem  string  // of the source; "" = its last response was good
+	lastResponse float64 // when the source last responded (s); 0 = not yet
+}
+
+// Follow starts to follow the source that the configuration names. Where no list was saved, a list file that cannot be read
+// is an error; a list server that does not respond is waited for.
+func Follow(o FollowOptions) (*Follower, error) {
+	if o.Clock == (clock.Clock{}) {
+		o.Clock = clock.New()
+	}
+	if o.Random == nil {
+		o.Random = rand.Float64
+	}
+	f := &Follower{
+		options:    o,
+		view:       endpoints.NewView(endpoints.DefaultOptions),
+		startTimes: endpoints.NewStartTimes(),
+		parser:     &Parser{Config: o.Config},
+		stop:       make(chan struct{}),
+		done:       make(chan struct{}),
+	}
+	f.restore()
+	if o.SavedList != "" {
+		f.saver = newListSaver(o.SavedList, f.stop, o.OnProblem)
+	}
+	if err := f.openSource(); err != nil {
+		close(f.stop)
+		return nil, err
+	}
+	go f.run()
+	return f, nil
+}
+
+// openSource opens the configured source. It applies the content of a list file at once; one that cannot be read is an
+// error where no list was saved.
+func (f *Follower) openSource() error {
+	o := f.options
+	engines := o.Config.Engines
+	if engines.Consul != "" {
+		f.source = &consulSource{
+			address: engines.Consul,
+			service: engines.Service,
+			wait:    seconds(engines.Wait),
+			parser:  f.parser,
+			clock:   o.Clock,
+			poller:  endpoints.NewPoller(o.Random),
+		}
+		return nil
+	}
+	file := &fileSource{path: engines.File, interval: seconds(engines.Poll), parser: f.parser}
+	list, _, err := file.read()
+	if err != nil && len(f.view.Snapshot(0).Entries) == 0 {
+		return err
+	}
+	f.source = file
+	f.handle(response{list: list, err: err})
+	return nil
+}
+
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// SaveState sets whether new lists are saved.
+func (f *Follower) SaveState(on bool) {
+	if f.saver != nil {
+		f.saver.enabled.Store(on)
+	}
+}
+
+// Close stops the follower. It waits for a list that is being written, but only for closeTimeout.
+func (f *Follower) Close() {
+	close(f.stop)
+	<-f.done
+	if f.saver == nil {
+		return
+	}
+	select {
+	case <-f.saver.done:
+	case <-time.After(closeTimeout):
+	}
+}
+
+// run applies responses and the passage of time until the follower stops. It ends the source's goroutine, which it starts.
+func (f *Follower) run() {
+	defer close(f.done)
+	responses := make(chan response)
+	sourceEnded := make(chan struct{})
+	go func() {
+		defer close(sourceEnded)
+		f.source.run(responses, f.stop)
+	}()
+	defer func() { <-sourceEnded }()
+	timer := time.NewTimer(idleWait)
+	defer timer.Stop()
+	for {
+		wait := idleWait
+		if at, ok := f.view.Next(); ok {
+			wait = max(0, seconds(at-f.options.Clock.Now()))
+		}
+		timer.Reset(wait)
+		select {
+		case <-f.stop:
+			return
+		case r := <-responses:
+			f.handle(r)
+		case <-timer.C:
+			now := f.options.Clock.Now()
+			if f.view.Tick(now) {
+				f.publish(now)
+			}
+		}
+	}
+}
+
+// handle applies a response and publishes the list that it leads to.
+func (f *Follower) handle(r response) {
+	now := f.options.Clock.Now()
+	if r.err != nil {
+		if text := r.err.Error(); text != f.lastProblem {
+			f.lastProblem = text
+			f.options.OnProblem("endpoint list rejected; keeping the previous one: " + text)
+		}
+		return
+	}
+	f.lastProblem = ""
+	if r.indexReset {
+		f.view.IndexReset()
+	}
+	if f.view.Apply(now, r.list) {
+		f.publish(now)
+	}
+	f.lastResponse = now
+	for _, note := range f.view.Notes() {
+		f.options.OnProblem(note.Text)
+	}
+}
+
+// publish hands the view's list on, and saves it once a source has responded.
+func (f *Follower) publish(now float64) {
+	snapshot := f.view.Snapshot(now)
+	f.options.OnUpdate(f.endpointList(now, snapshot))
+	if f.saver == nil || snapshot.Saved {
+		return
+	}
+	text, err := f.parser.encode(snapshot.Entries)
+	if err != nil {
+		f.options.OnProblem("endpoint list not saved: " + err.Error())
+		return
+	}
+	f.saver.save(text)
+}
+
+// endpointList turns a snapshot into the host's form.
+func (f *Follower) endpointList(now float64, snapshot endpoints.Snapshot) protocol.EndpointList {
+	list := protocol.EndpointList{Form: scheduler.UpdateComplete, Addresses: map[string]string{}, Saved: snapshot.Saved}
+	for _, entry := range snapshot.Entries {
+		engine := scheduler.Engine{
+			ID:       entry.ID,
+			Kind:     entry.Kind,
+			Cell:     entry.Cell,
+			Zone:     entry.Zone,
+			Weight:   entry.Weight,
+			BootTime: f.startTimes.LocalTime(entry.ID, entry.BootTime, now, f.options.Clock.Wall(), f.lastResponse),
+		}
+		if entry.State == endpoints.Draining {
+			engine.State = scheduler.EngineDraining
+		}
+		list.Engines = append(list.Engines, engine)
+		list.Addresses[entry.ID] = entry.Address
+	}
+	f.startTimes.Retain(list.Addresses, now)
+	return list
+}
--- /dev/null
+++ b/internal/discovery/parser.go
@@ -0,0 +1,161 @@
+// Package discovery brings the engine list from its source to the node.
+//
+// A source is a list file that is replaced by rename, or a list server that speaks Consul's health API. A Follower polls it,
+// decides by an endpoint view (internal/decide/endpoints) which list the node uses, hands each change to its caller, and
+// saves the list for the next start.
+package discovery
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+
+	"dillroute/api"
+	"dillroute/internal/config"
+	"dillroute/internal/decide/endpoints"
+)
+
+// Entry is one engine of a list file; api/list.schema.json describes it.
+type Entry struct {
+	ID       string   `json:"id"`
+	Address  string   `json:"address"`
+	Kind     string   `json:"kind"`
+	Cell     string   `json:"cell,omitempty"`
+	Zone     string   `json:"zone,omitempty"`
+	State    string   `json:"state,omitempty"`
+	Weight   *float64 `json:"weight,omitempty"`
+	BootTime float64  `json:"boot_time,omitempty"`
+}
+
+// stateDraining is the state of an entry that gets no new work; all other states of the schema are ready.
+const stateDraining = "draining"
+
+// File is a list file.
+type File struct {
+	Engines []Entry `json:"engines"`
+}
+
+var schema = config.MustSchema(api.ListSchema)
+
+// Parser turns lists into endpoint entries. Cells are numbered in the order in which lists name them, and keep their number.
+type Parser struct {
+	Config *config.Config
+	cells  map[string]int
+}
+
+// ParseFile reads a complete list file. It returns all problems of the file at once, and then no entries.
+func (p *Parser) ParseFile(text []byte) ([]endpoints.Entry, error) {
+	var file File
+	if err := schema.Decode(text, &file); err != nil {
+		return nil, err
+	}
+	var problems config.Problems
+	entries := []endpoints.Entry{}
+	for i, listed := range file.Engines {
+		entry, found := p.entry(listed)
+		problems = appendProblems(problems, fmt.Sprintf("/engines/%d", i), found)
+		entries = append(entries, entry)
+	}
+	if len(problems) > 0 {
+		return nil, problems
+	}
+	for i, listed := range file.Engines {
+		entries[i].Cell = p.cellNumber(listed.Cell)
+	}
+	return entries, nil
+}
+
+// appendProblems adds the problems of one engine, whose pointers are relative to the prefix.
+func appendProblems(problems config.Problems, prefix string, found config.Problems) config.Problems {
+	for _, problem := range found {
+		problems = append(problems, config.Problem{Pointer: prefix + problem.Pointer, Text: problem.Text})
+	}
+	return problems
+}
+
+// entry reads one engine. The caller numbers its cell, once the whole list is known to be valid.
+func (p *Parser) entry(listed Entry) (endpoints.Entry, config.Problems) {
+	var problems config.Problems
+	kind, ok := p.Config.KindIndex(listed.Kind)
+	if !ok {
+		problems = append(problems, config.Problem{Pointer: "/kind", Text: fmt.Sprintf("no kind is named %q", listed.Kind)})
+	}
+	zone, ok := p.zoneNumber(listed.Zone)
+	if !ok {
+		problems = append(problems, config.Problem{Pointer: "/zone", Text: fmt.Sprintf("%q is not one of the node's zones", listed.Zone)})
+	}
+	entry := endpoints.Entry{
+		ID:       listed.ID,
+		Address:  listed.Address,
+		Kind:     kind,
+		Zone:     zone,
+		Weight:   1,
+		BootTime: listed.BootTime,
+	}
+	if len(problems) == 0 {
+		entry.Role = int(p.Config.Scheduler().Kinds[kind].Role)
+	}
+	if listed.Weight != nil {
+		entry.Weight = *listed.Weight
+	}
+	if listed.State == stateDraining {
+		entry.State = endpoints.Draining
+	}
+	return entry, problems
+}
+
+// zoneNumber returns the number of a zone of the node; no name means the first one.
+func (p *Parser) zoneNumber(name string) (number int, ok bool) {
+	if name == "" {
+		return 0, true
+	}
+	number = slices.Index(p.Config.Zones, name)
+	return max(0, number), number >= 0
+}
+
+// cellNumber returns the number of a cell, a new one where the cell has none.
+func (p *Parser) cellNumber(name string) int {
+	if p.cells == nil {
+		p.cells = map[string]int{}
+	}
+	number, ok := p.cells[name]
+	if !ok {
+		number = len(p.cells)
+		p.cells[name] = number
+	}
+	return number
+}
+
+// cellName returns the name of a cell's number.
+func (p *Parser) cellName(cell int) string {
+	for name, number := range p.cells {
+		if number == cell {
+			return name
+		}
+	}
+	return ""
+}
+
+// encode returns the list file that ParseFile reads as these entries.
+func (p *Parser) encode(entries []endpoints.Entry) ([]byte, error) {
+	file := File{Engines: []Entry{}}
+	for _, entry := range entries {
+		weight := entry.Weight
+		listed := Entry{
+			ID:       entry.ID,
+			Address:  entry.Address,
+			Kind:     p.Config.Kinds[entry.Kind].Name,
+			Cell:     p.cellName(entry.Cell),
+			Weight:   &weight,
+			BootTime: entry.BootTime,
+		}
+		if entry.Zone < len(p.Config.Zones) {
+			listed.Zone = p.Config.Zones[entry.Zone]
+		}
+		if entry.State == endpoints.Draining {
+			listed.State = stateDraining
+		}
+		file.Engines = append(file.Engines, listed)
+	}
+	return json.Marshal(file)
+}
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -53,7 +53,14 @@
 // each change of the list, one call at a time.
 func Follow(addr string, saved []byte, s *settings.Settings, clk clock.Clock, dial http1.DialFunc,
 	onUpdate func(protocol.EndpointList), log *slog.Logger) *Discovery {
-	return startDiscovery(addr, saved, discoveryOptions{settings: s, policy: pollPolicyOf(s), clock: clk, dial: dial, onUpdate: onUpdate, log: log})
+	return startDiscovery(addr, saved, discoveryOptions{
+		settings: s,
+		policy:   pollPolicyOf(s),
+		clock:    clk,
+		dial:     dial,
+		onUpdate: onUpdate,
+		log:      log,
+	})
 }
 
 // pollPolicyOf returns the policy for the kind of discovery that the settings name.
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -98,8 +98,9 @@
 	if s.drain {
 		version, state = 2, "draining"
 	}
-	b, _ := json.MarshalIndent(map[string]any{"version": version, "full": full, "servers": []any{map[string]any{"id": "e0", "addr": "127.0.0.1:9",
-		"zone": "z", "kind": "read", "cell": 1, "state": state, "weight": 1.0, "started_ms": 0}}}, "", "  ")
+	engine := map[string]any{"id": "e0", "addr": "127.0.0.1:9", "zone": "z", "kind": "read", "cell": 1, "state": state, "weight": 1.0,
+		"started_ms": 0}
+	b, _ := json.MarshalIndent(map[string]any{"version": version, "full": full, "servers": []any{engine}}, "", "  ")
 	return string(b)
 }
 
--- a/internal/relay/discovery_watch.go
+++ b/internal/relay/discovery_watch.go
@@ -95,9 +95,9 @@
 // newCall records a new call and returns when it counts as silent (s). On a connection that has just responded it waits
 // for a change; the first call on a new connection (conn is nil) waits for nothing. It asks for changes where they are
 // enough, because they are less to send.
-func (w *watch) newCall(now float64, conn *http1.ClientConn, timeouts endpoints.WatchTimeouts, silentCalls int) (c *call, deadline float64) {
-	c = &call{conn: conn, target: pathList, responseBy: now}
-	deadline = timeouts.CallDeadline(now, silentCalls)
+func (w *watch) newCall(now float64, conn *http1.ClientConn, timeouts endpoints.WatchTimeouts, silentCalls int) (*call, float64) {
+	c := &call{conn: conn, target: pathList, responseBy: now}
+	deadline := timeouts.CallDeadline(now, silentCalls)
 	if w.incremental {
 		hold := minHold
 		if conn != nil {
