--- a/internal/decide/endpoints/duplicates.go
+++ b/internal/decide/endpoints/duplicates.go
@@ -6,33 +6,33 @@
 	"slices"
 )
 
-// withoutDuplicates returns the entries of a list in order of id, one for each id. Of several entries the one with the
+// withoutDuplicates returns the endpoints of a list in order of id, one for each id. Of several with one id the one with the
 // latest start counts. Where their starts are equal and they differ in address or kind, nobody knows which one is meant,
 // and the engine drains.
-func (v *View) withoutDuplicates(entries []Entry) []Entry {
-	byID := map[string]Entry{}
-	for _, entry := range entries {
-		other, duplicate := byID[entry.ID]
+func (v *View) withoutDuplicates(listed []Endpoint) []Endpoint {
+	byID := map[string]Endpoint{}
+	for _, endpoint := range listed {
+		other, duplicate := byID[endpoint.ID]
 		switch {
-		case !duplicate || entry.BootTime > other.BootTime:
-			byID[entry.ID] = entry
-		case entry.BootTime < other.BootTime:
-			// The other entry is the newer one.
-		case entry.Address != other.Address || entry.Kind != other.Kind:
+		case !duplicate || endpoint.BootTime > other.BootTime:
+			byID[endpoint.ID] = endpoint
+		case endpoint.BootTime < other.BootTime:
+			// The other one is newer.
+		case endpoint.Address != other.Address || endpoint.Kind != other.Kind:
 			v.addNote("engine %s is listed twice, at %s and %s: it drains until the list is corrected",
-				entry.ID, other.Address, entry.Address)
-			byID[entry.ID] = drainingDuplicate(entry, other)
-		case entry.State == Draining:
-			byID[entry.ID] = entry
+				endpoint.ID, other.Address, endpoint.Address)
+			byID[endpoint.ID] = drainingDuplicate(endpoint, other)
+		case endpoint.State == Draining:
+			byID[endpoint.ID] = endpoint
 		}
 	}
-	return slices.SortedFunc(maps.Values(byID), func(x, y Entry) int { return cmp.Compare(x.ID, y.ID) })
+	return slices.SortedFunc(maps.Values(byID), func(x, y Endpoint) int { return cmp.Compare(x.ID, y.ID) })
 }
 
-// drainingDuplicate returns the one of two contradicting entries with the lower address, as draining.
-func drainingDuplicate(entry, other Entry) Entry {
-	if entry.Address < other.Address {
-		other = entry
+// drainingDuplicate returns the one of two contradicting endpoints with the lower address, as draining.
+func drainingDuplicate(endpoint, other Endpoint) Endpoint {
+	if endpoint.Address < other.Address {
+		other = endpoint
 	}
 	other.State = Draining
 	return other
--- a/internal/decide/endpoints/endpoints.go
+++ b/internal/decide/endpoints/endpoints.go
@@ -36,8 +36,8 @@
 	return "unknown"
 }
 
-// Entry is one engine in a list.
-type Entry struct {
+// Endpoint is one engine in a list.
+type Endpoint struct {
 	ID, Address string
 	Kind, Role  int
 	Cell, Zone  int
@@ -48,8 +48,8 @@
 
 // List is a complete engine list as a source gave it.
 type List struct {
-	Index   uint64 // orders the lists of one source; 0 = the source has no index
-	Entries []Entry
+	Index     uint64 // orders the lists of one source; 0 = the source has no index
+	Endpoints []Endpoint
 }
 
 // sortedIDs returns the keys of a map by engine id in their order.
--- a/internal/decide/endpoints/golden_test.go
+++ b/internal/decide/endpoints/golden_test.go
@@ -92,7 +92,7 @@
 }
 
 // engineLine writes each field of an engine of a list.
-func engineLine(e Entry) string {
+func engineLine(e Endpoint) string {
 	state := "ready"
 	if e.State == Draining {
 		state = "draining"
@@ -104,13 +104,13 @@
 // pool is a random fleet that a source tells of.
 type pool struct {
 	r       *rand.Rand
-	engines []Entry
+	engines []Endpoint
 }
 
 func newPool(r *rand.Rand) *pool {
 	p := &pool{r: r}
 	for i := range 6 {
-		p.engines = append(p.engines, Entry{ID: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("10.0.0.%d:80", i), Kind: i % 2, Role: i % 2,
+		p.engines = append(p.engines, Endpoint{ID: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("10.0.0.%d:80", i), Kind: i % 2, Role: i % 2,
 			Cell: i % 3, Zone: i % 2, Weight: 1, BootTime: float64(i % 3 * 10)})
 	}
 	return p
@@ -136,9 +136,9 @@
 }
 
 // list returns part of the pool: all of it, most of it or little of it, some engines twice.
-func (p *pool) list() []Entry {
+func (p *pool) list() []Endpoint {
 	missing := []float64{0, 0, 0.1, 0.2, 0.7, 1}[p.r.IntN(6)]
-	var out []Entry
+	var out []Endpoint
 	for _, e := range p.engines {
 		if p.r.Float64() < missing {
 			continue
@@ -203,7 +203,7 @@
 		if r.IntN(3) > 0 {
 			p.change(now)
 		}
-		answer := List{Index: *index, Entries: p.list()}
+		answer := List{Index: *index, Endpoints: p.list()}
 		switch r.IntN(8) {
 		case 0: // the same index again
 		case 1:
@@ -215,7 +215,7 @@
 			answer.Index = *index
 		}
 		x.line("at %s list index=%d", number(now), answer.Index)
-		for _, e := range answer.Entries {
+		for _, e := range answer.Endpoints {
 			x.line("  told %s", engineLine(e))
 		}
 		x.line("  changed=%s", yesNo(view.Apply(now, answer)))
@@ -239,9 +239,10 @@
 		due = number(at)
 	}
 	b := view.Snapshot(now)
-	x.line("  due=%s waiting=%s index=%d since=%s saved=%s", due, strings.Join(view.UnconfirmedRemovals(), ","), b.Index, number(b.ConfirmedAt), yesNo(b.Saved))
+	x.line("  due=%s waiting=%s index=%d since=%s saved=%s", due, strings.Join(view.UnconfirmedRemovals(), ","),
+		b.Index, number(b.ConfirmedAt), yesNo(b.Saved))
 	var use []string
-	for _, e := range b.Entries {
+	for _, e := range b.Endpoints {
 		use = append(use, engineLine(e))
 	}
 	x.lines("use", use)
@@ -258,7 +259,7 @@
 // noteFigures finds what a note tells of: engines, addresses and figures. Its other words are for people and may be reworded.
 var noteFigures = regexp.MustCompile(`\be\d+\b|\d[\d.:%]*`)
 
-func wordLine(w Update) string { return engineLine(w.Entry) + " gone=" + yesNo(w.Removed) }
+func wordLine(w Update) string { return engineLine(w.Endpoint) + " gone=" + yesNo(w.Removed) }
 
 func TestGoldenTold(t *testing.T) {
 	x := &transcript{}
@@ -296,7 +297,7 @@
 	}
 	var words []Update
 	for _, e := range entries {
-		words = append(words, Update{Entry: e, Removed: r.IntN(6) == 0})
+		words = append(words, Update{Endpoint: e, Removed: r.IntN(6) == 0})
 	}
 	x.line("at %s answer version=%d full=%s", number(now), sent, yesNo(full))
 	for _, w := range words {
--- a/internal/decide/endpoints/notified.go
+++ b/internal/decide/endpoints/notified.go
@@ -4,7 +4,7 @@
 
 // Update is one engine of an update that counts as notified from the moment it was sent.
 type Update struct {
-	Entry
+	Endpoint
 	Removed bool
 }
 
--- a/internal/decide/endpoints/notified_test.go
+++ b/internal/decide/endpoints/notified_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func readyUpdate(id string) Update { return Update{Entry: Entry{ID: id, Address: id, Weight: 1}} }
+func readyUpdate(id string) Update { return Update{Endpoint: Endpoint{ID: id, Address: id, Weight: 1}} }
 
 func drainingUpdate(id string) Update {
 	update := readyUpdate(id)
--- a/internal/decide/endpoints/poller.go
+++ b/internal/decide/endpoints/poller.go
@@ -70,8 +70,8 @@
 // what the source can answer. The poll interval doubles while the source is congested and shrinks step by step while it is
 // not, as in TCP's congestion avoidance (Chiu and Jain, 1989). Of N nodes that each pause for an interval p and then queue, of
 // which the source answers C a second, none is rejected if N/C is at most p and the time for which a call may queue.
-func (p *Poller) AfterResponse(now, late float64) float64 {
-	p.adjustInterval(late > p.CongestionDelay)
+func (p *Poller) AfterResponse(now, delay float64) float64 {
+	p.adjustInterval(delay > p.CongestionDelay)
 	p.recordSuccess()
 	return p.takeToken(now + p.interval*(1+p.Random())/2)
 }
--- a/internal/decide/endpoints/view.go
+++ b/internal/decide/endpoints/view.go
@@ -28,10 +28,10 @@
 
 // Snapshot is the list of engines that the node uses at one time.
 type Snapshot struct {
-	Entries     []Entry // in order of id
-	Index       uint64  // of the list that it rests on
-	ConfirmedAt float64 // when a source last confirmed it
-	Saved       bool    // it rests on a list that an earlier run saved, and no source has responded yet
+	Endpoints   []Endpoint // in order of id
+	Index       uint64     // of the list that it rests on
+	ConfirmedAt float64    // when a source last confirmed it
+	Saved       bool       // it rests on a list that an earlier run saved, and no source has responded yet
 }
 
 // Note tells the operators why a list was not applied as it came.
@@ -39,7 +39,7 @@
 
 // viewRecord is the history of one engine. An engine that was removed stays recorded for some time.
 type viewRecord struct {
-	Entry
+	Endpoint
 	listed       bool      // it is part of the snapshot
 	listedSince  float64   // when it was last added
 	removals     []float64 // times of the latest removals, the oldest first; at most FlapCount
@@ -66,12 +66,12 @@
 // Restore applies the list that an earlier run saved. It is used until a source has responded, however old it is: calls
 // to a listed engine that no longer exists fail at once, and the first response adds engines that are missing. Start times
 // are restored as they were, so that an engine which was warming up still is. Restore does nothing once the view has content.
-func (v *View) Restore(now float64, saved []Entry) {
+func (v *View) Restore(now float64, saved []Endpoint) {
 	if v.responded || len(v.records) > 0 {
 		return
 	}
-	for _, entry := range v.withoutDuplicates(saved) {
-		v.records[entry.ID] = &viewRecord{Entry: entry, listed: true, listedSince: now}
+	for _, endpoint := range v.withoutDuplicates(saved) {
+		v.records[endpoint.ID] = &viewRecord{Endpoint: endpoint, listed: true, listedSince: now}
 	}
 	v.confirmedAt = now
 	v.changed = true
@@ -88,11 +88,11 @@
 	repeated := list.Index > 0 && list.Index == v.index && v.responded
 	v.index = list.Index
 	v.confirmedAt = now
-	entries := v.withoutDuplicates(list.Entries)
-	for _, entry := range entries {
-		v.applyEntry(now, entry)
+	listed := v.withoutDuplicates(list.Endpoints)
+	for _, endpoint := range listed {
+		v.applyEndpoint(now, endpoint)
 	}
-	v.applyMissing(now, entries, repeated)
+	v.applyMissing(now, listed, repeated)
 	v.responded = true
 	return v.changed
 }
@@ -104,11 +104,11 @@
 	v.index = 0
 }
 
-// applyEntry records an engine that a list names.
-func (v *View) applyEntry(now float64, entry Entry) {
-	record := v.records[entry.ID]
+// applyEndpoint records an engine that a list names.
+func (v *View) applyEndpoint(now float64, endpoint Endpoint) {
+	record := v.records[endpoint.ID]
 	if record == nil {
-		v.records[entry.ID] = &viewRecord{Entry: entry, listed: true, listedSince: now}
+		v.records[endpoint.ID] = &viewRecord{Endpoint: endpoint, listed: true, listedSince: now}
 		v.changed = true
 		return
 	}
@@ -117,32 +117,32 @@
 		record.listed = true
 		record.listedSince = now
 		v.changed = true
-		if entry.BootTime <= record.BootTime {
-			entry.BootTime = now // the list reports no restart, but the engine's cache may be gone all the same
+		if endpoint.BootTime <= record.BootTime {
+			endpoint.BootTime = now // the list reports no restart, but the engine's cache may be gone all the same
 		}
-	case entry.Address != record.Address || entry.Kind != record.Kind:
+	case endpoint.Address != record.Address || endpoint.Kind != record.Kind:
 		v.addNote("engine %s was %s, kind %d, and is %s, kind %d: it counts as restarted",
-			entry.ID, record.Address, record.Kind, entry.Address, entry.Kind)
-		if entry.BootTime <= record.BootTime {
-			entry.BootTime = now
+			endpoint.ID, record.Address, record.Kind, endpoint.Address, endpoint.Kind)
+		if endpoint.BootTime <= record.BootTime {
+			endpoint.BootTime = now
 		}
 	default:
-		entry.BootTime = max(entry.BootTime, record.BootTime) // an earlier start time comes from an older report
+		endpoint.BootTime = max(endpoint.BootTime, record.BootTime) // an earlier start time comes from an older report
 	}
 	record.missingSince = 0
 	record.missingLists = 0
-	if record.Entry != entry {
-		record.Entry = entry
+	if record.Endpoint != endpoint {
+		record.Endpoint = endpoint
 		v.changed = true
 	}
 }
 
 // applyMissing removes the engines that a list lacks, or records that their removal needs confirmation. A repeated list
 // confirms nothing.
-func (v *View) applyMissing(now float64, entries []Entry, repeated bool) {
+func (v *View) applyMissing(now float64, listed []Endpoint, repeated bool) {
 	named := map[string]bool{}
-	for _, entry := range entries {
-		named[entry.ID] = true
+	for _, endpoint := range listed {
+		named[endpoint.ID] = true
 	}
 	unconfirmedRoles := v.rolesToConfirm(named)
 	for _, id := range sortedIDs(v.records) {
@@ -208,11 +208,11 @@
 		if !record.listed {
 			continue
 		}
-		entry := record.Entry
+		endpoint := record.Endpoint
 		if v.isFlapping(now, record) {
-			entry.State = Draining
+			endpoint.State = Draining
 		}
-		snapshot.Entries = append(snapshot.Entries, entry)
+		snapshot.Endpoints = append(snapshot.Endpoints, endpoint)
 	}
 	return snapshot
 }
--- a/internal/decide/endpoints/view_property_test.go
+++ b/internal/decide/endpoints/view_property_test.go
@@ -15,11 +15,11 @@
 }
 
 // drawList draws a list of up to five engines, some of them listed twice.
-func (m *viewMachine) drawList(t *rapid.T, label string) []Entry {
-	var entries []Entry
+func (m *viewMachine) drawList(t *rapid.T, label string) []Endpoint {
+	var endpoints []Endpoint
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
 		for range rapid.SampledFrom([]int{0, 1, 1, 1, 1, 2}).Draw(t, label+id) {
-			entries = append(entries, Entry{
+			endpoints = append(endpoints, Endpoint{
 				ID:       id,
 				Address:  rapid.SampledFrom([]string{"p", "q"}).Draw(t, "address"),
 				Kind:     rapid.IntRange(0, 1).Draw(t, "kind"),
@@ -28,7 +28,7 @@
 			})
 		}
 	}
-	return entries
+	return endpoints
 }
 
 // step applies one random event.
@@ -40,7 +40,7 @@
 	switch rapid.IntRange(0, 5).Draw(t, "what") {
 	case 0, 1, 2: // a new list
 		m.lastIndex++
-		m.lists = append(m.lists, List{Index: m.lastIndex, Entries: m.drawList(t, "new")})
+		m.lists = append(m.lists, List{Index: m.lastIndex, Endpoints: m.drawList(t, "new")})
 		m.view.Apply(m.now, m.lists[len(m.lists)-1])
 	case 3: // an older or repeated list
 		if len(m.lists) > 0 {
@@ -67,20 +67,20 @@
 
 func (m *viewMachine) checkUnique(t *rapid.T) {
 	seen := map[string]bool{}
-	for _, entry := range m.view.Snapshot(m.now).Entries {
-		if seen[entry.ID] {
-			t.Fatalf("%s is listed twice", entry.ID)
+	for _, endpoint := range m.view.Snapshot(m.now).Endpoints {
+		if seen[endpoint.ID] {
+			t.Fatalf("%s is listed twice", endpoint.ID)
 		}
-		seen[entry.ID] = true
+		seen[endpoint.ID] = true
 	}
 }
 
 // checkDraining checks, right after a list was applied, that no draining engine gets new work.
-func (m *viewMachine) checkDraining(t *rapid.T, list []Entry) {
+func (m *viewMachine) checkDraining(t *rapid.T, list []Endpoint) {
 	for _, listed := range list {
-		for _, entry := range m.view.Snapshot(m.now).Entries {
-			unambiguous := len(entriesOf(list, listed.ID)) == 1
-			if entry.ID == listed.ID && unambiguous && listed.State == Draining && entry.State != Draining {
+		for _, endpoint := range m.view.Snapshot(m.now).Endpoints {
+			unambiguous := len(endpointsOf(list, listed.ID)) == 1
+			if endpoint.ID == listed.ID && unambiguous && listed.State == Draining && endpoint.State != Draining {
 				t.Fatalf("%s drains and is ready in the snapshot", listed.ID)
 			}
 		}
@@ -100,25 +100,25 @@
 }
 
 // checkEquals checks that the snapshot holds what a list does.
-func (m *viewMachine) checkEquals(t *rapid.T, list []Entry) {
+func (m *viewMachine) checkEquals(t *rapid.T, list []Endpoint) {
 	want := map[string]bool{}
-	for _, entry := range list {
-		want[entry.ID] = true
+	for _, endpoint := range list {
+		want[endpoint.ID] = true
 	}
-	got := m.view.Snapshot(m.now).Entries
+	got := m.view.Snapshot(m.now).Endpoints
 	if len(got) != len(want) {
 		t.Fatalf("snapshot %v, listed %v", got, list)
 	}
-	for _, entry := range got {
-		listed := entriesOf(list, entry.ID)
+	for _, endpoint := range got {
+		listed := endpointsOf(list, endpoint.ID)
 		if len(listed) == 0 {
-			t.Fatalf("snapshot %+v, not listed", entry)
+			t.Fatalf("snapshot %+v, not listed", endpoint)
 		}
 		if len(listed) > 1 {
 			continue
 		}
-		if want := listed[0]; entry.State != want.State || entry.Address != want.Address || entry.BootTime < want.BootTime {
-			t.Fatalf("snapshot %+v, listed %+v", entry, want)
+		if want := listed[0]; endpoint.State != want.State || endpoint.Address != want.Address || endpoint.BootTime < want.BootTime {
+			t.Fatalf("snapshot %+v, listed %+v", endpoint, want)
 		}
 	}
 }
@@ -133,14 +133,14 @@
 		}
 		final := m.drawList(t, "final")
 		m.lastIndex++
-		m.view.Apply(m.now, List{Index: m.lastIndex, Entries: final})
+		m.view.Apply(m.now, List{Index: m.lastIndex, Endpoints: final})
 		m.checkDraining(t, final)
 		m.settle()
 		m.checkEquals(t, final)
 	})
 }
 
-func entriesOf(es []Entry, id string) (out []Entry) {
+func endpointsOf(es []Endpoint, id string) (out []Endpoint) {
 	for _, e := range es {
 		if e.ID == id {
 			out = append(out, e)
--- a/internal/decide/endpoints/view_test.go
+++ b/internal/decide/endpoints/view_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-func entry(id string, role int) Entry {
-	return Entry{ID: id, Address: "a:" + id, Kind: role, Role: role, Weight: 1}
+func endpoint(id string, role int) Endpoint {
+	return Endpoint{ID: id, Address: "a:" + id, Kind: role, Role: role, Weight: 1}
 }
 
 // snapshotIDs returns the ids of a snapshot; draining engines carry a mark.
 func snapshotIDs(view *View, now float64) string {
 	s := ""
-	for _, e := range view.Snapshot(now).Entries {
+	for _, e := range view.Snapshot(now).Endpoints {
 		s += e.ID
 		if e.State == Draining {
 			s += "*"
@@ -19,8 +19,8 @@
 	return s
 }
 
-func fiveEntries() []Entry {
-	return []Entry{entry("a", 0), entry("b", 0), entry("c", 0), entry("d", 0), entry("x", 1)}
+func fiveEndpoints() []Endpoint {
+	return []Endpoint{endpoint("a", 0), endpoint("b", 0), endpoint("c", 0), endpoint("d", 0), endpoint("x", 1)}
 }
 
 func expectSnapshot(t *testing.T, view *View, now float64, want string) {
@@ -32,20 +32,20 @@
 
 func TestEmptyListNeedsConfirmation(t *testing.T) {
 	view := NewView(DefaultOptions)
-	view.Apply(1, List{Index: 1, Entries: fiveEntries()})
-	view.Apply(2, List{Index: 2, Entries: nil})
+	view.Apply(1, List{Index: 1, Endpoints: fiveEndpoints()})
+	view.Apply(2, List{Index: 2, Endpoints: nil})
 	expectSnapshot(t, view, 2, "a b c d ") // a single engine of a role is removed without confirmation
-	view.Apply(2.5, List{Index: 3, Entries: fiveEntries()})
+	view.Apply(2.5, List{Index: 3, Endpoints: fiveEndpoints()})
 	expectSnapshot(t, view, 2.5, "a b c d x ")
-	view.Apply(3, List{Index: 4, Entries: nil})
-	view.Apply(3.1, List{Index: 5, Entries: nil})
+	view.Apply(3, List{Index: 4, Endpoints: nil})
+	view.Apply(3.1, List{Index: 5, Endpoints: nil})
 	expectSnapshot(t, view, 3.1, "")
 }
 
 func TestLargeRemovalIsConfirmedByTime(t *testing.T) {
 	view := NewView(DefaultOptions)
-	view.Apply(1, List{Index: 1, Entries: fiveEntries()})
-	view.Apply(2, List{Index: 2, Entries: fiveEntries()[4:]})
+	view.Apply(1, List{Index: 1, Endpoints: fiveEndpoints()})
+	view.Apply(2, List{Index: 2, Endpoints: fiveEndpoints()[4:]})
 	at, ok := view.Next()
 	if !ok || at != 4 {
 		t.Fatal(at, ok)
@@ -59,72 +59,72 @@
 // A list that is sent twice, as by a blocking query whose wait ends, is no second list.
 func TestRepeatedListConfirmsNothing(t *testing.T) {
 	view := NewView(DefaultOptions)
-	view.Apply(1, List{Index: 1, Entries: fiveEntries()})
-	view.Apply(2, List{Index: 2, Entries: nil})
-	view.Apply(2.1, List{Index: 2, Entries: nil})
+	view.Apply(1, List{Index: 1, Endpoints: fiveEndpoints()})
+	view.Apply(2, List{Index: 2, Endpoints: nil})
+	view.Apply(2.1, List{Index: 2, Endpoints: nil})
 	expectSnapshot(t, view, 2.1, "a b c d ")
 }
 
 func TestSmallRemovalAppliesAtOnce(t *testing.T) {
 	view := NewView(DefaultOptions)
-	view.Apply(1, List{Index: 1, Entries: fiveEntries()})
-	view.Apply(2, List{Index: 2, Entries: []Entry{entry("a", 0), entry("b", 0), entry("x", 1)}})
+	view.Apply(1, List{Index: 1, Endpoints: fiveEndpoints()})
+	view.Apply(2, List{Index: 2, Endpoints: []Endpoint{endpoint("a", 0), endpoint("b", 0), endpoint("x", 1)}})
 	expectSnapshot(t, view, 2, "a b x ")
 }
 
 func TestListWithOlderIndexIsRejected(t *testing.T) {
 	view := NewView(DefaultOptions)
-	view.Apply(1, List{Index: 7, Entries: fiveEntries()[:2]})
-	if view.Apply(2, List{Index: 6, Entries: fiveEntries()}) || len(view.Notes()) != 1 {
+	view.Apply(1, List{Index: 7, Endpoints: fiveEndpoints()[:2]})
+	if view.Apply(2, List{Index: 6, Endpoints: fiveEndpoints()}) || len(view.Notes()) != 1 {
 		t.Fatal("an older list is applied")
 	}
 	view.IndexReset()
-	view.Apply(3, List{Index: 2, Entries: fiveEntries()})
+	view.Apply(3, List{Index: 2, Endpoints: fiveEndpoints()})
 	expectSnapshot(t, view, 3, "a b c d x ")
 }
 
 func TestEngineWithNewAddressOrRoleStartsAnew(t *testing.T) {
 	view := NewView(DefaultOptions)
-	view.Apply(1, List{Index: 1, Entries: fiveEntries()})
-	moved := fiveEntries()
+	view.Apply(1, List{Index: 1, Endpoints: fiveEndpoints()})
+	moved := fiveEndpoints()
 	moved[0].Address, moved[1].Kind, moved[1].Role = "elsewhere:1", 1, 1
-	view.Apply(5, List{Index: 2, Entries: moved})
-	for _, e := range view.Snapshot(5).Entries {
+	view.Apply(5, List{Index: 2, Endpoints: moved})
+	for _, e := range view.Snapshot(5).Endpoints {
 		if restarted := e.BootTime == 5; restarted != (e.ID == "a" || e.ID == "b") {
 			t.Fatalf("%+v", e)
 		}
 	}
 	moved[0].BootTime = 9 // a reported start counts
-	view.Apply(9.5, List{Index: 3, Entries: moved})
-	if e := view.Snapshot(9.5).Entries[0]; e.BootTime != 9 {
+	view.Apply(9.5, List{Index: 3, Endpoints: moved})
+	if e := view.Snapshot(9.5).Endpoints[0]; e.BootTime != 9 {
 		t.Fatalf("%+v", e)
 	}
 }
 
 func TestDuplicateEngineDrains(t *testing.T) {
 	view := NewView(DefaultOptions)
-	twin := entry("a", 0)
+	twin := endpoint("a", 0)
 	twin.Address = "b:other"
-	view.Apply(1, List{Index: 1, Entries: append(fiveEntries(), twin)})
+	view.Apply(1, List{Index: 1, Endpoints: append(fiveEndpoints(), twin)})
 	expectSnapshot(t, view, 1, "a* b c d x ")
 	twin.BootTime = 3 // now one of them is the newer one
-	view.Apply(4, List{Index: 2, Entries: append(fiveEntries(), twin)})
+	view.Apply(4, List{Index: 2, Endpoints: append(fiveEndpoints(), twin)})
 	expectSnapshot(t, view, 4, "a b c d x ")
 }
 
 func TestFlappingEngineDrainsUntilStable(t *testing.T) {
 	view := NewView(DefaultOptions)
 	now, index := 1.0, uint64(1)
-	apply := func(entries []Entry) {
-		view.Apply(now, List{Index: index, Entries: entries})
+	apply := func(endpoints []Endpoint) {
+		view.Apply(now, List{Index: index, Endpoints: endpoints})
 		index++
 		now++
 	}
 	for range 3 {
-		apply(fiveEntries())
-		apply(fiveEntries()[1:])
+		apply(fiveEndpoints())
+		apply(fiveEndpoints()[1:])
 	}
-	apply(fiveEntries())
+	apply(fiveEndpoints())
 	expectSnapshot(t, view, now, "a* b c d x ")
 	at, ok := view.Next()
 	if !ok || !view.Tick(at) {
@@ -135,11 +135,11 @@
 
 func TestSavedListIsUsedUntilSourceResponds(t *testing.T) {
 	view := NewView(DefaultOptions)
-	view.Restore(1, fiveEntries())
-	if snapshot := view.Snapshot(1); !snapshot.Saved || len(snapshot.Entries) != 5 {
+	view.Restore(1, fiveEndpoints())
+	if snapshot := view.Snapshot(1); !snapshot.Saved || len(snapshot.Endpoints) != 5 {
 		t.Fatalf("%+v", snapshot)
 	}
-	view.Apply(2, List{Index: 1, Entries: fiveEntries()[1:]})
+	view.Apply(2, List{Index: 1, Endpoints: fiveEndpoints()[1:]})
 	if view.Snapshot(2).Saved {
 		t.Fatal("still marked as saved")
 	}
--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -149,9 +149,9 @@
 	if err != nil || index == 0 {
 		return list, fmt.Errorf("%s is %q", consulIndexHeader, header)
 	}
-	entries, err := s.parser.ParseConsul(body)
+	listed, err := s.parser.ParseConsul(body)
 	if err != nil {
 		return list, fmt.Errorf("invalid list:\n%w", err)
 	}
-	return endpoints.List{Index: index, Entries: entries}, nil
+	return endpoints.List{Index: index, Endpoints: listed}, nil
 }
--- a/internal/discovery/consul_parser.go
+++ b/internal/discovery/consul_parser.go
@@ -29,34 +29,34 @@
 
 // ParseConsul reads a response of the health endpoint. Kind, cell, zone, state and start time are in Service.Meta under the
 // names of the list file; an instance with a critical check gets no new work.
-func (p *Parser) ParseConsul(text []byte) ([]endpoints.Entry, error) {
+func (p *Parser) ParseConsul(text []byte) ([]endpoints.Endpoint, error) {
 	var instances []consulInstance
 	if err := json.Unmarshal(text, &instances); err != nil {
 		return nil, config.Problems{{Pointer: "", Text: "not a list of instances: " + err.Error()}}
 	}
 	var problems config.Problems
-	entries := []endpoints.Entry{}
+	parsed := []endpoints.Endpoint{}
 	for i, instance := range instances {
-		listed, problem := instance.entry()
+		listed, problem := instance.engine()
 		if problem != nil {
 			problems = appendProblems(problems, fmt.Sprintf("/%d", i), config.Problems{*problem})
 			continue
 		}
-		entry, found := p.entry(listed)
+		endpoint, found := p.endpoint(listed)
 		problems = appendProblems(problems, fmt.Sprintf("/%d/Service/Meta", i), found)
-		entries = append(entries, entry)
+		parsed = append(parsed, endpoint)
 	}
 	if len(problems) > 0 {
 		return nil, problems
 	}
 	for i, instance := range instances {
-		entries[i].Cell = p.cellNumber(instance.Service.Meta["cell"])
+		parsed[i].Cell = p.cellNumber(instance.Service.Meta["cell"])
 	}
-	return entries, nil
+	return parsed, nil
 }
 
-// entry turns an instance into the entry of a list file.
-func (x *consulInstance) entry() (Entry, *config.Problem) {
+// listedEngine turns an instance into an engine of a list file.
+func (x *consulInstance) engine() (ListedEngine, *config.Problem) {
 	meta := x.Service.Meta
 	address := x.Service.Address
 	if address == "" {
@@ -64,11 +64,11 @@
 	}
 	switch {
 	case x.Service.ID == "":
-		return Entry{}, &config.Problem{Pointer: "/Service/ID", Text: "is missing"}
+		return ListedEngine{}, &config.Problem{Pointer: "/Service/ID", Text: "is missing"}
 	case address == "" || x.Service.Port < 1 || x.Service.Port > maxPort:
-		return Entry{}, &config.Problem{Pointer: "/Service", Text: "has no usable address and port"}
+		return ListedEngine{}, &config.Problem{Pointer: "/Service", Text: "has no usable address and port"}
 	}
-	entry := Entry{
+	engine := ListedEngine{
 		ID:      x.Service.ID,
 		Address: fmt.Sprintf("%s:%d", address, x.Service.Port),
 		Kind:    meta["kind"],
@@ -79,17 +79,17 @@
 	if text := meta["boot_time"]; text != "" {
 		bootTime, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(bootTime >= 0) { // the comparison is false for a NaN too
-			return Entry{}, &config.Problem{Pointer: "/Service/Meta/boot_time", Text: fmt.Sprintf("%q is not a time", text)}
+			return ListedEngine{}, &config.Problem{Pointer: "/Service/Meta/boot_time", Text: fmt.Sprintf("%q is not a time", text)}
 		}
-		entry.BootTime = bootTime
+		engine.BootTime = bootTime
 	}
 	if weight := float64(x.Service.Weights.Passing); weight > 0 {
-		entry.Weight = &weight
+		engine.Weight = &weight
 	}
 	if x.critical() {
-		entry.State = stateDraining
+		engine.State = stateDraining
 	}
-	return entry, nil
+	return engine, nil
 }
 
 // critical tells whether a check of the instance has failed.
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -81,13 +81,13 @@
 	if s.lastText != nil && bytes.Equal(text, s.lastText) {
 		return list, false, nil
 	}
-	entries, err := s.parser.ParseFile(text)
+	listed, err := s.parser.ParseFile(text)
 	if err != nil {
 		return list, false, fmt.Errorf("%s:\n%w", s.path, err)
 	}
 	s.lastText = text
 	s.lastInfo = info
-	return endpoints.List{Entries: entries}, true, nil
+	return endpoints.List{Endpoints: listed}, true, nil
 }
 
 // unchanged tells whether a file is the one that was last read, with the same time and size.
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -88,7 +88,7 @@
 	}
 	file := &fileSource{path: engines.File, interval: seconds(engines.Poll), parser: f.parser}
 	list, _, err := file.read()
-	if err != nil && len(f.view.Snapshot(0).Entries) == 0 {
+	if err != nil && len(f.view.Snapshot(0).Endpoints) == 0 {
 		return err
 	}
 	f.source = file
@@ -180,7 +180,7 @@
 	if f.saver == nil || snapshot.Saved {
 		return
 	}
-	text, err := f.parser.encode(snapshot.Entries)
+	text, err := f.parser.encode(snapshot.Endpoints)
 	if err != nil {
 		f.options.OnProblem("endpoint list not saved: " + err.Error())
 		return
@@ -191,20 +191,20 @@
 // endpointList turns a snapshot into the host's form.
 func (f *Follower) endpointList(now float64, snapshot endpoints.Snapshot) protocol.EndpointList {
 	list := protocol.EndpointList{Form: scheduler.UpdateComplete, Addresses: map[string]string{}, Saved: snapshot.Saved}
-	for _, entry := range snapshot.Entries {
+	for _, endpoint := range snapshot.Endpoints {
 		engine := scheduler.Engine{
-			ID:       entry.ID,
-			Kind:     entry.Kind,
-			Cell:     entry.Cell,
-			Zone:     entry.Zone,
-			Weight:   entry.Weight,
-			BootTime: f.startTimes.LocalTime(entry.ID, entry.BootTime, now, f.options.Clock.Wall(), f.lastResponse),
+			ID:       endpoint.ID,
+			Kind:     endpoint.Kind,
+			Cell:     endpoint.Cell,
+			Zone:     endpoint.Zone,
+			Weight:   endpoint.Weight,
+			BootTime: f.startTimes.LocalTime(endpoint.ID, endpoint.BootTime, now, f.options.Clock.Wall(), f.lastResponse),
 		}
-		if entry.State == endpoints.Draining {
+		if endpoint.State == endpoints.Draining {
 			engine.State = scheduler.EngineDraining
 		}
 		list.Engines = append(list.Engines, engine)
-		list.Addresses[entry.ID] = entry.Address
+		list.Addresses[endpoint.ID] = endpoint.Address
 	}
 	f.startTimes.Retain(list.Addresses, now)
 	return list
--- a/internal/discovery/parser.go
+++ b/internal/discovery/parser.go
@@ -15,8 +15,8 @@
 	"dillroute/internal/decide/endpoints"
 )
 
-// Entry is one engine of a list file; api/list.schema.json describes it.
-type Entry struct {
+// ListedEngine is one engine of a list file; api/list.schema.json describes it.
+type ListedEngine struct {
 	ID       string   `json:"id"`
 	Address  string   `json:"address"`
 	Kind     string   `json:"kind"`
@@ -27,42 +27,42 @@
 	BootTime float64  `json:"boot_time,omitempty"`
 }
 
-// stateDraining is the state of an entry that gets no new work; all other states of the schema are ready.
+// stateDraining is the state of an engine that gets no new work; all other states of the schema are ready.
 const stateDraining = "draining"
 
-// File is a list file.
-type File struct {
-	Engines []Entry `json:"engines"`
+// ListFile is a list file.
+type ListFile struct {
+	Engines []ListedEngine `json:"engines"`
 }
 
 var schema = config.MustSchema(api.ListSchema)
 
-// Parser turns lists into endpoint entries. Cells are numbered in the order in which lists name them, and keep their number.
+// Parser turns lists into endpoints. Cells are numbered in the order in which lists name them, and keep their number.
 type Parser struct {
 	Config *config.Config
 	cells  map[string]int
 }
 
-// ParseFile reads a complete list file. It returns all problems of the file at once, and then no entries.
-func (p *Parser) ParseFile(text []byte) ([]endpoints.Entry, error) {
-	var file File
+// ParseFile reads a complete list file. It returns all problems of the file at once, and then no endpoints.
+func (p *Parser) ParseFile(text []byte) ([]endpoints.Endpoint, error) {
+	var file ListFile
 	if err := schema.Decode(text, &file); err != nil {
 		return nil, err
 	}
 	var problems config.Problems
-	entries := []endpoints.Entry{}
+	parsed := []endpoints.Endpoint{}
 	for i, listed := range file.Engines {
-		entry, found := p.entry(listed)
+		endpoint, found := p.endpoint(listed)
 		problems = appendProblems(problems, fmt.Sprintf("/engines/%d", i), found)
-		entries = append(entries, entry)
+		parsed = append(parsed, endpoint)
 	}
 	if len(problems) > 0 {
 		return nil, problems
 	}
 	for i, listed := range file.Engines {
-		entries[i].Cell = p.cellNumber(listed.Cell)
+		parsed[i].Cell = p.cellNumber(listed.Cell)
 	}
-	return entries, nil
+	return parsed, nil
 }
 
 // appendProblems adds the problems of one engine, whose pointers are relative to the prefix.
@@ -73,8 +73,8 @@
 	return problems
 }
 
-// entry reads one engine. The caller numbers its cell, once the whole list is known to be valid.
-func (p *Parser) entry(listed Entry) (endpoints.Entry, config.Problems) {
+// endpoint reads one engine. The caller numbers its cell, once the whole list is known to be valid.
+func (p *Parser) endpoint(listed ListedEngine) (endpoints.Endpoint, config.Problems) {
 	var problems config.Problems
 	kind, ok := p.Config.KindIndex(listed.Kind)
 	if !ok {
@@ -84,7 +84,7 @@
 	if !ok {
 		problems = append(problems, config.Problem{Pointer: "/zone", Text: fmt.Sprintf("%q is not one of the node's zones", listed.Zone)})
 	}
-	entry := endpoints.Entry{
+	endpoint := endpoints.Endpoint{
 		ID:       listed.ID,
 		Address:  listed.Address,
 		Kind:     kind,
@@ -93,15 +93,15 @@
 		BootTime: listed.BootTime,
 	}
 	if len(problems) == 0 {
-		entry.Role = int(p.Config.Scheduler().Kinds[kind].Role)
+		endpoint.Role = int(p.Config.Scheduler().Kinds[kind].Role)
 	}
 	if listed.Weight != nil {
-		entry.Weight = *listed.Weight
+		endpoint.Weight = *listed.Weight
 	}
 	if listed.State == stateDraining {
-		entry.State = endpoints.Draining
+		endpoint.State = endpoints.Draining
 	}
-	return entry, problems
+	return endpoint, problems
 }
 
 // zoneNumber returns the number of a zone of the node; no name means the first one.
@@ -136,23 +136,23 @@
 	return ""
 }
 
-// encode returns the list file that ParseFile reads as these entries.
-func (p *Parser) encode(entries []endpoints.Entry) ([]byte, error) {
-	file := File{Engines: []Entry{}}
-	for _, entry := range entries {
-		weight := entry.Weight
-		listed := Entry{
-			ID:       entry.ID,
-			Address:  entry.Address,
-			Kind:     p.Config.Kinds[entry.Kind].Name,
-			Cell:     p.cellName(entry.Cell),
+// encode returns the list file that ParseFile reads as these endpoints.
+func (p *Parser) encode(parsed []endpoints.Endpoint) ([]byte, error) {
+	file := ListFile{Engines: []ListedEngine{}}
+	for _, endpoint := range parsed {
+		weight := endpoint.Weight
+		listed := ListedEngine{
+			ID:       endpoint.ID,
+			Address:  endpoint.Address,
+			Kind:     p.Config.Kinds[endpoint.Kind].Name,
+			Cell:     p.cellName(endpoint.Cell),
 			Weight:   &weight,
-			BootTime: entry.BootTime,
+			BootTime: endpoint.BootTime,
 		}
-		if entry.Zone < len(p.Config.Zones) {
-			listed.Zone = p.Config.Zones[entry.Zone]
+		if endpoint.Zone < len(p.Config.Zones) {
+			listed.Zone = p.Config.Zones[endpoint.Zone]
 		}
-		if entry.State == endpoints.Draining {
+		if endpoint.State == endpoints.Draining {
 			listed.State = stateDraining
 		}
 		file.Engines = append(file.Engines, listed)
--- a/internal/discovery/parser_test.go
+++ b/internal/discovery/parser_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []endpoints.Entry{{ID: "b", Address: "127.0.0.1:2", Kind: 1, Role: 1, Zone: 1, State: endpoints.Draining},
+	want := []endpoints.Endpoint{{ID: "b", Address: "127.0.0.1:2", Kind: 1, Role: 1, Zone: 1, State: endpoints.Draining},
 		{ID: "a", Address: "127.0.0.1:1", Cell: 1, Weight: 1, BootTime: 7}}
 	if len(l) != 2 || l[0] != want[0] || l[1] != want[1] {
 		t.Fatalf("%+v", l)
--- a/internal/discovery/saved.go
+++ b/internal/discovery/saved.go
@@ -127,7 +127,7 @@
 		return
 	}
 	removePartialFiles(filepath.Dir(path))
-	entries, err := readSavedList(path, f.parser)
+	listed, err := readSavedList(path, f.parser)
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
@@ -136,12 +136,12 @@
 		return
 	}
 	now := f.options.Clock.Now()
-	f.view.Restore(now, entries)
+	f.view.Restore(now, listed)
 	f.publish(now)
 }
 
 // readSavedList reads a saved list, again for a while where it cannot be read for a transient reason.
-func readSavedList(path string, parser *Parser) ([]endpoints.Entry, error) {
+func readSavedList(path string, parser *Parser) ([]endpoints.Endpoint, error) {
 	var text []byte
 	err := service.RetryTransient(restoreTimeout, func() (err error) {
 		text, err = os.ReadFile(path)
--- a/internal/relay/discovery_list.go
+++ b/internal/relay/discovery_list.go
@@ -26,13 +26,13 @@
 
 // listResponse is a list in discovery's form.
 type listResponse struct {
-	Version int64       `json:"version"`
-	Full    bool        `json:"full"` // false = it holds the changes since the version that was asked for
-	Servers []listEntry `json:"servers"`
+	Version int64          `json:"version"`
+	Full    bool           `json:"full"` // false = it holds the changes since the version that was asked for
+	Servers []listedServer `json:"servers"`
 }
 
-// listEntry is one engine of a listResponse.
-type listEntry struct {
+// listedServer is one engine of a listResponse.
+type listedServer struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
 	Zone    string  `json:"zone"`
@@ -52,7 +52,7 @@
 	return &list, nil
 }
 
-// readList reads the list of a response. One entry that cannot be used makes the whole list unusable.
+// readList reads the list of a response. One server that cannot be used makes the whole list unusable.
 func readList(body []byte) (*listResponse, error) {
 	list, err := unmarshalList(body)
 	if err != nil {
@@ -61,16 +61,16 @@
 	if list.Version < 0 {
 		return nil, fmt.Errorf("relay: list: version %d", list.Version)
 	}
-	for i, entry := range list.Servers {
-		if !entry.valid() {
-			return nil, fmt.Errorf("relay: list: servers[%d] has no id, or the state %q", i, clip(entry.State))
+	for i, server := range list.Servers {
+		if !server.valid() {
+			return nil, fmt.Errorf("relay: list: servers[%d] has no id, or the state %q", i, clip(server.State))
 		}
 	}
 	return list, nil
 }
 
-// valid tells whether an entry names its engine and a known state.
-func (e *listEntry) valid() bool {
+// valid tells whether a server names its engine and a known state.
+func (e *listedServer) valid() bool {
 	if e.ID == "" {
 		return false
 	}
@@ -92,28 +92,28 @@
 // updates translates a list. An engine of a kind that the settings lack is left out, unless it was removed.
 func (d listDecoder) updates(list *listResponse) []endpoints.Update {
 	var updates []endpoints.Update
-	for _, entry := range list.Servers {
-		kind, known := d.kinds[entry.Kind]
-		if !known && entry.State != stateRemoved {
-			d.log.Warn("endpoint rejected", "reason", "unknown kind", "engine", entry.ID, "kind", clip(entry.Kind))
+	for _, server := range list.Servers {
+		kind, known := d.kinds[server.Kind]
+		if !known && server.State != stateRemoved {
+			d.log.Warn("endpoint rejected", "reason", "unknown kind", "engine", server.ID, "kind", clip(server.Kind))
 			continue
 		}
 		update := endpoints.Update{
-			Removed: entry.State == stateRemoved,
-			Entry: endpoints.Entry{
-				ID:       entry.ID,
-				Address:  entry.Addr,
+			Removed: server.State == stateRemoved,
+			Endpoint: endpoints.Endpoint{
+				ID:       server.ID,
+				Address:  server.Addr,
 				Kind:     kind,
-				Cell:     entry.Cell,
-				Zone:     d.zones[entry.Zone],
-				Weight:   entry.Weight,
-				BootTime: entry.Started / millisecondsPerSecond,
+				Cell:     server.Cell,
+				Zone:     d.zones[server.Zone],
+				Weight:   server.Weight,
+				BootTime: server.Started / millisecondsPerSecond,
 			},
 		}
 		if known {
 			update.Role = int(d.roles[kind].Role)
 		}
-		if entry.State == stateDraining {
+		if server.State == stateDraining {
 			update.State = endpoints.Draining
 		}
 		updates = append(updates, update)
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -349,8 +349,8 @@
 	}
 	c := &call{}
 	d.watch.addConn(c, conn)
-	drained := listEntry{ID: "e0", Addr: "127.0.0.1:9", Zone: "z", Kind: "read", Cell: 1, State: "draining", Weight: 1}
-	d.watch.results <- callResult{call: c, conn: conn, response: &listResponse{Version: 2, Servers: []listEntry{drained}}}
+	drained := listedServer{ID: "e0", Addr: "127.0.0.1:9", Zone: "z", Kind: "read", Cell: 1, State: "draining", Weight: 1}
+	d.watch.results <- callResult{call: c, conn: conn, response: &listResponse{Version: 2, Servers: []listedServer{drained}}}
 	waitUntil(t, "the drain", time.Second, func() bool { return times.drained.Load() > 0 })
 	waitUntil(t, "the close", time.Second, func() bool {
 		d.watch.mu.Lock()
@@ -370,12 +370,12 @@
 		}
 	}))
 	stamp := func(age float64) float64 { return (d.clock.Now() - ahead - age) * 1000 }
-	up := func(id string, started float64) listEntry {
-		return listEntry{ID: id, Addr: "127.0.0.1:9", Zone: "z", Kind: "read", State: "up", Weight: 1, Started: started}
+	up := func(id string, started float64) listedServer {
+		return listedServer{ID: id, Addr: "127.0.0.1:9", Zone: "z", Kind: "read", State: "up", Weight: 1, Started: started}
 	}
-	d.apply(&listResponse{Version: 1, Full: true, Servers: []listEntry{up("e0", 0), up("e1", stamp(500))}}, false)
-	d.apply(&listResponse{Version: 2, Servers: []listEntry{up("e2", stamp(1))}}, false)
-	d.apply(&listResponse{Version: 3, Servers: []listEntry{up("e1", stamp(0.5))}}, false)
+	d.apply(&listResponse{Version: 1, Full: true, Servers: []listedServer{up("e0", 0), up("e1", stamp(500))}}, false)
+	d.apply(&listResponse{Version: 2, Servers: []listedServer{up("e2", stamp(1))}}, false)
+	d.apply(&listResponse{Version: 3, Servers: []listedServer{up("e1", stamp(0.5))}}, false)
 	for id, most := range map[string]float64{"e1": 1, "e2": 2} {
 		if age := d.clock.Now() - boots[id]; age < 0 || age > most {
 			t.Errorf("%s has just started, and its start is recorded as %.1f s ago", id, age)
