--- a/internal/decide/batching/batching.go
+++ b/internal/decide/batching/batching.go
@@ -1,21 +1,21 @@
-// Package batching decides how often the routing module is asked. Asking at every event would let a burst spend all of
-// the owner's time on passes that each see one event; asking seldom adds its wait to every request twice. It does no
-// I/O and reads no clock.
+// Package batching decides how often the routing module runs a decision pass. A pass at every event would let a burst spend all
+// of the event loop's time on passes that each see one event; rare passes add their interval to every request twice. It does
+// no I/O and reads no clock; times are in seconds.
 package batching
 
-// Share of the owner's time that decision passes may take.
-const share = 0.25
+// maxTimeShare is the share of the event loop's time that decision passes may take, a starting value that no page prescribes.
+const maxTimeShare = 0.25
 
-// DispatchInterval is the pace of passes. Times are in seconds.
+// DispatchInterval schedules decision passes. It is not safe for concurrent use.
 type DispatchInterval struct {
-	Tick float64 // least time between the starts of two passes
-	next float64
+	Tick     float64 // least time between the starts of two passes (s)
+	nextPass float64
 }
 
-// Done is told when a pass began and how long it took.
-func (b *DispatchInterval) Done(began, took float64) {
-	b.next = began + max(b.Tick, took/share)
+// RecordPass records when a pass started and how long it took.
+func (d *DispatchInterval) RecordPass(started, took float64) {
+	d.nextPass = started + max(d.Tick, took/maxTimeShare)
 }
 
 // Next returns the earliest time of the next pass.
-func (b *DispatchInterval) Next() float64 { return b.next }
+func (d *DispatchInterval) Next() float64 { return d.nextPass }
--- a/internal/decide/classify/classify.go
+++ b/internal/decide/classify/classify.go
@@ -94,28 +94,28 @@
 	return v != "" && (r.AnyValue || v == r.Value)
 }
 
-// Wait is how long a client waits, in seconds.
-type Wait struct {
-	First float64 // for the first token
-	Whole float64 // for the whole of an answer that is not streamed; 0 = it is
+// Timeouts is how long a client waits, in seconds.
+type Timeouts struct {
+	FirstToken       float64 // for the first token
+	CompleteResponse float64 // for the whole of an answer that is not streamed; 0 = it is
 }
 
 // ClientWait returns how long a client waits: as its class says, or less where it has told so itself (stated, 0 = not).
 // A client that asks for no stream sees nothing before the end. What it waits must hold the making of the answer too:
 // the longest at the pace aimed for, but never more than half, since most answers are shorter.
-func (t *Table) ClientWait(class, promptTokens, maxTokens int, stated float64, whole bool) Wait {
+func (t *Table) ClientWait(class, promptTokens, maxTokens int, stated float64, whole bool) Timeouts {
 	c := &t.classes[class]
-	w := Wait{First: c.ClientTimeout + c.ClientTimeoutPer1KTokens*float64(promptTokens)/1000}
+	w := Timeouts{FirstToken: c.ClientTimeout + c.ClientTimeoutPer1KTokens*float64(promptTokens)/1000}
 	making := float64(maxTokens) * c.OutputTokenObjective
 	if whole {
-		w.Whole = w.First + 2*making // twice the pace aimed for is the slowest that is worth anything
+		w.CompleteResponse = w.FirstToken + 2*making // twice the pace aimed for is the slowest that is worth anything
 		if stated > 0 {
-			w.Whole = min(w.Whole, stated)
+			w.CompleteResponse = min(w.CompleteResponse, stated)
 			stated = max(stated-making, stated/2)
 		}
 	}
 	if stated > 0 {
-		w.First = min(w.First, stated)
+		w.FirstToken = min(w.FirstToken, stated)
 	}
 	return w
 }
--- a/internal/decide/classify/classify_test.go
+++ b/internal/decide/classify/classify_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestWhoseAndOfWhichClass(t *testing.T) {
+func TestTenantClassAndTimeouts(t *testing.T) {
 	table := NewTable([]Class{{ClientTimeout: 5, ClientTimeoutPer1KTokens: 2, MaxTokens: 800, OutputTokenObjective: 0.05}, {ClientTimeout: 9}},
 		map[string]int{"roster-chat": 0, "roster-commit": 1},
 		[]Rule{{Model: "roster-c[h]at", Header: "X-Urgent", Value: "yes", Class: 1}, {Header: "X-Any", AnyValue: true, Class: 1}},
@@ -33,12 +33,12 @@
 		prompt, max int
 		stated      float64
 		whole       bool
-		want        Wait
+		want        Timeouts
 	}{
-		{1500, 100, 0, false, Wait{First: 8}}, {1500, 100, 3, false, Wait{First: 3}},
-		{0, 100, 30, false, Wait{First: 5}}, // a client cannot make the node wait longer than its class
-		{0, 100, 0, true, Wait{First: 5, Whole: 15}}, {0, 20, 4, true, Wait{First: 3, Whole: 4}},
-		{0, 100, 4, true, Wait{First: 2, Whole: 4}},
+		{1500, 100, 0, false, Timeouts{FirstToken: 8}}, {1500, 100, 3, false, Timeouts{FirstToken: 3}},
+		{0, 100, 30, false, Timeouts{FirstToken: 5}}, // a client cannot make the node wait longer than its class
+		{0, 100, 0, true, Timeouts{FirstToken: 5, CompleteResponse: 15}}, {0, 20, 4, true, Timeouts{FirstToken: 3, CompleteResponse: 4}},
+		{0, 100, 4, true, Timeouts{FirstToken: 2, CompleteResponse: 4}},
 	} {
 		if w := table.ClientWait(0, c.prompt, c.max, c.stated, c.whole); w != c.want {
 			t.Errorf("%+v: %+v", c, w)
--- a/internal/decide/classify/recent.go
+++ b/internal/decide/classify/recent_ids.go
@@ -27,8 +27,8 @@
 	return &RecentIDs{few: few, most: floodFactor * few, window: window, ids: map[string]bool{}}
 }
 
-// Take notes an id and tells whether it is new.
-func (r *RecentIDs) Take(now float64, id string) bool {
+// Add notes an id and tells whether it is new.
+func (r *RecentIDs) Add(now float64, id string) bool {
 	if r.ids[id] {
 		return false
 	}
--- a/internal/decide/classify/recent_test.go
+++ b/internal/decide/classify/recent_ids_test.go
@@ -9,7 +9,7 @@
 
 // An id is new once: for as long as fewer others than the size have come since, and within the window as long as fewer than
 // four times as many have; memory is bounded.
-func TestRecentProperty(t *testing.T) {
+func TestRecentIDsAreNewOnce(t *testing.T) {
 	type taken struct {
 		id string
 		at float64
@@ -27,7 +27,7 @@
 				since := len(all) - i - 1
 				known = known || x.id == id && (since < few || since < floodFactor*few && now <= x.at+window)
 			}
-			fresh := r.Take(now, id)
+			fresh := r.Add(now, id)
 			if known && fresh {
 				t.Fatalf("%s was taken again within its window, or as one of the last %d", id, few)
 			}
@@ -42,16 +42,16 @@
 }
 
 // What is beyond the window and not among the last is forgotten.
-func TestRecentForgets(t *testing.T) {
+func TestRecentIDsForgetOldestBeyondWindow(t *testing.T) {
 	r := NewRecentIDs(2, 10)
 	for i, id := range []string{"a", "b", "c"} {
-		r.Take(float64(i), id)
+		r.Add(float64(i), id)
 	}
-	if r.Take(5, "a") {
+	if r.Add(5, "a") {
 		t.Error("a was forgotten within its window")
 	}
-	r.Take(11.5, "d")
-	if !r.Take(11.5, "a") {
+	r.Add(11.5, "d")
+	if !r.Add(11.5, "a") {
 		t.Error("a is remembered beyond its window, three others having come since")
 	}
 }
--- a/internal/decide/connreuse/connreuse_test.go
+++ b/internal/decide/connreuse/connreuse_test.go
@@ -8,49 +8,61 @@
 	"pgregory.net/rapid"
 )
 
-func TestLossesShortenTheRest(t *testing.T) {
-	s := New(30)
-	if s.MaxIdle(0) != most {
-		t.Fatal(s.MaxIdle(0))
+func TestLossShortensMaxIdle(t *testing.T) {
+	policy := New(30)
+	if got := policy.MaxIdle(0); got != longestIdle {
+		t.Fatalf("without a loss: got %g, want %g", got, longestIdle)
 	}
-	if New(4).MaxIdle(0) != 2 {
-		t.Fatal("engines that close sooner are told of")
+	if got := New(4).MaxIdle(0); got != 2 {
+		t.Fatalf("with an idle timeout of 4 s: got %g, want 2", got)
 	}
-	s.ObserveLoss(1, 2)
-	if l := s.MaxIdle(1); l != 0.5 {
-		t.Fatal(l)
+	policy.ObserveLoss(1, 2)
+	if got := policy.MaxIdle(1); got != 0.5 {
+		t.Fatalf("after a loss at 2 s: got %g, want 0.5", got)
 	}
-	if l := s.MaxIdle(31); !(l > 0.9 && l <= most) {
-		t.Fatalf("after a while without a loss: %g", l)
+	if got := policy.MaxIdle(31); !(got > 0.9 && got <= longestIdle) {
+		t.Fatalf("30 s after a loss: got %g, want 0.9 to %g", got, longestIdle)
 	}
-	s.ObserveLoss(32, 0.01)
-	if s.MaxIdle(33) != 0 || s.MaxIdle(32+keepOff+1) == 0 {
-		t.Fatal("where all are lost none is used, for a while")
+	policy.ObserveLoss(32, 0.01)
+	if policy.MaxIdle(33) != 0 || policy.MaxIdle(32+pauseAfterLoss+1) == 0 {
+		t.Fatal("after a loss at 0.01 s reuse does not pause, or pauses for ever")
 	}
 }
 
-// Over all stories the limit stays within its bounds, and a connection that rested as long as one just lost is not used.
-func TestLimitProperty(t *testing.T) {
+// In any sequence of events the limit stays within its bounds, and a connection that was idle as long as one just lost is not reused.
+func TestMaxIdleStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, now := New(rapid.Float64Range(0, 60).Draw(t, "idle")), 0.0
+		policy := New(rapid.Float64Range(0, 60).Draw(t, "idle"))
+		now := 0.0
 		for range rapid.IntRange(0, 50).Draw(t, "n") {
 			now += rapid.Float64Range(0, 20).Draw(t, "dt")
 			if rapid.Bool().Draw(t, "lost") {
-				rested := rapid.Float64Range(0, 60).Draw(t, "rested")
-				s.ObserveLoss(now, rested)
-				if l := s.MaxIdle(now); l > 0 && l >= rested && l > least {
-					t.Fatalf("limit %g after a loss at %g", l, rested)
+				idle := rapid.Float64Range(0, 60).Draw(t, "idle before loss")
+				policy.ObserveLoss(now, idle)
+				if limit := policy.MaxIdle(now); limit > 0 && limit >= idle && limit > shortestIdle {
+					t.Fatalf("limit %g after a loss at %g", limit, idle)
 				}
 			}
-			if l := s.MaxIdle(now); l < 0 || l > s.top {
-				t.Fatal(l)
+			if limit := policy.MaxIdle(now); limit < 0 || limit > policy.upperLimit {
+				t.Fatalf("limit %g, want 0 to %g", limit, policy.upperLimit)
 			}
 		}
 	})
 }
 
-func TestWhatMustNotRunTwiceGetsANewConnection(t *testing.T) {
-	if ReuseAllowed(scheduler.AtMostOnce, false) || ReuseAllowed(scheduler.IdempotentByKey, false) || !ReuseAllowed(scheduler.AtMostOnce, true) || !ReuseAllowed(scheduler.Idempotent, false) {
-		t.Fatal("only what may be repeated, and reads, go out on kept connections")
+func TestAtMostOnceNeedsNewConnection(t *testing.T) {
+	for _, c := range []struct {
+		effect  scheduler.Effect
+		prefill bool
+		want    bool
+	}{
+		{scheduler.AtMostOnce, false, false},
+		{scheduler.IdempotentByKey, false, false},
+		{scheduler.AtMostOnce, true, true},
+		{scheduler.Idempotent, false, true},
+	} {
+		if got := ReuseAllowed(c.effect, c.prefill); got != c.want {
+			t.Errorf("effect %v, prefill %v: got %v, want %v", c.effect, c.prefill, got, c.want)
+		}
 	}
 }
--- /dev/null
+++ b/internal/decide/overload/connections.go
@@ -0,0 +1,51 @@
+package overload
+
+// Starting values for the connection limit that no page prescribes.
+const (
+	reservedDescriptors     = 32  // for listeners, logs, lists, state and a reload
+	reservedDescriptorShare = 0.1 // of all, besides, for calls that release states and for the rest of the process
+	descriptorsPerRequest   = 2   // that a request in flight holds: its client's and an engine's
+	minConnections          = 4   // below which a shortage does not reduce the limit
+	shortageShare           = 0.7 // of the open connections that a shortage leaves
+	regrowthShare           = 0.1 // of the full limit that comes back in a second without a shortage
+)
+
+// connectionLimit bounds the connections of clients. A shortage of descriptors lowers it at once; it grows again slowly.
+type connectionLimit struct {
+	maximum   int // that the settings and the descriptors allow
+	current   float64
+	grownAt   float64
+	shortages int
+}
+
+func newConnectionLimit(limits Limits) connectionLimit {
+	maximum := limits.Connections
+	if limits.Descriptors > 0 {
+		available := float64(limits.Descriptors)*(1-reservedDescriptorShare) - reservedDescriptors
+		maximum = min(maximum, max(minConnections, int(available/descriptorsPerRequest)))
+	}
+	return connectionLimit{maximum: maximum, current: float64(maximum)}
+}
+
+func (l *connectionLimit) observeShortage(now float64, open int) {
+	l.grow(now)
+	l.shortages++
+	l.current = max(minConnections, min(l.current, shortageShare*float64(open)))
+}
+
+// grow raises the limit by the time that has passed.
+func (l *connectionLimit) grow(now float64) {
+	elapsed := now - l.grownAt
+	if elapsed <= 0 {
+		return
+	}
+	maximum := float64(l.maximum)
+	l.current = min(maximum, l.current+regrowthShare*elapsed*maximum)
+	l.grownAt = now
+}
+
+// at returns the limit at a time.
+func (l *connectionLimit) at(now float64) int {
+	l.grow(now)
+	return int(l.current)
+}
--- /dev/null
+++ b/internal/decide/overload/lag.go
@@ -0,0 +1,55 @@
+package overload
+
+// The gains and the factor of the bound are those of RFC 6298 (section 2) for round-trip times.
+const (
+	lagGain          = 0.125
+	deviationGain    = 0.25
+	boundDeviations  = 4
+	lagHalfLife      = 2.0 // s after which a lag that is not observed again counts half
+	minRetryAfter    = 0.1 // s after which a rejected client may retry at the earliest
+	maxRetryAfter    = 5.0 // s after which a rejected client may retry at the latest
+	retryRandomFloor = 0.5 // lowest share of the time to recover after which a client may retry; the highest is one more
+)
+
+// lagEstimate is a moving mean and deviation of the lag.
+type lagEstimate struct {
+	mean, deviation float64 // s
+	decayedAt       float64
+}
+
+// observe adds a sample.
+func (e *lagEstimate) observe(now, lag float64) {
+	e.decay(now)
+	lag = max(0, lag)
+	difference := lag - e.mean
+	if difference < 0 {
+		difference = -difference
+	}
+	e.deviation += deviationGain * (difference - e.deviation)
+	e.mean += lagGain * (lag - e.mean)
+}
+
+// decay reduces a lag that has not been observed again.
+func (e *lagEstimate) decay(now float64) {
+	elapsed := now - e.decayedAt
+	if elapsed <= 0 {
+		return
+	}
+	remaining := lagHalfLife / (lagHalfLife + elapsed)
+	e.mean *= remaining
+	e.deviation *= remaining
+	e.decayedAt = now
+}
+
+// bound returns an upper bound for the lag of the next event.
+func (e *lagEstimate) bound(now float64) float64 {
+	e.decay(now)
+	return e.mean + boundDeviations*e.deviation
+}
+
+// retryAfter spreads the retries of rejected clients over the time that the node needs to recover from a lag, so that they
+// do not come at once.
+func retryAfter(lag, random float64) float64 {
+	recovery := min(maxRetryAfter, max(minRetryAfter, 2*lagHalfLife*min(1, lag)+2*lag))
+	return min(maxRetryAfter, recovery*(retryRandomFloor+random))
+}
--- a/internal/decide/shutdown/shutdown.go
+++ b/internal/decide/shutdown/shutdown.go
@@ -1,7 +1,7 @@
-// Package shutdown decides when a node that stops ends the streams that it still passes on, where clients come again for
-// the rest of a stream. A node that is killed cuts all of them at one moment, perhaps one at which the other nodes are
-// restarting too: whoever finds nobody then has lost its answer. Ended one by one over the time that is left, most find
-// somebody. It does no I/O and reads no clock; times are in seconds.
+// Package shutdown decides when a node that shuts down gracefully ends the streams that it still forwards, where clients come
+// again for the rest of a stream. A node that is killed ends all of them at one moment, perhaps one at which the other nodes
+// restart too, and a client that finds no node then has lost its response. Of streams that are ended one by one over the time
+// that is left, most clients find a node. It does no I/O and reads no clock; times are in seconds.
 package shutdown
 
 import (
@@ -9,42 +9,49 @@
 	"slices"
 )
 
-// Stream is an answer that runs.
+// Stream is a response that is streaming.
 type Stream struct {
 	ID        string
-	StartedAt float64 // when it began
+	StartedAt float64
 }
 
-// Cutoff is a stream and when it is ended.
+// Cutoff is a stream and when the node ends it.
 type Cutoff struct {
 	ID string
 	At float64
 }
 
-// Shares of the time that is left in which streams are ended. In a rolling restart of a few nodes the one before us may not be
-// back yet at first, and the one after us may be told to stop towards the end, so that nobody may be there for a while; where
-// there are more, somebody is, and what can end by itself should: the rest of a stream that is ended is read and made anew.
-const (
-	from, to         = 0.45, 0.9
-	fromMany, toMany = 0.85, 0.97
-	few              = 3 // nodes
+// interval is a part of the time that is left, as shares of it.
+type interval struct{ from, to float64 }
+
+var (
+	// fewNodesInterval is for a rolling restart of a few nodes: the previous node may not be back yet at first, and the next one
+	// may be told to stop towards the end, so that no node may be available for a while.
+	fewNodesInterval = interval{from: 0.45, to: 0.9}
+	// manyNodesInterval is for more nodes, of which some are always available. What can end by itself should: the rest of a
+	// stream that is ended early has to be prefilled and generated anew.
+	manyNodesInterval = interval{from: 0.85, to: 0.97}
 )
 
-// CutoffSchedule says when each stream is ended that has not ended by itself, by one of so many nodes. The youngest go first, for they
-// have most before them.
-func CutoffSchedule(now, by float64, nodes int, streams []Stream) []Cutoff {
-	left, begin, end := max(0, by-now), from, to
-	if nodes > few {
-		begin, end = fromMany, toMany
+// maxFewNodes is the largest number of nodes that fewNodesInterval is for.
+const maxFewNodes = 3
+
+// CutoffSchedule returns when one of so many nodes ends each stream that has not ended by itself by then. All are ended before
+// the deadline, the youngest first, because they have most left to send.
+func CutoffSchedule(now, deadline float64, nodes int, streams []Stream) []Cutoff {
+	timeLeft := max(0, deadline-now)
+	part := fewNodesInterval
+	if nodes > maxFewNodes {
+		part = manyNodesInterval
 	}
-	xs := slices.Clone(streams)
-	slices.SortFunc(xs, func(a, b Stream) int {
+	youngestFirst := slices.Clone(streams)
+	slices.SortFunc(youngestFirst, func(a, b Stream) int {
 		return cmp.Or(cmp.Compare(b.StartedAt, a.StartedAt), cmp.Compare(a.ID, b.ID))
 	})
-	moves := make([]Cutoff, 0, len(xs))
-	for i, s := range xs {
-		at := begin + (end-begin)*(float64(i)+0.5)/float64(len(xs))
-		moves = append(moves, Cutoff{s.ID, now + left*at})
+	cutoffs := make([]Cutoff, 0, len(youngestFirst))
+	for i, stream := range youngestFirst {
+		share := part.from + (part.to-part.from)*(float64(i)+0.5)/float64(len(youngestFirst))
+		cutoffs = append(cutoffs, Cutoff{ID: stream.ID, At: now + timeLeft*share})
 	}
-	return moves
+	return cutoffs
 }
--- a/internal/decide/staterelease/staterelease.go
+++ b/internal/decide/staterelease/staterelease.go
@@ -27,14 +27,14 @@
 )
 
 const (
-	firstWait = 0.04 // s before a call is made again,
-	growth    = 2    // times as long before each further one,
-	leftPart  = 4    // but no more than this part of the time that is left
-	mostTries = 6    // calls in all to one engine: one that hears none of them is down, and its states with it
-	lastTries = 2    // of them, which are spread over the time that is left
-
-	latePause = 0.25 // s between calls once the time is over: the state is still held, and whatever kept the calls away may end
-	lateFor   = 60.0 // s for which they are made then; by then an engine has freed what nobody took, or is gone
+	firstWait   = 0.04 // s before a call is made again,
+	growth      = 2    // times as long before each further one,
+	leftPart    = 4    // but no more than this part of the time that is left
+	maxAttempts = 6    // calls in all to one engine: one that hears none of them is down, and its states with it
+	lastTries   = 2    // of them, which are spread over the time that is left
+
+	minOverduePause  = 0.25 // s between calls once the time is over: the state is still held, and whatever kept the calls away may end
+	overdueRetryTime = 60.0 // s for which they are made then; by then an engine has freed what nobody took, or is gone
 )
 
 // Next is told what a call came to and says when to call again; again is false where there is no use. The last call
@@ -44,11 +44,11 @@
 func (p *RetrySchedule) Next(now float64, o CallResult) (at float64, again bool) {
 	p.Attempts++
 	switch {
-	case o == Acknowledged || !p.AnyEngine && p.Attempts >= mostTries:
+	case o == Acknowledged || !p.AnyEngine && p.Attempts >= maxAttempts:
 		return 0, false
 	case now >= p.Deadline:
 		p.last = now + p.pauseWhenLate(now)
-		return p.last, p.AnyEngine && p.last <= p.Deadline+lateFor
+		return p.last, p.AnyEngine && p.last <= p.Deadline+overdueRetryTime
 	}
 	if p.AnyEngine {
 		at = max(now, p.last+p.pauseForAny(now))
@@ -70,13 +70,13 @@
 
 // pauseWhenLate is the time from the end of a call to the next once the time is over: the longer that is, the longer the pause.
 func (p *RetrySchedule) pauseWhenLate(now float64) float64 {
-	return max(latePause, (now-p.Deadline)/leftPart)
+	return max(minOverduePause, (now-p.Deadline)/leftPart)
 }
 
 // pauseForOne is the time from the end of a call to the next where the same engine is asked.
 func (p *RetrySchedule) pauseForOne(now float64) float64 {
 	pause := firstWait * math.Pow(growth, float64(p.Attempts-1))
-	if left := mostTries - p.Attempts; left <= lastTries {
+	if left := maxAttempts - p.Attempts; left <= lastTries {
 		pause = max(pause, (p.Deadline-now)/float64(left))
 	}
 	return pause
@@ -113,10 +113,10 @@
 
 const crossing = 0.05 // s, a few times what an answer is under way
 
-// Lead is how long an attempt waits for a call that releases and was begun just before it (s): if the call came after what the
+// ReleaseLeadTime is how long an attempt waits for a call that releases and was begun just before it (s): if the call came after what the
 // attempt brings, it would take that too. It is a few times what a call takes on a connection that is there, and no more, for the
 // attempt's own time runs on.
-const Lead = 0.015
+const ReleaseLeadTime = 0.015
 
 // CallTimeout is how long one call may take (s). Where any engine will do the first calls are short, so that one that is silent
 // costs little of the time; else a call gets a part of the time that is left.
--- a/internal/decide/staterelease/staterelease_test.go
+++ b/internal/decide/staterelease/staterelease_test.go
@@ -8,7 +8,7 @@
 )
 
 // Calls end, never come after the time, and come at least twice where the first was lost and time is left.
-func TestCallsAreBoundedAndInTime(t *testing.T) {
+func TestReleaseCallsAreBoundedAndInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Float64Range(0, 1e9).Draw(t, "now")
 		p := RetrySchedule{Deadline: now + rapid.Float64Range(0.001, 10).Draw(t, "left")}
@@ -30,7 +30,7 @@
 				t.Fatalf("outcome %d at %.3f: again at %.3f, by %.3f", o, now, at, p.Deadline)
 			}
 			now = at
-			if calls++; calls > mostTries {
+			if calls++; calls > maxAttempts {
 				t.Fatalf("%d calls", calls)
 			}
 		}
@@ -38,7 +38,7 @@
 }
 
 // Who answered last comes before who failed last; the holder comes first among its likes; nobody is left out.
-func TestOrderOfThoseAsked(t *testing.T) {
+func TestRankEngines(t *testing.T) {
 	got := ""
 	for _, e := range RankEngines([]Engine{
 		{ID: "dead holder", Holder: true, LastSuccess: 1, LastFailure: 5},
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestCallsLeaveTimeForOthers(t *testing.T) {
+func TestCallTimeoutLeavesTimeForRetries(t *testing.T) {
 	p := RetrySchedule{Deadline: 11}
 	if w := p.CallTimeout(10); w > 0.3 {
 		t.Errorf("one call may take %g of a second", w)
@@ -74,7 +74,7 @@
 }
 
 // Where any engine will do, two that are silent use up little of even a short time to release.
-func TestSilentEnginesLeaveTimeForOthers(t *testing.T) {
+func TestSilentEnginesLeaveTimeForOtherEngines(t *testing.T) {
 	p := RetrySchedule{Deadline: 10.3, AnyEngine: true}
 	now := 10.0
 	for range 2 {
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestAnotherEngineIsAskedAtOnce(t *testing.T) {
+func TestNextEngineIsCalledAtOnce(t *testing.T) {
 	p := RetrySchedule{Deadline: 11, AnyEngine: true}
 	if at, again := p.Next(10, Unacknowledged); !again || at != 10 {
 		t.Errorf("again %v at %g", again, at)
@@ -100,7 +100,7 @@
 
 // Calls that fail at once, because a system call does or a connection is refused, do not use up the calls that are left while it
 // lasts: whoever can be asked again before the time is up is asked.
-func TestCallsThatFailAtOnceDoNotUseUpTheTime(t *testing.T) {
+func TestImmediateFailuresDoNotExhaustAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		letGoBy := rapid.Float64Range(0.3, 5).Draw(t, "let go by")
 		outage := rapid.Float64Range(0, 0.8).Draw(t, "outage") * letGoBy
@@ -123,7 +123,7 @@
 }
 
 // Once the time is over, calls go on where any engine can release, for the state is still held; they are few, and end.
-func TestCallsGoOnWhenTheTimeIsOver(t *testing.T) {
+func TestReleaseRetriesContinuePastDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := RetrySchedule{Deadline: 11, AnyEngine: true}
 		now, calls, ended := 11.0, 0, 0.0
@@ -133,8 +133,8 @@
 			if !again {
 				t.Fatalf("given up %.3f s after the time, with calls failing for %.3f s", now-11, outage)
 			}
-			if pause, most := at-now, max(latePause, (now-11)/2); pause < latePause-1e-9 || pause > most {
-				t.Fatalf("%.3f s after the time the next call is made %.3f s later, want %.3f to %.3f", now-11, pause, latePause, most)
+			if pause, most := at-now, max(minOverduePause, (now-11)/2); pause < minOverduePause-1e-9 || pause > most {
+				t.Fatalf("%.3f s after the time the next call is made %.3f s later, want %.3f to %.3f", now-11, pause, minOverduePause, most)
 			}
 			calls++
 			now, ended = at+rapid.Float64Range(0, 0.2).Draw(t, "took"), at
@@ -147,7 +147,7 @@
 		}
 	})
 	p := RetrySchedule{Deadline: 11, AnyEngine: true}
-	if at, again := p.Next(11+lateFor, Unacknowledged); again {
+	if at, again := p.Next(11+overdueRetryTime, Unacknowledged); again {
 		t.Errorf("asked again at %g", at)
 	}
 	if at, again := (&RetrySchedule{Deadline: 11}).Next(11, Unacknowledged); again && at <= 11 {
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestEnginesThatWereHeardOfSinceAnAttemptBegan(t *testing.T) {
+func TestEngineRespondedSinceAttemptStarted(t *testing.T) {
 	for _, c := range []struct {
 		heardAt float64
 		want    bool
@@ -166,7 +166,7 @@
 	}
 }
 
-func TestReleaseBesideAnAttemptGivesItTime(t *testing.T) {
+func TestReleaseBesideAttemptLeavesItTime(t *testing.T) {
 	for _, c := range []struct{ now, since, want float64 }{{10.1, 10, 10.9}, {10.8, 10, 11.1}, {12, 10, 12.3}} {
 		if got := SilentReleaseAt(c.now, c.since, 1); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("begun at %g, held since %g: got %g, want %g", c.now, c.since, got, c.want)
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -86,7 +86,7 @@
 		if freed != nil {
 			select {
 			case <-freed:
-			case <-time.After(seconds(staterelease.Lead)):
+			case <-time.After(seconds(staterelease.ReleaseLeadTime)):
 			}
 		}
 		n.ended(cmd, a.Run(s))
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -140,7 +140,7 @@
 	start := time.Now()
 	acts, err := c.ask(now, events)
 	took := time.Since(start).Seconds()
-	c.beat.Done(now, took)
+	c.beat.RecordPass(now, took)
 	c.decide(took)
 	if err != nil {
 		c.broken(err)
--- a/internal/node/overload.go
+++ b/internal/node/overload.go
@@ -50,7 +50,7 @@
 
 // take decides on a request.
 func (k *keeping) take(now float64, q overload.Request) overload.Decision {
-	q.Draw = rand.Float64()
+	q.Random = rand.Float64()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.state.Admit(now, q)
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -205,13 +205,13 @@
 	most := v.table.MaxTokens(class, chat.MaxTokens)
 	wait := v.table.ClientWait(class, chat.PromptTokens, most, stated, !chat.Stream)
 	q := scheduler.Request{ID: j.id, Class: class, Tenant: tenant, Session: chat.Session, Prefix: chat.Prefix,
-		ClientTimeLeft: wait.First, PromptTokens: float64(chat.PromptTokens), PrefixTokens: float64(chat.PrefixTokens),
+		ClientTimeLeft: wait.FirstToken, PromptTokens: float64(chat.PromptTokens), PrefixTokens: float64(chat.PrefixTokens),
 		MaxOutputTokens: float64(most), Retry: retried(x)}
 	if chosen := x.Header.Get("X-Request-Id"); chosen != "" {
 		f.log.Debug("taken", "request", j.id, "client_request", clip(chosen), "class", v.cfg.Classes[class].Name)
 	}
 	x.Header = nil // all that is needed of it is in j and q
-	if !take(protocol.RoutedRequest{Request: q, WholeResponseTimeout: wait.Whole, Exchange: j}) {
+	if !take(protocol.RoutedRequest{Request: q, WholeResponseTimeout: wait.CompleteResponse, Exchange: j}) {
 		refuse(x, 503, true, "node_stopping", "", "the node is stopping")
 	}
 }
--- a/internal/relay/front.go
+++ b/internal/relay/front.go
@@ -132,7 +132,7 @@
 		return
 	}
 	f.mu.Lock()
-	fresh := f.recent.Take(time.Since(f.start).Seconds(), q.ID)
+	fresh := f.recent.Add(time.Since(f.start).Seconds(), q.ID)
 	f.mu.Unlock()
 	if !fresh {
 		say(409, "the id was taken before")
--- a/internal/timerwheel/timerwheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -11,7 +11,7 @@
 
 // Against a plain list: every timer fires once, not early, in the first Advance at or after its tick, and
 // never after it was cancelled.
-func TestWheelAgainstPlainList(t *testing.T) {
+func TestWheelMatchesListOfTimers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Float64Range(0, 1e6).Draw(t, "start")
 		const res = 0.001
