--- a/internal/decide/staterelease/staterelease_test.go
+++ b/internal/decide/staterelease/staterelease_test.go
@@ -7,27 +7,27 @@
 	"pgregory.net/rapid"
 )
 
-// Calls end, never come after the time, and come at least twice where the first was lost and time is left.
+// Calls end, never come after the deadline, and come at least twice where the first was lost and time is left.
 func TestReleaseCallsAreBoundedAndInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Float64Range(0, 1e9).Draw(t, "now")
-		p := RetrySchedule{Deadline: now + rapid.Float64Range(0.001, 10).Draw(t, "left")}
+		schedule := RetrySchedule{Deadline: now + rapid.Float64Range(0.001, 10).Draw(t, "left")}
 		calls := 1
 		for {
 			now += rapid.Float64Range(0, 0.5).Draw(t, "took")
-			o := Unacknowledged
+			result := Unacknowledged
 			if rapid.IntRange(0, 9).Draw(t, "answered") == 0 {
-				o = Acknowledged
+				result = Acknowledged
 			}
-			at, again := p.Next(now, o)
+			at, again := schedule.Next(now, result)
 			if !again {
-				if o == Unacknowledged && calls == 1 && now < p.Deadline {
-					t.Fatalf("given up after one lost call with %.3f s left", p.Deadline-now)
+				if result == Unacknowledged && calls == 1 && now < schedule.Deadline {
+					t.Fatalf("given up after one lost call with %.3f s left", schedule.Deadline-now)
 				}
 				break
 			}
-			if o == Acknowledged || at < now || at > p.Deadline {
-				t.Fatalf("outcome %d at %.3f: again at %.3f, by %.3f", o, now, at, p.Deadline)
+			if result == Acknowledged || at < now || at > schedule.Deadline {
+				t.Fatalf("%v at %.3f: again at %.3f, deadline %.3f", result, now, at, schedule.Deadline)
 			}
 			now = at
 			if calls++; calls > maxAttempts {
@@ -37,7 +37,7 @@
 	})
 }
 
-// Who answered last comes before who failed last; the holder comes first among its likes; nobody is left out.
+// Engines whose last call succeeded come before those whose last call failed; the holder comes first among equals.
 func TestRankEngines(t *testing.T) {
 	got := ""
 	for _, e := range RankEngines([]Engine{
@@ -53,33 +53,33 @@
 		t.Errorf("%s; want %s", got, want)
 	}
 	if first := RankEngines([]Engine{{ID: "a", Listed: true, LastSuccess: 9}, {ID: "h", Listed: true, Holder: true}})[0].ID; first != "h" {
-		t.Errorf("the holder comes first, not %s", first)
+		t.Errorf("the first engine is %s, want the holder", first)
 	}
 }
 
 func TestCallTimeoutLeavesTimeForRetries(t *testing.T) {
-	p := RetrySchedule{Deadline: 11}
-	if w := p.CallTimeout(10); w > 0.3 {
-		t.Errorf("one call may take %g of a second", w)
+	schedule := RetrySchedule{Deadline: 11}
+	if w := schedule.CallTimeout(10); w > 0.3 {
+		t.Errorf("one call may take %g s of 1 s", w)
 	}
-	if w := p.CallTimeout(12); w <= 0 {
+	if w := schedule.CallTimeout(12); w <= 0 {
 		t.Errorf("a call has %g s", w)
 	}
 	if EarliestRelease(5, 0) != 5 || EarliestRelease(5, 5) <= 5 {
-		t.Error("only what was cut waits")
+		t.Error("a release waits without a canceled attempt, or does not wait for one")
 	}
 	if at := EarliestRelease(5, 4.5); at != 5 {
-		t.Errorf("what was cut long ago is released at %g, want 5: at once", at)
+		t.Errorf("after an attempt canceled long ago: got %g, want 5", at)
 	}
 }
 
-// Where any engine will do, two that are silent use up little of even a short time to release.
+// Where any engine will do, two silent ones use up little of even a short time to release.
 func TestSilentEnginesLeaveTimeForOtherEngines(t *testing.T) {
-	p := RetrySchedule{Deadline: 10.3, AnyEngine: true}
+	schedule := RetrySchedule{Deadline: 10.3, AnyEngine: true}
 	now := 10.0
 	for range 2 {
-		now += p.CallTimeout(now)
-		if at, again := p.Next(now, Unacknowledged); !again || at != now {
+		now += schedule.CallTimeout(now)
+		if at, again := schedule.Next(now, Unacknowledged); !again || at != now {
 			t.Fatalf("again %v at %g, want at once", again, at)
 		}
 	}
@@ -89,52 +89,52 @@
 }
 
 func TestNextEngineIsCalledAtOnce(t *testing.T) {
-	p := RetrySchedule{Deadline: 11, AnyEngine: true}
-	if at, again := p.Next(10, Unacknowledged); !again || at != 10 {
+	schedule := RetrySchedule{Deadline: 11, AnyEngine: true}
+	if at, again := schedule.Next(10, Unacknowledged); !again || at != 10 {
 		t.Errorf("again %v at %g", again, at)
 	}
-	if _, again := p.Next(10, Acknowledged); again {
-		t.Error("asked again after an answer")
+	if _, again := schedule.Next(10, Acknowledged); again {
+		t.Error("called again after a response")
 	}
 }
 
-// Calls that fail at once, because a system call does or a connection is refused, do not use up the calls that are left while it
-// lasts: whoever can be asked again before the time is up is asked.
+// Calls that fail at once, because a system call does or a connection is refused, do not use up the remaining calls while that
+// lasts: an engine that can be reached again before the deadline is called.
 func TestImmediateFailuresDoNotExhaustAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		letGoBy := rapid.Float64Range(0.3, 5).Draw(t, "let go by")
-		outage := rapid.Float64Range(0, 0.8).Draw(t, "outage") * letGoBy
-		p := RetrySchedule{Deadline: 100 + letGoBy, AnyEngine: rapid.Bool().Draw(t, "any")}
+		allowed := rapid.Float64Range(0.3, 5).Draw(t, "allowed")
+		outage := rapid.Float64Range(0, 0.8).Draw(t, "outage") * allowed
+		schedule := RetrySchedule{Deadline: 100 + allowed, AnyEngine: rapid.Bool().Draw(t, "any")}
 		now, calls := 100.0, 1
 		for now < 100+outage {
-			at, again := p.Next(now, Unacknowledged)
+			at, again := schedule.Next(now, Unacknowledged)
 			if !again {
-				t.Fatalf("given up at %.3f s of %.3f after %d calls, with calls failing until %.3f s", now-100, letGoBy, calls, outage)
+				t.Fatalf("given up at %.3f s of %.3f after %d calls, with calls failing until %.3f s", now-100, allowed, calls, outage)
 			}
 			if calls++; calls > 64 {
 				t.Fatalf("%d calls within %.3f s", calls, now-100)
 			}
 			now = at
 		}
-		if now > p.Deadline {
-			t.Fatalf("the call after the outage comes %.3f s after the time", now-p.Deadline)
+		if now > schedule.Deadline {
+			t.Fatalf("the call after the outage comes %.3f s after the deadline", now-schedule.Deadline)
 		}
 	})
 }
 
-// Once the time is over, calls go on where any engine can release, for the state is still held; they are few, and end.
+// Past the deadline calls continue where any engine can release, because the state is still held; they are few, and end.
 func TestReleaseRetriesContinuePastDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := RetrySchedule{Deadline: 11, AnyEngine: true}
+		schedule := RetrySchedule{Deadline: 11, AnyEngine: true}
 		now, calls, ended := 11.0, 0, 0.0
 		outage := rapid.Float64Range(0, 45).Draw(t, "outage")
 		for now < 11+outage {
-			at, again := p.Next(now, Unacknowledged)
+			at, again := schedule.Next(now, Unacknowledged)
 			if !again {
-				t.Fatalf("given up %.3f s after the time, with calls failing for %.3f s", now-11, outage)
+				t.Fatalf("given up %.3f s after the deadline, with calls failing for %.3f s", now-11, outage)
 			}
 			if pause, most := at-now, max(minOverduePause, (now-11)/2); pause < minOverduePause-1e-9 || pause > most {
-				t.Fatalf("%.3f s after the time the next call is made %.3f s later, want %.3f to %.3f", now-11, pause, minOverduePause, most)
+				t.Fatalf("%.3f s after the deadline the next call is made %.3f s later, want %.3f to %.3f", now-11, pause, minOverduePause, most)
 			}
 			calls++
 			now, ended = at+rapid.Float64Range(0, 0.2).Draw(t, "took"), at
@@ -142,26 +142,26 @@
 		if calls > 40 {
 			t.Fatalf("%d calls in %.3f s", calls, ended-11)
 		}
-		if _, again := p.Next(now, Acknowledged); again {
-			t.Fatal("asked again after an answer")
+		if _, again := schedule.Next(now, Acknowledged); again {
+			t.Fatal("called again after a response")
 		}
 	})
-	p := RetrySchedule{Deadline: 11, AnyEngine: true}
-	if at, again := p.Next(11+overdueRetryTime, Unacknowledged); again {
-		t.Errorf("asked again at %g", at)
+	schedule := RetrySchedule{Deadline: 11, AnyEngine: true}
+	if at, again := schedule.Next(11+overdueRetryTime, Unacknowledged); again {
+		t.Errorf("called again at %g", at)
 	}
 	if at, again := (&RetrySchedule{Deadline: 11}).Next(11, Unacknowledged); again && at <= 11 {
-		t.Errorf("one engine is asked at once at the end of its time: %g", at)
+		t.Errorf("one engine is called at once at its deadline: %g", at)
 	}
 }
 
 func TestEngineRespondedSinceAttemptStarted(t *testing.T) {
 	for _, c := range []struct {
-		heardAt float64
-		want    bool
+		respondedAt float64
+		want        bool
 	}{{0, false}, {9.9, false}, {10.01, false}, {10.2, true}} {
-		if got := EngineResponded(c.heardAt, 10); got != c.want {
-			t.Errorf("heard of at %g, begun at 10: got %v, want %v", c.heardAt, got, c.want)
+		if got := EngineResponded(c.respondedAt, 10); got != c.want {
+			t.Errorf("responded at %g, started at 10: got %v, want %v", c.respondedAt, got, c.want)
 		}
 	}
 }
@@ -169,7 +169,7 @@
 func TestReleaseBesideAttemptLeavesItTime(t *testing.T) {
 	for _, c := range []struct{ now, since, want float64 }{{10.1, 10, 10.9}, {10.8, 10, 11.1}, {12, 10, 12.3}} {
 		if got := SilentReleaseAt(c.now, c.since, 1); math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("begun at %g, held since %g: got %g, want %g", c.now, c.since, got, c.want)
+			t.Errorf("started at %g, held since %g: got %g, want %g", c.now, c.since, got, c.want)
 		}
 	}
 }
