--- a/internal/decide/classify/classify.go
+++ b/internal/decide/classify/classify.go
@@ -1,5 +1,5 @@
-// Package classify decides what a request is before it is routed: whose it is, of which class, and how long its
-// client waits. It does no I/O. The same request always gets the same answer.
+// Package classify decides what a request is before it is routed: its tenant, its class, and how long its client waits. It does
+// no I/O. The same request always gets the same answer.
 package classify
 
 import (
@@ -9,17 +9,24 @@
 	"path"
 )
 
-// Class is what intake needs of a class.
+// tokensPer1K is the unit of Class.ClientTimeoutPer1KTokens.
+const tokensPer1K = 1000
+
+// slowestOutputFactor is the multiple of the latency objective up to which an output is still of worth.
+const slowestOutputFactor = 2
+
+// Class is what classification needs of a class.
 type Class struct {
-	ClientTimeout, ClientTimeoutPer1KTokens float64 // s until the client gives up, and more for each 1,000 prompt tokens
-	MaxTokens                               int     // taken where the request states none
-	OutputTokenObjective                    float64 // s between tokens
+	ClientTimeout            float64 // s until the client disconnects
+	ClientTimeoutPer1KTokens float64 // s more for each 1,000 prompt tokens
+	MaxTokens                int     // of a response, where the request states none
+	OutputTokenObjective     float64 // s between tokens
 }
 
-// Rule settles a class by the model's name (a shell pattern) and a header; empty parts fit everything.
+// Rule assigns a class by the model's name (a shell pattern) and a header; empty fields match everything.
 type Rule struct {
 	Model, Header, Value string
-	AnyValue             bool
+	AnyValue             bool // the header may have any value that is not empty
 	Class                int
 }
 
@@ -28,60 +35,63 @@
 	classes []Class
 	models  map[string]int
 	rules   []Rule
-	keys    [][sha256.Size]byte
-	owners  []int
+	keys    []tenantKey
 }
 
-// NewTable makes a table. keys holds, for each tenant, its keys; hashes the SHA-256 of keys, in hex.
+// tenantKey is the hash of a key and its tenant.
+type tenantKey struct {
+	hash   [sha256.Size]byte
+	tenant int
+}
+
+// NewTable returns a table. models holds the class of each model; keys holds each tenant's keys, and hashes the SHA-256 of
+// further ones in hex. A hash that is not one is ignored.
 func NewTable(classes []Class, models map[string]int, rules []Rule, keys, hashes [][]string) *Table {
 	t := &Table{classes: classes, models: models, rules: rules}
-	add := func(sum [sha256.Size]byte, tenant int) {
-		t.keys, t.owners = append(t.keys, sum), append(t.owners, tenant)
-	}
-	for tenant, ks := range keys {
-		for _, k := range ks {
-			add(sha256.Sum256([]byte(k)), tenant)
+	for tenant, tenantKeys := range keys {
+		for _, key := range tenantKeys {
+			t.keys = append(t.keys, tenantKey{hash: sha256.Sum256([]byte(key)), tenant: tenant})
 		}
 	}
-	for tenant, hs := range hashes {
-		for _, h := range hs {
-			var sum [sha256.Size]byte
-			if n, err := hex.Decode(sum[:], []byte(h)); err == nil && n == len(sum) {
-				add(sum, tenant)
+	for tenant, tenantHashes := range hashes {
+		for _, text := range tenantHashes {
+			key := tenantKey{tenant: tenant}
+			if n, err := hex.Decode(key.hash[:], []byte(text)); err == nil && n == len(key.hash) {
+				t.keys = append(t.keys, key)
 			}
 		}
 	}
 	return t
 }
 
-// Tenant returns whose key it is. Every key is compared, in constant time, so that the time tells nothing.
+// Tenant returns the tenant of a key. It compares every key, in constant time, so that the time reveals nothing.
 func (t *Table) Tenant(key string) (tenant int, ok bool) {
-	sum := sha256.Sum256([]byte(key))
-	found := -1
+	hash := sha256.Sum256([]byte(key))
+	tenant = -1
 	for i := range t.keys {
-		if subtle.ConstantTimeCompare(sum[:], t.keys[i][:]) == 1 {
-			found = t.owners[i]
+		if subtle.ConstantTimeCompare(hash[:], t.keys[i].hash[:]) == 1 {
+			tenant = t.keys[i].tenant
 		}
 	}
-	return found, found >= 0
+	return tenant, tenant >= 0
 }
 
-// Class returns the class of a request: that of the first rule that fits, else its model's. known tells whether
-// the model may be named at all.
+// Class returns the class of a request: that of the first rule that matches, else its model's. known tells whether the model
+// is configured.
 func (t *Table) Class(model string, header func(string) string) (class int, known bool) {
 	class, known = t.models[model]
 	if !known {
 		return 0, false
 	}
 	for i := range t.rules {
-		if t.rules[i].fits(model, header) {
+		if t.rules[i].matches(model, header) {
 			return t.rules[i].Class, true
 		}
 	}
 	return class, true
 }
 
-func (r *Rule) fits(model string, header func(string) string) bool {
+func (r *Rule) matches(model string, header func(string) string) bool {
 	if r.Model != "" {
 		if ok, err := path.Match(r.Model, model); !ok || err != nil {
 			return false
@@ -90,37 +100,38 @@
 	if r.Header == "" {
 		return true
 	}
-	v := header(r.Header)
-	return v != "" && (r.AnyValue || v == r.Value)
+	value := header(r.Header)
+	return value != "" && (r.AnyValue || value == r.Value)
 }
 
-// Timeouts is how long a client waits, in seconds.
+// Timeouts are how long a client waits, in seconds.
 type Timeouts struct {
-	FirstToken       float64 // for the first token
-	CompleteResponse float64 // for the whole of an answer that is not streamed; 0 = it is
+	FirstToken       float64
+	CompleteResponse float64 // of a response that does not stream; 0 = it streams
 }
 
-// ClientWait returns how long a client waits: as its class says, or less where it has told so itself (stated, 0 = not).
-// A client that asks for no stream sees nothing before the end. What it waits must hold the making of the answer too:
-// the longest at the pace aimed for, but never more than half, since most answers are shorter.
-func (t *Table) ClientWait(class, promptTokens, maxTokens int, stated float64, whole bool) Timeouts {
+// ClientWait returns how long a client waits: as its class says, or less where the client has stated so (0 = it has not).
+//
+// A client whose response must be complete sees nothing before the end, so that its time must hold the decode too: the longest
+// one at the latency objective, but never more than half of the time, because most responses are shorter.
+func (t *Table) ClientWait(class, promptTokens, maxTokens int, stated float64, complete bool) Timeouts {
 	c := &t.classes[class]
-	w := Timeouts{FirstToken: c.ClientTimeout + c.ClientTimeoutPer1KTokens*float64(promptTokens)/1000}
-	making := float64(maxTokens) * c.OutputTokenObjective
-	if whole {
-		w.CompleteResponse = w.FirstToken + 2*making // twice the pace aimed for is the slowest that is worth anything
+	timeouts := Timeouts{FirstToken: c.ClientTimeout + c.ClientTimeoutPer1KTokens*float64(promptTokens)/tokensPer1K}
+	decodeTime := float64(maxTokens) * c.OutputTokenObjective
+	if complete {
+		timeouts.CompleteResponse = timeouts.FirstToken + slowestOutputFactor*decodeTime
 		if stated > 0 {
-			w.CompleteResponse = min(w.CompleteResponse, stated)
-			stated = max(stated-making, stated/2)
+			timeouts.CompleteResponse = min(timeouts.CompleteResponse, stated)
+			stated = max(stated-decodeTime, stated/2)
 		}
 	}
 	if stated > 0 {
-		w.FirstToken = min(w.FirstToken, stated)
+		timeouts.FirstToken = min(timeouts.FirstToken, stated)
 	}
-	return w
+	return timeouts
 }
 
-// MaxTokens returns the most that an answer may hold.
+// MaxTokens returns the most tokens that a response may hold, where the request states a number (0 = it does not).
 func (t *Table) MaxTokens(class, stated int) int {
 	if stated > 0 {
 		return stated
--- a/internal/decide/classify/recent_ids.go
+++ b/internal/decide/classify/recent_ids.go
@@ -1,53 +1,61 @@
 package classify
 
-// RecentIDs remembers ids that clients chose, so that one is not taken twice: a second request under the id of a first would
-// be taken for it by whoever knows requests by their ids. An id is remembered for a stated time at least, and longer while few
-// are; under a flood of ids the oldest go first. It does not read the clock and is not safe for concurrent use.
+// RecentIDs remembers ids that clients chose, so that none is accepted twice: a second request under the id of another would be
+// taken for it by everything that knows requests by their ids. An id is remembered for a window of time at least, and longer
+// while there are few; under a flood of ids the oldest are forgotten first. RecentIDs does not read the clock and is not safe
+// for concurrent use.
 type RecentIDs struct {
-	few, most int
-	window    float64
-	ids       map[string]bool
-	queue     []seenID // in order of arrival, from first on
-	first     int
+	minSize, maxSize int
+	window           float64 // s
+	ids              map[string]bool
+	queue            []recentID // in order of arrival, from oldest on
+	oldest           int
 }
 
-// seenID is an id and when it was taken (s).
-type seenID struct {
-	id string
-	at float64
+// recentID is an id and when it was added (s).
+type recentID struct {
+	id      string
+	addedAt float64
 }
 
-// floodFactor is how many times as many ids are remembered under a flood as else.
+// floodFactor is the ratio of the ids that are remembered under a flood to those without one.
 const floodFactor = 4
 
-// NewRecentIDs returns a memory of so many ids, at least one, and of those taken within the window (s), if that is more, up to four
-// times as many.
-func NewRecentIDs(few int, window float64) *RecentIDs {
-	few = max(1, few)
-	return &RecentIDs{few: few, most: floodFactor * few, window: window, ids: map[string]bool{}}
+// NewRecentIDs returns a memory of minSize ids, at least one, and of those added within the window (s), if they are more, up to
+// four times as many.
+func NewRecentIDs(minSize int, window float64) *RecentIDs {
+	minSize = max(1, minSize)
+	return &RecentIDs{minSize: minSize, maxSize: floodFactor * minSize, window: window, ids: map[string]bool{}}
 }
 
-// Add notes an id and tells whether it is new.
+// Add adds an id and tells whether it is new.
 func (r *RecentIDs) Add(now float64, id string) bool {
 	if r.ids[id] {
 		return false
 	}
 	r.ids[id] = true
-	r.queue = append(r.queue, seenID{id, now})
-	for r.tooMany(now) {
-		delete(r.ids, r.queue[r.first].id)
-		r.queue[r.first] = seenID{}
-		r.first++
+	r.queue = append(r.queue, recentID{id: id, addedAt: now})
+	for r.oldestExpired(now) {
+		r.forgetOldest()
 	}
-	if r.first > len(r.queue)/2 {
-		r.queue = append(r.queue[:0:0], r.queue[r.first:]...)
-		r.first = 0
+	if r.oldest > len(r.queue)/2 {
+		r.queue = append(r.queue[:0:0], r.queue[r.oldest:]...)
+		r.oldest = 0
 	}
 	return true
 }
 
-// tooMany tells whether the oldest id is to be forgotten.
-func (r *RecentIDs) tooMany(now float64) bool {
-	n := len(r.queue) - r.first
-	return n > r.most || n > r.few && now > r.queue[r.first].at+r.window
+// oldestExpired tells whether the oldest id is to be forgotten.
+func (r *RecentIDs) oldestExpired(now float64) bool {
+	size := len(r.queue) - r.oldest
+	if size > r.maxSize {
+		return true
+	}
+	return size > r.minSize && now > r.queue[r.oldest].addedAt+r.window
+}
+
+func (r *RecentIDs) forgetOldest() {
+	delete(r.ids, r.queue[r.oldest].id)
+	r.queue[r.oldest] = recentID{}
+	r.oldest++
 }
