--- a/internal/node/audit.go
+++ b/internal/node/audit.go
@@ -22,7 +22,7 @@
 	if r.FirstByteAt.IsZero() {
 		return
 	}
-	n.audit(c.id, permit.Written{At: n.core.clock.Of(r.FirstByteAt), ClientDisconnectedAt: c.leftAt, ClientDeadline: t.endsAt, DedupWindowEnd: t.writeBy,
+	n.audit(c.id, permit.Written{At: n.core.clock.SecondsAt(r.FirstByteAt), ClientDisconnectedAt: c.leftAt, ClientDeadline: t.endsAt, DedupWindowEnd: t.writeBy,
 		DrainingSince: n.core.book.LeavingSince(t.engine), DrainGrace: n.plan.book.DrainGrace}.Violations())
 }
 
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -65,7 +65,7 @@
 		limit, until = within(limit, at-now), now+within(cmd.Timeout, at-now-n.plan.book.Slack)
 	}
 	call := protocol.AttemptSpec{Number: cmd.N, Address: n.addresses[cmd.Engine], Stage: cmd.Stage, FetchState: cmd.State,
-		StateAttempt: cmd.StateN, Timeout: max(time.Millisecond, seconds(limit)), ClientDeadline: n.core.clock.At(until)}
+		StateAttempt: cmd.StateN, Timeout: max(time.Millisecond, seconds(limit)), ClientDeadline: n.core.clock.TimeAt(until)}
 	if cmd.WriteBy > 0 {
 		call.WriteBy = time.Now().Add(seconds(cmd.WriteBy - now))
 	}
--- a/internal/timerwheel/timerwheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -1,8 +1,8 @@
-// Package timerwheel keeps many timers in one hierarchical timing wheel (Varghese and Lauck, "Hashed and
-// Hierarchical Timing Wheels", 1987). It reads no clock and starts no goroutine: the owner passes the time.
+// Package timerwheel keeps many timers in one hierarchical timing wheel (Varghese and Lauck, "Hashed and Hierarchical Timing
+// Wheels", 1987). It reads no clock and starts no goroutine: the owner advances it.
 //
-// Adding and cancelling take constant time. A timer fires in the first Advance at or after its time, never
-// before it, and at most one resolution later than a sorted list would have it.
+// Adding and canceling take constant time. A timer fires in the first Advance at or after its time, never before it, and at
+// most one resolution later than in a sorted list.
 package timerwheel
 
 import (
@@ -11,12 +11,20 @@
 )
 
 const (
-	slotBits = 6
-	slots    = 1 << slotBits // of a level; a word of bits tells which are in use
-	levels   = 6             // 64^6 ticks: over two years at a millisecond
+	slotBits      = 6
+	slotsPerLevel = 1 << slotBits // one bit of a word each, which tells whether the slot is in use
+	slotMask      = slotsPerLevel - 1
+	levels        = 6 // 64^6 ticks: over two years at a millisecond
 )
 
-// Timer is one entry of a Wheel. Its fields belong to the wheel.
+// maxSpan is the longest time ahead for which a timer is placed (ticks); a later one is placed there and moved on when its slot
+// comes up. It leaves one slot of the coarsest level free, so that no timer is placed a full turn ahead.
+const maxSpan = 1<<(levels*slotBits) - 1<<((levels-1)*slotBits) - 1
+
+// firedLevel is the level of a timer that is in no slot: it has fired or was canceled.
+const firedLevel = -1
+
+// Timer is one timer of a Wheel. Its fields belong to the wheel.
 type Timer[T any] struct {
 	next, prev *Timer[T]
 	due        int64 // tick in which it fires
@@ -27,127 +35,138 @@
 
 // Wheel holds timers with a value each. It is not safe for concurrent use.
 type Wheel[T any] struct {
-	resolution float64 // s a tick
-	tick       int64   // all timers due up to here have fired
-	used       [levels]uint64
-	heads      [levels][slots]*Timer[T]
-	n          int
+	resolution  float64 // seconds per tick
+	currentTick int64   // all timers due up to it have fired
+	usedSlots   [levels]uint64
+	heads       [levels][slotsPerLevel]*Timer[T]
+	count       int
 }
 
-// New returns an empty wheel whose clock stands at now (s), with a resolution in seconds above zero.
+// New returns an empty wheel whose clock shows now (s), with a resolution in seconds, which must be above zero.
 func New[T any](now, resolution float64) *Wheel[T] {
-	if !(resolution > 0) {
-		panic("wheel: resolution must be above zero")
+	if !(resolution > 0) { // the comparison is false for a NaN too
+		panic("timerwheel: resolution must be above zero")
 	}
-	w := &Wheel[T]{resolution: resolution}
-	w.tick = int64(math.Floor(now / resolution))
-	return w
+	return &Wheel[T]{resolution: resolution, currentTick: int64(math.Floor(now / resolution))}
 }
 
-// Len returns the number of timers that wait.
-func (w *Wheel[T]) Len() int { return w.n }
+// Len returns the number of timers that have not fired.
+func (w *Wheel[T]) Len() int { return w.count }
 
-// Add makes a timer that fires at a time (s). One in the past fires at the next Advance that moves the clock.
+// Add returns a new timer that fires at a time (s). One in the past fires at the next Advance that moves the clock.
 func (w *Wheel[T]) Add(at float64, value T) *Timer[T] {
 	t := &Timer[T]{value: value}
-	t.due = max(w.tick+1, int64(math.Ceil(at/w.resolution)))
-	w.put(t)
-	w.n++
+	t.due = max(w.currentTick+1, int64(math.Ceil(at/w.resolution)))
+	w.place(t)
+	w.count++
 	return t
 }
 
-// Cancel takes a timer out and tells whether it was still waiting.
+// Cancel removes a timer and tells whether it had not fired yet. A nil timer has.
 func (w *Wheel[T]) Cancel(t *Timer[T]) bool {
-	if t == nil || t.level < 0 {
+	if t == nil || t.level == firedLevel {
 		return false
 	}
-	w.take(t)
-	t.level = -1
-	w.n--
+	w.remove(t)
 	return true
 }
 
-// Advance moves the clock to now (s) and calls fire for each timer that has come due, in order of time; those
-// of one tick fire in no particular order. fire may add and cancel timers.
+// Advance moves the clock to now (s) and calls fire for each timer that has come due, in order of time; those of one tick fire
+// in no particular order. fire may add and cancel timers.
 func (w *Wheel[T]) Advance(now float64, fire func(T)) {
 	target := int64(math.Floor(now / w.resolution))
-	for w.tick < target {
+	for w.currentTick < target {
 		next := w.nextTick()
 		if next > target {
-			w.tick = target
+			w.currentTick = target
 			w.cascade()
 			return
 		}
-		w.tick = next
+		w.currentTick = next
 		w.cascade()
-		slot := int(w.tick & (slots - 1))
-		for t := w.heads[0][slot]; t != nil && t.due <= w.tick; t = w.heads[0][slot] {
-			w.take(t)
-			t.level = -1
-			w.n--
-			fire(t.value)
-		}
+		w.fireDue(fire)
 	}
 }
 
-// Next returns the time (s) of the next look that is needed: that of the earliest timer, or of the moment at
-// which a coarse slot has to be spread out, which is never later. ok is false where no timer waits.
+// fireDue fires the timers of the current tick.
+func (w *Wheel[T]) fireDue(fire func(T)) {
+	head := &w.heads[0][w.currentTick&slotMask]
+	for t := *head; t != nil && t.due <= w.currentTick; t = *head {
+		w.remove(t)
+		fire(t.value)
+	}
+}
+
+// Next returns the time (s) at which the next Advance is due: that of the earliest timer, or of the moment at which a coarse
+// slot has to be spread over finer ones, which is never later. ok is false where there is no timer.
 func (w *Wheel[T]) Next() (at float64, ok bool) {
-	if w.n == 0 {
+	if w.count == 0 {
 		return 0, false
 	}
 	return float64(w.nextTick()) * w.resolution, true
 }
 
-// nextTick is the first tick after the present one at which a slot of any level comes up.
+// nextTick returns the first tick after the current one at which a used slot of any level comes up.
 func (w *Wheel[T]) nextTick() int64 {
-	best := int64(math.MaxInt64)
+	earliest := int64(math.MaxInt64)
 	for level := range levels {
-		if w.used[level] == 0 {
+		if w.usedSlots[level] == 0 {
 			continue
 		}
-		shift := uint(level * slotBits)
-		at := w.tick >> shift
-		// Rotate so that the slot after the present one is bit 0.
-		turned := bits.RotateLeft64(w.used[level], -int((at+1)&(slots-1)))
-		best = min(best, (at+1+int64(bits.TrailingZeros64(turned)))<<shift)
+		current := w.currentTick >> shift(level)
+		fromNext := bits.RotateLeft64(w.usedSlots[level], -int((current+1)&slotMask)) // bit 0 is the slot after the current one
+		turns := current + 1 + int64(bits.TrailingZeros64(fromNext))
+		earliest = min(earliest, turns<<shift(level))
 	}
-	return best
+	return earliest
 }
 
+// shift returns the number of bits of a tick below a level's slot.
+func shift(level int) uint { return uint(level * slotBits) }
+
 // cascade spreads the coarse slots that have come up over the finer levels.
 func (w *Wheel[T]) cascade() {
 	for level := levels - 1; level > 0; level-- {
-		slot := int(w.tick >> uint(level*slotBits) & (slots - 1))
-		for t := w.heads[level][slot]; t != nil; {
+		current := w.currentTick >> shift(level)
+		for t := w.heads[level][current&slotMask]; t != nil; {
 			next := t.next
-			if t.due>>uint(level*slotBits) <= w.tick>>uint(level*slotBits) {
-				w.take(t)
-				w.put(t)
+			if t.due>>shift(level) <= current {
+				w.unlink(t)
+				w.place(t)
 			}
 			t = next
 		}
 	}
 }
 
-// put files a timer on the finest level whose span reaches its time.
-func (w *Wheel[T]) put(t *Timer[T]) {
-	due := min(t.due, w.tick+1<<(levels*slotBits)-1<<((levels-1)*slotBits)-1)
+// place puts a timer into a slot of the finest level whose span reaches its time.
+func (w *Wheel[T]) place(t *Timer[T]) {
+	due := min(t.due, w.currentTick+maxSpan)
 	level := 0
-	for level < levels-1 && due>>uint(level*slotBits)-w.tick>>uint(level*slotBits) >= slots {
+	for level < levels-1 && due>>shift(level)-w.currentTick>>shift(level) >= slotsPerLevel {
 		level++
 	}
-	slot := int(due >> uint(level*slotBits) & (slots - 1))
-	t.level, t.slot = int8(level), uint8(slot)
-	t.prev, t.next = nil, w.heads[level][slot]
+	slot := uint8(due >> shift(level) & slotMask)
+	t.level = int8(level)
+	t.slot = slot
+	t.prev = nil
+	t.next = w.heads[level][slot]
 	if t.next != nil {
 		t.next.prev = t
 	}
 	w.heads[level][slot] = t
-	w.used[level] |= 1 << uint(slot)
+	w.usedSlots[level] |= 1 << slot
+}
+
+// remove takes a timer out of the wheel for good.
+func (w *Wheel[T]) remove(t *Timer[T]) {
+	w.unlink(t)
+	t.level = firedLevel
+	w.count--
 }
 
-func (w *Wheel[T]) take(t *Timer[T]) {
+// unlink takes a timer out of its slot.
+func (w *Wheel[T]) unlink(t *Timer[T]) {
 	if t.prev != nil {
 		t.prev.next = t.next
 	} else {
@@ -157,7 +176,8 @@
 		t.next.prev = t.prev
 	}
 	if w.heads[t.level][t.slot] == nil {
-		w.used[t.level] &^= 1 << uint(t.slot)
+		w.usedSlots[t.level] &^= 1 << t.slot
 	}
-	t.next, t.prev = nil, nil
+	t.next = nil
+	t.prev = nil
 }
--- a/internal/timerwheel/timerwheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -9,67 +9,99 @@
 	"pgregory.net/rapid"
 )
 
-// Against a plain list: every timer fires once, not early, in the first Advance at or after its tick, and
-// never after it was cancelled.
+const resolution = 0.001 // s
+
+// listedTimer is a timer of a wheel, as a list keeps it.
+type listedTimer struct {
+	at    float64
+	timer *Timer[int]
+	ended bool // it has fired or was canceled
+}
+
+// wheelMachine applies random operations to a wheel and to a list, and compares them.
+type wheelMachine struct {
+	wheel  *Wheel[int] // its values are indexes of timers
+	timers []listedTimer
+	now    float64
+}
+
+func (m *wheelMachine) add(t *rapid.T) {
+	span := rapid.SampledFrom([]float64{0.01, 1, 100, 1e5, 1e7}).Draw(t, "span")
+	at := m.now + rapid.Float64Range(-0.1, 1).Draw(t, "part")*span
+	timer := m.wheel.Add(at, len(m.timers))
+	m.timers = append(m.timers, listedTimer{at: max(at, m.now), timer: timer}) // one in the past fires at the next tick
+}
+
+func (m *wheelMachine) cancel(t *rapid.T) {
+	if len(m.timers) == 0 {
+		return
+	}
+	i := rapid.IntRange(0, len(m.timers)-1).Draw(t, "which")
+	if got := m.wheel.Cancel(m.timers[i].timer); got == m.timers[i].ended {
+		t.Fatalf("cancel of timer %d: got %v, ended %v", i, got, m.timers[i].ended)
+	}
+	m.timers[i].ended = true
+}
+
+func (m *wheelMachine) advance(t *rapid.T) {
+	if next, ok := m.wheel.Next(); ok && rapid.Bool().Draw(t, "to next") {
+		m.checkNext(t, next)
+		m.now = max(m.now, next)
+	} else {
+		m.now += rapid.SampledFrom([]float64{0.0005, 0.02, 3, 1e4}).Draw(t, "pass")
+	}
+	m.wheel.Advance(m.now, func(i int) {
+		timer := &m.timers[i]
+		if timer.ended || timer.at > m.now+1e-6 {
+			t.Fatalf("timer %d at %.6f fired at %.6f, ended %v", i, timer.at, m.now, timer.ended)
+		}
+		timer.ended = true
+	})
+	for i, timer := range m.timers {
+		if !timer.ended && timer.at < m.now-2*resolution {
+			t.Fatalf("timer %d at %.6f has not fired at %.6f", i, timer.at, m.now)
+		}
+	}
+}
+
+// checkNext checks that no timer is due before the time that Next returns.
+func (m *wheelMachine) checkNext(t *rapid.T, next float64) {
+	for i, timer := range m.timers {
+		if !timer.ended && timer.at > m.now+resolution && next > timer.at+2*resolution {
+			t.Fatalf("Next %.6f is after timer %d at %.6f", next, i, timer.at)
+		}
+	}
+}
+
+func (m *wheelMachine) checkLen(t *rapid.T) {
+	waiting := 0
+	for _, timer := range m.timers {
+		if !timer.ended {
+			waiting++
+		}
+	}
+	if got := m.wheel.Len(); got != waiting {
+		t.Fatalf("Len %d, want %d", got, waiting)
+	}
+}
+
+// Compared with a list: every timer fires once, not early, in the first Advance at or after its tick, and never after it was
+// canceled.
 func TestWheelMatchesListOfTimers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Float64Range(0, 1e6).Draw(t, "start")
-		const res = 0.001
-		w := New[int](now, res)
-		type plain struct {
-			at    float64
-			timer *Timer[int]
-			ended bool
-		}
-		var all []plain
+		m := &wheelMachine{wheel: New[int](now, resolution), now: now}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "op") {
 			case 0, 1:
-				span := rapid.SampledFrom([]float64{0.01, 1, 100, 1e5, 1e7}).Draw(t, "span")
-				at := now + rapid.Float64Range(-0.1, 1).Draw(t, "part")*span
-				timer := w.Add(at, len(all))
-				all = append(all, plain{at: max(at, now), timer: timer}) // the past fires at the next tick
+				m.add(t)
 			case 2:
-				if len(all) > 0 {
-					i := rapid.IntRange(0, len(all)-1).Draw(t, "which")
-					if got := w.Cancel(all[i].timer); got == all[i].ended {
-						t.Fatalf("cancel of timer %d: %v, ended %v", i, got, all[i].ended)
-					}
-					all[i].ended = true
-				}
+				m.cancel(t)
 			case 3:
-				if next, ok := w.Next(); ok && rapid.Bool().Draw(t, "to next") {
-					for i := range all {
-						if !all[i].ended && all[i].at > now+res && next > all[i].at+2*res {
-							t.Fatalf("Next %.6f is after timer %d at %.6f", next, i, all[i].at)
-						}
-					}
-					now = max(now, next)
-				} else {
-					now += rapid.SampledFrom([]float64{0.0005, 0.02, 3, 1e4}).Draw(t, "pass")
-				}
-				w.Advance(now, func(i int) {
-					if all[i].ended || all[i].at > now+1e-6 {
-						t.Fatalf("timer %d at %.6f fired at %.6f, ended %v", i, all[i].at, now, all[i].ended)
-					}
-					all[i].ended = true
-				})
-				for i := range all {
-					if !all[i].ended && all[i].at < now-2*res {
-						t.Fatalf("timer %d at %.6f has not fired at %.6f", i, all[i].at, now)
-					}
-				}
-			}
-		}
-		left := 0
-		for i := range all {
-			if !all[i].ended {
-				left++
+				m.advance(t)
 			}
 		}
-		if w.Len() != left {
-			t.Fatalf("Len %d, want %d", w.Len(), left)
-		}
+		m.checkLen(t)
 	})
 }
 
@@ -82,7 +114,7 @@
 		got = append(got, s)
 		w.Cancel(b)
 		if s == "a" {
-			w.Add(0.001, "late") // in the past: at the next tick
+			w.Add(0.001, "late") // in the past: it fires at the next tick
 		}
 	})
 	w.Advance(1, func(s string) { got = append(got, s) })
@@ -91,7 +123,8 @@
 	}
 }
 
-const many = 100_000
+// waitingTimers is the number of timers that wait during a benchmark.
+const waitingTimers = 100_000
 
 func delays() []float64 {
 	r := rand.New(rand.NewPCG(1, 2))
@@ -106,7 +139,7 @@
 // does to its deadline.
 func BenchmarkWheel100k(b *testing.B) {
 	ds, w := delays(), New[int](0, 0.001)
-	ring := make([]*Timer[int], many)
+	ring := make([]*Timer[int], waitingTimers)
 	for i := range ring {
 		ring[i] = w.Add(ds[i%len(ds)], i)
 	}
@@ -115,7 +148,7 @@
 	b.ResetTimer()
 	for i := range b.N {
 		now += 1e-6
-		k := i % many
+		k := i % waitingTimers
 		w.Cancel(ring[k])
 		ring[k] = w.Add(now+ds[i%len(ds)], k)
 		if i%1000 == 0 {
@@ -126,7 +159,7 @@
 
 func BenchmarkAfterFunc100k(b *testing.B) {
 	ds := delays()
-	ring := make([]*time.Timer, many)
+	ring := make([]*time.Timer, waitingTimers)
 	start := func(i int) *time.Timer {
 		return time.AfterFunc(time.Duration((5+ds[i%len(ds)])*float64(time.Second)), func() {})
 	}
@@ -136,7 +169,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		k := i % many
+		k := i % waitingTimers
 		ring[k].Stop()
 		ring[k] = start(i)
 	}
@@ -165,7 +198,7 @@
 
 func BenchmarkBinaryHeap100k(b *testing.B) {
 	ds, h := delays(), timerHeap{}
-	ring := make([]*heapTimer, many)
+	ring := make([]*heapTimer, waitingTimers)
 	for i := range ring {
 		ring[i] = &heapTimer{at: ds[i%len(ds)]}
 		heap.Push(&h, ring[i])
@@ -175,7 +208,7 @@
 	b.ResetTimer()
 	for i := range b.N {
 		now += 1e-6
-		k := i % many
+		k := i % waitingTimers
 		heap.Remove(&h, ring[k].index)
 		ring[k] = &heapTimer{at: now + ds[i%len(ds)]}
 		heap.Push(&h, ring[k])
