--- a/internal/decide/endpoints/poller_test.go
+++ b/internal/decide/endpoints/poller_test.go
@@ -12,7 +12,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		poller := NewPoller(func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "chance") })
 		at := poller.FirstCall(50)
-		first, n := at, 1
+		firstCall, n := at, 1
 		for range rapid.IntRange(1, 60).Draw(t, "calls") {
 			took := rapid.SampledFrom([]float64{0, 0, 0.01, 1, 30}).Draw(t, "took")
 			next := poller.AfterCall(at+took, rapid.Bool().Draw(t, "good"))
@@ -23,8 +23,8 @@
 				t.Fatalf("calls only after %.1f s", next-at-took)
 			}
 			at = next
-			if n++; float64(n) > poller.Burst+1+poller.CallsPerSecond*(at-first)+1e-6 {
-				t.Fatalf("%d calls in %.3f s", n, at-first)
+			if n++; float64(n) > poller.Burst+1+poller.CallsPerSecond*(at-firstCall)+1e-6 {
+				t.Fatalf("%d calls in %.3f s", n, at-firstCall)
 			}
 		}
 	})
--- a/internal/decide/endpoints/start_times_test.go
+++ b/internal/decide/endpoints/start_times_test.go
@@ -34,9 +34,9 @@
 
 func TestReportedStartTimeStaysAtItsLocalTime(t *testing.T) {
 	s := NewStartTimes()
-	first := s.LocalTime("e", 1000, 1010, 1010, 0)
-	if again := s.LocalTime("e", 1000, 1020, 1020+hour, 0); again != first {
-		t.Errorf("reported again after a step: got %g, want %g", again, first)
+	firstLocal := s.LocalTime("e", 1000, 1010, 1010, 0)
+	if again := s.LocalTime("e", 1000, 1020, 1020+hour, 0); again != firstLocal {
+		t.Errorf("reported again after a step: got %g, want %g", again, firstLocal)
 	}
 	if later := s.LocalTime("e", 1030, 1031, 1031-hour, 0); later != 1030 {
 		t.Errorf("a new start: got %g, want 1030", later)
@@ -48,8 +48,8 @@
 		t.Error("a start that was reported before keeps its local time")
 	}
 	s.Remove("f", 1060)
-	if back := s.LocalTime("f", 900, 1070, 1070, 1069); back != 900 {
-		t.Errorf("an engine that was partitioned off and comes back: got %g, want 900", back)
+	if returnedLocal := s.LocalTime("f", 900, 1070, 1070, 1069); returnedLocal != 900 {
+		t.Errorf("an engine that was partitioned off and comes back: got %g, want 900", returnedLocal)
 	}
 	s.Remove("f", 1080)
 	s.Retain(map[string]string{}, 1080+removedRetention+1)
--- a/internal/decide/endpoints/view_property_test.go
+++ b/internal/decide/endpoints/view_property_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// settle lets time pass until it changes nothing more.
-func (m *viewMachine) settle() {
+// passTime lets time pass until it changes nothing more.
+func (m *viewMachine) passTime() {
 	for range 20 {
 		at, ok := m.view.Next()
 		if !ok || at > m.now+100 {
@@ -135,16 +135,16 @@
 		m.lastIndex++
 		m.view.Apply(m.now, List{Index: m.lastIndex, Endpoints: final})
 		m.checkDraining(t, final)
-		m.settle()
+		m.passTime()
 		m.checkEquals(t, final)
 	})
 }
 
-func endpointsOf(es []Endpoint, id string) (out []Endpoint) {
-	for _, e := range es {
+func endpointsOf(endpoints []Endpoint, id string) (matching []Endpoint) {
+	for _, e := range endpoints {
 		if e.ID == id {
-			out = append(out, e)
+			matching = append(matching, e)
 		}
 	}
-	return out
+	return matching
 }
--- a/internal/decide/endpoints/watch_test.go
+++ b/internal/decide/endpoints/watch_test.go
@@ -38,9 +38,9 @@
 	timeouts := NewWatchTimeouts(notifiedAfter)
 	rapid.Check(t, func(t *rapid.T) {
 		poller := NewAgentPoller(func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "chance") })
-		now, back := 100.0, 100+rapid.Float64Range(0.1, 60).Draw(t, "down for")
+		now, recoveredAt := 100.0, 100+rapid.Float64Range(0.1, 60).Draw(t, "down for")
 		begun := now
-		for silent := 1; now < back; silent++ {
+		for silent := 1; now < recoveredAt; silent++ {
 			begun = now
 			if rapid.Bool().Draw(t, "silent") {
 				now = timeouts.CallDeadline(now, silent)
@@ -48,8 +48,8 @@
 				now = poller.AfterCall(now+rapid.Float64Range(0, timeouts.FirstByte).Draw(t, "connecting"), false)
 			}
 		}
-		if now > back+notifiedAfter/3 {
-			t.Fatalf("recovered at %.2f, polled at %.2f, the call before started at %.2f", back, now, begun)
+		if now > recoveredAt+notifiedAfter/3 {
+			t.Fatalf("recovered at %.2f, polled at %.2f, the call before started at %.2f", recoveredAt, now, begun)
 		}
 	})
 }
--- a/internal/decide/staterelease/staterelease_test.go
+++ b/internal/decide/staterelease/staterelease_test.go
@@ -52,8 +52,8 @@
 	if want := "new, old, gone, silent, dead holder, "; got != want {
 		t.Errorf("%s; want %s", got, want)
 	}
-	if first := RankEngines([]Engine{{ID: "a", Listed: true, LastSuccess: 9}, {ID: "h", Listed: true, Holder: true}})[0].ID; first != "h" {
-		t.Errorf("the first engine is %s, want the holder", first)
+	if firstEngine := RankEngines([]Engine{{ID: "a", Listed: true, LastSuccess: 9}, {ID: "h", Listed: true, Holder: true}})[0].ID; firstEngine != "h" {
+		t.Errorf("the first engine is %s, want the holder", firstEngine)
 	}
 }
 
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -304,11 +304,11 @@
 // A source that was silent responds first to the calls that wait when it recovers. A node has a call in flight at any time, so
 // that a drain arrives at once, however long the outage was.
 func TestRecoveredDiscoveryIsReadAtOnce(t *testing.T) {
-	back := make(chan struct{})
+	recovered := make(chan struct{})
 	var down atomic.Bool
 	s := newFakeDiscovery(t, func(_ *fakeDiscovery, _ int, _ string, _ net.Conn) bool {
 		if down.Load() {
-			<-back
+			<-recovered
 		}
 		return false
 	})
@@ -325,7 +325,7 @@
 	s.mu.Lock()
 	s.drain = true
 	s.mu.Unlock()
-	close(back)
+	close(recovered)
 	waitUntil(t, "the drain", 100*time.Millisecond, func() bool { return times.drained.Load() > 0 })
 	time.Sleep(time.Second)
 	d.watch.mu.Lock()
