--- a/internal/service/transient.go
+++ b/internal/service/transient.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Transient tells whether a system call failed for a reason that may pass by itself: a table or a disk that is full, memory that is
-// short, an address that a predecessor still has or that the machine does not have yet.
+// Transient tells whether a system call failed for a reason that may pass by itself: a descriptor table or a disk that is full, a
+// lack of memory, an address that a predecessor still holds or that the machine does not have yet.
 func Transient(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
@@ -22,20 +22,20 @@
 	return false
 }
 
-// Pauses between tries: doubled from the first to the longest.
+// Backoff between attempts: it doubles from the first to the longest.
 const (
 	MinBackoff = 20 * time.Millisecond
 	MaxBackoff = 200 * time.Millisecond
 )
 
-// RetryTransient does a thing again for as long as it fails for a transient reason, within a time.
+// RetryTransient calls do, and again with backoff while it fails for a transient reason, within a time.
 func RetryTransient(within time.Duration, do func() error) error {
-	pause := MinBackoff
-	for end := time.Now().Add(within); ; pause = min(2*pause, MaxBackoff) {
+	backoff := MinBackoff
+	for end := time.Now().Add(within); ; backoff = min(2*backoff, MaxBackoff) {
 		err := do()
-		if err == nil || !Transient(err) || time.Now().Add(pause).After(end) {
+		if err == nil || !Transient(err) || time.Now().Add(backoff).After(end) {
 			return err
 		}
-		time.Sleep(pause)
+		time.Sleep(backoff)
 	}
 }
--- a/internal/service/transient_test.go
+++ b/internal/service/transient_test.go
@@ -20,7 +20,7 @@
 		{&os.PathError{Op: "open", Err: syscall.EIO}, true},
 		{&os.PathError{Op: "open", Err: syscall.ENOENT}, false},
 		{&net.OpError{Op: "listen", Err: os.NewSyscallError("bind", syscall.EACCES)}, false},
-		{errors.New("a configuration that is wrong"), false},
+		{errors.New("an invalid configuration"), false},
 		{nil, false},
 	} {
 		if got := Transient(c.err); got != c.want {
@@ -29,22 +29,26 @@
 	}
 }
 
-func TestPersist(t *testing.T) {
-	tries := 0
+func TestRetryTransient(t *testing.T) {
+	attempts := 0
 	err := RetryTransient(10*time.Second, func() error {
-		if tries++; tries < 4 {
+		if attempts++; attempts < 4 {
 			return syscall.ENOBUFS
 		}
 		return nil
 	})
-	if err != nil || tries != 4 {
-		t.Errorf("got %v after %d tries, want success at the fourth", err, tries)
+	if err != nil || attempts != 4 {
+		t.Errorf("got %v after %d attempts, want success at the fourth", err, attempts)
 	}
-	tries = 0
-	if err := RetryTransient(10*time.Second, func() error { tries++; return syscall.EACCES }); !errors.Is(err, syscall.EACCES) || tries != 1 {
-		t.Errorf("got %v after %d tries, want what does not pass at once", err, tries)
+	attempts = 0
+	err = RetryTransient(10*time.Second, func() error {
+		attempts++
+		return syscall.EACCES
+	})
+	if !errors.Is(err, syscall.EACCES) || attempts != 1 {
+		t.Errorf("got %v after %d attempts, want EACCES after one", err, attempts)
 	}
 	if err := RetryTransient(0, func() error { return syscall.ENFILE }); !errors.Is(err, syscall.ENFILE) {
-		t.Errorf("got %v when the time is over", err)
+		t.Errorf("got %v without time, want ENFILE", err)
 	}
 }
