--- a/internal/decide/connreuse/connreuse.go
+++ b/internal/decide/connreuse/connreuse.go
@@ -2,7 +2,7 @@
 //
 // A reused connection saves a handshake. One that the engine has closed meanwhile, or that a middlebox has dropped, costs an
 // attempt that may have run, because the request was written to it. The engine's idle timeout is known only as an upper bound;
-// how long connections really live shows only when some are lost. The package does no I/O and reads no clock; times are in
+// how long connections really stay open shows only when some are lost. The package does no I/O and reads no clock; times are in
 // seconds.
 package connreuse
 
--- a/internal/decide/endpoints/duplicates.go
+++ b/internal/decide/endpoints/duplicates.go
@@ -7,7 +7,7 @@
 )
 
 // withoutDuplicates returns the endpoints of a list in order of id, one for each id. Of several with one id the one with the
-// latest start counts. Where their starts are equal and they differ in address or kind, nobody knows which one is meant,
+// latest start counts. Where their starts are equal and they differ in address or kind, the right one is unknown,
 // and the engine drains.
 func (v *View) withoutDuplicates(listed []Endpoint) []Endpoint {
 	byID := map[string]Endpoint{}
--- a/internal/decide/staterelease/retry.go
+++ b/internal/decide/staterelease/retry.go
@@ -45,7 +45,7 @@
 // Values for calls past the deadline: the state is still held, and whatever made the calls fail may end.
 const (
 	minOverduePause   = 0.25 // s between calls
-	overdueRetryTime  = 60.0 // s for which calls continue; by then an engine has freed what nobody uses, or is removed
+	overdueRetryTime  = 60.0 // s for which calls continue; by then an engine has evicted the unused state, or is removed
 	overduePauseParts = 4    // a pause takes at least the time past the deadline divided by it
 )
 
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -188,22 +188,12 @@
 	f.saver.save(text)
 }
 
-// endpointList turns a snapshot into the host's form.
+// endpointList turns a snapshot into the host's form, and forgets the start times of engines that it lacks.
 func (f *Follower) endpointList(now float64, snapshot endpoints.Snapshot) protocol.EndpointList {
 	list := protocol.EndpointList{Form: scheduler.UpdateComplete, Addresses: map[string]string{}, Saved: snapshot.Saved}
 	for _, endpoint := range snapshot.Endpoints {
-		engine := scheduler.Engine{
-			ID:       endpoint.ID,
-			Kind:     endpoint.Kind,
-			Cell:     endpoint.Cell,
-			Zone:     endpoint.Zone,
-			Weight:   endpoint.Weight,
-			BootTime: f.startTimes.LocalTime(endpoint.ID, endpoint.BootTime, now, f.options.Clock.Wall(), f.lastResponse),
-		}
-		if endpoint.State == endpoints.Draining {
-			engine.State = scheduler.EngineDraining
-		}
-		list.Engines = append(list.Engines, engine)
+		bootTime := f.startTimes.LocalTime(endpoint.ID, endpoint.BootTime, now, f.options.Clock.Wall(), f.lastResponse)
+		list.Engines = append(list.Engines, protocol.EngineOf(endpoint, bootTime))
 		list.Addresses[endpoint.ID] = endpoint.Address
 	}
 	f.startTimes.Retain(list.Addresses, now)
--- /dev/null
+++ b/internal/protocol/endpoints.go
@@ -0,0 +1,22 @@
+package protocol
+
+import (
+	"dillroute/internal/decide/endpoints"
+	"dillroute/scheduler"
+)
+
+// EngineOf returns an endpoint as the scheduler's list names it. bootTime is its last start by the node's clock.
+func EngineOf(endpoint endpoints.Endpoint, bootTime float64) scheduler.Engine {
+	engine := scheduler.Engine{
+		ID:       endpoint.ID,
+		Kind:     endpoint.Kind,
+		Cell:     endpoint.Cell,
+		Zone:     endpoint.Zone,
+		Weight:   endpoint.Weight,
+		BootTime: bootTime,
+	}
+	if endpoint.State == endpoints.Draining {
+		engine.State = scheduler.EngineDraining
+	}
+	return engine
+}
--- a/internal/relay/discovery_list.go
+++ b/internal/relay/discovery_list.go
@@ -27,7 +27,7 @@
 // listResponse is a list in discovery's form.
 type listResponse struct {
 	Version int64          `json:"version"`
-	Full    bool           `json:"full"` // false = it holds the changes since the version that was asked for
+	Full    bool           `json:"full"` // false = it holds the changes since the requested version
 	Servers []listedServer `json:"servers"`
 }
 
@@ -127,20 +127,11 @@
 	wall := d.clock.Wall()
 	list := protocol.EndpointList{Form: scheduler.UpdateIncremental, Addresses: map[string]string{}, Saved: saved}
 	for _, change := range changes {
-		engine := scheduler.Engine{
-			ID:       change.ID,
-			Kind:     change.Kind,
-			Cell:     change.Cell,
-			Zone:     change.Zone,
-			Weight:   change.Weight,
-			BootTime: d.startTimes.LocalTime(change.ID, change.BootTime, now, wall, d.lastResponse),
-		}
-		switch {
-		case change.Removed:
+		bootTime := d.startTimes.LocalTime(change.ID, change.BootTime, now, wall, d.lastResponse)
+		engine := protocol.EngineOf(change.Endpoint, bootTime)
+		if change.Removed {
 			engine.State = scheduler.EngineRemoved
 			d.startTimes.Remove(change.ID, now)
-		case change.State == endpoints.Draining:
-			engine.State = scheduler.EngineDraining
 		}
 		list.Engines = append(list.Engines, engine)
 		if change.Address != "" {
--- a/internal/settings/scheduler_config.go
+++ b/internal/settings/scheduler_config.go
@@ -147,13 +147,13 @@
 	return kind, err
 }
 
-// lookUp returns the meaning of a field's value.
-func lookUp[T any](field, value string, meanings map[string]T) (T, error) {
-	meaning, ok := meanings[value]
+// lookUp translates a field's value.
+func lookUp[T any](field, value string, translations map[string]T) (T, error) {
+	translated, ok := translations[value]
 	if !ok {
-		return meaning, fmt.Errorf("%s: unknown value %q", field, clip(value))
+		return translated, fmt.Errorf("%s: unknown value %q", field, clip(value))
 	}
-	return meaning, nil
+	return translated, nil
 }
 
 // numberAt returns element i, 0 where there is none.
