--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -210,14 +210,14 @@
 	maxTokens := settings.table.MaxTokens(class, chat.MaxTokens)
 	wait := settings.table.ClientWait(class, chat.PromptTokens, maxTokens, clientTimeout, !chat.Stream)
 	request := scheduler.Request{ID: exchange.id, Class: class, Tenant: tenant, Session: chat.Session, Prefix: chat.Prefix,
-		ClientTimeLeft: wait.First, PromptTokens: float64(chat.PromptTokens), PrefixTokens: float64(chat.PrefixTokens),
+		ClientTimeLeft: wait.FirstToken, PromptTokens: float64(chat.PromptTokens), PrefixTokens: float64(chat.PrefixTokens),
 		MaxOutputTokens: float64(maxTokens), Retry: isClientRetry(client)}
 	if chosen := client.Header.Get("X-Request-Id"); chosen != "" {
 		f.log.Debug("request admitted", "request", exchange.id, "client_request", truncate(chosen),
 			"class", settings.config.Classes[class].Name)
 	}
 	client.Header = nil // the exchange and the request hold what is needed of it
-	if !take(protocol.RoutedRequest{Request: request, WholeResponseTimeout: wait.Whole, Exchange: exchange}) {
+	if !take(protocol.RoutedRequest{Request: request, WholeResponseTimeout: wait.CompleteResponse, Exchange: exchange}) {
 		reject(client, 503, true, "node_stopping", "", "the node is stopping")
 	}
 }
