--- a/internal/relay/front.go
+++ b/internal/relay/front.go
@@ -106,7 +106,8 @@
 		return
 	}
 	f.log.Debug("request received", "request", q.ID, "class", q.Class, "session", q.Session,
-		"time_left_s", q.ClientTimeLeft, "retry", q.Retry, "returned", q.Returned, "prompt_tokens", q.PromptTokens, "prefix_tokens", q.PrefixTokens, "max_output_tokens", q.MaxOutputTokens)
+		"time_left_s", q.ClientTimeLeft, "retry", q.Retry, "returned", q.Returned,
+		"prompt_tokens", q.PromptTokens, "prefix_tokens", q.PrefixTokens, "max_output_tokens", q.MaxOutputTokens)
 	e := &exchange{front: f, id: q.ID, client: x, method: x.Method, target: x.Target(), body: x.Body,
 		fields: http1.EndToEnd(x.Header, headerID, headerTimeLeft), effect: f.effects[q.Class]}
 	x.Body, x.Header = nil, nil // the exchange and the request hold what is needed
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -15,24 +15,24 @@
 	RegistryMode string   `json:"registry_mode"`
 	Tick         float64  `json:"tick_s"`
 	Family       struct {
-		Ahead     bool      `json:"ahead"`
-		Resume    bool      `json:"resume"`
-		LocalRead bool      `json:"local_read"`
-		AimPerK   []float64 `json:"aim_us_per_1000_prompt_tokens"`
-		TokenAim  []float64 `json:"token_aim_s"`
-		LetGoBy   float64   `json:"let_go_by_s"`
-		Stage     []string  `json:"stage_of_kind"`
-		Tokens    []float64 `json:"tokens_by_kind"`
-		Transfer  float64   `json:"transfer_price"`
+		Ahead             bool      `json:"ahead"`
+		Resume            bool      `json:"resume"`
+		LocalRead         bool      `json:"local_read"`
+		AimPerK           []float64 `json:"aim_us_per_1000_prompt_tokens"`
+		TokenAim          []float64 `json:"token_aim_s"`
+		StateReleaseLimit float64   `json:"let_go_by_s"`
+		Stage             []string  `json:"stage_of_kind"`
+		Tokens            []float64 `json:"tokens_by_kind"`
+		Transfer          float64   `json:"transfer_price"`
 	} `json:"family_info"`
 	Guarantees struct {
-		AnswerSlack  float64 `json:"answer_slack_s"`
-		AskEvery     float64 `json:"ask_every_s"`
-		Cold         float64 `json:"cold_s"`
-		ColdShare    float64 `json:"cold_share"`
-		DrainGrace   float64 `json:"drain_grace_s"`
-		FallMultiple float64 `json:"fall_multiple"`
-		TipAfter     float64 `json:"tip_after_s"`
+		AnswerSlack    float64 `json:"answer_slack_s"`
+		AskEvery       float64 `json:"ask_every_s"`
+		SlowStart      float64 `json:"cold_s"`
+		SlowStartShare float64 `json:"cold_share"`
+		DrainGrace     float64 `json:"drain_grace_s"`
+		FallMultiple   float64 `json:"fall_multiple"`
+		TipAfter       float64 `json:"tip_after_s"`
 	} `json:"guarantees"`
 	Limits struct {
 		Cancel        bool    `json:"cancel"`
--- a/internal/settings/scheduler_config.go
+++ b/internal/settings/scheduler_config.go
@@ -96,12 +96,12 @@
 	return scheduler.Rules{
 		AnswerSlack:       d.Guarantees.AnswerSlack,
 		PollInterval:      d.Guarantees.AskEvery,
-		SlowStartShare:    d.Guarantees.ColdShare,
-		SlowStartDuration: d.Guarantees.Cold,
+		SlowStartShare:    d.Guarantees.SlowStartShare,
+		SlowStartDuration: d.Guarantees.SlowStart,
 		DrainGrace:        d.Guarantees.DrainGrace,
 		OverloadMultiple:  d.Guarantees.FallMultiple,
 		SlowStartWindow:   d.Guarantees.TipAfter,
-		StateReleaseLimit: d.Family.LetGoBy,
+		StateReleaseLimit: d.Family.StateReleaseLimit,
 	}
 }
 
