--- a/internal/endings_test.go
+++ b/internal/endings_test.go
@@ -33,7 +33,7 @@
 	named := regexp.MustCompile("`(Test\\w+)`")
 	rows := 0
 	for _, line := range strings.Split(string(page), "\n") {
-		if !strings.HasPrefix(line, "| ") || strings.HasPrefix(line, "| path ") || strings.HasPrefix(line, "| --- ") {
+		if !strings.HasPrefix(line, "| ") || strings.HasPrefix(line, "| event ") || strings.HasPrefix(line, "| --- ") {
 			continue
 		}
 		rows++
