--- a/internal/decide/requesttable/attempts.go
+++ b/internal/decide/requesttable/attempts.go
@@ -20,7 +20,7 @@
 }
 
 // attempt returns an attempt by its number; nil = it was never begun.
-func (e *entry) attempt(n int) *attempt {
+func (e *requestRecord) attempt(n int) *attempt {
 	for i := range e.attempts {
 		if e.attempts[i].n == n {
 			return &e.attempts[i]
@@ -30,11 +30,11 @@
 }
 
 // took tells whether the attempt was given the state that the entry holds.
-func (t *attempt) took(e *entry) bool { return t.withState && t.stateN == e.stateN }
+func (t *attempt) took(e *requestRecord) bool { return t.withState && t.stateN == e.stateN }
 
 // send checks an attempt against the rules and starts it. One that may not be made ends at once as not sent.
-func (l *Ledger) send(now float64, a scheduler.Send) {
-	e := l.open[a.ID]
+func (l *Table) send(now float64, a scheduler.Send) {
+	e := l.records[a.ID]
 	if e == nil {
 		l.fault("send for %s, which is not open", a.ID)
 		return
@@ -56,22 +56,22 @@
 	writeBy := l.repeatBy(e) // of the attempts before this one
 	e.attempts = append(e.attempts, t)
 	e.out++
-	l.do(Start{ID: a.ID, Engine: a.Engine, N: n, Stage: t.stage, State: t.withState, StateN: e.stateN, StateAt: e.stateAt, HeldAt: e.heldAt,
+	l.do(StartAttempt{ID: a.ID, Engine: a.Engine, Attempt: n, Stage: t.stage, FetchState: t.withState, StateAttempt: e.stateN, HeldSince: e.stateAt, HeldSinceIfUndelivered: e.heldAt,
 		Timeout: a.Timeout, WriteBy: writeBy})
 }
 
 // left is how many attempts a request may still have.
-func (l *Ledger) left(e *entry) int {
+func (l *Table) left(e *requestRecord) int {
 	counted := len(e.attempts)
-	if l.cfg.UnsentFree {
-		counted -= min(e.unsent, l.cfg.MaxAttempts)
+	if l.config.UnsentAttemptsAreFree {
+		counted -= min(e.unsent, l.config.MaxAttempts)
 	}
-	return l.cfg.MaxAttempts - counted
+	return l.config.MaxAttempts - counted
 }
 
 // maySend says why an attempt may not be begun.
-func (l *Ledger) maySend(now float64, e *entry, s *seen, t *attempt) permit.Reason {
-	ask := permit.Send{RequestEnded: e.concluded || e.answering, AttemptsLeft: l.left(e), EngineKnown: s != nil, DrainGrace: l.cfg.DrainGrace,
+func (l *Table) maySend(now float64, e *requestRecord, s *engineRecord, t *attempt) permit.Reason {
+	ask := permit.Send{RequestEnded: e.concluded || e.answering, AttemptsLeft: l.left(e), EngineKnown: s != nil, DrainGrace: l.config.DrainGrace,
 		Repeat: l.repeat(now, e, t.engine)}
 	if s != nil {
 		ask.Draining, ask.DrainingFor = s.state != scheduler.EngineReady, now-s.since
@@ -80,7 +80,7 @@
 }
 
 // repeat is a further attempt of a request at an engine, as rule 2 has it.
-func (l *Ledger) repeat(now float64, e *entry, engine string) permit.Repeat {
+func (l *Table) repeat(now float64, e *requestRecord, engine string) permit.Repeat {
 	on, at, ran := e.mayRun()
 	r := permit.Repeat{Effect: e.class.Effect, DedupScope: e.class.DedupScope, MayHaveRun: ran, SinceFirst: now - at, DedupWindow: e.class.DedupWindow}
 	if a, b := l.engines[on], l.engines[engine]; a != nil && b != nil {
@@ -90,7 +90,7 @@
 }
 
 // mayRun returns where and when the first attempt was sent that may have run, or may yet.
-func (e *entry) mayRun() (on string, at float64, ran bool) {
+func (e *requestRecord) mayRun() (on string, at float64, ran bool) {
 	if e.ran {
 		return e.ranOn, e.ranAt, true
 	}
@@ -103,7 +103,7 @@
 }
 
 // repeatBy is when the time ends in which a repeat of a keyed request is known as one; 0 = there is no such time.
-func (l *Ledger) repeatBy(e *entry) float64 {
+func (l *Table) repeatBy(e *requestRecord) float64 {
 	if _, at, ran := e.mayRun(); ran && e.class.Effect == scheduler.IdempotentByKey {
 		return at + e.class.DedupWindow
 	}
@@ -111,55 +111,55 @@
 }
 
 // cancel ends an attempt that has not begun to stream.
-func (l *Ledger) cancel(a scheduler.Cancel) {
-	e := l.open[a.ID]
+func (l *Table) cancel(a scheduler.Cancel) {
+	e := l.records[a.ID]
 	if e == nil {
 		return // it had ended
 	}
 	if t := e.attempt(a.Attempt); t != nil && !t.over && !t.streaming && !t.aborting {
 		t.aborting = true
-		l.do(Abort{a.ID, a.Attempt, outcome.CanceledByScheduler})
+		l.do(CancelAttempt{a.ID, a.Attempt, outcome.CanceledByScheduler})
 	}
 }
 
-// NotArrived is told that the request of an attempt has not reached its engine in the time for which the state may be held that it is to
+// AttemptNotDelivered is told that the request of an attempt has not reached its engine in the time for which the state may be held that it is to
 // take. Such an attempt does not stop that time: it is called off, so that the state can be released.
-func (l *Ledger) NotArrived(id string, n int) {
-	if e := l.open[id]; e != nil && e.state != "" {
+func (l *Table) AttemptNotDelivered(id string, n int) {
+	if e := l.records[id]; e != nil && e.state != "" {
 		l.cancel(scheduler.Cancel{ID: id, Attempt: n})
 	}
 }
 
-// First is told when the first token of an attempt has come; the attempt waits for its Grant.
-func (l *Ledger) First(now float64, id string, n int) {
-	e := l.open[id]
+// FirstToken is told when the first token of an attempt has come; the attempt waits for its Grant.
+func (l *Table) FirstToken(now float64, id string, n int) {
+	e := l.records[id]
 	if e == nil || e.attempt(n) == nil {
 		l.fault("first token for %s, attempt %d, which is not open", id, n)
 		return
 	}
 	t := e.attempt(n)
 	if e.concluded || e.answering || t.over || t.aborting {
-		l.do(Grant{id, n, false})
+		l.do(GrantResponse{id, n, false})
 		return
 	}
 	e.answering, t.streaming = true, true
 	if e.state != "" && !t.took(e) { // it read the prompt itself
-		l.letGo(id, e, Release{Engine: e.state, N: e.stateN})
+		l.letGo(id, e, ReleaseState{Engine: e.state, Attempt: e.stateN})
 	}
 	e.state = "" // else the fetch has ended: the reader let its memory go
-	l.do(Grant{id, n, true})
+	l.do(GrantResponse{id, n, true})
 	l.emit(scheduler.FirstToken{ID: id, Attempt: n, Engine: t.engine, Spent: now - t.sentAt})
 	for i := range e.attempts { // a second copy has lost
 		if o := &e.attempts[i]; o != t && !o.over && !o.aborting {
 			o.aborting = true
-			l.do(Abort{id, o.n, outcome.CanceledByScheduler})
+			l.do(CancelAttempt{id, o.n, outcome.CanceledByScheduler})
 		}
 	}
 }
 
-// Ended is told, once, when an attempt has ended. The report may be nil.
-func (l *Ledger) Ended(now float64, id string, n int, f outcome.Evidence, rep *scheduler.LoadReport) {
-	e := l.open[id]
+// AttemptEnded is told, once, when an attempt has ended. The report may be nil.
+func (l *Table) AttemptEnded(now float64, id string, n int, f outcome.Evidence, rep *scheduler.LoadReport) {
+	e := l.records[id]
 	if e == nil || e.attempt(n) == nil || e.attempt(n).over {
 		l.fault("end of attempt %d of %s, which is not out", n, id)
 		return
@@ -206,7 +206,7 @@
 }
 
 // outcome notes that the time of what is held runs from the latest outcome of an attempt that was out.
-func (e *entry) outcome(now float64, f outcome.Evidence) {
+func (e *requestRecord) outcome(now float64, f outcome.Evidence) {
 	if f.Progress < outcome.RequestWritten {
 		return
 	}
@@ -217,20 +217,20 @@
 }
 
 // states keeps the book of the state that waits at a reader.
-func (l *Ledger) states(now float64, id string, e *entry, n int, v outcome.Classification) {
+func (l *Table) states(now float64, id string, e *requestRecord, n int, v outcome.Classification) {
 	t := e.attempt(n)
 	switch {
 	case v.Status == scheduler.Prefilled:
 		if e.state != "" { // read twice: one of the two will not be taken
-			l.letGo(id, e, Release{Engine: e.state, N: e.stateN})
+			l.letGo(id, e, ReleaseState{Engine: e.state, Attempt: e.stateN})
 		}
 		e.state, e.stateN = t.engine, n
-	case v.MayHoldState, l.cfg.ReleaseAll && !t.withState && v.MayHaveRun && v.Status != scheduler.Completed:
+	case v.MayHoldState, l.config.ReleaseFreesAllStates && !t.withState && v.MayHaveRun && v.Status != scheduler.Completed:
 		// Cut reads may have ended well, and an engine that read for itself keeps what it has read.
-		l.letGo(id, e, Release{Engine: t.engine, N: n, CutAt: now})
+		l.letGo(id, e, ReleaseState{Engine: t.engine, Attempt: n, CutAt: now})
 	case t.took(e) && (v.Status == scheduler.Rejected && v.Info == 1 || v.Status == scheduler.Completed && !v.PassThrough):
-		if l.cfg.ReleaseAll && v.Status == scheduler.Rejected { // gone for the writer; the reader may know better
-			l.letGo(id, e, Release{Engine: e.state, N: e.stateN})
+		if l.config.ReleaseFreesAllStates && v.Status == scheduler.Rejected { // gone for the writer; the reader may know better
+			l.letGo(id, e, ReleaseState{Engine: e.state, Attempt: e.stateN})
 		}
 		e.state = ""
 	}
@@ -238,19 +238,19 @@
 
 // closes settles what the end of an attempt means for the client. An answer that began and broke
 // ends the request: the client has part of it, and the module is told so.
-func (l *Ledger) closes(id string, e *entry, n int, v outcome.Classification) bool {
+func (l *Table) closes(id string, e *requestRecord, n int, v outcome.Classification) bool {
 	t := e.attempt(n)
 	switch {
 	case e.concluded:
 		return false
 	case v.PassThrough:
-		l.do(Pass{id, n})
+		l.do(PassThrough{id, n})
 		return true
 	case t.streaming && v.Status == scheduler.Completed:
 		return true
 	case t.streaming:
 		a := outcome.StreamBrokenResponse(e.class.Effect, e.class.DedupScope)
-		l.do(Answer{id, a, 0, "the engine stopped before the answer was complete"})
+		l.do(Respond{id, a, 0, "the engine stopped before the answer was complete"})
 		return true
 	}
 	return false
--- a/internal/decide/requesttable/audit.go
+++ b/internal/decide/requesttable/audit.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-func sortedKeys(m map[string]*entry) []string { return slices.Sorted(maps.Keys(m)) }
+func sortedKeys(m map[string]*requestRecord) []string { return slices.Sorted(maps.Keys(m)) }
 
 // Audit checks the book against itself and returns the first thing that cannot be; tests and the node's own
 // housekeeping call it. It takes time in proportion to the entries.
-func (l *Ledger) Audit() error {
+func (l *Table) Audit() error {
 	live := 0
-	for _, id := range sortedKeys(l.open) {
-		e := l.open[id]
+	for _, id := range sortedKeys(l.records) {
+		e := l.records[id]
 		out, streaming := 0, 0
 		for i := range e.attempts {
 			if t := &e.attempts[i]; !t.over {
--- a/internal/decide/requesttable/endpoints.go
+++ b/internal/decide/requesttable/endpoints.go
@@ -4,8 +4,8 @@
 	"dillroute/scheduler"
 )
 
-// seen is what the book knows of an engine.
-type seen struct {
+// engineRecord is what the book knows of an engine.
+type engineRecord struct {
 	listed bool
 	state  scheduler.EngineState
 	since  float64 // when this state was told
@@ -14,8 +14,8 @@
 	role   scheduler.Role
 }
 
-// Members files a list before the module sees it, so that both know the same. since is when it was learned.
-func (l *Ledger) Members(now float64, m scheduler.EndpointUpdate) {
+// UpdateEndpoints files a list before the module sees it, so that both know the same. since is when it was learned.
+func (l *Table) UpdateEndpoints(now float64, m scheduler.EndpointUpdate) {
 	if m.Form == scheduler.UpdateFailed {
 		l.emit(m)
 		return
@@ -25,7 +25,7 @@
 		named[n.ID] = true
 		s := l.engines[n.ID]
 		if s == nil {
-			s = &seen{since: now}
+			s = &engineRecord{since: now}
 			l.engines[n.ID] = s
 		}
 		if s.state != n.State {
@@ -52,7 +52,7 @@
 const keepRemoved = 120
 
 // prune forgets engines that were removed long ago: where they are replaced all day, there is no end of them.
-func (l *Ledger) prune(now float64) {
+func (l *Table) prune(now float64) {
 	for id, s := range l.engines {
 		if s.state == scheduler.EngineRemoved && now > s.since+keepRemoved {
 			delete(l.engines, id)
@@ -60,25 +60,25 @@
 	}
 }
 
-// Listed tells whether an engine may be sent something new.
-func (l *Ledger) Listed(id string) bool {
+// EngineReady tells whether an engine may be sent something new.
+func (l *Table) EngineReady(id string) bool {
 	s := l.engines[id]
 	return s != nil && s.state == scheduler.EngineReady
 }
 
-// LeavingSince is since when an engine is known to drain or be gone (s); 0 = it is ready, or not remembered.
-func (l *Ledger) LeavingSince(id string) float64 {
+// DrainingSince is since when an engine is known to drain or be gone (s); 0 = it is ready, or not remembered.
+func (l *Table) DrainingSince(id string) float64 {
 	if s := l.engines[id]; s != nil && s.state != scheduler.EngineReady {
 		return s.since
 	}
 	return 0
 }
 
-// Known tells whether an engine is remembered.
-func (l *Ledger) Known(id string) bool { return l.engines[id] != nil }
+// EngineKnown tells whether an engine is remembered.
+func (l *Table) EngineKnown(id string) bool { return l.engines[id] != nil }
 
 // Ready tells whether the node may be sent requests: it is not closing, and some engine is listed as ready.
-func (l *Ledger) Ready() bool {
+func (l *Table) Ready() bool {
 	if l.closing {
 		return false
 	}
--- a/internal/decide/requesttable/golden_test.go
+++ b/internal/decide/requesttable/golden_test.go
@@ -33,9 +33,9 @@
 func goldenSettings() []goldenSetting {
 	return []goldenSetting{
 		{"plain", func(c *Config) {}},
-		{"release-all", func(c *Config) { c.ReleaseAll = true }},
-		{"unsent-free", func(c *Config) { c.UnsentFree, c.MaxAttempts = true, 3 }},
-		{"release-all-unsent-free", func(c *Config) { c.ReleaseAll, c.UnsentFree = true, true }},
+		{"release-all", func(c *Config) { c.ReleaseFreesAllStates = true }},
+		{"unsent-free", func(c *Config) { c.UnsentAttemptsAreFree, c.MaxAttempts = true, 3 }},
+		{"release-all-unsent-free", func(c *Config) { c.ReleaseFreesAllStates, c.UnsentAttemptsAreFree = true, true }},
 	}
 }
 
@@ -45,49 +45,49 @@
 // goldenWorld tells a book random facts and takes its commands. Whatever it goes through is in a slice, so that the same seed gives the
 // same facts.
 type goldenWorld struct {
-	l        *Ledger
+	table        *Table
 	cfg      Config
-	rnd      *rand.Rand
+	random      *rand.Rand
 	now      float64
 	ids      []string
-	out      []Start // attempts that run
-	releases []Release
+	inFlight      []StartAttempt // attempts that run
+	releases []ReleaseState
 	closed   bool
 }
 
 func newGoldenWorld(s goldenSetting, seed int64) *goldenWorld {
 	c := classes()
 	c = append(c, scheduler.Class{Effect: scheduler.IdempotentByKey, DedupScope: scheduler.DedupZone, DedupWindow: 1})
-	cfg := Config{Classes: c, MaxOpen: 8, MaxAttempts: 4, Slack: 0.05, DrainGrace: 0.25}
+	cfg := Config{Classes: c, MaxOpenRequests: 8, MaxAttempts: 4, ResponseSlack: 0.05, DrainGrace: 0.25}
 	s.change(&cfg)
-	l := New(cfg, []scheduler.Kind{{Role: scheduler.Prefill}, {Role: scheduler.Decode}, {Role: scheduler.Mixed}})
-	return &goldenWorld{l: l, cfg: cfg, rnd: rand.New(rand.NewSource(seed)), now: 1}
+	table := New(cfg, []scheduler.Kind{{Role: scheduler.Prefill}, {Role: scheduler.Decode}, {Role: scheduler.Mixed}})
+	return &goldenWorld{table: table, cfg: cfg, random: rand.New(rand.NewSource(seed)), now: 1}
 }
 
-func (w *goldenWorld) chance(p float64) bool { return w.rnd.Float64() < p }
+func (w *goldenWorld) chance(p float64) bool { return w.random.Float64() < p }
 
 // list tells the whole list of engines, anew where a draw says so.
 func (w *goldenWorld) list(form scheduler.UpdateForm, engines []scheduler.Engine) string {
-	w.l.Members(w.now, scheduler.EndpointUpdate{Form: form, Engines: engines})
+	w.table.UpdateEndpoints(w.now, scheduler.EndpointUpdate{Form: form, Engines: engines})
 	return "members " + membersText(form, engines)
 }
 
 // fact tells the book one fact and returns it as text.
 func (w *goldenWorld) fact(i int) string {
-	w.now += w.rnd.Float64() * 0.15
+	w.now += w.random.Float64() * 0.15
 	if i == 0 {
 		return w.list(scheduler.UpdateComplete, goldenEngines)
 	}
 	if i%500 == 470 || i%500 == 499 { // the book is emptied and begins anew, so that no end is final
 		return w.restart()
 	}
-	k := w.rnd.Intn(100)
+	k := w.random.Intn(100)
 	if len(w.ids) == 0 || k < 14 {
 		return w.request(i)
 	}
 	id := w.draw()
 	switch {
-	case k < 68 && k >= 45 && len(w.out) == 0:
+	case k < 68 && k >= 45 && len(w.inFlight) == 0:
 		return w.send(id)
 	case k < 45:
 		return w.send(id)
@@ -99,13 +99,13 @@
 		return w.action(id)
 	case k < 86:
 		half := w.chance(0.5)
-		w.l.Hangup(w.now, id, half)
+		w.table.ClientDisconnected(w.now, id, half)
 		return fmt.Sprintf("hangup id=%s half=%t", id, half)
 	case k < 89:
-		if at, ok := w.l.Deadline(id); ok && w.chance(0.5) {
+		if at, ok := w.table.Deadline(id); ok && w.chance(0.5) {
 			w.now = max(w.now, at)
 		}
-		w.l.Overdue(w.now, id)
+		w.table.DeadlineReached(w.now, id)
 		return "overdue id=" + id
 	case k < 94:
 		return w.members()
@@ -118,20 +118,20 @@
 func (w *goldenWorld) draw() string {
 	var open []string
 	for _, id := range w.ids[max(0, len(w.ids)-40):] {
-		if _, ok := w.l.Deadline(id); ok {
+		if _, ok := w.table.Deadline(id); ok {
 			open = append(open, id)
 		}
 	}
 	if len(open) == 0 || w.chance(0.05) {
 		open = w.ids
 	}
-	return open[w.rnd.Intn(len(open))]
+	return open[w.random.Intn(len(open))]
 }
 
 func (w *goldenWorld) request(i int) string {
-	q := scheduler.Request{ID: fmt.Sprint("q", i), Class: w.rnd.Intn(len(w.cfg.Classes)), Session: "s", Prefix: "p",
-		ClientTimeLeft: 0.2 + w.rnd.Float64()*6, PromptTokens: 1000, MaxOutputTokens: 100}
-	switch w.rnd.Intn(30) {
+	q := scheduler.Request{ID: fmt.Sprint("q", i), Class: w.random.Intn(len(w.cfg.Classes)), Session: "s", Prefix: "p",
+		ClientTimeLeft: 0.2 + w.random.Float64()*6, PromptTokens: 1000, MaxOutputTokens: 100}
+	switch w.random.Intn(30) {
 	case 0:
 		q.Class = 77
 	case 1:
@@ -139,8 +139,8 @@
 			q.ID = w.ids[len(w.ids)-1]
 		}
 	}
-	whole := []float64{0, 0, 1, 6}[w.rnd.Intn(4)]
-	a, ok := w.l.Request(w.now, q, whole)
+	whole := []float64{0, 0, 1, 6}[w.random.Intn(4)]
+	a, ok := w.table.AddRequest(w.now, q, whole)
 	if ok {
 		w.ids = append(w.ids, q.ID)
 	}
@@ -148,19 +148,19 @@
 }
 
 func (w *goldenWorld) send(id string) string {
-	engine := []string{"r0", "r0", "r1", "r1", "w0", "w1", "w2", "m0", "nobody"}[w.rnd.Intn(9)]
-	timeout := float64(w.rnd.Intn(3))
-	ok := w.l.Apply(w.now, scheduler.Send{ID: id, Engine: engine, Timeout: timeout})
+	engine := []string{"r0", "r0", "r1", "r1", "w0", "w1", "w2", "m0", "nobody"}[w.random.Intn(9)]
+	timeout := float64(w.random.Intn(3))
+	ok := w.table.Apply(w.now, scheduler.Send{ID: id, Engine: engine, Timeout: timeout})
 	return fmt.Sprintf("send id=%s engine=%s timeout=%s known=%t", id, engine, num(timeout), ok)
 }
 
 // pick draws a running attempt, or one that is not there.
-func (w *goldenWorld) pick() (s Start, at int) {
-	if len(w.out) == 0 || w.chance(0.02) {
-		return Start{ID: "q0", N: 3}, -1
+func (w *goldenWorld) pick() (s StartAttempt, at int) {
+	if len(w.inFlight) == 0 || w.chance(0.02) {
+		return StartAttempt{ID: "q0", Attempt: 3}, -1
 	}
-	at = w.rnd.Intn(len(w.out))
-	return w.out[at], at
+	at = w.random.Intn(len(w.inFlight))
+	return w.inFlight[at], at
 }
 
 var (
@@ -174,25 +174,25 @@
 func (w *goldenWorld) end() string {
 	s, at := w.pick()
 	if at >= 0 {
-		w.out = append(w.out[:at:at], w.out[at+1:]...)
+		w.inFlight = append(w.inFlight[:at:at], w.inFlight[at+1:]...)
 	}
-	f := outcome.Evidence{Cause: goldenCauses[w.rnd.Intn(len(goldenCauses))], Progress: goldenProgress[w.rnd.Intn(len(goldenProgress))]}
+	f := outcome.Evidence{Cause: goldenCauses[w.random.Intn(len(goldenCauses))], Progress: goldenProgress[w.random.Intn(len(goldenProgress))]}
 	if f.Cause == outcome.ResponseComplete {
-		f.Progress, f.ResponseKind = outcome.HeaderReceived, goldenMeanings[w.rnd.Intn(len(goldenMeanings))]
+		f.Progress, f.ResponseKind = outcome.HeaderReceived, goldenMeanings[w.random.Intn(len(goldenMeanings))]
 		if s.Stage == outcome.Prefill && w.chance(0.7) {
 			f.ResponseKind = outcome.PrefillDone
 		}
 		if f.ResponseKind == outcome.InvalidRequest {
-			f.Code = 400 + w.rnd.Intn(2)
+			f.Code = 400 + w.random.Intn(2)
 		}
-		f.CachedTokens = w.rnd.Intn(500)
+		f.CachedTokens = w.random.Intn(500)
 	}
 	var rep *scheduler.LoadReport
 	if w.chance(0.2) {
-		rep = &scheduler.LoadReport{Active: float64(w.rnd.Intn(9)), Utilization: w.rnd.Float64(), Has: scheduler.HasActive | scheduler.HasUtilization}
+		rep = &scheduler.LoadReport{Active: float64(w.random.Intn(9)), Utilization: w.random.Float64(), Has: scheduler.HasActive | scheduler.HasUtilization}
 	}
-	w.l.Ended(w.now, s.ID, s.N, f, rep)
-	return fmt.Sprintf("ended id=%s n=%d %s report=%s", s.ID, s.N, factsText(f), reportText(rep))
+	w.table.AttemptEnded(w.now, s.ID, s.Attempt, f, rep)
+	return fmt.Sprintf("ended id=%s n=%d %s report=%s", s.ID, s.Attempt, factsText(f), reportText(rep))
 }
 
 func (w *goldenWorld) first(id string) string {
@@ -200,19 +200,19 @@
 	if w.chance(0.1) {
 		s.ID = id
 	}
-	if (s.Stage == outcome.Prefill || s.State) && w.chance(0.7) {
+	if (s.Stage == outcome.Prefill || s.FetchState) && w.chance(0.7) {
 		heard := w.chance(0.5)
-		w.l.Unheard(s.ID, s.N, heard)
-		return fmt.Sprintf("unheard id=%s n=%d heard=%t", s.ID, s.N, heard)
+		w.table.AttemptSilent(s.ID, s.Attempt, heard)
+		return fmt.Sprintf("unheard id=%s n=%d heard=%t", s.ID, s.Attempt, heard)
 	}
-	w.l.First(w.now, s.ID, s.N)
-	return fmt.Sprintf("first id=%s n=%d", s.ID, s.N)
+	w.table.FirstToken(w.now, s.ID, s.Attempt)
+	return fmt.Sprintf("first id=%s n=%d", s.ID, s.Attempt)
 }
 
 func (w *goldenWorld) action(id string) string {
 	var a scheduler.Action
-	text, n, after := "", w.rnd.Intn(3), w.rnd.Float64()
-	switch w.rnd.Intn(10) {
+	text, n, after := "", w.random.Intn(3), w.random.Float64()
+	switch w.random.Intn(10) {
 	case 0:
 		a, text = scheduler.Reject{ID: id, RetryAfter: after, Reason: scheduler.ObjectiveUnreachable}, "refuse id="+id+" why=too-late after="+num(after)
 	case 1:
@@ -228,17 +228,17 @@
 	default:
 		a, text = scheduler.Cancel{ID: id, Attempt: n}, fmt.Sprintf("cancel id=%s n=%d", id, n)
 	}
-	return fmt.Sprintf("%s known=%t", text, w.l.Apply(w.now, a))
+	return fmt.Sprintf("%s known=%t", text, w.table.Apply(w.now, a))
 }
 
 func (w *goldenWorld) members() string {
-	e := goldenEngines[w.rnd.Intn(len(goldenEngines))]
-	e.State = []scheduler.EngineState{scheduler.EngineReady, scheduler.EngineReady, scheduler.EngineReady, scheduler.EngineDraining, scheduler.EngineRemoved}[w.rnd.Intn(5)]
-	switch w.rnd.Intn(8) {
+	e := goldenEngines[w.random.Intn(len(goldenEngines))]
+	e.State = []scheduler.EngineState{scheduler.EngineReady, scheduler.EngineReady, scheduler.EngineReady, scheduler.EngineDraining, scheduler.EngineRemoved}[w.random.Intn(5)]
+	switch w.random.Intn(8) {
 	case 0:
 		return w.list(scheduler.UpdateFailed, nil)
 	case 1:
-		return w.list(scheduler.UpdateStale, goldenEngines[:4+w.rnd.Intn(3)])
+		return w.list(scheduler.UpdateStale, goldenEngines[:4+w.random.Intn(3)])
 	case 2, 3, 4:
 		return w.list(scheduler.UpdateComplete, goldenEngines)
 	}
@@ -249,61 +249,61 @@
 func (w *goldenWorld) rare(id string) string {
 	s, _ := w.pick()
 	heard := w.chance(0.5)
-	switch w.rnd.Intn(20) {
+	switch w.random.Intn(20) {
 	case 0:
-		w.l.EndHeld(w.now)
+		w.table.RespondToQueued(w.now)
 		return "end held"
 	case 1, 2, 3:
-		w.l.Move(w.now, id)
+		w.table.CutStream(w.now, id)
 		return "move id=" + id
 	case 4, 5, 6, 7:
-		w.l.NotArrived(s.ID, s.N)
-		return fmt.Sprintf("not arrived id=%s n=%d", s.ID, s.N)
+		w.table.AttemptNotDelivered(s.ID, s.Attempt)
+		return fmt.Sprintf("not arrived id=%s n=%d", s.ID, s.Attempt)
 	case 8:
-		w.l.Heard(scheduler.ProbeResult{Engine: s.Engine, Status: scheduler.Completed, Report: &scheduler.LoadReport{Active: 2, Has: scheduler.HasActive}})
+		w.table.ProbeResult(scheduler.ProbeResult{Engine: s.Engine, Status: scheduler.Completed, Report: &scheduler.LoadReport{Active: 2, Has: scheduler.HasActive}})
 		return "heard engine=" + s.Engine
 	case 9:
 		w.now += 121
 		return "long wait; " + w.members()
 	case 10:
-		w.cfg.MaxOpen, w.cfg.DrainGrace, w.cfg.Slack = 5+w.rnd.Intn(6), float64(w.rnd.Intn(4))/8, float64(1+w.rnd.Intn(3))/20
-		w.l.Reconfigure(w.cfg)
-		return fmt.Sprintf("reconfigure open=%d grace=%s slack=%s", w.cfg.MaxOpen, num(w.cfg.DrainGrace), num(w.cfg.Slack))
+		w.cfg.MaxOpenRequests, w.cfg.DrainGrace, w.cfg.ResponseSlack = 5+w.random.Intn(6), float64(w.random.Intn(4))/8, float64(1+w.random.Intn(3))/20
+		w.table.Reconfigure(w.cfg)
+		return fmt.Sprintf("reconfigure open=%d grace=%s slack=%s", w.cfg.MaxOpenRequests, num(w.cfg.DrainGrace), num(w.cfg.ResponseSlack))
 	case 11, 12, 13, 14:
 		if len(w.releases) > 0 {
-			r := w.releases[w.rnd.Intn(len(w.releases))]
-			return fmt.Sprintf("wanted %s: %t", releaseText(r), w.l.Wanted(r))
+			r := w.releases[w.random.Intn(len(w.releases))]
+			return fmt.Sprintf("wanted %s: %t", releaseText(r), w.table.ReleaseAllowed(r))
 		}
 	}
-	w.l.Unheard(s.ID, s.N, heard)
-	return fmt.Sprintf("unheard id=%s n=%d heard=%t", s.ID, s.N, heard)
+	w.table.AttemptSilent(s.ID, s.Attempt, heard)
+	return fmt.Sprintf("unheard id=%s n=%d heard=%t", s.ID, s.Attempt, heard)
 }
 
 // restart closes the book, ends everything and begins a new one.
 func (w *goldenWorld) restart() string {
 	if !w.closed {
 		w.closed = true
-		w.l.Close()
-		w.l.EndAll(w.now)
+		w.table.StopAccepting()
+		w.table.RespondToAll(w.now)
 		return "close; end all"
 	}
-	w.closed, w.ids, w.out, w.releases = false, nil, nil, nil
-	w.l = New(w.cfg, []scheduler.Kind{{Role: scheduler.Prefill}, {Role: scheduler.Decode}, {Role: scheduler.Mixed}})
+	w.closed, w.ids, w.inFlight, w.releases = false, nil, nil, nil
+	w.table = New(w.cfg, []scheduler.Kind{{Role: scheduler.Prefill}, {Role: scheduler.Decode}, {Role: scheduler.Mixed}})
 	return "new; " + w.list(scheduler.UpdateComplete, goldenEngines)
 }
 
 // queries writes what the book answers to questions that change nothing.
 func (w *goldenWorld) queries() string {
-	s := fmt.Sprintf("ready=%t live=%d held=%d pending=%t", w.l.Ready(), w.l.Live(), w.l.Held(), w.l.Pending())
+	s := fmt.Sprintf("ready=%t live=%d held=%d pending=%t", w.table.Ready(), w.table.OpenRequests(), w.table.Len(), w.table.HasEvents())
 	for _, e := range goldenEngines {
-		s += fmt.Sprintf(" %s:%t,%t,%s", e.ID, w.l.Known(e.ID), w.l.Listed(e.ID), num(w.l.LeavingSince(e.ID)))
+		s += fmt.Sprintf(" %s:%t,%t,%s", e.ID, w.table.EngineKnown(e.ID), w.table.EngineReady(e.ID), num(w.table.DrainingSince(e.ID)))
 	}
-	ids, sent := w.l.Streaming()
+	ids, sent := w.table.Streams()
 	for i := range ids {
 		s += fmt.Sprintf(" streams:%s,%s", ids[i], num(sent[i]))
 	}
 	if len(w.ids) > 0 {
-		at, ok := w.l.Deadline(w.ids[len(w.ids)-1])
+		at, ok := w.table.Deadline(w.ids[len(w.ids)-1])
 		s += fmt.Sprintf(" deadline=%s,%t", num(at), ok)
 	}
 	return s
@@ -365,8 +365,8 @@
 	return s
 }
 
-func releaseText(r Release) string {
-	return fmt.Sprintf("release id=%s engine=%s n=%d cut=%s beside=%t,%d", r.ID, r.Engine, r.N, num(r.CutAt), r.IsBeside, r.Beside)
+func releaseText(r ReleaseState) string {
+	return fmt.Sprintf("release id=%s engine=%s n=%d cut=%s beside=%t,%d", r.ID, r.Engine, r.Attempt, num(r.CutAt), r.IsBeside, r.Beside)
 }
 
 func eventText(ev scheduler.Event) string {
@@ -392,22 +392,22 @@
 // commandText writes a command; words is what it says to people alone.
 func commandText(c Command) (text, words string) {
 	switch v := c.(type) {
-	case Start:
-		return fmt.Sprintf("start id=%s engine=%s n=%d stage=%s state=%t,%d,%s held=%s timeout=%s write-by=%s", v.ID, v.Engine, v.N,
-			stageWord(v.Stage), v.State, v.StateN, num(v.StateAt), num(v.HeldAt), num(v.Timeout), num(v.WriteBy)), ""
-	case Abort:
-		return fmt.Sprintf("abort id=%s n=%d cause=%s", v.ID, v.N, causeWord(v.Cause)), ""
-	case Grant:
-		return fmt.Sprintf("grant id=%s n=%d ok=%t", v.ID, v.N, v.OK), ""
-	case Release:
+	case StartAttempt:
+		return fmt.Sprintf("start id=%s engine=%s n=%d stage=%s state=%t,%d,%s held=%s timeout=%s write-by=%s", v.ID, v.Engine, v.Attempt,
+			stageWord(v.Stage), v.FetchState, v.StateAttempt, num(v.HeldSince), num(v.HeldSinceIfUndelivered), num(v.Timeout), num(v.WriteBy)), ""
+	case CancelAttempt:
+		return fmt.Sprintf("abort id=%s n=%d cause=%s", v.ID, v.Attempt, causeWord(v.Cause)), ""
+	case GrantResponse:
+		return fmt.Sprintf("grant id=%s n=%d ok=%t", v.ID, v.Attempt, v.Granted), ""
+	case ReleaseState:
 		return releaseText(v), ""
-	case Answer:
-		return fmt.Sprintf("answer id=%s %s after=%s", v.ID, answerText(v.Answer), num(v.RetryAfter)), v.Reason
-	case Pass:
-		return fmt.Sprintf("pass id=%s n=%d", v.ID, v.N), ""
-	case Forget:
+	case Respond:
+		return fmt.Sprintf("answer id=%s %s after=%s", v.ID, answerText(v.Response), num(v.RetryAfter)), v.Reason
+	case PassThrough:
+		return fmt.Sprintf("pass id=%s n=%d", v.ID, v.Attempt), ""
+	case ForgetRequest:
 		return "forget id=" + v.ID, ""
-	case Fault:
+	case ReportFault:
 		return "fault", v.Text
 	}
 	return "unknown command", ""
@@ -470,9 +470,9 @@
 		var evs []scheduler.Event
 		var cmds []Command
 		if w.chance(0.2) {
-			cmds = w.l.TakeCommands() // events wait for the next step
+			cmds = w.table.DrainCommands() // events wait for the next step
 		} else {
-			evs, cmds = w.l.Take()
+			evs, cmds = w.table.Drain()
 		}
 		var out, words []string
 		for _, ev := range evs {
@@ -482,20 +482,20 @@
 		for _, c := range cmds {
 			text, said := commandText(c)
 			count("command ", text)
-			if r, ok := c.(Release); ok && r.IsBeside {
+			if r, ok := c.(ReleaseState); ok && r.IsBeside {
 				counts["command release beside"]++
 			}
 			if out = append(out, text); said != "" {
 				words = append(words, said)
 			}
 			switch c := c.(type) {
-			case Start:
-				w.out = append(w.out, c)
-			case Release:
+			case StartAttempt:
+				w.inFlight = append(w.inFlight, c)
+			case ReleaseState:
 				w.releases = append(w.releases, c)
 			}
 		}
-		if err := w.l.Audit(); err != nil {
+		if err := w.table.Audit(); err != nil {
 			t.Fatal(err)
 		}
 		g.step(fmt.Sprintf("step %d at %s: %s => %s | %s", i, num(w.now), fact, strings.Join(out, "; "), asked), words, full)
--- a/internal/decide/requesttable/releases.go
+++ b/internal/decide/requesttable/releases.go
@@ -6,8 +6,8 @@
 )
 
 // release lets go of the read state that waits, unless an attempt is out to fetch it: the state is its now.
-func (l *Ledger) release(id string) {
-	e := l.open[id]
+func (l *Table) release(id string) {
+	e := l.records[id]
 	if e == nil || e.state == "" {
 		return
 	}
@@ -16,16 +16,16 @@
 			return
 		}
 	}
-	l.letGo(id, e, Release{Engine: e.state, N: e.stateN})
+	l.letGo(id, e, ReleaseState{Engine: e.state, Attempt: e.stateN})
 	e.state = ""
 	l.flush(e)
 	l.settle(id, e)
 }
 
 // letGo has a state released: at once, or where a release takes all that is held, as soon as nothing else is at stake.
-func (l *Ledger) letGo(id string, e *entry, r Release) {
+func (l *Table) letGo(id string, e *requestRecord, r ReleaseState) {
 	r.ID = id
-	if !l.cfg.ReleaseAll {
+	if !l.config.ReleaseFreesAllStates {
 		r.CutAt = 0
 		l.do(r)
 		return
@@ -37,20 +37,20 @@
 	}
 }
 
-// Unheard is told that nothing has come of an attempt in the time for which the state may be held that it is to take, though its request
+// AttemptSilent is told that nothing has come of an attempt in the time for which the state may be held that it is to take, though its request
 // was written, and whether its engine has been heard of since. The state is released beside the attempt where permit allows it.
-func (l *Ledger) Unheard(id string, n int, engineHeard bool) {
-	e := l.open[id]
-	if e == nil || !l.cfg.ReleaseAll {
+func (l *Table) AttemptSilent(id string, n int, engineHeard bool) {
+	e := l.records[id]
+	if e == nil || !l.config.ReleaseFreesAllStates {
 		return
 	}
 	if t := e.attempt(n); t != nil && e.releasesBeside(t, engineHeard) {
-		l.do(Release{ID: id, Engine: e.state, N: e.stateN, Beside: n, IsBeside: true})
+		l.do(ReleaseState{ID: id, Engine: e.state, Attempt: e.stateN, Beside: n, IsBeside: true})
 	}
 }
 
 // releasesBeside tells whether the attempt still waits for a first token, and the state that it is to take may be released beside it.
-func (e *entry) releasesBeside(t *attempt, engineHeard bool) bool {
+func (e *requestRecord) releasesBeside(t *attempt, engineHeard bool) bool {
 	due := !t.over && !t.streaming && e.state != "" && t.took(e)
 	ask := permit.Release{AttemptsInFlight: e.out, StateNeeded: true, LimitNear: due, EngineResponded: engineHeard, Effect: e.class.Effect,
 		SilentTwice: e.silent, PrefillsInFlight: e.readsOut()}
@@ -58,7 +58,7 @@
 }
 
 // readsOut counts the attempts that are out and read a prompt.
-func (e *entry) readsOut() (n int) {
+func (e *requestRecord) readsOut() (n int) {
 	for i := range e.attempts {
 		if t := &e.attempts[i]; !t.over && t.stage == outcome.Prefill {
 			n++
@@ -68,17 +68,17 @@
 }
 
 // mayRelease says why a call that releases all that is held for the request may not be made yet.
-func (e *entry) mayRelease() permit.Reason {
+func (e *requestRecord) mayRelease() permit.Reason {
 	return permit.Release{AttemptsInFlight: e.out, StateNeeded: e.state != ""}.Reason()
 }
 
 // flush makes the releases that are owed once no attempt is out and no state is wanted. That of a state does not wait for the
 // moment which that of an attempt broken off needs: the next attempt may be begun before it has passed.
-func (l *Ledger) flush(e *entry) {
+func (l *Table) flush(e *requestRecord) {
 	if e.mayRelease() != permit.Allowed {
 		return
 	}
-	for _, r := range []*Release{e.owed, e.owedCut} {
+	for _, r := range []*ReleaseState{e.owed, e.owedCut} {
 		if r != nil {
 			l.do(*r)
 		}
@@ -86,10 +86,10 @@
 	e.owed, e.owedCut = nil, nil
 }
 
-// Wanted is asked before a release is tried again. Where it would take what has come since, it is owed anew.
-func (l *Ledger) Wanted(r Release) bool {
-	e := l.open[r.ID]
-	if e == nil || !l.cfg.ReleaseAll || e.mayRelease() == permit.Allowed {
+// ReleaseAllowed is asked before a release is tried again. Where it would take what has come since, it is owed anew.
+func (l *Table) ReleaseAllowed(r ReleaseState) bool {
+	e := l.records[r.ID]
+	if e == nil || !l.config.ReleaseFreesAllStates || e.mayRelease() == permit.Allowed {
 		return true
 	}
 	if r.IsBeside {
--- a/internal/decide/requesttable/responses.go
+++ b/internal/decide/requesttable/responses.go
@@ -8,8 +8,8 @@
 
 // answer concludes a request by the node's own word. A refusal after an effect is possible would be a lie: it
 // becomes a failure.
-func (l *Ledger) answer(now float64, id string, a outcome.Response, after float64, reason string) {
-	e := l.open[id]
+func (l *Table) answer(now float64, id string, a outcome.Response, after float64, reason string) {
+	e := l.records[id]
 	if e == nil || e.concluded || e.answering {
 		return
 	}
@@ -19,18 +19,18 @@
 		}
 		a, after = outcome.FailedResponse(), 0
 	}
-	l.say(e, Answer{id, a, after, reason})
+	l.say(e, Respond{id, a, after, reason})
 	l.conclude(id, e, outcome.RequestEnded)
 }
 
 // mayRefuse says why a client may not be told that a retry is harmless.
-func (e *entry) mayRefuse(now float64) permit.Reason {
+func (e *requestRecord) mayRefuse(now float64) permit.Reason {
 	return permit.Reject{Effect: e.class.Effect, DedupScope: e.class.DedupScope, ProvenNotRun: e.provenNotRun(), OutcomeUnknown: e.unheard,
 		ClientTimeLeft: e.deadline - now}.Reason()
 }
 
 // say gives an answer now, or when the attempt that writes to the client has stopped.
-func (l *Ledger) say(e *entry, a Answer) {
+func (l *Table) say(e *requestRecord, a Respond) {
 	for i := range e.attempts {
 		if t := &e.attempts[i]; t.streaming && !t.over {
 			e.farewell = &a
@@ -43,10 +43,10 @@
 // provenNotRun tells whether the bytes of every attempt prove that it has not run: it has ended, and either not all of its
 // request was written or its engine has answered that it did not run. That a read has no effect is no such proof: it rests on
 // which engine was met at its address, and that an engine which said nothing cannot tell.
-func (e *entry) provenNotRun() bool { return !e.ran && !e.unproven && e.out == 0 }
+func (e *requestRecord) provenNotRun() bool { return !e.ran && !e.unproven && e.out == 0 }
 
 // conclude ends what the client is owed and stops what is still out: nothing is done for it after.
-func (l *Ledger) conclude(id string, e *entry, cause outcome.Cause) {
+func (l *Table) conclude(id string, e *requestRecord, cause outcome.Cause) {
 	if e.concluded {
 		return
 	}
@@ -55,30 +55,30 @@
 	for i := range e.attempts {
 		if t := &e.attempts[i]; !t.over && !t.aborting {
 			t.aborting = true
-			l.do(Abort{id, t.n, cause})
+			l.do(CancelAttempt{id, t.n, cause})
 		}
 	}
 	l.settle(id, e)
 }
 
-// Hangup is told when a client has gone. Where its receiving side may still be open (half), it gets an answer.
-func (l *Ledger) Hangup(now float64, id string, half bool) {
-	e := l.open[id]
+// ClientDisconnected is told when a client has gone. Where its receiving side may still be open (half), it gets an answer.
+func (l *Table) ClientDisconnected(now float64, id string, half bool) {
+	e := l.records[id]
 	if e == nil || e.concluded {
 		return
 	}
 	if half {
 		retry := e.mayRefuse(now) == permit.Allowed
-		l.say(e, Answer{id, outcome.Response{HTTPStatus: 400, Code: "client_closed", RetryIsSafe: retry}, 0,
+		l.say(e, Respond{id, outcome.Response{HTTPStatus: 400, Code: "client_closed", RetryIsSafe: retry}, 0,
 			"the client closed its side before the answer; keep it open until then"})
 	}
 	l.emit(scheduler.ClientDisconnected{ID: id})
 	l.conclude(id, e, outcome.ClientDisconnected)
 }
 
-// Overdue is told when the time of Deadline has come. The module answers before it; this is the net under it.
-func (l *Ledger) Overdue(now float64, id string) {
-	e := l.open[id]
+// DeadlineReached is told when the time of Deadline has come. The module answers before it; this is the net under it.
+func (l *Table) DeadlineReached(now float64, id string) {
+	e := l.records[id]
 	switch {
 	case e == nil || e.concluded:
 		return
@@ -93,23 +93,23 @@
 }
 
 // giveUp answers in the module's place and tells it so.
-func (l *Ledger) giveUp(now float64, id string, e *entry, a outcome.Response, reason string) {
+func (l *Table) giveUp(now float64, id string, e *requestRecord, a outcome.Response, reason string) {
 	if a.RetryIsSafe && e.mayRefuse(now) != permit.Allowed {
 		a = outcome.FailedResponse()
 	}
-	l.say(e, Answer{id, a, 0, reason})
+	l.say(e, Respond{id, a, 0, reason})
 	l.emit(scheduler.ClientDisconnected{ID: id})
 	l.conclude(id, e, outcome.RequestEnded)
 }
 
-// EndAll answers every request that is still open, as refused where that is true and else as failed. Streams
+// RespondToAll answers every request that is still open, as refused where that is true and else as failed. Streams
 // that run are ended with an error.
-func (l *Ledger) EndAll(now float64) { l.end(now, true) }
+func (l *Table) RespondToAll(now float64) { l.end(now, true) }
 
-// Streaming returns the requests whose answers run, in order of their ids, with the times at which they were sent.
-func (l *Ledger) Streaming() (ids []string, sent []float64) {
-	for _, id := range sortedKeys(l.open) {
-		e := l.open[id]
+// Streams returns the requests whose answers run, in order of their ids, with the times at which they were sent.
+func (l *Table) Streams() (ids []string, sent []float64) {
+	for _, id := range sortedKeys(l.records) {
+		e := l.records[id]
 		for i := range e.attempts {
 			if t := &e.attempts[i]; t.streaming && !t.over && !e.concluded {
 				ids, sent = append(ids, id), append(sent, t.sentAt)
@@ -119,19 +119,19 @@
 	return ids, sent
 }
 
-// Move ends a stream whose client comes again for the rest. It does nothing to what does not stream.
-func (l *Ledger) Move(now float64, id string) {
-	if e := l.open[id]; e != nil && e.answering && !e.concluded {
+// CutStream ends a stream whose client comes again for the rest. It does nothing to what does not stream.
+func (l *Table) CutStream(now float64, id string) {
+	if e := l.records[id]; e != nil && e.answering && !e.concluded {
 		l.giveUp(now, id, e, outcome.Response{HTTPStatus: 503, Code: "node_stopping", RetryIsSafe: true}, "the node is stopping")
 	}
 }
 
-// EndHeld answers every request whose answer has not begun.
-func (l *Ledger) EndHeld(now float64) { l.end(now, false) }
+// RespondToQueued answers every request whose answer has not begun.
+func (l *Table) RespondToQueued(now float64) { l.end(now, false) }
 
-func (l *Ledger) end(now float64, streams bool) {
-	for _, id := range sortedKeys(l.open) {
-		e := l.open[id]
+func (l *Table) end(now float64, streams bool) {
+	for _, id := range sortedKeys(l.records) {
+		e := l.records[id]
 		if e.concluded || e.answering && !streams {
 			continue
 		}
--- a/internal/decide/requesttable/responses_test.go
+++ b/internal/decide/requesttable/responses_test.go
@@ -10,7 +10,7 @@
 // A refusal says that a retry is harmless, and needs proof for every attempt from its bytes alone: that a read has no effect is
 // none, for an engine that did not answer as one that reads may be another. Where every engine discards repeats a refusal is true
 // all the same, but of no use when the client's time is up.
-func TestRefusalsNeedProofOfEveryAttempt(t *testing.T) {
+func TestRetrySafeRejectionNeedsProofForEveryAttempt(t *testing.T) {
 	unheard := outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.AttemptTimedOut}
 	failed := outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.EngineError}
 	for _, c := range []struct {
@@ -31,17 +31,17 @@
 		{"once, read", 1, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.PrefillDone}, 3, true},
 	} {
 		for _, how := range []string{"by the module", "by the book"} {
-			l := newBook()
-			l.Request(1, request("a", c.class), 0)
-			n := decode(t, l, 1, "a", "r0") // r0 reads: an attempt there has no effect by the protocol
-			l.Ended(2, "a", n, c.facts, nil)
+			table := newTable()
+			table.AddRequest(1, newRequest("a", c.class), 0)
+			n := startAttempt(t, table, 1, "a", "r0") // r0 reads: an attempt there has no effect by the protocol
+			table.AttemptEnded(2, "a", n, c.facts, nil)
 			if how == "by the module" {
-				l.Apply(c.at, scheduler.Reject{ID: "a"})
+				table.Apply(c.at, scheduler.Reject{ID: "a"})
 			} else {
-				l.EndAll(c.at)
+				table.RespondToAll(c.at)
 			}
-			xs := find[Answer](l)
-			if len(xs) != 1 || xs[0].Answer.RetryIsSafe != c.retry {
+			xs := commandsOf[Respond](table)
+			if len(xs) != 1 || xs[0].Response.RetryIsSafe != c.retry {
 				t.Errorf("%s, %s: %+v", c.name, how, xs)
 			}
 		}
@@ -49,13 +49,13 @@
 }
 
 // A refusal while an attempt is out rests on what that has not told yet.
-func TestRefusalsWhileAnAttemptIsOut(t *testing.T) {
+func TestRejectionWhileAttemptIsInFlight(t *testing.T) {
 	for class, retry := range map[int]bool{0: true, 1: false, 2: false, 3: true} {
-		l := newBook()
-		l.Request(1, request("a", class), 0)
-		decode(t, l, 1, "a", "r0")
-		l.EndAll(3)
-		if xs := find[Answer](l); len(xs) != 1 || xs[0].Answer.RetryIsSafe != retry {
+		table := newTable()
+		table.AddRequest(1, newRequest("a", class), 0)
+		startAttempt(t, table, 1, "a", "r0")
+		table.RespondToAll(3)
+		if xs := commandsOf[Respond](table); len(xs) != 1 || xs[0].Response.RetryIsSafe != retry {
 			t.Errorf("class %d: got %+v, want a refusal %v", class, xs, retry)
 		}
 	}
--- a/internal/decide/requesttable/table.go
+++ b/internal/decide/requesttable/table.go
@@ -22,18 +22,18 @@
 // Config is what the book needs of the node's settings.
 type Config struct {
 	Classes     []scheduler.Class
-	MaxOpen     int     // requests held at once
+	MaxOpenRequests     int     // requests held at once
 	MaxAttempts int     // for one request
-	UnsentFree  bool    // those that ended before their request was written do not count, up to as many again
-	Slack       float64 // s after a client's deadline at which the book answers by itself
+	UnsentAttemptsAreFree  bool    // those that ended before their request was written do not count, up to as many again
+	ResponseSlack       float64 // s after a client's deadline at which the book answers by itself
 	DrainGrace  float64 // s after which nothing goes to an engine that drains or is gone
-	// ReleaseAll tells that one release lets go of all that any engine holds for a request. It then waits until no
+	// ReleaseFreesAllStates tells that one release lets go of all that any engine holds for a request. It then waits until no
 	// attempt is out and no state is wanted.
-	ReleaseAll bool
+	ReleaseFreesAllStates bool
 }
 
-// entry is one request, until it has ended and no attempt is out and no state is held.
-type entry struct {
+// requestRecord is one request, until it has ended and no attempt is out and no state is held.
+type requestRecord struct {
 	class     *scheduler.Class
 	deadline  float64
 	wholeBy   float64   // when an answer that is gathered must have ended; 0 = it is streamed
@@ -54,18 +54,18 @@
 	answering bool    // the answer belongs to an attempt
 	concluded bool    // the client has its answer, or has gone
 	rejected  int     // code by which an engine has judged the request
-	farewell  *Answer // given once the attempt that streams has stopped writing
+	farewell  *Respond // given once the attempt that streams has stopped writing
 	// ReleaseAll: releases that are owed, each nil = none is.
-	owed    *Release // of a state that is held
-	owedCut *Release // of what an attempt that was broken off may have left
+	owed    *ReleaseState // of a state that is held
+	owedCut *ReleaseState // of what an attempt that was broken off may have left
 }
 
-// Ledger is the book. It is not safe for concurrent use.
-type Ledger struct {
-	cfg     Config
+// Table is the book. It is not safe for concurrent use.
+type Table struct {
+	config     Config
 	kinds   []scheduler.Kind
-	open    map[string]*entry
-	engines map[string]*seen
+	records    map[string]*requestRecord
+	engines map[string]*engineRecord
 	live    int // entries not concluded
 	events  []scheduler.Event
 	cmds    []Command
@@ -73,72 +73,72 @@
 }
 
 // New returns an empty book.
-func New(cfg Config, kinds []scheduler.Kind) *Ledger {
-	return &Ledger{cfg: cfg, kinds: kinds, open: map[string]*entry{}, engines: map[string]*seen{}}
+func New(cfg Config, kinds []scheduler.Kind) *Table {
+	return &Table{config: cfg, kinds: kinds, records: map[string]*requestRecord{}, engines: map[string]*engineRecord{}}
 }
 
 // Reconfigure takes settings that may change in service. Requests that are open keep their class.
-func (l *Ledger) Reconfigure(cfg Config) { l.cfg = cfg }
+func (l *Table) Reconfigure(cfg Config) { l.config = cfg }
 
-// Take drains the events and commands that have gathered, in order.
-func (l *Ledger) Take() ([]scheduler.Event, []Command) {
+// Drain drains the events and commands that have gathered, in order.
+func (l *Table) Drain() ([]scheduler.Event, []Command) {
 	ev, cmd := l.events, l.cmds
 	l.events, l.cmds = nil, nil
 	return ev, cmd
 }
 
-// TakeCommands drains the commands alone.
-func (l *Ledger) TakeCommands() []Command {
+// DrainCommands drains the commands alone.
+func (l *Table) DrainCommands() []Command {
 	cmd := l.cmds
 	l.cmds = nil
 	return cmd
 }
 
-// Pending tells whether events wait for the module.
-func (l *Ledger) Pending() bool { return len(l.events) > 0 }
+// HasEvents tells whether events wait for the module.
+func (l *Table) HasEvents() bool { return len(l.events) > 0 }
 
-// Live returns how many requests wait for their final answer or stream; Held, how many entries there are.
-func (l *Ledger) Live() int { return l.live }
+// OpenRequests returns how many requests wait for their final answer or stream; Held, how many entries there are.
+func (l *Table) OpenRequests() int { return l.live }
 
-// Held returns the number of entries, those that only wait for an attempt to end included.
-func (l *Ledger) Held() int { return len(l.open) }
+// Len returns the number of entries, those that only wait for an attempt to end included.
+func (l *Table) Len() int { return len(l.records) }
 
 // Deadline returns when the book itself would answer a request (s); ok is false for one that it does not know.
-func (l *Ledger) Deadline(id string) (at float64, ok bool) {
-	e := l.open[id]
+func (l *Table) Deadline(id string) (at float64, ok bool) {
+	e := l.records[id]
 	if e == nil {
 		return 0, false
 	}
 	if e.answering && e.wholeBy > 0 {
 		return e.wholeBy, true
 	}
-	return e.deadline + l.cfg.Slack, true
+	return e.deadline + l.config.ResponseSlack, true
 }
 
-func (l *Ledger) emit(ev scheduler.Event) { l.events = append(l.events, ev) }
-func (l *Ledger) do(c Command)            { l.cmds = append(l.cmds, c) }
+func (l *Table) emit(ev scheduler.Event) { l.events = append(l.events, ev) }
+func (l *Table) do(c Command)            { l.cmds = append(l.cmds, c) }
 
-func (l *Ledger) fault(format string, args ...any) {
-	l.do(Fault{fmt.Sprintf(format, args...)})
+func (l *Table) fault(format string, args ...any) {
+	l.do(ReportFault{fmt.Sprintf(format, args...)})
 }
 
-// Request takes a request, or tells why not: such a request is not taken, and a retry is harmless.
+// AddRequest takes a request, or tells why not: such a request is not taken, and a retry is harmless.
 //
 // whole is how long the client waits for the whole of an answer that is not streamed (s); 0 = it is streamed, and
 // nothing bounds it once it has begun.
-func (l *Ledger) Request(now float64, q scheduler.Request, whole float64) (outcome.Response, bool) {
-	switch why := (permit.Accept{Stopping: l.closing, Open: l.live, MaxOpen: l.cfg.MaxOpen, IDInUse: l.open[q.ID] != nil}).Reason(); {
+func (l *Table) AddRequest(now float64, q scheduler.Request, whole float64) (outcome.Response, bool) {
+	switch why := (permit.Accept{Stopping: l.closing, Open: l.live, MaxOpen: l.config.MaxOpenRequests, IDInUse: l.records[q.ID] != nil}).Reason(); {
 	case why != permit.Allowed:
 		return notTaken[why], false
-	case q.Class < 0 || q.Class >= len(l.cfg.Classes):
+	case q.Class < 0 || q.Class >= len(l.config.Classes):
 		l.fault("request %s: its class %d is not known", q.ID, q.Class)
 		return outcome.Response{HTTPStatus: 500, Code: "internal", RetryIsSafe: true}, false
 	}
-	e := &entry{class: &l.cfg.Classes[q.Class], deadline: now + q.ClientTimeLeft}
+	e := &requestRecord{class: &l.config.Classes[q.Class], deadline: now + q.ClientTimeLeft}
 	if whole > 0 {
 		e.wholeBy = now + whole - wholeMargin
 	}
-	l.open[q.ID] = e
+	l.records[q.ID] = e
 	l.live++
 	l.emit(q)
 	return outcome.Response{}, true
@@ -157,7 +157,7 @@
 
 // Apply carries out one action of the module. It returns false for those that are the host's alone (timers,
 // logs, probes, calls to the list's source).
-func (l *Ledger) Apply(now float64, a scheduler.Action) bool {
+func (l *Table) Apply(now float64, a scheduler.Action) bool {
 	switch a := a.(type) {
 	case scheduler.Send:
 		l.send(now, a)
@@ -187,21 +187,21 @@
 
 // settle forgets an entry once nothing hangs on it. A state that is still held is let go of, whatever the
 // module says: the client has its answer, so no send can take it.
-func (l *Ledger) settle(id string, e *entry) {
-	if !e.concluded || e.out > 0 || l.open[id] != e {
+func (l *Table) settle(id string, e *requestRecord) {
+	if !e.concluded || e.out > 0 || l.records[id] != e {
 		return
 	}
 	if e.state != "" {
-		l.letGo(id, e, Release{Engine: e.state, N: e.stateN})
+		l.letGo(id, e, ReleaseState{Engine: e.state, Attempt: e.stateN})
 		e.state = ""
 	}
 	l.flush(e)
-	delete(l.open, id)
-	l.do(Forget{id})
+	delete(l.records, id)
+	l.do(ForgetRequest{id})
 }
 
-// Close stops the taking of requests.
-func (l *Ledger) Close() { l.closing = true }
+// StopAccepting stops the taking of requests.
+func (l *Table) StopAccepting() { l.closing = true }
 
-// Heard files what an engine told of its load outside the end of an attempt.
-func (l *Ledger) Heard(p scheduler.ProbeResult) { l.emit(p) }
+// ProbeResult files what an engine told of its load outside the end of an attempt.
+func (l *Table) ProbeResult(p scheduler.ProbeResult) { l.emit(p) }
--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -30,7 +30,7 @@
 	if whole > 0 {
 		whole -= patience - v.ClientTimeLeft
 	}
-	no, ok := n.core.book.Request(now, q, whole)
+	no, ok := n.core.book.AddRequest(now, q, whole)
 	if !ok {
 		n.metrics.answered("turned_away")
 		after := 0.0
@@ -51,7 +51,7 @@
 			if n.calls[c.id] == c {
 				c.leftAt = left
 				n.log.Debug("client left", "request", c.id, "half", half)
-				n.core.book.Hangup(now, c.id, half)
+				n.core.book.ClientDisconnected(now, c.id, half)
 			}
 		})
 	})
@@ -70,7 +70,7 @@
 		return
 	}
 	c.guard = n.core.wheel.Add(at, func(now float64) {
-		n.core.book.Overdue(now, c.id)
+		n.core.book.DeadlineReached(now, c.id)
 		if next, ok := n.core.book.Deadline(c.id); ok && next > now {
 			n.guard(c)
 		}
--- a/internal/node/audit.go
+++ b/internal/node/audit.go
@@ -23,7 +23,7 @@
 		return
 	}
 	n.audit(c.id, permit.Written{At: n.core.clock.Of(r.FirstByteAt), ClientDisconnectedAt: c.leftAt, ClientDeadline: t.endsAt, DedupWindowEnd: t.writeBy,
-		DrainingSince: n.core.book.LeavingSince(t.engine), DrainGrace: n.plan.book.DrainGrace}.Violations())
+		DrainingSince: n.core.book.DrainingSince(t.engine), DrainGrace: n.plan.book.DrainGrace}.Violations())
 }
 
 // mayEnd says whether a client's connection that rests may be ended.
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -17,68 +17,68 @@
 // carry begins one command of the book. It runs on the owner's goroutine and never waits for a socket.
 func (n *Node) carry(now float64, cmd requesttable.Command) {
 	switch cmd := cmd.(type) {
-	case requesttable.Start:
+	case requesttable.StartAttempt:
 		n.start(now, cmd)
-	case requesttable.Abort:
-		n.log.Debug("attempt called off", "request", cmd.ID, "attempt", cmd.N, "cause", cmd.Cause)
-		if c := n.calls[cmd.ID]; c != nil && c.attempts[cmd.N].Attempt != nil {
-			c.attempts[cmd.N].Cancel(cmd.Cause)
+	case requesttable.CancelAttempt:
+		n.log.Debug("attempt called off", "request", cmd.ID, "attempt", cmd.Attempt, "cause", cmd.Cause)
+		if c := n.calls[cmd.ID]; c != nil && c.attempts[cmd.Attempt].Attempt != nil {
+			c.attempts[cmd.Attempt].Cancel(cmd.Cause)
 		}
-	case requesttable.Grant:
-		n.log.Debug("answer begins", "request", cmd.ID, "attempt", cmd.N, "granted", cmd.OK)
-		if c := n.calls[cmd.ID]; c != nil && c.grants[cmd.N] != nil {
-			if cmd.OK {
+	case requesttable.GrantResponse:
+		n.log.Debug("answer begins", "request", cmd.ID, "attempt", cmd.Attempt, "granted", cmd.Granted)
+		if c := n.calls[cmd.ID]; c != nil && c.grants[cmd.Attempt] != nil {
+			if cmd.Granted {
 				n.core.wheel.Cancel(c.guard)
 				n.guard(c) // another deadline holds now, or none
 				c.granted = true
 				c.job.ResponseGranted()
 			}
-			c.grants[cmd.N] <- cmd.OK
+			c.grants[cmd.Attempt] <- cmd.Granted
 		}
-	case requesttable.Release:
+	case requesttable.ReleaseState:
 		n.release(now, cmd)
-	case requesttable.Answer:
+	case requesttable.Respond:
 		n.answer(cmd)
-	case requesttable.Pass:
+	case requesttable.PassThrough:
 		if c := n.calls[cmd.ID]; c != nil {
-			n.respond(c, c.job.EngineResponse(cmd.N))
+			n.respond(c, c.job.EngineResponse(cmd.Attempt))
 			n.metrics.answered("judged")
 		}
-	case requesttable.Forget:
+	case requesttable.ForgetRequest:
 		n.forget(cmd.ID)
-	case requesttable.Fault:
+	case requesttable.ReportFault:
 		n.log.Error("not allowed", "text", cmd.Text)
 		n.metrics.faults.Inc()
 	}
 }
 
 // start begins an attempt on a goroutine of its own.
-func (n *Node) start(now float64, cmd requesttable.Start) {
+func (n *Node) start(now float64, cmd requesttable.StartAttempt) {
 	c := n.calls[cmd.ID]
 	if c == nil { // the book and the node disagree: say it, and end the attempt as never sent
 		n.log.Error("attempt for an unknown request", "request", cmd.ID)
-		n.core.book.Ended(now, cmd.ID, cmd.N, outcome.Evidence{Cause: outcome.RequestEnded}, nil)
+		n.core.book.AttemptEnded(now, cmd.ID, cmd.Attempt, outcome.Evidence{Cause: outcome.RequestEnded}, nil)
 		return
 	}
 	limit, until := cmd.Timeout, now+cmd.Timeout
 	if at, ok := n.core.book.Deadline(cmd.ID); ok {
-		limit, until = within(limit, at-now), now+within(cmd.Timeout, at-now-n.plan.book.Slack)
+		limit, until = within(limit, at-now), now+within(cmd.Timeout, at-now-n.plan.book.ResponseSlack)
 	}
-	call := protocol.AttemptSpec{Number: cmd.N, Address: n.addresses[cmd.Engine], Stage: cmd.Stage, FetchState: cmd.State,
-		StateAttempt: cmd.StateN, Timeout: max(time.Millisecond, seconds(limit)), ClientDeadline: n.core.clock.At(until)}
+	call := protocol.AttemptSpec{Number: cmd.Attempt, Address: n.addresses[cmd.Engine], Stage: cmd.Stage, FetchState: cmd.FetchState,
+		StateAttempt: cmd.StateAttempt, Timeout: max(time.Millisecond, seconds(limit)), ClientDeadline: n.core.clock.At(until)}
 	if cmd.WriteBy > 0 {
 		call.WriteBy = time.Now().Add(seconds(cmd.WriteBy - now))
 	}
 	a := c.job.Attempt(call)
-	c.attempts[cmd.N] = try{Attempt: a, engine: cmd.Engine, writeBy: cmd.WriteBy, endsAt: until}
-	n.log.Debug("attempt", "request", cmd.ID, "attempt", cmd.N, "engine", cmd.Engine, "prefill", cmd.Stage == outcome.Prefill,
-		"state", cmd.State, "limit", limit)
-	s := &stream{node: n, call: c, n: cmd.N, engine: cmd.Engine}
+	c.attempts[cmd.Attempt] = try{Attempt: a, engine: cmd.Engine, writeBy: cmd.WriteBy, endsAt: until}
+	n.log.Debug("attempt", "request", cmd.ID, "attempt", cmd.Attempt, "engine", cmd.Engine, "prefill", cmd.Stage == outcome.Prefill,
+		"state", cmd.FetchState, "limit", limit)
+	s := &stream{node: n, call: c, n: cmd.Attempt, engine: cmd.Engine}
 	if cmd.Stage == outcome.Decode {
 		s.grant = make(chan bool, 1)
-		c.grants[cmd.N] = s.grant
+		c.grants[cmd.Attempt] = s.grant
 	}
-	if cmd.State && n.plan.anyone {
+	if cmd.FetchState && n.plan.anyone {
 		n.watchArrival(now, cmd, a)
 	}
 	freed := c.freed
@@ -95,22 +95,22 @@
 
 // watchArrival looks at an attempt when the state that it is to take must be released. One whose request has not reached its engine is
 // called off. Where that cannot be told, and nothing has come of the attempt, the state may be released beside it.
-func (n *Node) watchArrival(begun float64, cmd requesttable.Start, a protocol.Attempt) {
+func (n *Node) watchArrival(begun float64, cmd requesttable.StartAttempt, a protocol.Attempt) {
 	waits := func() bool {
 		c := n.calls[cmd.ID]
-		return c != nil && !c.granted && c.attempts[cmd.N].Attempt == a
+		return c != nil && !c.granted && c.attempts[cmd.Attempt].Attempt == a
 	}
-	n.core.wheel.Add(staterelease.ReleaseAt(cmd.StateAt, n.plan.letGoBy), func(float64) {
+	n.core.wheel.Add(staterelease.ReleaseAt(cmd.HeldSince, n.plan.letGoBy), func(float64) {
 		if waits() && !a.Delivered() {
-			n.log.Debug("attempt has not arrived", "request", cmd.ID, "attempt", cmd.N, "engine", cmd.Engine)
-			n.core.book.NotArrived(cmd.ID, cmd.N)
+			n.log.Debug("attempt has not arrived", "request", cmd.ID, "attempt", cmd.Attempt, "engine", cmd.Engine)
+			n.core.book.AttemptNotDelivered(cmd.ID, cmd.Attempt)
 		}
 	})
-	n.core.wheel.Add(staterelease.SilentReleaseAt(begun, cmd.HeldAt, n.plan.letGoBy), func(float64) {
+	n.core.wheel.Add(staterelease.SilentReleaseAt(begun, cmd.HeldSinceIfUndelivered, n.plan.letGoBy), func(float64) {
 		if waits() {
 			heard := staterelease.EngineResponded(n.contacts[cmd.Engine].good, begun)
-			n.log.Debug("attempt has not been heard of", "request", cmd.ID, "attempt", cmd.N, "engine", cmd.Engine, "engine_heard", heard)
-			n.core.book.Unheard(cmd.ID, cmd.N, heard)
+			n.log.Debug("attempt has not been heard of", "request", cmd.ID, "attempt", cmd.Attempt, "engine", cmd.Engine, "engine_heard", heard)
+			n.core.book.AttemptSilent(cmd.ID, cmd.Attempt, heard)
 		}
 	})
 }
@@ -124,7 +124,7 @@
 }
 
 // ended reports the end of an attempt to the owner.
-func (n *Node) ended(cmd requesttable.Start, r protocol.Result) {
+func (n *Node) ended(cmd requesttable.StartAttempt, r protocol.Result) {
 	n.core.post(func(now float64) {
 		n.noteContact(now, cmd.Engine, r.Evidence)
 		c := n.calls[cmd.ID]
@@ -139,21 +139,21 @@
 			if r.Err != nil {
 				text = r.Err.Error()
 			}
-			n.log.Debug("attempt ended", "request", cmd.ID, "attempt", cmd.N, "engine", cmd.Engine, "progress", r.Evidence.Progress,
+			n.log.Debug("attempt ended", "request", cmd.ID, "attempt", cmd.Attempt, "engine", cmd.Engine, "progress", r.Evidence.Progress,
 				"cause", r.Evidence.Cause, "meaning", r.Evidence.ResponseKind, "error", text, "report", r.Report)
 		}
-		c.job.AttemptEnded(cmd.N, r)
-		n.auditAttempt(c, c.attempts[cmd.N], r)
-		delete(c.attempts, cmd.N)
-		delete(c.grants, cmd.N)
+		c.job.AttemptEnded(cmd.Attempt, r)
+		n.auditAttempt(c, c.attempts[cmd.Attempt], r)
+		delete(c.attempts, cmd.Attempt)
+		delete(c.grants, cmd.Attempt)
 		if r.Evidence.Cause == outcome.ClientDisconnected {
 			halfAtLeast := r.FirstByteAt.IsZero() // its socket tells of the end of its sending, behind which it may wait for an answer
-			n.core.book.Hangup(now, cmd.ID, halfAtLeast)
+			n.core.book.ClientDisconnected(now, cmd.ID, halfAtLeast)
 		}
 		if r.Evidence.Cause == outcome.ResponseComplete && r.Evidence.ResponseKind == outcome.DecodeDone && cmd.Stage == outcome.Decode {
 			n.metrics.answered("served")
 		}
-		n.core.book.Ended(now, cmd.ID, cmd.N, r.Evidence, r.Report)
+		n.core.book.AttemptEnded(now, cmd.ID, cmd.Attempt, r.Evidence, r.Report)
 	})
 }
 
@@ -175,7 +175,7 @@
 // release has a state let go of, by the engine that may hold it, or where any engine can, by whichever answers. It begins at
 // once, in the order of the book's commands: an attempt that was begun in the same pass may take long to connect, and the time of
 // what is held runs on meanwhile. After an attempt that was broken off it waits a moment, and is then asked for again.
-func (n *Node) release(now float64, cmd requesttable.Release) {
+func (n *Node) release(now float64, cmd requesttable.ReleaseState) {
 	plan := staterelease.RetrySchedule{Deadline: now + n.plan.letGoBy, AnyEngine: n.plan.anyone}
 	n.releasing++
 	if at := staterelease.EarliestRelease(now, cmd.CutAt); at > now {
@@ -190,8 +190,8 @@
 }
 
 // releaseAgain makes a call later than it was due, unless it would take what has come since.
-func (n *Node) releaseAgain(now float64, cmd requesttable.Release, plan staterelease.RetrySchedule) {
-	if !n.core.book.Wanted(cmd) {
+func (n *Node) releaseAgain(now float64, cmd requesttable.ReleaseState, plan staterelease.RetrySchedule) {
+	if !n.core.book.ReleaseAllowed(cmd) {
 		n.releasing--
 		return
 	}
@@ -199,14 +199,14 @@
 }
 
 // releaseBy makes one call that releases, and closes done when it has ended.
-func (n *Node) releaseBy(now float64, cmd requesttable.Release, plan staterelease.RetrySchedule, done chan struct{}) {
+func (n *Node) releaseBy(now float64, cmd requesttable.ReleaseState, plan staterelease.RetrySchedule, done chan struct{}) {
 	engine := cmd.Engine
 	if n.plan.anyone {
 		engine = n.releaser(cmd.Engine, plan.Attempts)
 	}
 	address, within := n.addresses[engine], seconds(plan.CallTimeout(now))
 	n.running.start(func() {
-		err := n.caller.Release(address, cmd.ID, cmd.N, within)
+		err := n.caller.Release(address, cmd.ID, cmd.Attempt, within)
 		close(done)
 		n.core.post(func(now float64) {
 			o, k := staterelease.Acknowledged, n.contacts[engine]
@@ -222,7 +222,7 @@
 			if n.plan.anyone && n.addresses[engine] != "" {
 				n.contacts[engine] = k
 			}
-			n.log.Debug("release ended", "request", cmd.ID, "attempt", cmd.N, "engine", engine, "try", plan.Attempts, "answered", err == nil)
+			n.log.Debug("release ended", "request", cmd.ID, "attempt", cmd.Attempt, "engine", engine, "try", plan.Attempts, "answered", err == nil)
 			if !plan.PastDeadline {
 				broken := permit.HeldState{Answered: err == nil, At: now, By: plan.Deadline}.Violations()
 				plan.PastDeadline = len(broken) > 0
@@ -242,7 +242,7 @@
 	var all []staterelease.Engine
 	for _, id := range sortedKeys(n.addresses) {
 		k := n.contacts[id]
-		all = append(all, staterelease.Engine{ID: id, Listed: n.core.book.Listed(id), Holder: id == holder, LastSuccess: k.good, LastFailure: k.bad})
+		all = append(all, staterelease.Engine{ID: id, Listed: n.core.book.EngineReady(id), Holder: id == holder, LastSuccess: k.good, LastFailure: k.bad})
 	}
 	if len(all) == 0 {
 		return holder
@@ -251,12 +251,12 @@
 }
 
 // answer gives the node's own final answer: a whole one, or the end of a stream that had begun.
-func (n *Node) answer(cmd requesttable.Answer) {
+func (n *Node) answer(cmd requesttable.Respond) {
 	c := n.calls[cmd.ID]
 	if c == nil {
 		return
 	}
-	a := cmd.Answer
+	a := cmd.Response
 	kind := "failed"
 	if a.RetryIsSafe {
 		kind = "refused"
@@ -305,7 +305,7 @@
 		return
 	}
 	s.node.core.post(func(now float64) {
-		s.node.core.book.Heard(scheduler.ProbeResult{Engine: s.engine, Status: scheduler.Completed, Report: r})
+		s.node.core.book.ProbeResult(scheduler.ProbeResult{Engine: s.engine, Status: scheduler.Completed, Report: r})
 	})
 }
 
@@ -317,7 +317,7 @@
 			s.grant <- false
 			return
 		}
-		s.node.core.book.First(now, s.call.id, s.n)
+		s.node.core.book.FirstToken(now, s.call.id, s.n)
 	})
 	if !ok {
 		return false
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -19,7 +19,7 @@
 	clock  clock.Clock
 	beat   batching.DispatchInterval
 	router *scheduler.Scheduler
-	book   *requesttable.Ledger
+	book   *requesttable.Table
 	wheel  *timerwheel.Wheel[func(now float64)]
 	carry  func(now float64, c requesttable.Command) // begins a command; it does not block
 	side   func(now float64, a scheduler.Action)     // an action that is the host's alone
@@ -82,10 +82,10 @@
 		}
 		c.wheel.Advance(now, func(f func(float64)) { f(now) })
 		c.commands(now)
-		pending := c.book.Pending() || len(c.wakes) > 0
+		pending := c.book.HasEvents() || len(c.wakes) > 0
 		if pending && now >= c.beat.Next() {
 			c.step(now)
-			pending = c.book.Pending()
+			pending = c.book.HasEvents()
 		}
 		c.sleep(timer, now, pending)
 	}
@@ -131,7 +131,7 @@
 
 // step asks the module and carries out what it says, in its order.
 func (c *core) step(now float64) {
-	events, cmds := c.book.Take()
+	events, cmds := c.book.Drain()
 	for _, cmd := range cmds {
 		c.carry(now, cmd)
 	}
@@ -171,7 +171,7 @@
 
 // commands carries out what the book has said.
 func (c *core) commands(now float64) {
-	for _, cmd := range c.book.TakeCommands() {
+	for _, cmd := range c.book.DrainCommands() {
 		c.carry(now, cmd)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -171,16 +171,16 @@
 		for id, a := range l.Addresses {
 			n.addresses[id] = a
 		}
-		n.core.book.Members(now, scheduler.EndpointUpdate{Form: l.Form, Engines: l.Engines})
+		n.core.book.UpdateEndpoints(now, scheduler.EndpointUpdate{Form: l.Form, Engines: l.Engines})
 		for id := range n.addresses {
-			if !n.core.book.Known(id) {
+			if !n.core.book.EngineKnown(id) {
 				delete(n.addresses, id)
 				delete(n.contacts, id)
 			}
 		}
 		for _, c := range n.calls {
 			for _, a := range c.attempts {
-				if !n.core.book.Listed(a.engine) {
+				if !n.core.book.EngineReady(a.engine) {
 					a.CancelIfUnsent()
 				}
 			}
@@ -216,7 +216,7 @@
 	deadline := time.Now().Add(wait)
 	n.stopTaking(deadline)
 	n.awaitResponses(deadline)
-	n.core.post(func(now float64) { n.core.book.EndAll(now) })
+	n.core.post(func(now float64) { n.core.book.RespondToAll(now) })
 	n.finish()
 }
 
@@ -235,22 +235,22 @@
 	}
 	n.awaitResponses(deadline)
 	if !n.plan.resume {
-		n.core.post(func(now float64) { n.core.book.EndHeld(now) })
+		n.core.post(func(now float64) { n.core.book.RespondToQueued(now) })
 		n.awaitResponses(time.Now().Add(wait))
 	}
-	n.core.post(func(now float64) { n.core.book.EndAll(now) })
+	n.core.post(func(now float64) { n.core.book.RespondToAll(now) })
 	n.finish()
 }
 
 // handOver ends the streams that run one by one, where clients come again for the rest.
 func (n *Node) handOver(now float64) {
-	ids, since := n.core.book.Streaming()
+	ids, since := n.core.book.Streams()
 	streams := make([]shutdown.Stream, len(ids))
 	for i := range ids {
 		streams[i] = shutdown.Stream{ID: ids[i], StartedAt: since[i]}
 	}
 	for _, m := range shutdown.CutoffSchedule(now, n.endBy, n.plan.scheduler.NodeCount, streams) {
-		n.core.wheel.Add(m.At, func(now float64) { n.core.book.Move(now, m.ID) })
+		n.core.wheel.Add(m.At, func(now float64) { n.core.book.CutStream(now, m.ID) })
 	}
 }
 
@@ -260,7 +260,7 @@
 	for end := time.Now().Add(n.plan.times.AcceptsFor()); time.Now().Before(earlier(end, deadline)) && !n.hurry.Load(); {
 		time.Sleep(5 * time.Millisecond)
 	}
-	n.core.post(func(now float64) { n.core.book.Close() })
+	n.core.post(func(now float64) { n.core.book.StopAccepting() })
 }
 
 // awaitResponses waits until no request is open, or the deadline.
@@ -296,11 +296,11 @@
 func (n *Node) RespondNow() { n.hurry.Store(true) }
 
 // Live returns how many requests wait for the end of their answer.
-func (n *Node) Live() int { return n.ask(func() int { return n.core.book.Live() }) }
+func (n *Node) Live() int { return n.ask(func() int { return n.core.book.OpenRequests() }) }
 
 // Held returns how many requests the node has not forgotten: those, ended ones of which an attempt is out, and those of
 // which a state is being let go of.
-func (n *Node) Held() int { return n.ask(func() int { return n.core.book.Held() + n.releasing }) }
+func (n *Node) Held() int { return n.ask(func() int { return n.core.book.Len() + n.releasing }) }
 
 // Connections returns the number of open client connections.
 func (n *Node) Connections() int { return n.server.Conns() }
@@ -349,8 +349,8 @@
 // rules, and no more is taken.
 func (n *Node) moduleFailed(err error) {
 	n.log.Error("the routing module failed; the node stops", "error", err.Error())
-	n.core.book.Close()
-	n.core.book.EndAll(n.core.clock.Now())
+	n.core.book.StopAccepting()
+	n.core.book.RespondToAll(n.core.clock.Now())
 	n.core.commands(n.core.clock.Now())
 	select {
 	case n.failed <- err:
--- a/internal/node/openai.go
+++ b/internal/node/openai.go
@@ -70,8 +70,8 @@
 }
 
 func bookConfig(cfg *config.Config) requesttable.Config {
-	return requesttable.Config{Classes: cfg.Scheduler().Classes, MaxOpen: cfg.Limits.MaxOpen, MaxAttempts: cfg.Limits.MaxAttempts,
-		Slack: cfg.Rules.AnswerSlack, DrainGrace: cfg.Rules.DrainGrace}
+	return requesttable.Config{Classes: cfg.Scheduler().Classes, MaxOpenRequests: cfg.Limits.MaxOpen, MaxAttempts: cfg.Limits.MaxAttempts,
+		ResponseSlack: cfg.Rules.AnswerSlack, DrainGrace: cfg.Rules.DrainGrace}
 }
 
 // savedList is where the last believed list is kept; "" = nowhere.
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -50,8 +50,8 @@
 	rules, decisions := s.Scheduler.Rules, s.Scheduler
 	decisions.Limits.UnsentAttemptsAreFree = true // an attempt counts once its last byte has come (PROTOCOL, nodes to engines)
 	return plan{scheduler: decisions, tick: s.Scheduler.Tick, letGoBy: rules.StateReleaseLimit, held: parts.BodyBytes, anyone: true, resume: s.ClientsResume,
-		book: requesttable.Config{Classes: s.Scheduler.Classes, MaxOpen: parts.Clients, MaxAttempts: s.Scheduler.Limits.MaxAttempts, UnsentFree: true,
-			Slack: rules.AnswerSlack + relay.SocketSlack.Seconds()/2, DrainGrace: rules.DrainGrace, ReleaseAll: true},
+		book: requesttable.Config{Classes: s.Scheduler.Classes, MaxOpenRequests: parts.Clients, MaxAttempts: s.Scheduler.Limits.MaxAttempts, UnsentAttemptsAreFree: true,
+			ResponseSlack: rules.AnswerSlack + relay.SocketSlack.Seconds()/2, DrainGrace: rules.DrainGrace, ReleaseFreesAllStates: true},
 		strain: overload.Limits{Descriptors: cfg.Limits.Sockets, Connections: parts.Clients, Bytes: parts.BodyBytes,
 			ResponseSlack: rules.AnswerSlack + relay.SocketSlack.Seconds()/2},
 		times: relay.ServerTimeouts(s.ClientsResume), limits: relay.RequestLimits, lobby: parts.RejectionQueue}
--- a/internal/node/release_test.go
+++ b/internal/node/release_test.go
@@ -95,7 +95,7 @@
 		Rules:  scheduler.Rules{SlowStartShare: 0.25, SlowStartDuration: 1, OverloadMultiple: 4, SlowStartWindow: 1, StateReleaseLimit: letGoBy, PollInterval: 10, DrainGrace: 0.25}}
 	s.said = make(chan struct{})
 	n, err := newNode(plan{scheduler: cfg, tick: cfg.Tick, letGoBy: letGoBy, anyone: true, strain: overload.Limits{Connections: 10},
-		book: requesttable.Config{Classes: classes, MaxOpen: 8, MaxAttempts: 6, Slack: 0.05, DrainGrace: 0.25, ReleaseAll: true}},
+		book: requesttable.Config{Classes: classes, MaxOpenRequests: 8, MaxAttempts: 6, ResponseSlack: 0.05, DrainGrace: 0.25, ReleaseFreesAllStates: true}},
 		options{log: slog.New(slog.NewTextHandler(io.Discard, nil)), seed: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -106,7 +106,7 @@
 	n.takeList(protocol.EndpointList{Form: scheduler.UpdateComplete, Addresses: map[string]string{"r0": "x", "r1": "x", "w0": "x", "w1": "x", "w2": "x"},
 		Engines: []scheduler.Engine{{ID: "r0", Kind: 0, Weight: 1}, {ID: "r1", Kind: 0, Weight: 1}, {ID: "w0", Kind: 1, Weight: 1}, {ID: "w1", Kind: 1, Weight: 1}, {ID: "w2", Kind: 1, Weight: 1}}})
 	n.core.post(func(now float64) {
-		n.core.book.Request(now, scheduler.Request{ID: "a", ClientTimeLeft: 4, PromptTokens: 1000, MaxOutputTokens: 100}, 0)
+		n.core.book.AddRequest(now, scheduler.Request{ID: "a", ClientTimeLeft: 4, PromptTokens: 1000, MaxOutputTokens: 100}, 0)
 		n.calls["a"] = &call{id: "a", job: s, attempts: map[int]try{}, grants: map[int]chan bool{}}
 	})
 	select {
