--- a/internal/decide/requesttable/audit.go
+++ b/internal/decide/requesttable/audit.go
@@ -6,39 +6,61 @@
 	"slices"
 )
 
-func sortedKeys(m map[string]*requestRecord) []string { return slices.Sorted(maps.Keys(m)) }
+func sortedKeys(records map[string]*requestRecord) []string { return slices.Sorted(maps.Keys(records)) }
 
-// Audit checks the book against itself and returns the first thing that cannot be; tests and the node's own
-// housekeeping call it. It takes time in proportion to the entries.
-func (l *Table) Audit() error {
-	live := 0
-	for _, id := range sortedKeys(l.records) {
-		e := l.records[id]
-		out, streaming := 0, 0
-		for i := range e.attempts {
-			if t := &e.attempts[i]; !t.over {
-				out++
-				if t.streaming {
-					streaming++
-				}
-			}
-		}
-		switch {
-		case out != e.out:
-			return fmt.Errorf("ledger: %s counts %d attempts out, has %d", id, e.out, out)
-		case e.concluded && out == 0:
-			return fmt.Errorf("ledger: %s has ended and is still held", id)
-		case streaming > 1:
-			return fmt.Errorf("ledger: %s streams from %d attempts", id, streaming)
-		case l.left(e) < 0:
-			return fmt.Errorf("ledger: %s has %d attempts", id, len(e.attempts))
+// AuditError is a contradiction within the table.
+type AuditError struct {
+	RequestID string // "" = it concerns no single request
+	Problem   string
+}
+
+// Error implements error.
+func (e *AuditError) Error() string {
+	if e.RequestID == "" {
+		return "requesttable: " + e.Problem
+	}
+	return fmt.Sprintf("requesttable: request %s %s", e.RequestID, e.Problem)
+}
+
+// Audit checks the table against itself and returns the first contradiction, an *AuditError. It takes time in proportion to
+// the number of records; the tests call it after every step.
+func (t *Table) Audit() error {
+	open := 0
+	for _, id := range sortedKeys(t.records) {
+		record := t.records[id]
+		if problem := t.auditRecord(record); problem != "" {
+			return &AuditError{RequestID: id, Problem: problem}
 		}
-		if !e.concluded {
-			live++
+		if record.response.open() {
+			open++
 		}
 	}
-	if live != l.live {
-		return fmt.Errorf("ledger: %d requests are live, %d are counted", live, l.live)
+	if open != t.openCount {
+		return &AuditError{Problem: fmt.Sprintf("%d requests are open, %d are counted", open, t.openCount)}
 	}
 	return nil
 }
+
+// auditRecord returns what contradicts itself in a record; "" = nothing.
+func (t *Table) auditRecord(record *requestRecord) string {
+	inFlight, streaming := 0, 0
+	for i := range record.attempts {
+		if record.attempts[i].isInFlight() {
+			inFlight++
+		}
+		if record.attempts[i].isStreaming() {
+			streaming++
+		}
+	}
+	switch {
+	case inFlight != record.inFlight:
+		return fmt.Sprintf("counts %d attempts in flight, has %d", record.inFlight, inFlight)
+	case record.response.ended() && inFlight == 0:
+		return "has ended and is not forgotten"
+	case streaming > 1:
+		return fmt.Sprintf("streams from %d attempts", streaming)
+	case t.attemptsLeft(record) < 0:
+		return fmt.Sprintf("has %d attempts", len(record.attempts))
+	}
+	return ""
+}
--- a/internal/decide/requesttable/commands.go
+++ b/internal/decide/requesttable/commands.go
@@ -4,73 +4,84 @@
 	"dillroute/internal/decide/outcome"
 )
 
-// Command is something that the host is to carry out.
+// Command is something that the host must carry out.
 type Command interface{ command() }
 
-// StartAttempt begins an attempt. Timeout is in seconds, 0 = none but the client's own. WriteBy is when its request must have been
-// written, for a repeat is known as one for so long only; 0 = at any time.
+// StartAttempt starts an attempt. Times are in seconds.
 type StartAttempt struct {
-	ID, Engine string
-	Attempt          int
+	ID         string
+	Engine     string
+	Attempt    int // number of the attempt among those of the request
 	Stage      outcome.Stage
-	FetchState      bool    // a state waits and is to be fetched
-	StateAttempt     int     // from this attempt
-	HeldSince    float64 // since when its time runs (s)
-	HeldSinceIfUndelivered     float64 // since when it does if attempts that ended in silence never arrived (s)
-	Timeout    float64
-	WriteBy    float64
+	FetchState bool // a prefill engine holds a state, which the attempt is to fetch
+	// StateAttempt is the number of the attempt that made the state.
+	StateAttempt int
+	// HeldSince is when the limit on the hold time of the state began to run. HeldSinceIfUndelivered is the same if the
+	// silent attempts before this one never reached their engine.
+	HeldSince              float64
+	HeldSinceIfUndelivered float64
+	Timeout                float64 // 0 = no limit but the client's deadline
+	// WriteBy is when the request must have been written, since engines recognize a repeat for a limited time; 0 = no limit.
+	WriteBy float64
 }
 
-// CancelAttempt ends an attempt that is out, for the cause given; its end is still to be reported.
+// CancelAttempt cancels an attempt in flight. The host still reports its end.
 type CancelAttempt struct {
-	ID    string
-	Attempt     int
-	Cause outcome.Cause
+	ID      string
+	Attempt int
+	Cause   outcome.Cause
 }
 
-// GrantResponse gives the client's answer to an attempt: from now on it alone writes there. Denied tells it to stop.
+// GrantResponse decides whether an attempt may write to the client. Once Granted, it is the only writer; otherwise the
+// attempt must stop.
 type GrantResponse struct {
-	ID string
-	Attempt  int
+	ID      string
+	Attempt int
 	Granted bool
 }
 
-// ReleaseState lets go of the state that an engine may hold from the attempt N; with Config.ReleaseAll, of all that is held
-// for the request. Wanted tells whether it may still be made. CutAt is when the attempt was broken off, in which case its
-// engine may hold something only a moment later; 0 = what is to be released is held already.
+// ReleaseState releases the state that an engine may hold from an attempt. With Config.ReleaseFreesAllStates it releases
+// every state of the request.
 type ReleaseState struct {
-	ID, Engine string
-	Attempt          int
-	CutAt      float64
-	IsBeside   bool // made while the attempt Beside, which is to take the state, is out and was not heard of
-	Beside     int
+	ID      string
+	Engine  string
+	Attempt int // number of the attempt that left the state
+	// AttemptCutAt is when that attempt was cut (s): its engine may hold a state only a moment later. 0 = the state is held.
+	AttemptCutAt float64
+	Concurrent   ConcurrentAttempt
+}
+
+// ConcurrentAttempt is the attempt that is to fetch a state and stays in flight, silent, while the state is released.
+type ConcurrentAttempt struct {
+	InFlight bool // false = there is no such attempt
+	Number   int
 }
 
-// Respond is the node's own final answer to a client.
+// Respond gives a client the node's own final response.
 type Respond struct {
 	ID         string
-	Response     outcome.Response
-	RetryAfter float64 // s; 0 = no advice
+	Response   outcome.Response
+	RetryAfter float64 // seconds; 0 = no advice
 	Reason     string
 }
 
-// PassThrough gives the client the answer by which an engine has judged its request.
+// PassThrough gives a client the response by which an engine has called its request invalid.
 type PassThrough struct {
-	ID string
-	Attempt  int
+	ID      string
+	Attempt int
 }
 
-// ForgetRequest tells that nothing more will come for a request.
+// ForgetRequest tells that no further command will come for a request.
 type ForgetRequest struct{ ID string }
 
-// ReportFault tells of an action or a fact that the book could not allow.
+// ReportFault reports an action or a fact that contradicts the table and was not carried out.
 type ReportFault struct{ Text string }
 
-func (StartAttempt) command()   {}
-func (CancelAttempt) command()   {}
-func (GrantResponse) command()   {}
-func (ReleaseState) command() {}
-func (Respond) command()  {}
-func (PassThrough) command()    {}
-func (ForgetRequest) command()  {}
+func (StartAttempt) command()  {}
+func (CancelAttempt) command() {}
+func (GrantResponse) command() {}
+func (ReleaseState) command()  {}
+func (Respond) command()       {}
+func (PassThrough) command()   {}
+func (ForgetRequest) command() {}
 func (ReportFault) command()   {}
--- a/internal/decide/requesttable/endpoints.go
+++ b/internal/decide/requesttable/endpoints.go
@@ -4,86 +4,97 @@
 	"dillroute/scheduler"
 )
 
-// engineRecord is what the book knows of an engine.
+// engineRecord is what the table knows of an engine.
 type engineRecord struct {
-	listed bool
-	state  scheduler.EngineState
-	since  float64 // when this state was told
-	cell   int
-	zone   int
-	role   scheduler.Role
+	state scheduler.EngineState
+	since float64 // when the state was first reported (s)
+	cell  int
+	zone  int
+	role  scheduler.Role
 }
 
-// UpdateEndpoints files a list before the module sees it, so that both know the same. since is when it was learned.
-func (l *Table) UpdateEndpoints(now float64, m scheduler.EndpointUpdate) {
-	if m.Form == scheduler.UpdateFailed {
-		l.emit(m)
+// setState changes the state; since moves only if the state differs.
+func (e *engineRecord) setState(now float64, state scheduler.EngineState) {
+	if e.state != state {
+		e.state = state
+		e.since = now
+	}
+}
+
+// UpdateEndpoints applies an update of the endpoint list before the scheduler receives it, so that both know the same.
+func (t *Table) UpdateEndpoints(now float64, update scheduler.EndpointUpdate) {
+	if update.Form == scheduler.UpdateFailed {
+		t.emit(update)
 		return
 	}
-	named := map[string]bool{}
-	for _, n := range m.Engines {
-		named[n.ID] = true
-		s := l.engines[n.ID]
-		if s == nil {
-			s = &engineRecord{since: now}
-			l.engines[n.ID] = s
-		}
-		if s.state != n.State {
-			s.state, s.since = n.State, now
-		}
-		s.listed, s.cell, s.zone = n.State != scheduler.EngineRemoved, n.Cell, n.Zone
-		if n.Kind >= 0 && n.Kind < len(l.kinds) {
-			s.role = l.kinds[n.Kind].Role
-		}
+	listed := map[string]bool{}
+	for _, engine := range update.Engines {
+		listed[engine.ID] = true
+		t.updateEngine(now, engine)
 	}
-	if m.Form != scheduler.UpdateIncremental {
-		for id, s := range l.engines {
-			if !named[id] && s.state != scheduler.EngineRemoved {
-				s.state, s.since, s.listed = scheduler.EngineRemoved, now, false
+	if update.Form != scheduler.UpdateIncremental {
+		for id, engine := range t.engines {
+			if !listed[id] {
+				engine.setState(now, scheduler.EngineRemoved)
 			}
 		}
 	}
-	l.prune(now)
-	l.emit(m)
+	t.pruneRemoved(now)
+	t.emit(update)
+}
+
+// updateEngine applies one entry of the endpoint list.
+func (t *Table) updateEngine(now float64, engine scheduler.Engine) {
+	record := t.engines[engine.ID]
+	if record == nil {
+		record = &engineRecord{since: now}
+		t.engines[engine.ID] = record
+	}
+	record.setState(now, engine.State)
+	record.cell = engine.Cell
+	record.zone = engine.Zone
+	if engine.Kind >= 0 && engine.Kind < len(t.kinds) {
+		record.role = t.kinds[engine.Kind].Role
+	}
 }
 
-// keepRemoved is how long an engine that was removed is remembered, at least (s): longer than any request is open
-// before its answer begins, so that none is forgotten whose effect may yet be asked for.
+// keepRemoved is how long an engine that was removed is remembered, at least (s). No request waits longer for its response
+// to begin, so the engine of a possible effect is remembered for as long as a repeat may be asked for.
 const keepRemoved = 120
 
-// prune forgets engines that were removed long ago: where they are replaced all day, there is no end of them.
-func (l *Table) prune(now float64) {
-	for id, s := range l.engines {
-		if s.state == scheduler.EngineRemoved && now > s.since+keepRemoved {
-			delete(l.engines, id)
+// pruneRemoved forgets engines that were removed long ago, since a fleet may replace its engines all day.
+func (t *Table) pruneRemoved(now float64) {
+	for id, engine := range t.engines {
+		if engine.state == scheduler.EngineRemoved && now > engine.since+keepRemoved {
+			delete(t.engines, id)
 		}
 	}
 }
 
-// EngineReady tells whether an engine may be sent something new.
-func (l *Table) EngineReady(id string) bool {
-	s := l.engines[id]
-	return s != nil && s.state == scheduler.EngineReady
+// EngineReady tells whether an engine may receive new attempts.
+func (t *Table) EngineReady(id string) bool {
+	engine := t.engines[id]
+	return engine != nil && engine.state == scheduler.EngineReady
 }
 
-// DrainingSince is since when an engine is known to drain or be gone (s); 0 = it is ready, or not remembered.
-func (l *Table) DrainingSince(id string) float64 {
-	if s := l.engines[id]; s != nil && s.state != scheduler.EngineReady {
-		return s.since
+// DrainingSince returns since when an engine is known to be draining or removed (s); 0 = it is ready or unknown.
+func (t *Table) DrainingSince(id string) float64 {
+	if engine := t.engines[id]; engine != nil && engine.state != scheduler.EngineReady {
+		return engine.since
 	}
 	return 0
 }
 
 // EngineKnown tells whether an engine is remembered.
-func (l *Table) EngineKnown(id string) bool { return l.engines[id] != nil }
+func (t *Table) EngineKnown(id string) bool { return t.engines[id] != nil }
 
-// Ready tells whether the node may be sent requests: it is not closing, and some engine is listed as ready.
-func (l *Table) Ready() bool {
-	if l.closing {
+// Ready tells whether the node may receive requests: it accepts them, and some engine is ready.
+func (t *Table) Ready() bool {
+	if t.stopping {
 		return false
 	}
-	for _, s := range l.engines {
-		if s.state == scheduler.EngineReady {
+	for _, engine := range t.engines {
+		if engine.state == scheduler.EngineReady {
 			return true
 		}
 	}
--- a/internal/decide/requesttable/golden_test.go
+++ b/internal/decide/requesttable/golden_test.go
@@ -45,12 +45,12 @@
 // goldenWorld tells a book random facts and takes its commands. Whatever it goes through is in a slice, so that the same seed gives the
 // same facts.
 type goldenWorld struct {
-	table        *Table
+	table    *Table
 	cfg      Config
-	random      *rand.Rand
+	random   *rand.Rand
 	now      float64
 	ids      []string
-	inFlight      []StartAttempt // attempts that run
+	inFlight []StartAttempt // attempts that run
 	releases []ReleaseState
 	closed   bool
 }
@@ -298,9 +298,8 @@
 	for _, e := range goldenEngines {
 		s += fmt.Sprintf(" %s:%t,%t,%s", e.ID, w.table.EngineKnown(e.ID), w.table.EngineReady(e.ID), num(w.table.DrainingSince(e.ID)))
 	}
-	ids, sent := w.table.Streams()
-	for i := range ids {
-		s += fmt.Sprintf(" streams:%s,%s", ids[i], num(sent[i]))
+	for _, stream := range w.table.Streams() {
+		s += fmt.Sprintf(" streams:%s,%s", stream.ID, num(stream.SentAt))
 	}
 	if len(w.ids) > 0 {
 		at, ok := w.table.Deadline(w.ids[len(w.ids)-1])
@@ -366,7 +365,7 @@
 }
 
 func releaseText(r ReleaseState) string {
-	return fmt.Sprintf("release id=%s engine=%s n=%d cut=%s beside=%t,%d", r.ID, r.Engine, r.Attempt, num(r.CutAt), r.IsBeside, r.Beside)
+	return fmt.Sprintf("release id=%s engine=%s n=%d cut=%s beside=%t,%d", r.ID, r.Engine, r.Attempt, num(r.AttemptCutAt), r.Concurrent.InFlight, r.Concurrent.Number)
 }
 
 func eventText(ev scheduler.Event) string {
@@ -482,7 +481,7 @@
 		for _, c := range cmds {
 			text, said := commandText(c)
 			count("command ", text)
-			if r, ok := c.(ReleaseState); ok && r.IsBeside {
+			if r, ok := c.(ReleaseState); ok && r.Concurrent.InFlight {
 				counts["command release beside"]++
 			}
 			if out = append(out, text); said != "" {
--- /dev/null
+++ b/internal/decide/requesttable/record.go
@@ -0,0 +1,191 @@
+package requesttable
+
+import (
+	"dillroute/internal/decide/outcome"
+	"dillroute/scheduler"
+)
+
+// requestRecord is one request, from AddRequest until it has ended and no attempt is in flight.
+type requestRecord struct {
+	class           *scheduler.Class
+	deadline        float64 // when the client gives up waiting for the response to begin
+	wholeResponseBy float64 // when a response that is not streamed must be complete; 0 = the response is streamed
+	response        responseState
+
+	attempts []attempt // those that were started, in the order of their numbers
+	sends    int       // scheduler.Send actions so far, those included that were not allowed
+	inFlight int       // attempts that have not ended
+
+	evidence attemptEvidence
+	effect   *possibleEffect // nil = no attempt that has ended may have run
+	state    heldState
+	holdTime holdTime
+	owed     owedReleases
+
+	pendingResponse *Respond // final response that is given once the streaming attempt has ended; nil = none
+}
+
+// responseState is how far the response of a request has come.
+type responseState int
+
+// States of a response.
+const (
+	responseQueued          responseState = iota // no response has begun
+	responseStreaming                            // the response belongs to one attempt
+	responseEnded                                // the request ended before the response of an attempt began
+	responseEndedAfterStart                      // the request ended after the response of an attempt had begun
+)
+
+// started tells whether the response of an attempt has begun, also if the request has ended since.
+func (s responseState) started() bool { return s == responseStreaming || s == responseEndedAfterStart }
+
+// ended tells whether the client has its final response or has disconnected.
+func (s responseState) ended() bool { return s == responseEnded || s == responseEndedAfterStart }
+
+// open tells whether the request has not ended.
+func (s responseState) open() bool { return !s.ended() }
+
+// queued tells whether the request waits for its response to begin.
+func (s responseState) queued() bool { return s == responseQueued }
+
+// end returns the state after the end of the request.
+func (s responseState) end() responseState {
+	if s.started() {
+		return responseEndedAfterStart
+	}
+	return responseEnded
+}
+
+// attempt is one attempt of a request.
+type attempt struct {
+	number       int // among the scheduler's sends of this request
+	engine       string
+	stage        outcome.Stage
+	sentAt       float64
+	state        attemptState
+	fetchesState bool
+	stateAttempt int // number of the attempt whose state this one fetches
+}
+
+// attemptState is where an attempt stands.
+type attemptState int
+
+// States of an attempt.
+const (
+	attemptRunning         attemptState = iota // no token has come
+	attemptCanceling                           // canceled before a token came; its end has not been reported
+	attemptStreaming                           // its response is passed to the client
+	attemptCancelingStream                     // canceled while streaming; its end has not been reported
+	attemptEnded
+)
+
+func (a *attempt) isInFlight() bool { return a.state != attemptEnded }
+func (a *attempt) isStreaming() bool {
+	return a.state == attemptStreaming || a.state == attemptCancelingStream
+}
+func (a *attempt) isCanceling() bool {
+	return a.state == attemptCanceling || a.state == attemptCancelingStream
+}
+
+// markCanceling notes the cancellation of an attempt in flight.
+func (a *attempt) markCanceling() {
+	if a.isStreaming() {
+		a.state = attemptCancelingStream
+	} else {
+		a.state = attemptCanceling
+	}
+}
+
+// fetches tells whether the attempt was started to fetch the state that the record holds.
+func (a *attempt) fetches(state heldState) bool {
+	return a.fetchesState && a.stateAttempt == state.attempt
+}
+
+// attemptEvidence is what the attempts that have ended prove together.
+type attemptEvidence struct {
+	outcomeUnknown     bool // an attempt was written completely and ended without a response
+	notRunUnproven     bool // the bytes of an attempt do not prove that it has not run
+	unsentAttempts     int  // attempts that ended before their request was written
+	invalidRequestCode int  // code by which one engine has called the request invalid; 0 = none has
+}
+
+// possibleEffect is the first attempt that has ended and may have run.
+type possibleEffect struct {
+	engine string
+	sentAt float64
+}
+
+// heldState is the state that a prefill left at its engine. The number of the attempt is kept after the state is gone:
+// it identifies the latest state.
+type heldState struct {
+	engine  string // "" = no state is held
+	attempt int    // number of the prefill attempt that made the latest state
+}
+
+func (s *heldState) held() bool { return s.engine != "" }
+func (s *heldState) clear()     { s.engine = "" }
+
+// holdTime is when the limit on the time of a held state (rule 5) began to run.
+type holdTime struct {
+	since              float64 // latest outcome of an attempt whose request was written
+	sinceIfUndelivered float64 // the same without silent attempts, whose requests may never have reached their engine
+	latestWasSilent    bool    // the latest of these attempts ended silently (outcome.Silent)
+}
+
+// owedReleases are the releases that wait until no attempt is in flight and no state is needed
+// (Config.ReleaseFreesAllStates); nil = none is owed.
+type owedReleases struct {
+	heldState  *ReleaseState // of a state that an engine holds
+	cutAttempt *ReleaseState // of what an attempt that was cut may have left
+}
+
+// attempt returns the attempt of a number, or nil if it was never started.
+func (r *requestRecord) attempt(number int) *attempt {
+	for i := range r.attempts {
+		if r.attempts[i].number == number {
+			return &r.attempts[i]
+		}
+	}
+	return nil
+}
+
+// prefillsInFlight counts the prefill attempts that have not ended.
+func (r *requestRecord) prefillsInFlight() int {
+	count := 0
+	for i := range r.attempts {
+		if a := &r.attempts[i]; a.isInFlight() && a.stage == outcome.Prefill {
+			count++
+		}
+	}
+	return count
+}
+
+// streamingAttempt returns the attempt that streams to the client, or nil.
+func (r *requestRecord) streamingAttempt() *attempt {
+	for i := range r.attempts {
+		if r.attempts[i].isStreaming() {
+			return &r.attempts[i]
+		}
+	}
+	return nil
+}
+
+// possibleEffect returns the first attempt that has run or may run yet, or nil.
+func (r *requestRecord) possibleEffect() *possibleEffect {
+	if r.effect != nil {
+		return r.effect
+	}
+	for i := range r.attempts {
+		if a := &r.attempts[i]; a.isInFlight() && a.stage == outcome.Decode {
+			return &possibleEffect{engine: a.engine, sentAt: a.sentAt}
+		}
+	}
+	return nil
+}
+
+// provenNotRun tells whether the bytes of every attempt prove that it has not run: it has ended, and either its request was
+// not written completely or its engine responded that it did not run. That a prefill has no effect is no such proof: it
+// rests on which engine was reached at the address, and an engine that did not respond cannot tell.
+func (r *requestRecord) provenNotRun() bool {
+	return r.effect == nil && !r.evidence.notRunUnproven && r.inFlight == 0
+}
--- a/internal/decide/requesttable/releases.go
+++ b/internal/decide/requesttable/releases.go
@@ -3,99 +3,156 @@
 import (
 	"dillroute/internal/decide/outcome"
 	"dillroute/internal/decide/permit"
+	"dillroute/scheduler"
 )
 
-// release lets go of the read state that waits, unless an attempt is out to fetch it: the state is its now.
-func (l *Table) release(id string) {
-	e := l.records[id]
-	if e == nil || e.state == "" {
+// observe notes the end of an attempt. The hold time of a state runs from the latest outcome of an attempt whose request
+// was written (rule 5).
+func (h *holdTime) observe(now float64, evidence outcome.Evidence) {
+	if evidence.Progress < outcome.RequestWritten {
 		return
 	}
-	for i := range e.attempts {
-		if t := &e.attempts[i]; !t.over && t.withState {
-			return
-		}
+	h.since = now
+	h.latestWasSilent = outcome.Silent(evidence)
+	if !h.latestWasSilent {
+		h.sinceIfUndelivered = now
 	}
-	l.letGo(id, e, ReleaseState{Engine: e.state, Attempt: e.stateN})
-	e.state = ""
-	l.flush(e)
-	l.settle(id, e)
 }
 
-// letGo has a state released: at once, or where a release takes all that is held, as soon as nothing else is at stake.
-func (l *Table) letGo(id string, e *requestRecord, r ReleaseState) {
-	r.ID = id
-	if !l.config.ReleaseFreesAllStates {
-		r.CutAt = 0
-		l.do(r)
-		return
+// recordState updates the held state after the end of an attempt and releases what no attempt will fetch.
+func (t *Table) recordState(now float64, id string, record *requestRecord, a *attempt, class outcome.Classification) {
+	switch {
+	case class.Status == scheduler.Prefilled:
+		if record.state.held() { // a second prefill: only one of the two states will be fetched
+			t.releaseHeldState(id, record)
+		}
+		record.state = heldState{engine: a.engine, attempt: a.number}
+	case class.MayHoldState, t.mayHoldOwnPrefill(a, class):
+		t.releaseOrOwe(record, ReleaseState{ID: id, Engine: a.engine, Attempt: a.number, AttemptCutAt: now})
+	case a.fetches(record.state) && stateIsGone(class):
+		// The decode engine found no state, but the prefill engine may still hold it.
+		if t.config.ReleaseFreesAllStates && class.Status == scheduler.Rejected {
+			t.releaseHeldState(id, record)
+		}
+		record.state.clear()
 	}
-	if r.CutAt > 0 {
-		e.owedCut = &r
-	} else {
-		e.owed = &r
+}
+
+// mayHoldOwnPrefill tells whether an engine may keep the state of a prefill that it computed itself in a decode attempt.
+func (t *Table) mayHoldOwnPrefill(a *attempt, class outcome.Classification) bool {
+	return t.config.ReleaseFreesAllStates && !a.fetchesState && class.MayHaveRun && class.Status != scheduler.Completed
+}
+
+// stateIsGone tells whether the end of an attempt that was to fetch a state shows that the state is no longer held.
+func stateIsGone(class outcome.Classification) bool {
+	if class.Status == scheduler.Rejected {
+		return class.Info == 1 // state missing
 	}
+	return class.Status == scheduler.Completed && !class.PassThrough
 }
 
-// AttemptSilent is told that nothing has come of an attempt in the time for which the state may be held that it is to take, though its request
-// was written, and whether its engine has been heard of since. The state is released beside the attempt where permit allows it.
-func (l *Table) AttemptSilent(id string, n int, engineHeard bool) {
-	e := l.records[id]
-	if e == nil || !l.config.ReleaseFreesAllStates {
+// release carries out the scheduler's Release. It does nothing if an attempt in flight is to fetch the state.
+func (t *Table) release(id string) {
+	record := t.records[id]
+	if record == nil || !record.state.held() {
 		return
 	}
-	if t := e.attempt(n); t != nil && e.releasesBeside(t, engineHeard) {
-		l.do(ReleaseState{ID: id, Engine: e.state, Attempt: e.stateN, Beside: n, IsBeside: true})
+	for i := range record.attempts {
+		if a := &record.attempts[i]; a.isInFlight() && a.fetchesState {
+			return
+		}
 	}
+	t.releaseHeldState(id, record)
+	record.state.clear()
+	t.issueOwedReleases(record)
+	t.forgetIfDone(id, record)
 }
 
-// releasesBeside tells whether the attempt still waits for a first token, and the state that it is to take may be released beside it.
-func (e *requestRecord) releasesBeside(t *attempt, engineHeard bool) bool {
-	due := !t.over && !t.streaming && e.state != "" && t.took(e)
-	ask := permit.Release{AttemptsInFlight: e.out, StateNeeded: true, LimitNear: due, EngineResponded: engineHeard, Effect: e.class.Effect,
-		SilentTwice: e.silent, PrefillsInFlight: e.readsOut()}
-	return ask.Reason() == permit.Allowed
+// releaseHeldState releases the state that the record holds; the caller clears it from the record.
+func (t *Table) releaseHeldState(id string, record *requestRecord) {
+	t.releaseOrOwe(record, ReleaseState{ID: id, Engine: record.state.engine, Attempt: record.state.attempt})
 }
 
-// readsOut counts the attempts that are out and read a prompt.
-func (e *requestRecord) readsOut() (n int) {
-	for i := range e.attempts {
-		if t := &e.attempts[i]; !t.over && t.stage == outcome.Prefill {
-			n++
-		}
+// releaseOrOwe issues a release at once. Where one release call frees every state of the request, it is owed until no
+// attempt is in flight and no state is needed.
+func (t *Table) releaseOrOwe(record *requestRecord, release ReleaseState) {
+	switch {
+	case !t.config.ReleaseFreesAllStates:
+		release.AttemptCutAt = 0
+		t.issue(release)
+	case release.AttemptCutAt > 0:
+		record.owed.cutAttempt = &release
+	default:
+		record.owed.heldState = &release
 	}
-	return n
 }
 
-// mayRelease says why a call that releases all that is held for the request may not be made yet.
-func (e *requestRecord) mayRelease() permit.Reason {
-	return permit.Release{AttemptsInFlight: e.out, StateNeeded: e.state != ""}.Reason()
+// releasePermit returns why a call that releases every state of the request may not be made yet.
+func (r *requestRecord) releasePermit() permit.Reason {
+	return permit.Release{AttemptsInFlight: r.inFlight, StateNeeded: r.state.held()}.Reason()
 }
 
-// flush makes the releases that are owed once no attempt is out and no state is wanted. That of a state does not wait for the
-// moment which that of an attempt broken off needs: the next attempt may be begun before it has passed.
-func (l *Table) flush(e *requestRecord) {
-	if e.mayRelease() != permit.Allowed {
+// issueOwedReleases issues the owed releases once no attempt is in flight and no state is needed. The release of a held
+// state comes first: it need not wait for the moment that the release after a cut attempt needs, and the next attempt may
+// start before that moment has passed.
+func (t *Table) issueOwedReleases(record *requestRecord) {
+	if record.releasePermit() != permit.Allowed {
 		return
 	}
-	for _, r := range []*ReleaseState{e.owed, e.owedCut} {
-		if r != nil {
-			l.do(*r)
-		}
+	if record.owed.heldState != nil {
+		t.issue(*record.owed.heldState)
+	}
+	if record.owed.cutAttempt != nil {
+		t.issue(*record.owed.cutAttempt)
+	}
+	record.owed = owedReleases{}
+}
+
+// AttemptSilent reports that no byte of a response has come of an attempt while the limit on the held state that it is to
+// fetch is near, though its request was written, and whether its engine has responded to any call since. The state is
+// released while the attempt is in flight if permit.Release allows it.
+func (t *Table) AttemptSilent(id string, number int, engineResponded bool) {
+	record := t.records[id]
+	if record == nil || !t.config.ReleaseFreesAllStates {
+		return
+	}
+	if a := record.attempt(number); a != nil && record.allowsConcurrentRelease(a, engineResponded) {
+		t.issue(ReleaseState{
+			ID:         id,
+			Engine:     record.state.engine,
+			Attempt:    record.state.attempt,
+			Concurrent: ConcurrentAttempt{InFlight: true, Number: number},
+		})
+	}
+}
+
+// allowsConcurrentRelease tells whether an attempt still waits for its first token and the state that it is to fetch may
+// be released while it is in flight.
+func (r *requestRecord) allowsConcurrentRelease(a *attempt, engineResponded bool) bool {
+	waits := a.isInFlight() && !a.isStreaming()
+	release := permit.Release{
+		AttemptsInFlight: r.inFlight,
+		StateNeeded:      true,
+		LimitNear:        waits && r.state.held() && a.fetches(r.state),
+		EngineResponded:  engineResponded,
+		Effect:           r.class.Effect,
+		SilentTwice:      r.holdTime.latestWasSilent,
+		PrefillsInFlight: r.prefillsInFlight(),
 	}
-	e.owed, e.owedCut = nil, nil
+	return release.Reason() == permit.Allowed
 }
 
-// ReleaseAllowed is asked before a release is tried again. Where it would take what has come since, it is owed anew.
-func (l *Table) ReleaseAllowed(r ReleaseState) bool {
-	e := l.records[r.ID]
-	if e == nil || !l.config.ReleaseFreesAllStates || e.mayRelease() == permit.Allowed {
+// ReleaseAllowed tells whether a release call may be made again after one that failed. If the call would free a state that
+// is needed now, it returns false and the table owes the release: it issues the command again later.
+func (t *Table) ReleaseAllowed(release ReleaseState) bool {
+	record := t.records[release.ID]
+	if record == nil || !t.config.ReleaseFreesAllStates || record.releasePermit() == permit.Allowed {
 		return true
 	}
-	if r.IsBeside {
-		t := e.attempt(r.Beside)
-		return t != nil && e.releasesBeside(t, false)
+	if release.Concurrent.InFlight {
+		a := record.attempt(release.Concurrent.Number)
+		return a != nil && record.allowsConcurrentRelease(a, false)
 	}
-	l.letGo(r.ID, e, r)
+	t.releaseOrOwe(record, release)
 	return false
 }
--- a/internal/decide/requesttable/releases_test.go
+++ b/internal/decide/requesttable/releases_test.go
@@ -35,7 +35,7 @@
 	n := startAttempt(t, table, 1.3, "a", "w0")
 	table.FirstToken(1.4, "a", n)
 	table.AttemptEnded(1.5, "a", n, outcome.Evidence{Progress: outcome.Streaming, Cause: outcome.ResponseComplete, ResponseKind: outcome.DecodeDone}, nil)
-	if rs := commandsOf[ReleaseState](table); len(rs) != 1 || rs[0].Engine != "r0" || rs[0].CutAt != 1.1 {
+	if rs := commandsOf[ReleaseState](table); len(rs) != 1 || rs[0].Engine != "r0" || rs[0].AttemptCutAt != 1.1 {
 		t.Fatalf("%v", rs)
 	}
 }
@@ -163,7 +163,7 @@
 	table.Drain()
 	table.AttemptEnded(1.1, "a", 0, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.CanceledByScheduler}, nil)
 	cut := commandsOf[ReleaseState](table)
-	if len(cut) != 1 || cut[0].CutAt != 1.1 {
+	if len(cut) != 1 || cut[0].AttemptCutAt != 1.1 {
 		t.Fatalf("got %v, want the release of what was broken off at 1.1", cut)
 	}
 	table.Apply(1.1, scheduler.Send{ID: "a", Engine: "r1"})
@@ -178,7 +178,7 @@
 	table.Apply(1.45, scheduler.Release{ID: "a"})
 	table.Apply(1.45, scheduler.Send{ID: "a", Engine: "w0"})
 	rs := commandsOf[ReleaseState](table)
-	if len(rs) == 0 || rs[0].CutAt != 0 || rs[0].Engine != "r1" {
+	if len(rs) == 0 || rs[0].AttemptCutAt != 0 || rs[0].Engine != "r1" {
 		t.Fatalf("got %v, want the state at r1 released at once", rs)
 	}
 }
--- a/internal/decide/requesttable/responses.go
+++ b/internal/decide/requesttable/responses.go
@@ -6,136 +6,181 @@
 	"dillroute/scheduler"
 )
 
-// answer concludes a request by the node's own word. A refusal after an effect is possible would be a lie: it
-// becomes a failure.
-func (l *Table) answer(now float64, id string, a outcome.Response, after float64, reason string) {
-	e := l.records[id]
-	if e == nil || e.concluded || e.answering {
+// respondForScheduler ends a request with the final response that the scheduler asks for. A rejection that tells the client
+// that a retry is safe becomes a failure where an effect is possible.
+func (t *Table) respondForScheduler(now float64, response Respond) {
+	record := t.records[response.ID]
+	if record == nil || record.response != responseQueued {
 		return
 	}
-	if why := e.mayRefuse(now); a.RetryIsSafe && why != permit.Allowed {
-		if _, _, ran := e.mayRun(); ran && why == permit.EffectPossible {
-			l.fault("refusal of %s, which may have run", id)
+	reason := record.rejectPermit(now)
+	if response.Response.RetryIsSafe && reason != permit.Allowed {
+		if reason == permit.EffectPossible && record.possibleEffect() != nil {
+			t.reportFault("refusal of %s, which may have run", response.ID)
 		}
-		a, after = outcome.FailedResponse(), 0
+		response.Response = outcome.FailedResponse()
+		response.RetryAfter = 0
 	}
-	l.say(e, Respond{id, a, after, reason})
-	l.conclude(id, e, outcome.RequestEnded)
+	t.respond(record, response)
+	t.endRequest(response.ID, record, outcome.RequestEnded)
 }
 
-// mayRefuse says why a client may not be told that a retry is harmless.
-func (e *requestRecord) mayRefuse(now float64) permit.Reason {
-	return permit.Reject{Effect: e.class.Effect, DedupScope: e.class.DedupScope, ProvenNotRun: e.provenNotRun(), OutcomeUnknown: e.unheard,
-		ClientTimeLeft: e.deadline - now}.Reason()
+// rejectPermit returns why a client may not be told that a retry is safe.
+func (r *requestRecord) rejectPermit(now float64) permit.Reason {
+	return permit.Reject{
+		Effect:         r.class.Effect,
+		DedupScope:     r.class.DedupScope,
+		ProvenNotRun:   r.provenNotRun(),
+		OutcomeUnknown: r.evidence.outcomeUnknown,
+		ClientTimeLeft: r.deadline - now,
+	}.Reason()
 }
 
-// say gives an answer now, or when the attempt that writes to the client has stopped.
-func (l *Table) say(e *requestRecord, a Respond) {
-	for i := range e.attempts {
-		if t := &e.attempts[i]; t.streaming && !t.over {
-			e.farewell = &a
-			return
-		}
+// respond issues a final response now, or once the attempt that writes to the client has ended.
+func (t *Table) respond(record *requestRecord, response Respond) {
+	if record.streamingAttempt() != nil {
+		record.pendingResponse = &response
+		return
 	}
-	l.do(a)
+	t.issue(response)
 }
 
-// provenNotRun tells whether the bytes of every attempt prove that it has not run: it has ended, and either not all of its
-// request was written or its engine has answered that it did not run. That a read has no effect is no such proof: it rests on
-// which engine was met at its address, and that an engine which said nothing cannot tell.
-func (e *requestRecord) provenNotRun() bool { return !e.ran && !e.unproven && e.out == 0 }
-
-// conclude ends what the client is owed and stops what is still out: nothing is done for it after.
-func (l *Table) conclude(id string, e *requestRecord, cause outcome.Cause) {
-	if e.concluded {
+// issuePendingResponse issues the final response that waited for the streaming attempt to end. It is dropped if the stream
+// was completed before it could be cut.
+func (t *Table) issuePendingResponse(record *requestRecord, class outcome.Classification) {
+	if record.pendingResponse == nil {
 		return
 	}
-	e.concluded = true
-	l.live--
-	for i := range e.attempts {
-		if t := &e.attempts[i]; !t.over && !t.aborting {
-			t.aborting = true
-			l.do(CancelAttempt{id, t.n, cause})
-		}
+	if class.Status != scheduler.Completed {
+		t.issue(*record.pendingResponse)
+	}
+	record.pendingResponse = nil
+}
+
+// respondAtAttemptEnd issues what the client receives at the end of an attempt, and tells whether the request ends by it. A
+// stream that broke ends the request: the client has a part of it.
+func (t *Table) respondAtAttemptEnd(id string, record *requestRecord, a *attempt, wasStreaming bool, class outcome.Classification) bool {
+	switch {
+	case record.response.ended():
+		return false
+	case class.PassThrough:
+		t.issue(PassThrough{ID: id, Attempt: a.number})
+		return true
+	case wasStreaming && class.Status == scheduler.Completed:
+		return true
+	case wasStreaming:
+		t.issue(Respond{
+			ID:       id,
+			Response: outcome.StreamBrokenResponse(record.class.Effect, record.class.DedupScope),
+			Reason:   "the engine stopped before the answer was complete",
+		})
+		return true
+	}
+	return false
+}
+
+// endRequest marks the end of a request and cancels every attempt in flight.
+func (t *Table) endRequest(id string, record *requestRecord, cause outcome.Cause) {
+	if record.response.ended() {
+		return
 	}
-	l.settle(id, e)
+	record.response = record.response.end()
+	t.openCount--
+	t.cancelOthers(id, record, nil, cause)
+	t.forgetIfDone(id, record)
 }
 
-// ClientDisconnected is told when a client has gone. Where its receiving side may still be open (half), it gets an answer.
-func (l *Table) ClientDisconnected(now float64, id string, half bool) {
-	e := l.records[id]
-	if e == nil || e.concluded {
+// ClientDisconnected reports that a client has closed its connection. If only its sending side is known to be closed
+// (halfClosed), it may still read, and receives a response.
+func (t *Table) ClientDisconnected(now float64, id string, halfClosed bool) {
+	record := t.records[id]
+	if record == nil || record.response.ended() {
 		return
 	}
-	if half {
-		retry := e.mayRefuse(now) == permit.Allowed
-		l.say(e, Respond{id, outcome.Response{HTTPStatus: 400, Code: "client_closed", RetryIsSafe: retry}, 0,
-			"the client closed its side before the answer; keep it open until then"})
+	if halfClosed {
+		retryIsSafe := record.rejectPermit(now) == permit.Allowed
+		t.respond(record, Respond{
+			ID:       id,
+			Response: outcome.Response{HTTPStatus: 400, Code: "client_closed", RetryIsSafe: retryIsSafe},
+			Reason:   "the client closed its side before the answer; keep it open until then",
+		})
 	}
-	l.emit(scheduler.ClientDisconnected{ID: id})
-	l.conclude(id, e, outcome.ClientDisconnected)
+	t.emit(scheduler.ClientDisconnected{ID: id})
+	t.endRequest(id, record, outcome.ClientDisconnected)
 }
 
-// DeadlineReached is told when the time of Deadline has come. The module answers before it; this is the net under it.
-func (l *Table) DeadlineReached(now float64, id string) {
-	e := l.records[id]
-	switch {
-	case e == nil || e.concluded:
+// DeadlineReached reports that the time returned by Deadline has come. The scheduler responds before it; the table responds
+// if the scheduler did not.
+func (t *Table) DeadlineReached(now float64, id string) {
+	record := t.records[id]
+	if record == nil || record.response.ended() {
 		return
-	case e.answering:
-		if e.wholeBy > 0 && now >= e.wholeBy {
-			l.giveUp(now, id, e, outcome.DeadlineResponse(e.class.Effect, e.class.DedupScope), "the answer was not whole in time")
+	}
+	if record.response.started() {
+		if record.wholeResponseBy > 0 && now >= record.wholeResponseBy {
+			response := outcome.DeadlineResponse(record.class.Effect, record.class.DedupScope)
+			t.respondForTable(now, id, record, response, "the answer was not whole in time")
 		}
 		return
 	}
-	l.fault("request %s was not answered in time by the module", id)
-	l.giveUp(now, id, e, outcome.Response{HTTPStatus: 503, Code: "no_capacity", RetryIsSafe: true}, "no answer in time")
+	t.reportFault("request %s was not answered in time by the module", id)
+	t.respondForTable(now, id, record, outcome.RejectedResponse(), "no answer in time")
 }
 
-// giveUp answers in the module's place and tells it so.
-func (l *Table) giveUp(now float64, id string, e *requestRecord, a outcome.Response, reason string) {
-	if a.RetryIsSafe && e.mayRefuse(now) != permit.Allowed {
-		a = outcome.FailedResponse()
+// respondForTable ends a request by the table's own decision and tells the scheduler that the request is gone.
+func (t *Table) respondForTable(now float64, id string, record *requestRecord, response outcome.Response, reason string) {
+	if response.RetryIsSafe && record.rejectPermit(now) != permit.Allowed {
+		response = outcome.FailedResponse()
 	}
-	l.say(e, Respond{id, a, 0, reason})
-	l.emit(scheduler.ClientDisconnected{ID: id})
-	l.conclude(id, e, outcome.RequestEnded)
+	t.respond(record, Respond{ID: id, Response: response, Reason: reason})
+	t.emit(scheduler.ClientDisconnected{ID: id})
+	t.endRequest(id, record, outcome.RequestEnded)
 }
 
-// RespondToAll answers every request that is still open, as refused where that is true and else as failed. Streams
-// that run are ended with an error.
-func (l *Table) RespondToAll(now float64) { l.end(now, true) }
-
-// Streams returns the requests whose answers run, in order of their ids, with the times at which they were sent.
-func (l *Table) Streams() (ids []string, sent []float64) {
-	for _, id := range sortedKeys(l.records) {
-		e := l.records[id]
-		for i := range e.attempts {
-			if t := &e.attempts[i]; t.streaming && !t.over && !e.concluded {
-				ids, sent = append(ids, id), append(sent, t.sentAt)
-			}
+// Stream is a response that an attempt streams to its client.
+type Stream struct {
+	ID     string
+	SentAt float64 // when the attempt was sent (s)
+}
+
+// Streams returns the responses that are streaming, in the order of their request ids.
+func (t *Table) Streams() []Stream {
+	var streams []Stream
+	for _, id := range sortedKeys(t.records) {
+		record := t.records[id]
+		if record.response.ended() {
+			continue
+		}
+		if a := record.streamingAttempt(); a != nil {
+			streams = append(streams, Stream{ID: id, SentAt: a.sentAt})
 		}
 	}
-	return ids, sent
+	return streams
 }
 
-// CutStream ends a stream whose client comes again for the rest. It does nothing to what does not stream.
-func (l *Table) CutStream(now float64, id string) {
-	if e := l.records[id]; e != nil && e.answering && !e.concluded {
-		l.giveUp(now, id, e, outcome.Response{HTTPStatus: 503, Code: "node_stopping", RetryIsSafe: true}, "the node is stopping")
+// stoppingResponse is given to the requests that a stopping node ends.
+var stoppingResponse = outcome.Response{HTTPStatus: 503, Code: "node_stopping", RetryIsSafe: true}
+
+const stoppingReason = "the node is stopping"
+
+// CutStream ends a stream whose client resumes it elsewhere. It does nothing to a request that is not streaming.
+func (t *Table) CutStream(now float64, id string) {
+	if record := t.records[id]; record != nil && record.response == responseStreaming {
+		t.respondForTable(now, id, record, stoppingResponse, stoppingReason)
 	}
 }
 
-// RespondToQueued answers every request whose answer has not begun.
-func (l *Table) RespondToQueued(now float64) { l.end(now, false) }
+// RespondToQueued ends every request whose response has not begun.
+func (t *Table) RespondToQueued(now float64) { t.respondWhere(now, responseState.queued) }
 
-func (l *Table) end(now float64, streams bool) {
-	for _, id := range sortedKeys(l.records) {
-		e := l.records[id]
-		if e.concluded || e.answering && !streams {
-			continue
+// RespondToAll ends every open request: as rejected where a retry is safe, else as failed. Streams end with an error.
+func (t *Table) RespondToAll(now float64) { t.respondWhere(now, responseState.open) }
+
+// respondWhere ends the requests that are chosen by the state of their response.
+func (t *Table) respondWhere(now float64, chosen func(responseState) bool) {
+	for _, id := range sortedKeys(t.records) {
+		if record := t.records[id]; chosen(record.response) {
+			t.respondForTable(now, id, record, stoppingResponse, stoppingReason)
 		}
-		a := outcome.Response{HTTPStatus: 503, Code: "node_stopping", RetryIsSafe: true}
-		l.giveUp(now, id, e, a, "the node is stopping")
 	}
 }
--- a/internal/decide/requesttable/table.go
+++ b/internal/decide/requesttable/table.go
@@ -1,14 +1,43 @@
-// Package requesttable is the node's table of requests and attempts: a state machine between the sockets and the routing
-// module. It is told facts of sockets and actions of the module, and says which events the module is owed and
-// which commands the host is to carry out. It does no I/O, reads no clock and starts no goroutine.
+// Package requesttable is the node's table of requests and attempts: a state machine between the sockets and the
+// scheduler. Its caller, the event loop of internal/node, reports what happened on sockets (AddRequest, FirstToken,
+// AttemptEnded, ClientDisconnected) and passes on the scheduler's actions (Apply). The table returns the events that the
+// scheduler must receive and the commands that the host must carry out (Drain). It does no I/O, reads no clock, starts
+// no goroutine and is not safe for concurrent use. Times are in seconds.
 //
-// It decides nothing about where or when; it holds what both sides agreed on. One final answer for each request,
-// one event for the end of each attempt, no send for what has ended, none to an engine that left the list, none
-// that could make an effect happen twice: an action that would break one of these is not carried out but
-// reported (Fault), for the rules must hold even if the module errs.
+// The table does not decide where or when a request is sent. It guarantees, whatever the scheduler asks for:
+//   - one final response for each request;
+//   - one scheduler.Outcome for each scheduler.Send;
+//   - no attempt for a request that has ended, and none at an engine that has left the endpoint list for longer than the
+//     drain grace;
+//   - no attempt that could make an effect happen twice (internal/decide/permit).
 //
-// Order of carrying out: commands are returned in the order in which they must begin. Release comes after the
-// attempt that it follows has ended.
+// An action that would break one of these is not carried out; the table returns a ReportFault command instead.
+//
+// Commands are returned in the order in which the host must begin them. A ReleaseState comes after the end of the
+// attempt that left the state behind.
+//
+// States of a request (responseState):
+//
+//	                    FirstToken
+//	AddRequest ─▶ queued ────────▶ streaming
+//	                │                  │ stream complete or broken,
+//	  final response│                  │ CutStream, client disconnect
+//	  or client     ▼                  ▼
+//	  disconnect  ended         endedAfterStart
+//	                │                  │
+//	                └────────┬─────────┘
+//	                         ▼ no attempt in flight: a held state is released, then ForgetRequest
+//	                     forgotten
+//
+// States of an attempt (attemptState):
+//
+//	        FirstToken
+//	running ────────▶ streaming
+//	   │ CancelAttempt    │ CancelAttempt
+//	   ▼                  ▼
+//	canceling       cancelingStream
+//	   │                  │
+//	   └── AttemptEnded ──┴──▶ attemptEnded   (running and streaming attempts end by AttemptEnded too)
 package requesttable
 
 import (
@@ -19,189 +48,184 @@
 	"dillroute/scheduler"
 )
 
-// Config is what the book needs of the node's settings.
+// Config holds the settings of the table.
 type Config struct {
-	Classes     []scheduler.Class
-	MaxOpenRequests     int     // requests held at once
-	MaxAttempts int     // for one request
-	UnsentAttemptsAreFree  bool    // those that ended before their request was written do not count, up to as many again
-	ResponseSlack       float64 // s after a client's deadline at which the book answers by itself
-	DrainGrace  float64 // s after which nothing goes to an engine that drains or is gone
-	// ReleaseFreesAllStates tells that one release lets go of all that any engine holds for a request. It then waits until no
-	// attempt is out and no state is wanted.
+	Classes         []scheduler.Class
+	MaxOpenRequests int
+	MaxAttempts     int // for one request
+	// UnsentAttemptsAreFree tells that attempts which ended before their request was written do not count towards
+	// MaxAttempts, up to MaxAttempts of them.
+	UnsentAttemptsAreFree bool
+	ResponseSlack         float64 // seconds after a client's deadline at which the table itself responds
+	DrainGrace            float64 // seconds after which nothing is sent to an engine that is draining or removed
+	// ReleaseFreesAllStates tells that one release call frees every state that any engine holds for the request. Such a
+	// call waits until no attempt is in flight and no state is needed.
 	ReleaseFreesAllStates bool
 }
 
-// requestRecord is one request, until it has ended and no attempt is out and no state is held.
-type requestRecord struct {
-	class     *scheduler.Class
-	deadline  float64
-	wholeBy   float64   // when an answer that is gathered must have ended; 0 = it is streamed
-	attempts  []attempt // those that were begun
-	sent      int       // attempts that the module has asked for
-	out       int       // attempts that have not ended
-	state     string    // engine at which a read state waits; "" = none
-	stateN    int       // the attempt that read it
-	stateAt   float64   // since when the time of the state runs (s): the latest outcome of an attempt that was out
-	heldAt    float64   // the same, if attempts that ended in silence were not out: their requests may never have arrived
-	silent    bool      // the latest attempt that has ended did so
-	ran       bool      // an attempt that has ended may have run
-	ranOn     string
-	ranAt     float64
-	unheard   bool    // an attempt was written whole and ended without an answer
-	unsent    int     // attempts that ended before their request was written
-	unproven  bool    // the bytes of an attempt that has ended do not prove that it has not run
-	answering bool    // the answer belongs to an attempt
-	concluded bool    // the client has its answer, or has gone
-	rejected  int     // code by which an engine has judged the request
-	farewell  *Respond // given once the attempt that streams has stopped writing
-	// ReleaseAll: releases that are owed, each nil = none is.
-	owed    *ReleaseState // of a state that is held
-	owedCut *ReleaseState // of what an attempt that was broken off may have left
-}
-
-// Table is the book. It is not safe for concurrent use.
+// Table holds the requests that have not been forgotten and the endpoints that they may be sent to.
 type Table struct {
-	config     Config
-	kinds   []scheduler.Kind
-	records    map[string]*requestRecord
-	engines map[string]*engineRecord
-	live    int // entries not concluded
-	events  []scheduler.Event
-	cmds    []Command
-	closing bool
+	config    Config
+	kinds     []scheduler.Kind
+	records   map[string]*requestRecord
+	engines   map[string]*engineRecord
+	openCount int // records whose request has not ended
+	events    []scheduler.Event
+	commands  []Command
+	stopping  bool // no further request is accepted
 }
 
-// New returns an empty book.
-func New(cfg Config, kinds []scheduler.Kind) *Table {
-	return &Table{config: cfg, kinds: kinds, records: map[string]*requestRecord{}, engines: map[string]*engineRecord{}}
+// New returns an empty table.
+func New(config Config, kinds []scheduler.Kind) *Table {
+	return &Table{
+		config:  config,
+		kinds:   kinds,
+		records: map[string]*requestRecord{},
+		engines: map[string]*engineRecord{},
+	}
 }
 
-// Reconfigure takes settings that may change in service. Requests that are open keep their class.
-func (l *Table) Reconfigure(cfg Config) { l.config = cfg }
+// Reconfigure replaces the settings. Open requests keep the class that they were added with.
+func (t *Table) Reconfigure(config Config) { t.config = config }
 
-// Drain drains the events and commands that have gathered, in order.
-func (l *Table) Drain() ([]scheduler.Event, []Command) {
-	ev, cmd := l.events, l.cmds
-	l.events, l.cmds = nil, nil
-	return ev, cmd
+// Drain returns the events and commands gathered since the last call, in order, and clears them.
+func (t *Table) Drain() ([]scheduler.Event, []Command) {
+	events, commands := t.events, t.commands
+	t.events, t.commands = nil, nil
+	return events, commands
 }
 
-// DrainCommands drains the commands alone.
-func (l *Table) DrainCommands() []Command {
-	cmd := l.cmds
-	l.cmds = nil
-	return cmd
+// DrainCommands returns and clears the commands alone.
+func (t *Table) DrainCommands() []Command {
+	commands := t.commands
+	t.commands = nil
+	return commands
 }
 
-// HasEvents tells whether events wait for the module.
-func (l *Table) HasEvents() bool { return len(l.events) > 0 }
+// HasEvents tells whether events wait for the scheduler.
+func (t *Table) HasEvents() bool { return len(t.events) > 0 }
 
-// OpenRequests returns how many requests wait for their final answer or stream; Held, how many entries there are.
-func (l *Table) OpenRequests() int { return l.live }
+// OpenRequests returns the number of requests that have not ended.
+func (t *Table) OpenRequests() int { return t.openCount }
 
-// Len returns the number of entries, those that only wait for an attempt to end included.
-func (l *Table) Len() int { return len(l.records) }
+// Len returns the number of records, those included whose request has ended while an attempt is in flight.
+func (t *Table) Len() int { return len(t.records) }
 
-// Deadline returns when the book itself would answer a request (s); ok is false for one that it does not know.
-func (l *Table) Deadline(id string) (at float64, ok bool) {
-	e := l.records[id]
-	if e == nil {
+// Deadline returns when the table itself would respond to a request; ok is false if the request is unknown.
+func (t *Table) Deadline(id string) (at float64, ok bool) {
+	record := t.records[id]
+	if record == nil {
 		return 0, false
 	}
-	if e.answering && e.wholeBy > 0 {
-		return e.wholeBy, true
+	if record.response.started() && record.wholeResponseBy > 0 {
+		return record.wholeResponseBy, true
 	}
-	return e.deadline + l.config.ResponseSlack, true
+	return record.deadline + t.config.ResponseSlack, true
 }
 
-func (l *Table) emit(ev scheduler.Event) { l.events = append(l.events, ev) }
-func (l *Table) do(c Command)            { l.cmds = append(l.cmds, c) }
+func (t *Table) emit(event scheduler.Event) { t.events = append(t.events, event) }
+
+func (t *Table) issue(command Command) { t.commands = append(t.commands, command) }
 
-func (l *Table) fault(format string, args ...any) {
-	l.do(ReportFault{fmt.Sprintf(format, args...)})
+func (t *Table) reportFault(format string, args ...any) {
+	t.issue(ReportFault{Text: fmt.Sprintf(format, args...)})
 }
 
-// AddRequest takes a request, or tells why not: such a request is not taken, and a retry is harmless.
+// AddRequest adds a request. If it is rejected, ok is false and the response tells the reason.
 //
-// whole is how long the client waits for the whole of an answer that is not streamed (s); 0 = it is streamed, and
-// nothing bounds it once it has begun.
-func (l *Table) AddRequest(now float64, q scheduler.Request, whole float64) (outcome.Response, bool) {
-	switch why := (permit.Accept{Stopping: l.closing, Open: l.live, MaxOpen: l.config.MaxOpenRequests, IDInUse: l.records[q.ID] != nil}).Reason(); {
-	case why != permit.Allowed:
-		return notTaken[why], false
-	case q.Class < 0 || q.Class >= len(l.config.Classes):
-		l.fault("request %s: its class %d is not known", q.ID, q.Class)
+// wholeResponseTimeout is how long the client waits for the end of a response that is not streamed (s). It is 0 for a
+// streamed response, whose duration has no bound.
+func (t *Table) AddRequest(now float64, request scheduler.Request, wholeResponseTimeout float64) (rejection outcome.Response, ok bool) {
+	admission := permit.Accept{
+		Stopping: t.stopping,
+		Open:     t.openCount,
+		MaxOpen:  t.config.MaxOpenRequests,
+		IDInUse:  t.records[request.ID] != nil,
+	}
+	if reason := admission.Reason(); reason != permit.Allowed {
+		return rejections[reason], false
+	}
+	if request.Class < 0 || request.Class >= len(t.config.Classes) {
+		t.reportFault("request %s: its class %d is not known", request.ID, request.Class)
 		return outcome.Response{HTTPStatus: 500, Code: "internal", RetryIsSafe: true}, false
 	}
-	e := &requestRecord{class: &l.config.Classes[q.Class], deadline: now + q.ClientTimeLeft}
-	if whole > 0 {
-		e.wholeBy = now + whole - wholeMargin
+	record := &requestRecord{class: &t.config.Classes[request.Class], deadline: now + request.ClientTimeLeft}
+	if wholeResponseTimeout > 0 {
+		record.wholeResponseBy = now + wholeResponseTimeout - wholeResponseMargin
 	}
-	l.records[q.ID] = e
-	l.live++
-	l.emit(q)
+	t.records[request.ID] = record
+	t.openCount++
+	t.emit(request)
 	return outcome.Response{}, true
 }
 
-// notTaken are the answers to requests that may not be taken.
-var notTaken = map[permit.Reason]outcome.Response{
+// rejections holds the response to a request that may not be added, by the reason.
+var rejections = map[permit.Reason]outcome.Response{
 	permit.NodeStopping: {HTTPStatus: 503, Code: "node_draining", RetryIsSafe: true},
 	permit.NodeFull:     {HTTPStatus: 429, Code: "node_full", RetryIsSafe: true},
 	permit.IDInUse:      {HTTPStatus: 409, Code: "id_in_use"},
 }
 
-// wholeMargin is how long before its client gives up a whole answer that is not ready is given up (s): the attempt
-// has to stop before the last word can be written.
-const wholeMargin = 0.05
+// wholeResponseMargin is how long before the client's timeout a response that is not streamed is cut (s). The attempt
+// has to stop before the final response can be written.
+const wholeResponseMargin = 0.05
 
-// Apply carries out one action of the module. It returns false for those that are the host's alone (timers,
-// logs, probes, calls to the list's source).
-func (l *Table) Apply(now float64, a scheduler.Action) bool {
-	switch a := a.(type) {
+// Apply carries out one action of the scheduler. It returns false for an action that concerns the host alone (timers,
+// logs, probes, polls of the endpoint list).
+func (t *Table) Apply(now float64, action scheduler.Action) bool {
+	switch a := action.(type) {
 	case scheduler.Send:
-		l.send(now, a)
+		t.send(now, a)
 	case scheduler.Cancel:
-		l.cancel(a)
+		t.cancel(a.ID, a.Attempt)
 	case scheduler.Release:
-		l.release(a.ID)
+		t.release(a.ID)
 	case scheduler.Reject:
-		l.answer(now, a.ID, outcome.RejectedResponse(), a.RetryAfter, because("no engine could serve this in time", a.Reason))
+		t.respondForScheduler(now, Respond{
+			ID:         a.ID,
+			Response:   outcome.RejectedResponse(),
+			RetryAfter: a.RetryAfter,
+			Reason:     withReason("no engine could serve this in time", a.Reason),
+		})
 	case scheduler.Fail:
-		l.answer(now, a.ID, outcome.FailedResponse(), 0, because("an engine may have run this; it was not tried again", a.Reason))
-	case scheduler.Reserve: // offered only where the protocol has it
-		l.fault("request %s: a place cannot be reserved by this protocol", a.ID)
+		t.respondForScheduler(now, Respond{
+			ID:       a.ID,
+			Response: outcome.FailedResponse(),
+			Reason:   withReason("an engine may have run this; it was not tried again", a.Reason),
+		})
+	case scheduler.Reserve: // no protocol of this host has reservations
+		t.reportFault("request %s: a place cannot be reserved by this protocol", a.ID)
 	default:
 		return false
 	}
 	return true
 }
 
-// because adds the module's reason to what a client is told.
-func because(text string, why scheduler.GiveUpReason) string {
-	if why == "" {
+// withReason appends the scheduler's reason to a text for the client.
+func withReason(text string, reason scheduler.GiveUpReason) string {
+	if reason == "" {
 		return text
 	}
-	return text + ": " + string(why)
+	return text + ": " + string(reason)
 }
 
-// settle forgets an entry once nothing hangs on it. A state that is still held is let go of, whatever the
-// module says: the client has its answer, so no send can take it.
-func (l *Table) settle(id string, e *requestRecord) {
-	if !e.concluded || e.out > 0 || l.records[id] != e {
+// forgetIfDone removes a record whose request has ended and that has no attempt in flight. A state that is still held is
+// released first: the request has ended, so no attempt can fetch it.
+func (t *Table) forgetIfDone(id string, record *requestRecord) {
+	if !record.response.ended() || record.inFlight > 0 || t.records[id] != record {
 		return
 	}
-	if e.state != "" {
-		l.letGo(id, e, ReleaseState{Engine: e.state, Attempt: e.stateN})
-		e.state = ""
+	if record.state.held() {
+		t.releaseHeldState(id, record)
+		record.state.clear()
 	}
-	l.flush(e)
-	delete(l.records, id)
-	l.do(ForgetRequest{id})
+	t.issueOwedReleases(record)
+	delete(t.records, id)
+	t.issue(ForgetRequest{ID: id})
 }
 
-// StopAccepting stops the taking of requests.
-func (l *Table) StopAccepting() { l.closing = true }
+// StopAccepting makes AddRequest reject every further request.
+func (t *Table) StopAccepting() { t.stopping = true }
 
-// ProbeResult files what an engine told of its load outside the end of an attempt.
-func (l *Table) ProbeResult(p scheduler.ProbeResult) { l.emit(p) }
+// ProbeResult passes on a load report that came outside the end of an attempt.
+func (t *Table) ProbeResult(result scheduler.ProbeResult) { t.emit(result) }
--- a/internal/decide/requesttable/table_test.go
+++ b/internal/decide/requesttable/table_test.go
@@ -212,18 +212,18 @@
 
 // propertyWorld plays a module that does anything at all, and sockets that do the same, against the book.
 type propertyWorld struct {
-	t       *rapid.T
-	table       *Table
-	now     float64
-	inFlight     map[string]map[int]StartAttempt // attempts that run
-	answers map[string]int           // final answers given to clients
-	grants map[string]int
-	grantedAttempt map[string]int
+	t               *rapid.T
+	table           *Table
+	now             float64
+	inFlight        map[string]map[int]StartAttempt // attempts that run
+	answers         map[string]int                  // final answers given to clients
+	grants          map[string]int
+	grantedAttempt  map[string]int
 	outcomesOwed    map[string]map[int]bool // outcomes that the module waits for
-	possibleEffects  map[string]int          // decode attempts that were written whole and did not prove otherwise
-	class   map[string]int
+	possibleEffects map[string]int          // decode attempts that were written whole and did not prove otherwise
+	class           map[string]int
 	disconnected    map[string]bool
-	states  map[string]map[int]bool // states that engines hold, by the attempt that read them
+	states          map[string]map[int]bool // states that engines hold, by the attempt that read them
 }
 
 // checkCommands carries out commands and takes events.
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -178,7 +178,7 @@
 func (n *Node) release(now float64, cmd requesttable.ReleaseState) {
 	plan := staterelease.RetrySchedule{Deadline: now + n.plan.letGoBy, AnyEngine: n.plan.anyone}
 	n.releasing++
-	if at := staterelease.EarliestRelease(now, cmd.CutAt); at > now {
+	if at := staterelease.EarliestRelease(now, cmd.AttemptCutAt); at > now {
 		n.core.wheel.Add(at, func(now float64) { n.releaseAgain(now, cmd, plan) })
 		return
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -244,10 +244,9 @@
 
 // handOver ends the streams that run one by one, where clients come again for the rest.
 func (n *Node) handOver(now float64) {
-	ids, since := n.core.book.Streams()
-	streams := make([]shutdown.Stream, len(ids))
-	for i := range ids {
-		streams[i] = shutdown.Stream{ID: ids[i], StartedAt: since[i]}
+	var streams []shutdown.Stream
+	for _, s := range n.core.book.Streams() {
+		streams = append(streams, shutdown.Stream{ID: s.ID, StartedAt: s.SentAt})
 	}
 	for _, m := range shutdown.CutoffSchedule(now, n.endBy, n.plan.scheduler.NodeCount, streams) {
 		n.core.wheel.Add(m.At, func(now float64) { n.core.book.CutStream(now, m.ID) })
