--- a/internal/decide/requesttable/commands.go
+++ b/internal/decide/requesttable/commands.go
@@ -71,7 +71,7 @@
 	Attempt int
 }
 
-// ForgetRequest tells that no further command will come for a request.
+// ForgetRequest says that no further command will come for a request.
 type ForgetRequest struct{ ID string }
 
 // ReportFault reports an action or a fact that contradicts the table and was not carried out.
--- a/internal/decide/requesttable/endpoints.go
+++ b/internal/decide/requesttable/endpoints.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// EngineReady tells whether an engine may receive new attempts.
+// EngineReady reports whether an engine may receive new attempts.
 func (t *Table) EngineReady(id string) bool {
 	engine := t.engines[id]
 	return engine != nil && engine.state == scheduler.EngineReady
@@ -85,10 +85,10 @@
 	return 0
 }
 
-// EngineKnown tells whether an engine is remembered.
+// EngineKnown reports whether an engine is remembered.
 func (t *Table) EngineKnown(id string) bool { return t.engines[id] != nil }
 
-// Ready tells whether the node may receive requests: it accepts them, and some engine is ready.
+// Ready reports whether the node may receive requests: it accepts them, and some engine is ready.
 func (t *Table) Ready() bool {
 	if t.stopping {
 		return false
--- a/internal/decide/requesttable/golden_test.go
+++ b/internal/decide/requesttable/golden_test.go
@@ -42,8 +42,8 @@
 var goldenEngines = []scheduler.Engine{{ID: "r0"}, {ID: "r1", Cell: 1, Zone: 1}, {ID: "w0", Kind: 1}, {ID: "w1", Kind: 1, Cell: 1},
 	{ID: "w2", Kind: 1, Cell: 2, Zone: 1}, {ID: "m0", Kind: 2, Cell: 1, Zone: 1}}
 
-// goldenWorld tells a book random facts and takes its commands. Whatever it goes through is in a slice, so that the same seed gives the
-// same facts.
+// goldenWorld reports random facts to a table and drains its commands. It iterates over slices alone, so that the same seed
+// gives the same facts.
 type goldenWorld struct {
 	table    *Table
 	cfg      Config
@@ -66,19 +66,19 @@
 
 func (w *goldenWorld) chance(p float64) bool { return w.random.Float64() < p }
 
-// list tells the whole list of engines, anew where a draw says so.
+// list updates the endpoint list.
 func (w *goldenWorld) list(form scheduler.UpdateForm, engines []scheduler.Engine) string {
 	w.table.UpdateEndpoints(w.now, scheduler.EndpointUpdate{Form: form, Engines: engines})
 	return "members " + membersText(form, engines)
 }
 
-// fact tells the book one fact and returns it as text.
+// fact reports one fact to the table and returns it as text.
 func (w *goldenWorld) fact(i int) string {
 	w.now += w.random.Float64() * 0.15
 	if i == 0 {
 		return w.list(scheduler.UpdateComplete, goldenEngines)
 	}
-	if i%500 == 470 || i%500 == 499 { // the book is emptied and begins anew, so that no end is final
+	if i%500 == 470 || i%500 == 499 { // the table is emptied and replaced, so that every kind of fact comes again
 		return w.restart()
 	}
 	k := w.random.Intn(100)
@@ -245,7 +245,7 @@
 	return w.list(scheduler.UpdateIncremental, []scheduler.Engine{e})
 }
 
-// rare tells what is told seldom.
+// rare reports a fact that occurs seldom.
 func (w *goldenWorld) rare(id string) string {
 	s, _ := w.pick()
 	heard := w.chance(0.5)
@@ -279,7 +279,7 @@
 	return fmt.Sprintf("unheard id=%s n=%d heard=%t", s.ID, s.Attempt, heard)
 }
 
-// restart closes the book, ends everything and begins a new one.
+// restart stops the table and ends every request; called again, it makes a new table.
 func (w *goldenWorld) restart() string {
 	if !w.closed {
 		w.closed = true
@@ -292,7 +292,7 @@
 	return "new; " + w.list(scheduler.UpdateComplete, goldenEngines)
 }
 
-// queries writes what the book answers to questions that change nothing.
+// queries returns as text what the table returns to queries, which change nothing.
 func (w *goldenWorld) queries() string {
 	s := fmt.Sprintf("ready=%t live=%d held=%d pending=%t", w.table.Ready(), w.table.OpenRequests(), w.table.Len(), w.table.HasEvents())
 	for _, e := range goldenEngines {
@@ -535,7 +535,7 @@
 	}
 }
 
-// What the book does on the same facts stays the same.
+// The same facts lead to the same events and commands as when the golden files were recorded.
 func TestCommandsAreAsRecorded(t *testing.T) {
 	counts := map[string]int{}
 	for _, s := range goldenSettings() {
--- a/internal/decide/requesttable/record.go
+++ b/internal/decide/requesttable/record.go
@@ -36,16 +36,16 @@
 	responseEndedAfterStart                      // the request ended after the response of an attempt had begun
 )
 
-// started tells whether the response of an attempt has begun, also if the request has ended since.
+// started reports whether the response of an attempt has begun, also if the request has ended since.
 func (s responseState) started() bool { return s == responseStreaming || s == responseEndedAfterStart }
 
-// ended tells whether the client has its final response or has disconnected.
+// ended reports whether the client has its final response or has disconnected.
 func (s responseState) ended() bool { return s == responseEnded || s == responseEndedAfterStart }
 
-// open tells whether the request has not ended.
+// open reports whether the request has not ended.
 func (s responseState) open() bool { return !s.ended() }
 
-// queued tells whether the request waits for its response to begin.
+// queued reports whether the request waits for its response to begin.
 func (s responseState) queued() bool { return s == responseQueued }
 
 // end returns the state after the end of the request.
@@ -96,7 +96,7 @@
 	}
 }
 
-// fetches tells whether the attempt was started to fetch the state that the record holds.
+// fetches reports whether the attempt was started to fetch the state that the record holds.
 func (a *attempt) fetches(state heldState) bool {
 	return a.fetchesState && a.stateAttempt == state.attempt
 }
@@ -183,7 +183,7 @@
 	return nil
 }
 
-// provenNotRun tells whether the bytes of every attempt prove that it has not run: it has ended, and either its request was
+// provenNotRun reports whether the bytes of every attempt prove that it has not run: it has ended, and either its request was
 // not written completely or its engine responded that it did not run. That a prefill has no effect is no such proof: it
 // rests on which engine was reached at the address, and an engine that did not respond cannot tell.
 func (r *requestRecord) provenNotRun() bool {
--- a/internal/decide/requesttable/releases.go
+++ b/internal/decide/requesttable/releases.go
@@ -38,12 +38,12 @@
 	}
 }
 
-// mayHoldOwnPrefill tells whether an engine may keep the state of a prefill that it computed itself in a decode attempt.
+// mayHoldOwnPrefill reports whether an engine may keep the state of a prefill that it computed itself in a decode attempt.
 func (t *Table) mayHoldOwnPrefill(a *attempt, class outcome.Classification) bool {
 	return t.config.ReleaseFreesAllStates && !a.fetchesState && class.MayHaveRun && class.Status != scheduler.Completed
 }
 
-// stateIsGone tells whether the end of an attempt that was to fetch a state shows that the state is no longer held.
+// stateIsGone reports whether the end of an attempt that was to fetch a state shows that the state is no longer held.
 func stateIsGone(class outcome.Classification) bool {
 	if class.Status == scheduler.Rejected {
 		return class.Info == 1 // state missing
@@ -126,7 +126,7 @@
 	}
 }
 
-// allowsConcurrentRelease tells whether an attempt still waits for its first token and the state that it is to fetch may
+// allowsConcurrentRelease reports whether an attempt still waits for its first token and the state that it is to fetch may
 // be released while it is in flight.
 func (r *requestRecord) allowsConcurrentRelease(a *attempt, engineResponded bool) bool {
 	waits := a.isInFlight() && !a.isStreaming()
@@ -142,7 +142,7 @@
 	return release.Reason() == permit.Allowed
 }
 
-// ReleaseAllowed tells whether a release call may be made again after one that failed. If the call would free a state that
+// ReleaseAllowed reports whether a release call may be made again after one that failed. If the call would free a state that
 // is needed now, it returns false and the table owes the release: it issues the command again later.
 func (t *Table) ReleaseAllowed(release ReleaseState) bool {
 	record := t.records[release.ID]
--- a/internal/decide/requesttable/releases_test.go
+++ b/internal/decide/requesttable/releases_test.go
@@ -1,6 +1,8 @@
 package requesttable
 
 import (
+	"maps"
+	"slices"
 	"testing"
 
 	"dillroute/internal/decide/outcome"
@@ -9,281 +11,303 @@
 	"pgregory.net/rapid"
 )
 
-func newTableReleasingAll() *Table {
+func TestStateOfPrefillAfterDisconnectIsReleased(t *testing.T) {
 	table := newTable()
-	cfg := table.config
-	cfg.ReleaseFreesAllStates = true
-	table.Reconfigure(cfg)
-	return table
+	table.AddRequest(1, newRequest("a", idempotent), 0)
+	n := startAttempt(t, table, 1, "a", "r0")
+	table.ClientDisconnected(1.1, "a", false)
+	table.AttemptEnded(1.2, "a", n, prefillDone, nil)
+	if releases := commandsOf[ReleaseState](table); len(releases) != 1 || releases[0].Engine != "r0" {
+		t.Fatalf("got %v, want one release at r0", releases)
+	}
+	if n := table.Len(); n != 0 {
+		t.Fatalf("got %d records, want 0", n)
+	}
 }
 
-// A release that takes everything would take the state of a read that runs: it waits until nothing is at stake.
+// A release of all states would free that of a prefill in flight: it waits until nothing is lost by it.
 func TestReleaseOfAllStatesWaitsForAttemptsInFlight(t *testing.T) {
 	table := newTableReleasingAll()
-	table.AddRequest(1, newRequest("a", 0), 0)
+	table.AddRequest(1, newRequest("a", idempotent), 0)
 	table.Apply(1, scheduler.Send{ID: "a", Engine: "r0"})
 	table.Apply(1, scheduler.Send{ID: "a", Engine: "r1"})
 	table.Drain()
-	table.AttemptEnded(1.1, "a", 0, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.ConnectionBroken}, nil)
-	if rs := commandsOf[ReleaseState](table); len(rs) != 0 {
-		t.Fatalf("released while another read is out: %v", rs)
+	table.AttemptEnded(1.1, "a", 0, writtenBroken, nil)
+	if releases := commandsOf[ReleaseState](table); len(releases) != 0 {
+		t.Fatalf("got %v while another prefill is in flight, want none", releases)
 	}
-	table.AttemptEnded(1.2, "a", 1, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.PrefillDone}, nil)
-	if rs := commandsOf[ReleaseState](table); len(rs) != 0 {
-		t.Fatalf("released while a state is wanted: %v", rs)
+	table.AttemptEnded(1.2, "a", 1, prefillDone, nil)
+	if releases := commandsOf[ReleaseState](table); len(releases) != 0 {
+		t.Fatalf("got %v while a state is needed, want none", releases)
 	}
 	n := startAttempt(t, table, 1.3, "a", "w0")
 	table.FirstToken(1.4, "a", n)
-	table.AttemptEnded(1.5, "a", n, outcome.Evidence{Progress: outcome.Streaming, Cause: outcome.ResponseComplete, ResponseKind: outcome.DecodeDone}, nil)
-	if rs := commandsOf[ReleaseState](table); len(rs) != 1 || rs[0].Engine != "r0" || rs[0].AttemptCutAt != 1.1 {
-		t.Fatalf("%v", rs)
+	done := outcome.Evidence{Progress: outcome.Streaming, Cause: outcome.ResponseComplete, ResponseKind: outcome.DecodeDone}
+	table.AttemptEnded(1.5, "a", n, done, nil)
+	releases := commandsOf[ReleaseState](table)
+	if len(releases) != 1 || releases[0].Engine != "r0" || releases[0].AttemptCutAt != 1.1 {
+		t.Fatalf("got %v, want one release at r0 of the attempt that was cut at 1.1", releases)
 	}
 }
 
-// A release that failed is not repeated over what has come since; it is owed anew.
+// A release that failed is not retried while the call would free a newer prefill; the table owes it instead.
 func TestReleaseIsNotRetriedDuringNewPrefill(t *testing.T) {
 	table := newTableReleasingAll()
-	table.AddRequest(1, newRequest("a", 0), 0)
+	table.AddRequest(1, newRequest("a", idempotent), 0)
 	table.Apply(1, scheduler.Send{ID: "a", Engine: "r0"})
 	table.Drain()
-	table.AttemptEnded(1.1, "a", 0, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.AttemptTimedOut}, nil)
-	rs := commandsOf[ReleaseState](table)
-	if len(rs) != 1 || !table.ReleaseAllowed(rs[0]) {
-		t.Fatalf("%v", rs)
+	table.AttemptEnded(1.1, "a", 0, writtenTimeout, nil)
+	releases := commandsOf[ReleaseState](table)
+	if len(releases) != 1 || !table.ReleaseAllowed(releases[0]) {
+		t.Fatalf("got %v, want one release that may be retried", releases)
 	}
 	table.Apply(1.2, scheduler.Send{ID: "a", Engine: "r1"})
 	table.Drain()
-	if table.ReleaseAllowed(rs[0]) {
-		t.Fatal("the new read would be lost")
+	if table.ReleaseAllowed(releases[0]) {
+		t.Fatal("a retry is allowed though it would free the new prefill")
 	}
 	table.Apply(1.3, scheduler.Reject{ID: "a"})
 	table.AttemptEnded(1.4, "a", 1, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.RequestEnded}, nil)
 	if again := commandsOf[ReleaseState](table); len(again) != 1 {
-		t.Fatalf("%v", again)
+		t.Fatalf("got %v after the attempt ended, want one release", again)
 	}
 }
 
-// An engine that read for itself keeps what it has read when its attempt breaks off.
+// An engine that computed the prefill itself keeps its state when the attempt breaks.
 func TestBrokenDecodeWithoutStateIsReleased(t *testing.T) {
 	table := newTableReleasingAll()
-	table.AddRequest(1, newRequest("a", 0), 0)
+	table.AddRequest(1, newRequest("a", idempotent), 0)
 	n := startAttempt(t, table, 1, "a", "w0")
-	table.AttemptEnded(1.1, "a", n, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.ConnectionBroken}, nil)
-	if rs := commandsOf[ReleaseState](table); len(rs) != 1 || rs[0].Engine != "w0" {
-		t.Fatalf("%v", rs)
+	table.AttemptEnded(1.1, "a", n, writtenBroken, nil)
+	if releases := commandsOf[ReleaseState](table); len(releases) != 1 || releases[0].Engine != "w0" {
+		t.Fatalf("got %v, want one release at w0", releases)
 	}
-	table.AddRequest(2, newRequest("b", 0), 0)
+	table.AddRequest(2, newRequest("b", idempotent), 0)
 	n = startAttempt(t, table, 2, "b", "w0")
-	table.AttemptEnded(2.1, "b", n, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.EngineRejected}, nil)
-	if rs := commandsOf[ReleaseState](table); len(rs) != 0 {
-		t.Fatalf("what never ran holds nothing: %v", rs)
-	}
-}
-
-func TestDuplicateIDIsRejectedAndFirstRequestContinues(t *testing.T) {
-	table := newTableReleasingAll()
-	table.AddRequest(1, newRequest("a", 0), 0)
-	if no, ok := table.AddRequest(1.1, newRequest("a", 1), 0); ok || no.HTTPStatus != 409 || no.RetryIsSafe {
-		t.Fatalf("%+v %v", no, ok)
+	table.AttemptEnded(2.1, "b", n, engineRejected, nil)
+	if releases := commandsOf[ReleaseState](table); len(releases) != 0 {
+		t.Fatalf("got %v for an attempt that never ran, want none", releases)
 	}
-	startAttempt(t, table, 1.2, "a", "w0")
 }
 
-// Over all stories of one request: a release is never made while an attempt is out or a state waits, and whatever may be
-// held is released before the request is forgotten.
-func TestReleaseOfAllStatesProperty(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		table := newTableReleasingAll()
-		table.AddRequest(1, newRequest("a", 0), 0)
-		table.Drain()
-		now, out, held, state, forgotten := 1.0, map[int]StartAttempt{}, false, false, false
-		see := func() {
-			for _, c := range table.DrainCommands() {
-				switch c := c.(type) {
-				case StartAttempt:
-					out[c.Attempt] = c
-				case ReleaseState:
-					if len(out) > 0 {
-						t.Fatal("released while an attempt is out")
-					}
-					held, state = false, false
-				case ForgetRequest:
-					if held {
-						t.Fatal("forgotten with something held")
-					}
-					forgotten = true
-				}
-			}
-		}
-		for range rapid.IntRange(1, 12).Draw(t, "steps") {
-			now += 0.01
-			switch k := rapid.IntRange(0, 4).Draw(t, "what"); {
-			case k == 0:
-				table.Apply(now, scheduler.Send{ID: "a", Engine: rapid.SampledFrom([]string{"r0", "r1", "w0"}).Draw(t, "engine")})
-			case k == 1:
-				table.Apply(now, scheduler.Release{ID: "a"})
-			case k == 2 && rapid.Bool().Draw(t, "refuse"):
-				table.Apply(now, scheduler.Reject{ID: "a"})
-			default:
-				for n, s := range out {
-					f := outcome.Evidence{Progress: outcome.RequestWritten, Cause: rapid.SampledFrom([]outcome.Cause{outcome.ConnectionBroken, outcome.AttemptTimedOut, outcome.CanceledByScheduler}).Draw(t, "cause")}
-					if rapid.Bool().Draw(t, "answered") {
-						f = outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: rapid.SampledFrom([]outcome.ResponseKind{outcome.PrefillDone, outcome.EngineRejected, outcome.StateMissing}).Draw(t, "meaning")}
-					}
-					delete(out, n)
-					may := f.Cause != outcome.ResponseComplete && (s.Stage == outcome.Prefill || !s.FetchState)
-					read := f.Cause == outcome.ResponseComplete && f.ResponseKind == outcome.PrefillDone && s.Stage == outcome.Prefill
-					held, state = held || may || read, state || read
-					table.AttemptEnded(now, "a", n, f, nil)
-					break
-				}
-			}
-			see()
-		}
-		table.Apply(now, scheduler.Reject{ID: "a"})
-		see()
-		for n := range out {
-			delete(out, n)
-			table.AttemptEnded(now, "a", n, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.RequestEnded}, nil)
-			held = true
-			see()
-		}
-		if !forgotten {
-			t.Fatal("not forgotten")
-		}
-	})
-}
-
-// The state of a read is released at once though something else is owed of an attempt that was broken off before: the next
-// attempt is begun in the same pass, and would put both off. What is left of the other is owed until that attempt has ended.
+// The state of a prefill is released at once though a release after a cut attempt is owed too: the next attempt starts in the
+// same pass and would delay both. What is left of the other is owed until that attempt has ended.
 func TestStateIsReleasedBeforeNextAttemptStarts(t *testing.T) {
 	table := newTableReleasingAll()
-	table.AddRequest(1, newRequest("a", 0), 0)
+	table.AddRequest(1, newRequest("a", idempotent), 0)
 	table.Apply(1, scheduler.Send{ID: "a", Engine: "r0"})
 	table.Drain()
-	table.AttemptEnded(1.1, "a", 0, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.CanceledByScheduler}, nil)
+	table.AttemptEnded(1.1, "a", 0, writtenCancel, nil)
 	cut := commandsOf[ReleaseState](table)
 	if len(cut) != 1 || cut[0].AttemptCutAt != 1.1 {
-		t.Fatalf("got %v, want the release of what was broken off at 1.1", cut)
+		t.Fatalf("got %v, want one release of the attempt that was cut at 1.1", cut)
 	}
 	table.Apply(1.1, scheduler.Send{ID: "a", Engine: "r1"})
 	table.Drain()
 	if table.ReleaseAllowed(cut[0]) {
-		t.Fatal("released over a read that is out")
+		t.Fatal("a retry is allowed though it would free the prefill in flight")
 	}
-	table.AttemptEnded(1.2, "a", 1, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.PrefillDone}, nil)
+	table.AttemptEnded(1.2, "a", 1, prefillDone, nil)
 	n := startAttempt(t, table, 1.2, "a", "w0")
-	table.AttemptEnded(1.45, "a", n, outcome.Evidence{Progress: outcome.Connecting, Cause: outcome.ConnectionBroken}, nil)
+	table.AttemptEnded(1.45, "a", n, unsentBroken, nil)
 	table.Drain()
 	table.Apply(1.45, scheduler.Release{ID: "a"})
 	table.Apply(1.45, scheduler.Send{ID: "a", Engine: "w0"})
-	rs := commandsOf[ReleaseState](table)
-	if len(rs) == 0 || rs[0].AttemptCutAt != 0 || rs[0].Engine != "r1" {
-		t.Fatalf("got %v, want the state at r1 released at once", rs)
+	releases := commandsOf[ReleaseState](table)
+	if len(releases) == 0 || releases[0].AttemptCutAt != 0 || releases[0].Engine != "r1" {
+		t.Fatalf("got %v, want the state at r1 released at once", releases)
 	}
 }
 
-// The time of a state runs from the latest outcome of an attempt that was out: one that arrived and was turned away begins it anew, one
-// that was never written does not. A send that has not arrived when it is over is called off.
+// The hold time of a state runs from the latest outcome of an attempt whose request was written: one that was rejected by its
+// engine restarts it, one that was never written does not. An attempt that is not delivered when it is over is canceled.
 func TestHoldTimeRunsFromLatestOutcomeOfDeliveredAttempt(t *testing.T) {
 	table := newTable()
-	table.AddRequest(1, newRequest("a", 0), 0)
-	read := startAttempt(t, table, 1, "a", "r0")
-	table.AttemptEnded(2, "a", read, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.PrefillDone}, nil)
-	stateAt := func(now float64) (int, float64) {
+	table.AddRequest(1, newRequest("a", idempotent), 0)
+	prefill := startAttempt(t, table, 1, "a", "r0")
+	table.AttemptEnded(2, "a", prefill, prefillDone, nil)
+	start := func(now float64) (number int, heldSince float64) {
 		t.Helper()
 		table.Drain()
 		table.Apply(now, scheduler.Send{ID: "a", Engine: "w0"})
 		starts := commandsOf[StartAttempt](table)
 		if len(starts) != 1 || !starts[0].FetchState {
-			t.Fatalf("got %v, want one attempt with a state", starts)
+			t.Fatalf("got %v, want one attempt that fetches a state", starts)
 		}
 		return starts[0].Attempt, starts[0].HeldSince
 	}
-	n, at := stateAt(2.1)
-	if at != 2 {
-		t.Errorf("after the read: got %g, want 2", at)
+	n, since := start(2.1)
+	if since != 2 {
+		t.Errorf("after the prefill: got %g, want 2", since)
 	}
-	table.AttemptEnded(2.2, "a", n, outcome.Evidence{Progress: outcome.Connecting, Cause: outcome.ConnectionBroken}, nil)
-	n, at = stateAt(2.3)
-	if at != 2 {
-		t.Errorf("after a connection that failed: got %g, want 2", at)
+	table.AttemptEnded(2.2, "a", n, unsentBroken, nil)
+	n, since = start(2.3)
+	if since != 2 {
+		t.Errorf("after a connection that failed: got %g, want 2", since)
 	}
-	table.AttemptEnded(2.4, "a", n, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.EngineRejected}, nil)
-	n, at = stateAt(2.5)
-	if at != 2.4 {
-		t.Errorf("after one that was turned away: got %g, want 2.4", at)
+	table.AttemptEnded(2.4, "a", n, engineRejected, nil)
+	n, since = start(2.5)
+	if since != 2.4 {
+		t.Errorf("after a rejection by the engine: got %g, want 2.4", since)
 	}
 	table.Drain()
 	table.AttemptNotDelivered("a", n)
-	if aborts := commandsOf[CancelAttempt](table); len(aborts) != 1 || aborts[0].Attempt != n {
-		t.Errorf("a send that has not arrived: got %v, want it called off", aborts)
+	if cancels := commandsOf[CancelAttempt](table); len(cancels) != 1 || cancels[0].Attempt != n {
+		t.Errorf("attempt that is not delivered: got %v, want it canceled", cancels)
 	}
 }
 
-// A state is released beside the attempt that is to take it, where nothing has come of that in the state's time nor of its engine; not
-// once its answer has begun or it has ended, and not where the module calls it off.
+// The state that an attempt is to fetch is released while the attempt is in flight if neither it nor its engine has responded
+// within the limit; not once its response has begun or it has ended, and not where the scheduler cancels it.
 func TestStateOfSilentAttemptIsReleasedConcurrently(t *testing.T) {
+	nothing := func(*Table, int) {}
 	for _, c := range []struct {
-		name   string
-		before func(table *Table, n int)
-		class  int // 0 may be repeated, 1 may not run twice
-		heard  bool
-		want   int
+		name            string
+		before          func(table *Table, n int)
+		class           int
+		engineResponded bool
+		want            int
 	}{
-		{"nothing has come", func(*Table, int) {}, 1, false, 1},
-		{"its engine answers others", func(*Table, int) {}, 1, true, 0},
-		{"it may be repeated, so that the module calls it off", func(*Table, int) {}, 0, false, 0},
-		{"its answer has begun", func(table *Table, n int) { table.FirstToken(1.5, "a", n) }, 1, false, 0},
-		{"it has ended", func(table *Table, n int) {
-			table.AttemptEnded(1.5, "a", n, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.ConnectionBroken}, nil)
-		}, 1, false, 0},
+		{"silent attempt", nothing, atMostOnce, false, 1},
+		{"engine responds to others", nothing, atMostOnce, true, 0},
+		{"idempotent: the scheduler cancels it", nothing, idempotent, false, 0},
+		{"response has begun", func(table *Table, n int) { table.FirstToken(1.5, "a", n) }, atMostOnce, false, 0},
+		{"attempt has ended", func(table *Table, n int) { table.AttemptEnded(1.5, "a", n, writtenBroken, nil) }, atMostOnce, false, 0},
 	} {
 		table := newTableReleasingAll()
 		table.AddRequest(1, newRequest("a", c.class), 0)
 		table.Apply(1, scheduler.Send{ID: "a", Engine: "r0"})
-		table.AttemptEnded(1.1, "a", 0, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.PrefillDone}, nil)
+		table.AttemptEnded(1.1, "a", 0, prefillDone, nil)
 		table.Drain()
 		n := startAttempt(t, table, 1.2, "a", "w0")
 		c.before(table, n)
 		table.Drain()
-		table.AttemptSilent("a", n, c.heard)
-		rs := commandsOf[ReleaseState](table)
-		if len(rs) != c.want {
-			t.Errorf("%s: %v, want %d", c.name, rs, c.want)
+		table.AttemptSilent("a", n, c.engineResponded)
+		releases := commandsOf[ReleaseState](table)
+		if len(releases) != c.want {
+			t.Errorf("%s: got %v, want %d releases", c.name, releases, c.want)
 			continue
 		}
 		if c.want == 0 {
 			continue
 		}
-		if rs[0].Engine != "r0" || !table.ReleaseAllowed(rs[0]) {
-			t.Errorf("%s: %+v, again %v", c.name, rs[0], table.ReleaseAllowed(rs[0]))
+		if releases[0].Engine != "r0" || !table.ReleaseAllowed(releases[0]) {
+			t.Errorf("%s: got %+v, want one at r0 that may be retried", c.name, releases[0])
 		}
 		table.FirstToken(1.6, "a", n)
-		if table.Drain(); table.ReleaseAllowed(rs[0]) {
-			t.Errorf("%s: released again though its answer has begun", c.name)
+		table.Drain()
+		if table.ReleaseAllowed(releases[0]) {
+			t.Errorf("%s: a retry is allowed though the response has begun", c.name)
 		}
 	}
 }
 
-// Beside the second attempt in a row that is silent the state is released whatever its class, and its time runs since the read: the first
-// may never have arrived.
+// During the second silent attempt in a row the state is released whatever the class, and its hold time runs from the prefill:
+// the first attempt may never have reached its engine.
 func TestStateIsReleasedDuringSecondSilentAttempt(t *testing.T) {
 	table := newTableReleasingAll()
-	table.AddRequest(1, newRequest("a", 0), 0)
+	table.AddRequest(1, newRequest("a", idempotent), 0)
 	table.Apply(1, scheduler.Send{ID: "a", Engine: "r0"})
-	table.AttemptEnded(1.1, "a", 0, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.PrefillDone}, nil)
+	table.AttemptEnded(1.1, "a", 0, prefillDone, nil)
 	table.Drain()
 	n := startAttempt(t, table, 1.2, "a", "w0")
-	table.AttemptEnded(1.6, "a", n, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.CanceledByScheduler}, nil)
+	table.AttemptEnded(1.6, "a", n, writtenCancel, nil)
 	table.Drain()
 	table.Apply(1.7, scheduler.Send{ID: "a", Engine: "w0"})
 	starts := commandsOf[StartAttempt](table)
 	if len(starts) != 1 || starts[0].HeldSinceIfUndelivered != 1.1 || starts[0].HeldSince != 1.6 {
-		t.Fatalf("%+v, want one whose state is held since 1.1, and since 1.6 if the first attempt had arrived", starts)
+		t.Fatalf("got %+v, want one attempt whose state is held since 1.6, or since 1.1 if the first was not delivered", starts)
 	}
 	table.AttemptSilent("a", starts[0].Attempt, false)
-	if rs := commandsOf[ReleaseState](table); len(rs) != 1 {
-		t.Errorf("%v", rs)
+	if releases := commandsOf[ReleaseState](table); len(releases) != 1 {
+		t.Errorf("got %v, want one release", releases)
 	}
 }
+
+// releaseWorld drives one request of a table where one call releases all its states.
+type releaseWorld struct {
+	t         *rapid.T
+	table     *Table
+	now       float64
+	inFlight  map[int]StartAttempt
+	held      bool // an engine may hold something
+	forgotten bool
+}
+
+// checkCommands drains the commands and checks each.
+func (w *releaseWorld) checkCommands() {
+	for _, command := range w.table.DrainCommands() {
+		switch c := command.(type) {
+		case StartAttempt:
+			w.inFlight[c.Attempt] = c
+		case ReleaseState:
+			if len(w.inFlight) > 0 {
+				w.t.Fatal("released while an attempt is in flight")
+			}
+			w.held = false
+		case ForgetRequest:
+			if w.held {
+				w.t.Fatal("forgotten while an engine may hold a state")
+			}
+			w.forgotten = true
+		}
+	}
+}
+
+// endAttempt ends one attempt in flight, with or without a response.
+func (w *releaseWorld) endAttempt() {
+	if len(w.inFlight) == 0 {
+		return
+	}
+	n := rapid.SampledFrom(slices.Sorted(maps.Keys(w.inFlight))).Draw(w.t, "attempt")
+	start := w.inFlight[n]
+	delete(w.inFlight, n)
+	causes := []outcome.Cause{outcome.ConnectionBroken, outcome.AttemptTimedOut, outcome.CanceledByScheduler}
+	kinds := []outcome.ResponseKind{outcome.PrefillDone, outcome.EngineRejected, outcome.StateMissing}
+	evidence := outcome.Evidence{Progress: outcome.RequestWritten, Cause: rapid.SampledFrom(causes).Draw(w.t, "cause")}
+	if rapid.Bool().Draw(w.t, "responded") {
+		evidence = complete(rapid.SampledFrom(kinds).Draw(w.t, "kind"))
+	}
+	responded := evidence.Cause == outcome.ResponseComplete
+	mayHold := !responded && (start.Stage == outcome.Prefill || !start.FetchState)
+	prefilled := responded && evidence.ResponseKind == outcome.PrefillDone && start.Stage == outcome.Prefill
+	w.held = w.held || mayHold || prefilled
+	w.table.AttemptEnded(w.now, "a", n, evidence, nil)
+}
+
+// Over all courses of one request: a release is never issued while an attempt is in flight, and whatever an engine may hold is
+// released before the request is forgotten.
+func TestReleaseOfAllStatesProperty(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		w := &releaseWorld{t: t, table: newTableReleasingAll(), now: 1, inFlight: map[int]StartAttempt{}}
+		w.table.AddRequest(1, newRequest("a", idempotent), 0)
+		w.table.Drain()
+		for range rapid.IntRange(1, 12).Draw(t, "steps") {
+			w.now += 0.01
+			switch step := rapid.IntRange(0, 4).Draw(t, "step"); {
+			case step == 0:
+				engine := rapid.SampledFrom([]string{"r0", "r1", "w0"}).Draw(t, "engine")
+				w.table.Apply(w.now, scheduler.Send{ID: "a", Engine: engine})
+			case step == 1:
+				w.table.Apply(w.now, scheduler.Release{ID: "a"})
+			case step == 2 && rapid.Bool().Draw(t, "reject"):
+				w.table.Apply(w.now, scheduler.Reject{ID: "a"})
+			default:
+				w.endAttempt()
+			}
+			w.checkCommands()
+		}
+		w.table.Apply(w.now, scheduler.Reject{ID: "a"})
+		w.checkCommands()
+		for n := range w.inFlight {
+			delete(w.inFlight, n)
+			ended := outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.RequestEnded}
+			w.table.AttemptEnded(w.now, "a", n, ended, nil)
+			w.held = true
+			w.checkCommands()
+		}
+		if !w.forgotten {
+			t.Fatal("the request is not forgotten")
+		}
+	})
+}
--- a/internal/decide/requesttable/responses.go
+++ b/internal/decide/requesttable/responses.go
@@ -57,7 +57,7 @@
 	record.pendingResponse = nil
 }
 
-// respondAtAttemptEnd issues what the client receives at the end of an attempt, and tells whether the request ends by it. A
+// respondAtAttemptEnd issues what the client receives at the end of an attempt, and reports whether the request ends by it. A
 // stream that broke ends the request: the client has a part of it.
 func (t *Table) respondAtAttemptEnd(id string, record *requestRecord, a *attempt, wasStreaming bool, class outcome.Classification) bool {
 	switch {
--- a/internal/decide/requesttable/responses_test.go
+++ b/internal/decide/requesttable/responses_test.go
@@ -7,56 +7,95 @@
 	"dillroute/scheduler"
 )
 
-// A refusal says that a retry is harmless, and needs proof for every attempt from its bytes alone: that a read has no effect is
-// none, for an engine that did not answer as one that reads may be another. Where every engine discards repeats a refusal is true
-// all the same, but of no use when the client's time is up.
+// A rejection that calls a retry safe needs proof for every attempt from its bytes alone. That prefills have no effect is no
+// such proof, since an engine that did not respond as a prefill engine may be another one. Where every engine discards
+// repeats, such a rejection is true nevertheless, but of no use once the client's time is up.
 func TestRetrySafeRejectionNeedsProofForEveryAttempt(t *testing.T) {
-	unheard := outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.AttemptTimedOut}
-	failed := outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.EngineError}
+	malformed := outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.MalformedResponse}
+	brokenWrite := outcome.Evidence{Progress: outcome.Connected, Cause: outcome.ConnectionBroken}
 	for _, c := range []struct {
-		name  string
-		class int
-		facts outcome.Evidence
-		at    float64 // of 6
-		retry bool
+		name     string
+		class    int
+		evidence outcome.Evidence
+		at       float64 // the client gives up at 6
+		retry    bool
 	}{
-		{"once, not heard of, time left", 1, unheard, 3, false}, {"once, not heard of, none left", 1, unheard, 5.98, false},
-		{"once, an error, time left", 1, failed, 3, false},
-		{"once, spoilt, time left", 1, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.MalformedResponse}, 3, false},
-		{"keyed in a cell, not heard of, time left", 2, unheard, 3, false},
-		{"keyed everywhere, not heard of, time left", 3, unheard, 3, true},
-		{"keyed everywhere, not heard of, none left", 3, unheard, 5.98, false}, {"repeatable, none left", 0, unheard, 5.98, true},
-		{"once, never written", 1, outcome.Evidence{Progress: outcome.Connected, Cause: outcome.ConnectionBroken}, 5.98, true},
-		{"once, turned away", 1, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.EngineRejected}, 5.98, true},
-		{"once, read", 1, outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.PrefillDone}, 3, true},
+		{"at most once, silent, time left", atMostOnce, writtenTimeout, 3, false},
+		{"at most once, silent, no time left", atMostOnce, writtenTimeout, 5.98, false},
+		{"at most once, engine error, time left", atMostOnce, engineError, 3, false},
+		{"at most once, malformed response, time left", atMostOnce, malformed, 3, false},
+		{"keyed in a cell, silent, time left", keyedInCell, writtenTimeout, 3, false},
+		{"keyed in the fleet, silent, time left", keyedInFleet, writtenTimeout, 3, true},
+		{"keyed in the fleet, silent, no time left", keyedInFleet, writtenTimeout, 5.98, false},
+		{"idempotent, no time left", idempotent, writtenTimeout, 5.98, true},
+		{"at most once, never written", atMostOnce, brokenWrite, 5.98, true},
+		{"at most once, rejected by the engine", atMostOnce, engineRejected, 5.98, true},
+		{"at most once, prefill done", atMostOnce, prefillDone, 3, true},
 	} {
-		for _, how := range []string{"by the module", "by the book"} {
+		for _, by := range []string{"the scheduler", "the table"} {
 			table := newTable()
 			table.AddRequest(1, newRequest("a", c.class), 0)
-			n := startAttempt(t, table, 1, "a", "r0") // r0 reads: an attempt there has no effect by the protocol
-			table.AttemptEnded(2, "a", n, c.facts, nil)
-			if how == "by the module" {
+			n := startAttempt(t, table, 1, "a", "r0") // a prefill engine: an attempt there has no effect by the protocol
+			table.AttemptEnded(2, "a", n, c.evidence, nil)
+			if by == "the scheduler" {
 				table.Apply(c.at, scheduler.Reject{ID: "a"})
 			} else {
 				table.RespondToAll(c.at)
 			}
-			xs := commandsOf[Respond](table)
-			if len(xs) != 1 || xs[0].Response.RetryIsSafe != c.retry {
-				t.Errorf("%s, %s: %+v", c.name, how, xs)
+			responses := commandsOf[Respond](table)
+			if len(responses) != 1 || responses[0].Response.RetryIsSafe != c.retry {
+				t.Errorf("%s, ended by %s: got %+v, want one response with RetryIsSafe %v", c.name, by, responses, c.retry)
 			}
 		}
 	}
 }
 
-// A refusal while an attempt is out rests on what that has not told yet.
+// While an attempt is in flight nothing proves that it has not run.
 func TestRejectionWhileAttemptIsInFlight(t *testing.T) {
-	for class, retry := range map[int]bool{0: true, 1: false, 2: false, 3: true} {
+	for class, retry := range map[int]bool{idempotent: true, atMostOnce: false, keyedInCell: false, keyedInFleet: true} {
 		table := newTable()
 		table.AddRequest(1, newRequest("a", class), 0)
 		startAttempt(t, table, 1, "a", "r0")
 		table.RespondToAll(3)
-		if xs := commandsOf[Respond](table); len(xs) != 1 || xs[0].Response.RetryIsSafe != retry {
-			t.Errorf("class %d: got %+v, want a refusal %v", class, xs, retry)
+		if responses := commandsOf[Respond](table); len(responses) != 1 || responses[0].Response.RetryIsSafe != retry {
+			t.Errorf("class %d: got %+v, want one response with RetryIsSafe %v", class, responses, retry)
 		}
 	}
 }
+
+func TestFinalResponseWaitsForStreamingAttemptToEnd(t *testing.T) {
+	table := newTable()
+	table.AddRequest(1, newRequest("a", atMostOnce), 0)
+	n := startAttempt(t, table, 1, "a", "w0")
+	table.FirstToken(1.1, "a", n)
+	table.DrainCommands()
+	table.RespondToAll(2)
+	if responses := commandsOf[Respond](table); len(responses) != 0 {
+		t.Fatalf("got %+v while the attempt writes to the client, want none", responses)
+	}
+	table.AttemptEnded(2.1, "a", n, outcome.Evidence{Cause: outcome.RequestEnded}, nil)
+	if responses := commandsOf[Respond](table); len(responses) != 1 || responses[0].Response.RetryIsSafe {
+		t.Fatalf("got %+v, want one response that promises no safe retry", responses)
+	}
+}
+
+func TestUnstreamedResponseIsCutBeforeClientTimeout(t *testing.T) {
+	table := newTable()
+	table.AddRequest(1, newRequest("a", atMostOnce), 8)
+	n := startAttempt(t, table, 1, "a", "w0")
+	table.FirstToken(2, "a", n)
+	at, _ := table.Deadline("a")
+	table.DeadlineReached(at-0.5, "a")
+	if cancels := commandsOf[CancelAttempt](table); len(cancels) != 0 || at > 9 || at < 8 {
+		t.Fatalf("got %v before a deadline of %g, want none before one within 8 and 9", cancels, at)
+	}
+	table.DeadlineReached(at, "a")
+	if cancels := commandsOf[CancelAttempt](table); len(cancels) != 1 {
+		t.Fatalf("got %v at the deadline, want one cancellation", cancels)
+	}
+	table.AttemptEnded(at+0.01, "a", n, outcome.Evidence{Cause: outcome.RequestEnded}, nil)
+	responses := commandsOf[Respond](table)
+	if len(responses) != 1 || responses[0].Response.RetryIsSafe || responses[0].Response.Code != "answer_too_slow" {
+		t.Fatalf("got %+v, want one response answer_too_slow that promises no safe retry", responses)
+	}
+}
--- a/internal/decide/requesttable/table.go
+++ b/internal/decide/requesttable/table.go
@@ -53,12 +53,12 @@
 	Classes         []scheduler.Class
 	MaxOpenRequests int
 	MaxAttempts     int // for one request
-	// UnsentAttemptsAreFree tells that attempts which ended before their request was written do not count towards
+	// UnsentAttemptsAreFree says that attempts which ended before their request was written do not count towards
 	// MaxAttempts, up to MaxAttempts of them.
 	UnsentAttemptsAreFree bool
 	ResponseSlack         float64 // seconds after a client's deadline at which the table itself responds
 	DrainGrace            float64 // seconds after which nothing is sent to an engine that is draining or removed
-	// ReleaseFreesAllStates tells that one release call frees every state that any engine holds for the request. Such a
+	// ReleaseFreesAllStates says that one release call frees every state that any engine holds for the request. Such a
 	// call waits until no attempt is in flight and no state is needed.
 	ReleaseFreesAllStates bool
 }
@@ -102,7 +102,7 @@
 	return commands
 }
 
-// HasEvents tells whether events wait for the scheduler.
+// HasEvents reports whether events wait for the scheduler.
 func (t *Table) HasEvents() bool { return len(t.events) > 0 }
 
 // OpenRequests returns the number of requests that have not ended.
