--- a/internal/decide/requesttable/golden_test.go
+++ b/internal/decide/requesttable/golden_test.go
@@ -144,7 +144,8 @@
 	if ok {
 		w.ids = append(w.ids, q.ID)
 	}
-	return fmt.Sprintf("request id=%s class=%d left=%s whole=%s taken=%t %s", q.ID, q.Class, num(q.ClientTimeLeft), num(whole), ok, answerText(a))
+	return fmt.Sprintf("request id=%s class=%d left=%s whole=%s taken=%t %s", q.ID, q.Class, num(q.ClientTimeLeft), num(whole), ok,
+		answerText(a))
 }
 
 func (w *goldenWorld) send(id string) string {
@@ -164,11 +165,15 @@
 }
 
 var (
-	goldenCauses = []outcome.Cause{outcome.ResponseComplete, outcome.ResponseComplete, outcome.ResponseComplete, outcome.ResponseComplete, outcome.ResponseComplete, outcome.ConnectionBroken,
-		outcome.AttemptTimedOut, outcome.AttemptTimedOut, outcome.CanceledByScheduler, outcome.CanceledByScheduler, outcome.RequestEnded, outcome.MalformedResponse, outcome.StreamStalled, outcome.ClientDisconnected}
-	goldenProgress = []outcome.Progress{outcome.NotStarted, outcome.Connecting, outcome.Connected, outcome.RequestWritten, outcome.RequestWritten, outcome.RequestWritten,
+	goldenCauses = []outcome.Cause{outcome.ResponseComplete, outcome.ResponseComplete, outcome.ResponseComplete,
+		outcome.ResponseComplete, outcome.ResponseComplete, outcome.ConnectionBroken,
+		outcome.AttemptTimedOut, outcome.AttemptTimedOut, outcome.CanceledByScheduler, outcome.CanceledByScheduler,
+		outcome.RequestEnded, outcome.MalformedResponse, outcome.StreamStalled, outcome.ClientDisconnected}
+	goldenProgress = []outcome.Progress{outcome.NotStarted, outcome.Connecting, outcome.Connected, outcome.RequestWritten,
+		outcome.RequestWritten, outcome.RequestWritten,
 		outcome.HeaderReceived}
-	goldenMeanings = []outcome.ResponseKind{outcome.EngineError, outcome.PrefillDone, outcome.DecodeDone, outcome.EngineRejected, outcome.StateMissing, outcome.InvalidRequest}
+	goldenMeanings = []outcome.ResponseKind{outcome.EngineError, outcome.PrefillDone, outcome.DecodeDone, outcome.EngineRejected,
+		outcome.StateMissing, outcome.InvalidRequest}
 )
 
 func (w *goldenWorld) end() string {
@@ -189,7 +194,8 @@
 	}
 	var rep *scheduler.LoadReport
 	if w.chance(0.2) {
-		rep = &scheduler.LoadReport{Active: float64(w.random.Intn(9)), Utilization: w.random.Float64(), Has: scheduler.HasActive | scheduler.HasUtilization}
+		rep = &scheduler.LoadReport{Active: float64(w.random.Intn(9)), Utilization: w.random.Float64(),
+			Has: scheduler.HasActive | scheduler.HasUtilization}
 	}
 	w.table.AttemptEnded(w.now, s.ID, s.Attempt, f, rep)
 	return fmt.Sprintf("ended id=%s n=%d %s report=%s", s.ID, s.Attempt, factsText(f), reportText(rep))
@@ -214,7 +220,8 @@
 	text, n, after := "", w.random.Intn(3), w.random.Float64()
 	switch w.random.Intn(10) {
 	case 0:
-		a, text = scheduler.Reject{ID: id, RetryAfter: after, Reason: scheduler.ObjectiveUnreachable}, "refuse id="+id+" why=too-late after="+num(after)
+		a, text = scheduler.Reject{ID: id, RetryAfter: after, Reason: scheduler.ObjectiveUnreachable},
+			"refuse id="+id+" why=too-late after="+num(after)
 	case 1:
 		a, text = scheduler.Reject{ID: id}, "refuse id="+id+" why=none after=0"
 	case 2:
@@ -233,7 +240,8 @@
 
 func (w *goldenWorld) members() string {
 	e := goldenEngines[w.random.Intn(len(goldenEngines))]
-	e.State = []scheduler.EngineState{scheduler.EngineReady, scheduler.EngineReady, scheduler.EngineReady, scheduler.EngineDraining, scheduler.EngineRemoved}[w.random.Intn(5)]
+	e.State = []scheduler.EngineState{scheduler.EngineReady, scheduler.EngineReady, scheduler.EngineReady,
+		scheduler.EngineDraining, scheduler.EngineRemoved}[w.random.Intn(5)]
 	switch w.random.Intn(8) {
 	case 0:
 		return w.list(scheduler.UpdateFailed, nil)
@@ -260,13 +268,15 @@
 		w.table.AttemptNotDelivered(s.ID, s.Attempt)
 		return fmt.Sprintf("not arrived id=%s n=%d", s.ID, s.Attempt)
 	case 8:
-		w.table.ProbeResult(scheduler.ProbeResult{Engine: s.Engine, Status: scheduler.Completed, Report: &scheduler.LoadReport{Active: 2, Has: scheduler.HasActive}})
+		w.table.ProbeResult(scheduler.ProbeResult{Engine: s.Engine, Status: scheduler.Completed,
+			Report: &scheduler.LoadReport{Active: 2, Has: scheduler.HasActive}})
 		return "heard engine=" + s.Engine
 	case 9:
 		w.now += 121
 		return "long wait; " + w.members()
 	case 10:
-		w.cfg.MaxOpenRequests, w.cfg.DrainGrace, w.cfg.ResponseSlack = 5+w.random.Intn(6), float64(w.random.Intn(4))/8, float64(1+w.random.Intn(3))/20
+		w.cfg.MaxOpenRequests, w.cfg.DrainGrace, w.cfg.ResponseSlack = 5+w.random.Intn(6), float64(w.random.Intn(4))/8,
+			float64(1+w.random.Intn(3))/20
 		w.table.Reconfigure(w.cfg)
 		return fmt.Sprintf("reconfigure open=%d grace=%s slack=%s", w.cfg.MaxOpenRequests, num(w.cfg.DrainGrace), num(w.cfg.ResponseSlack))
 	case 11, 12, 13, 14:
@@ -313,17 +323,20 @@
 func num(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
 
 func statusWord(s scheduler.Status) string {
-	return map[scheduler.Status]string{scheduler.Completed: "served", scheduler.ServerError: "server-error", scheduler.Rejected: "turned-away",
+	return map[scheduler.Status]string{scheduler.Completed: "served", scheduler.ServerError: "server-error",
+		scheduler.Rejected: "turned-away",
 		scheduler.TimedOut: "no-answer", scheduler.ConnectFailed: "no-connection", scheduler.ConnectionLost: "connection-lost",
 		scheduler.Canceled: "called-off", scheduler.NotSent: "not-sent", scheduler.Prefilled: "parsed"}[s]
 }
 
 func stateWord(s scheduler.EngineState) string {
-	return map[scheduler.EngineState]string{scheduler.EngineReady: "ready", scheduler.EngineDraining: "draining", scheduler.EngineRemoved: "removed"}[s]
+	return map[scheduler.EngineState]string{scheduler.EngineReady: "ready", scheduler.EngineDraining: "draining",
+		scheduler.EngineRemoved: "removed"}[s]
 }
 
 func formWord(f scheduler.UpdateForm) string {
-	return map[scheduler.UpdateForm]string{scheduler.UpdateIncremental: "changes", scheduler.UpdateComplete: "full", scheduler.UpdateStale: "warm",
+	return map[scheduler.UpdateForm]string{scheduler.UpdateIncremental: "changes", scheduler.UpdateComplete: "full",
+		scheduler.UpdateStale:  "warm",
 		scheduler.UpdateFailed: "lost"}[f]
 }
 
@@ -332,15 +345,18 @@
 }
 
 func causeWord(c outcome.Cause) string {
-	return map[outcome.Cause]string{outcome.ResponseComplete: "answered", outcome.ConnectionBroken: "broken", outcome.AttemptTimedOut: "expired",
-		outcome.CanceledByScheduler: "stopped", outcome.RequestEnded: "overtaken", outcome.MalformedResponse: "unreadable", outcome.StreamStalled: "stalled",
+	return map[outcome.Cause]string{outcome.ResponseComplete: "answered", outcome.ConnectionBroken: "broken",
+		outcome.AttemptTimedOut:     "expired",
+		outcome.CanceledByScheduler: "stopped", outcome.RequestEnded: "overtaken", outcome.MalformedResponse: "unreadable",
+		outcome.StreamStalled:      "stalled",
 		outcome.ClientDisconnected: "client-left"}[c]
 }
 
 func factsText(f outcome.Evidence) string {
 	progress := map[outcome.Progress]string{outcome.NotStarted: "unsent", outcome.Connecting: "dialling", outcome.Connected: "connected",
 		outcome.RequestWritten: "written", outcome.HeaderReceived: "headed", outcome.Streaming: "streaming"}[f.Progress]
-	meaning := map[outcome.ResponseKind]string{outcome.EngineError: "error", outcome.PrefillDone: "read", outcome.DecodeDone: "done", outcome.EngineRejected: "turned",
+	meaning := map[outcome.ResponseKind]string{outcome.EngineError: "error", outcome.PrefillDone: "read",
+		outcome.DecodeDone: "done", outcome.EngineRejected: "turned",
 		outcome.StateMissing: "no-state", outcome.InvalidRequest: "judged"}[f.ResponseKind]
 	return fmt.Sprintf("cause=%s progress=%s meaning=%s code=%d kept=%d", causeWord(f.Cause), progress, meaning, f.Code, f.CachedTokens)
 }
@@ -353,7 +369,8 @@
 	if r == nil {
 		return "none"
 	}
-	return fmt.Sprintf("(%s,%s,active:%t,util:%t)", num(r.Active), num(r.Utilization), r.Has&scheduler.HasActive != 0, r.Has&scheduler.HasUtilization != 0)
+	return fmt.Sprintf("(%s,%s,active:%t,util:%t)", num(r.Active), num(r.Utilization), r.Has&scheduler.HasActive != 0,
+		r.Has&scheduler.HasUtilization != 0)
 }
 
 func membersText(form scheduler.UpdateForm, engines []scheduler.Engine) string {
@@ -365,7 +382,8 @@
 }
 
 func releaseText(r ReleaseState) string {
-	return fmt.Sprintf("release id=%s engine=%s n=%d cut=%s beside=%t,%d", r.ID, r.Engine, r.Attempt, num(r.AttemptCutAt), r.Concurrent.InFlight, r.Concurrent.Number)
+	return fmt.Sprintf("release id=%s engine=%s n=%d cut=%s beside=%t,%d", r.ID, r.Engine, r.Attempt, num(r.AttemptCutAt),
+		r.Concurrent.InFlight, r.Concurrent.Number)
 }
 
 func eventText(ev scheduler.Event) string {
