--- /dev/null
+++ b/internal/decide/outcome/classify.go
@@ -0,0 +1,118 @@
+package outcome
+
+import "dillroute/scheduler"
+
+// InfoStateMissing is the Info of a rejected attempt that found no state to fetch.
+const InfoStateMissing = 1
+
+// Classification is what the evidence of an attempt proves.
+type Classification struct {
+	Status       scheduler.Status
+	Info         int  // cached prompt tokens, or InfoStateMissing
+	MayHaveRun   bool // an effect is possible
+	MayHoldState bool // the engine may hold a state that no attempt will fetch
+	// PassThrough says that the engine's own response goes to the client: the engine has called the request invalid.
+	PassThrough bool
+}
+
+// Classify returns what the evidence proves.
+func Classify(evidence Evidence) Classification {
+	var class Classification
+	if evidence.Cause == ResponseComplete {
+		class = classifyResponse(evidence)
+	} else {
+		class.Status = statusWithoutResponse(evidence)
+	}
+	if evidence.Stage == Prefill {
+		class.MayHaveRun = false // a prefill has no effect
+		class.MayHoldState = evidence.Progress >= RequestWritten && class.Status != scheduler.Prefilled &&
+			class.Status != scheduler.Rejected && !class.PassThrough
+		return class
+	}
+	if !class.PassThrough && !statusProvesNotRun(class.Status) {
+		class.MayHaveRun = true
+	}
+	return class
+}
+
+// ProvesNotRun reports whether the bytes of an attempt prove that it has not run at its engine: its request was not written
+// completely, or the engine responded that the prefill is done or that the request did not run. Unlike
+// Classification.MayHaveRun it does not accept the role of an engine as proof: that a prefill engine runs nothing proves
+// little about an engine that did not respond as one.
+func ProvesNotRun(evidence Evidence) bool {
+	if evidence.Cause != ResponseComplete {
+		return evidence.Progress < RequestWritten
+	}
+	switch evidence.ResponseKind {
+	case PrefillDone:
+		return evidence.Stage == Prefill
+	case EngineRejected, StateMissing, InvalidRequest:
+		return true
+	}
+	return false
+}
+
+// Silent reports whether an attempt was written completely and then canceled or timed out before any byte of a response
+// came. Whether its request has reached the engine is unknown.
+func Silent(evidence Evidence) bool {
+	return evidence.Progress == RequestWritten && (evidence.Cause == CanceledByScheduler || evidence.Cause == AttemptTimedOut)
+}
+
+// statusProvesNotRun reports whether a status proves that the request never ran.
+func statusProvesNotRun(status scheduler.Status) bool {
+	switch status {
+	case scheduler.Rejected, scheduler.ConnectFailed, scheduler.NotSent, scheduler.Prefilled:
+		return true
+	}
+	return false
+}
+
+// statusWithoutResponse returns the status of an attempt without a complete response.
+func statusWithoutResponse(evidence Evidence) scheduler.Status {
+	if evidence.Progress < RequestWritten { // the engine cannot have received the complete request
+		if evidence.Cause == ClientDisconnected || evidence.Cause == RequestEnded || evidence.Progress == NotStarted {
+			return scheduler.NotSent
+		}
+		return scheduler.ConnectFailed
+	}
+	switch evidence.Cause {
+	case AttemptTimedOut, StreamStalled:
+		return scheduler.TimedOut
+	case CanceledByScheduler, ClientDisconnected, RequestEnded:
+		return scheduler.Canceled
+	case MalformedResponse:
+		return scheduler.ServerError
+	}
+	return scheduler.ConnectionLost
+}
+
+// classifyResponse classifies an attempt with a complete response.
+func classifyResponse(evidence Evidence) Classification {
+	switch evidence.ResponseKind {
+	case DecodeDone:
+		if evidence.Stage == Decode {
+			return Classification{Status: scheduler.Completed, MayHaveRun: true, Info: evidence.CachedTokens}
+		}
+	case PrefillDone:
+		if evidence.Stage == Prefill {
+			return Classification{Status: scheduler.Prefilled, Info: evidence.CachedTokens}
+		}
+	case StateMissing:
+		return Classification{Status: scheduler.Rejected, Info: InfoStateMissing}
+	case EngineRejected:
+		return Classification{Status: scheduler.Rejected}
+	case InvalidRequest:
+		return classifyInvalidRequest(evidence)
+	}
+	return Classification{Status: scheduler.ServerError, MayHaveRun: evidence.Stage == Decode}
+}
+
+// classifyInvalidRequest passes an engine's opinion that a request is invalid to the client once a second engine agrees, or
+// no attempt is left. A single engine may be wrong (it lacks a model, or does not accept a key), and would otherwise fail
+// every request as fast as it is asked.
+func classifyInvalidRequest(evidence Evidence) Classification {
+	if evidence.ConfirmedElsewhere || evidence.LastAttempt {
+		return Classification{Status: scheduler.Completed, PassThrough: true}
+	}
+	return Classification{Status: scheduler.Rejected}
+}
--- a/internal/decide/outcome/outcome.go
+++ b/internal/decide/outcome/outcome.go
@@ -1,205 +1,100 @@
-// Package outcome decides what the end of an attempt proves: which status the routing module is told, whether the
-// request may have run, and whether the engine may still hold something for it. It does no I/O; the caller states
-// facts as they were on the socket. docs/design/node.md holds the same table.
+// Package outcome decides what the end of an attempt proves: which status the scheduler receives, whether the request may
+// have run, and whether the engine may still hold a state for it. It also names the final responses that the node itself
+// gives. It does no I/O: the caller states as Evidence what was seen on the socket. The request table (internal/decide/
+// requesttable) calls it at the end of each attempt; docs/design/node.md holds the same table.
 package outcome
 
-import "dillroute/scheduler"
+import "fmt"
 
 // Stage is what an attempt asked of its engine.
 type Stage int
 
-// Stages: to read a prompt, or to answer (with or without a state to fetch).
+// Stages of a request.
 const (
-	Prefill Stage = iota
-	Decode
+	Prefill Stage = iota // compute and hold the state of a prompt
+	Decode               // generate the response, with or without a state to fetch
 )
 
+// String returns the stage as a word for logs.
+func (s Stage) String() string { return word("stage", int(s), "prefill", "decode") }
+
 // Progress is how far an attempt had come on its socket when it ended.
 type Progress int
 
-// Steps of an attempt, in order. Written means that the connection took every byte of the request; a shorter
-// request cannot run, for its stated length was not reached (RFC 9112, section 8).
+// Steps of an attempt, in order. A request that was not written completely cannot run, for the engine received less than
+// the stated length (RFC 9112, section 8).
 const (
-	NotStarted     Progress = iota // nothing was tried yet
-	Connecting                     // no connection yet
-	Connected                      // a connection, but not every byte of the request was written
-	RequestWritten                 // the whole request was written
-	HeaderReceived                 // the status line and header of the answer have come
+	NotStarted     Progress = iota // nothing was done yet
+	Connecting                     // there is no connection yet
+	Connected                      // there is a connection, but not every byte of the request was written
+	RequestWritten                 // the connection took every byte of the request
+	HeaderReceived                 // the status line and the header of the response have come
 	Streaming                      // the first token has been passed on
 )
 
+// String returns the step as a word for logs.
+func (p Progress) String() string {
+	return word("progress", int(p), "not_started", "connecting", "connected", "request_written", "header_received", "streaming")
+}
+
 // Cause is what ended an attempt.
 type Cause int
 
-// Causes of an end.
+// Causes of the end of an attempt.
 const (
-	ResponseComplete    Cause = iota // an answer came, whole
-	ConnectionBroken                 // dial refused, reset, or closed before the answer was whole
-	AttemptTimedOut                  // the attempt's time ran out
-	CanceledByScheduler              // called off by the module
+	ResponseComplete    Cause = iota // a complete response came
+	ConnectionBroken                 // the connection was refused, reset, or closed before the response was complete
+	AttemptTimedOut                  // the timeout of the attempt passed
+	CanceledByScheduler              // the scheduler canceled the attempt
 	RequestEnded                     // the request had ended, or may have no such attempt
-	MalformedResponse                // what came is no answer of the protocol
-	StreamStalled                    // a stream gave nothing for longer than it may
-	ClientDisconnected               // the client has gone
+	MalformedResponse                // what came is no response of the protocol
+	StreamStalled                    // a stream sent nothing for longer than the limit
+	ClientDisconnected               // the client has disconnected
 )
 
-// ResponseKind is what a whole answer says, in the words of no protocol: the engine's client names it.
+// String returns the cause as a word for logs.
+func (c Cause) String() string {
+	return word("cause", int(c), "response_complete", "connection_broken", "attempt_timed_out", "canceled_by_scheduler",
+		"request_ended", "malformed_response", "stream_stalled", "client_disconnected")
+}
+
+// ResponseKind is what a complete response says, whatever the protocol; the engine's client translates it.
 type ResponseKind int
 
-// Meanings of a whole answer.
+// Kinds of a complete response.
 const (
-	EngineError    ResponseKind = iota // the engine failed at it, or answered what it should not
-	PrefillDone                        // the prompt has been read, and its state waits there
-	DecodeDone                         // the answer was made
-	EngineRejected                     // full, draining or the like: it has not run
-	StateMissing                       // there was no state to fetch: it has not run
-	InvalidRequest                     // a judgement of the request, before it ran
+	EngineError    ResponseKind = iota // the engine failed, or gave a response that does not fit the request
+	PrefillDone                        // the prefill is complete and the engine holds its state
+	DecodeDone                         // the response was generated
+	EngineRejected                     // the engine is full, draining or the like; the request has not run
+	StateMissing                       // there was no state to fetch; the request has not run
+	InvalidRequest                     // the engine calls the request invalid; it has not run
 )
 
-// Evidence are what was seen of an attempt.
+// String returns the kind as a word for logs.
+func (k ResponseKind) String() string {
+	return word("response_kind", int(k), "engine_error", "prefill_done", "decode_done", "engine_rejected", "state_missing",
+		"invalid_request")
+}
+
+// word returns the word of an enumeration's value, or its number if it has none.
+func word(enumeration string, value int, words ...string) string {
+	if value < 0 || value >= len(words) {
+		return fmt.Sprintf("%s(%d)", enumeration, value)
+	}
+	return words[value]
+}
+
+// Evidence is what was seen of an attempt that has ended.
 type Evidence struct {
 	Stage        Stage
 	Progress     Progress
 	Cause        Cause
-	ResponseKind ResponseKind // of the answer, where Cause is Answered
-	Code         int          // Judged: what tells one judgement from another
-	CachedTokens int          // prompt tokens that the engine had kept
-	// ConfirmedElsewhere tells that another engine has judged the same request alike before.
+	ResponseKind ResponseKind // valid if Cause is ResponseComplete
+	Code         int          // of an InvalidRequest: tells one such response from another
+	CachedTokens int          // prompt tokens that the engine had cached
+	// ConfirmedElsewhere says that another engine has called the same request invalid with the same code.
 	ConfirmedElsewhere bool
-	// LastAttempt tells that the request can have no further attempt.
+	// LastAttempt says that the request can have no further attempt.
 	LastAttempt bool
 }
-
-// Classification is what they prove.
-type Classification struct {
-	Status       scheduler.Status
-	Info         int
-	MayHaveRun   bool // an effect is possible
-	MayHoldState bool // the engine may hold a state that nobody will take
-	// PassThrough tells that the engine's own answer is to be passed to the client: it has judged the request,
-	// not failed at it.
-	PassThrough bool
-}
-
-// Classify applies the table.
-func Classify(f Evidence) Classification {
-	v := Classification{}
-	switch f.Cause {
-	case ResponseComplete:
-		v = answered(f)
-	default:
-		v.Status = unanswered(f)
-	}
-	if f.Stage == Prefill {
-		v.MayHaveRun = false // reading has no effect
-		v.MayHoldState = f.Progress >= RequestWritten && v.Status != scheduler.Prefilled && v.Status != scheduler.Rejected && !v.PassThrough
-		return v
-	}
-	v.MayHaveRun = v.MayHaveRun || !v.PassThrough && !provesNot(v.Status)
-	return v
-}
-
-// ProvesNotRun tells whether the bytes of an attempt prove that it has not run at its engine: not all of its request was written, or
-// the engine answered that the prompt was read, or that it did not run. Unlike Verdict.Ran it does not take an engine's role for
-// proof: that a prefill engine runs nothing says little of an engine that did not answer as one.
-func ProvesNotRun(f Evidence) bool {
-	if f.Cause != ResponseComplete {
-		return f.Progress < RequestWritten
-	}
-	switch f.ResponseKind {
-	case PrefillDone:
-		return f.Stage == Prefill
-	case EngineRejected, StateMissing, InvalidRequest:
-		return true
-	}
-	return false
-}
-
-// Silent tells whether an attempt was written and called off, or its time ran out, before anything came of it: whether its request has
-// reached the engine is not known.
-func Silent(f Evidence) bool {
-	return f.Progress == RequestWritten && (f.Cause == CanceledByScheduler || f.Cause == AttemptTimedOut)
-}
-
-// provesNot tells whether a status proves that the request never ran.
-func provesNot(s scheduler.Status) bool {
-	return s == scheduler.Rejected || s == scheduler.ConnectFailed || s == scheduler.NotSent || s == scheduler.Prefilled
-}
-
-// unanswered covers the ends without a whole answer.
-func unanswered(f Evidence) scheduler.Status {
-	if f.Progress < RequestWritten { // the engine cannot have had the whole request
-		if f.Cause == ClientDisconnected || f.Cause == RequestEnded || f.Progress == NotStarted {
-			return scheduler.NotSent
-		}
-		return scheduler.ConnectFailed
-	}
-	switch f.Cause {
-	case AttemptTimedOut, StreamStalled:
-		return scheduler.TimedOut
-	case CanceledByScheduler, ClientDisconnected, RequestEnded:
-		return scheduler.Canceled
-	case MalformedResponse:
-		return scheduler.ServerError
-	}
-	return scheduler.ConnectionLost
-}
-
-// answered covers whole answers.
-func answered(f Evidence) Classification {
-	switch f.ResponseKind {
-	case DecodeDone:
-		if f.Stage == Decode {
-			return Classification{Status: scheduler.Completed, MayHaveRun: true, Info: f.CachedTokens}
-		}
-	case PrefillDone:
-		if f.Stage == Prefill {
-			return Classification{Status: scheduler.Prefilled, Info: f.CachedTokens}
-		}
-	case StateMissing:
-		return Classification{Status: scheduler.Rejected, Info: 1}
-	case EngineRejected:
-		return Classification{Status: scheduler.Rejected}
-	case InvalidRequest:
-		// One engine may be wrong in it (a model that it lacks, a key that it does not take), and would then fail every
-		// request as fast as it is asked; so a second one has to agree, unless no attempt is left.
-		if f.ConfirmedElsewhere || f.LastAttempt {
-			return Classification{Status: scheduler.Completed, PassThrough: true}
-		}
-		return Classification{Status: scheduler.Rejected}
-	}
-	return Classification{Status: scheduler.ServerError, MayHaveRun: f.Stage == Decode}
-}
-
-// Response is how a final answer that the node itself gives presents itself to the client.
-type Response struct {
-	HTTPStatus  int
-	Code        string
-	RetryIsSafe bool // a further try is harmless
-}
-
-// RejectedResponse and Failed are the two final answers of the module; Broke ends a stream that had begun, and Whole an
-// answer that was gathered for a client which asked for no stream.
-func RejectedResponse() Response {
-	return Response{HTTPStatus: 503, Code: "no_capacity", RetryIsSafe: true}
-}
-
-// FailedResponse promises nothing.
-func FailedResponse() Response { return Response{HTTPStatus: 500, Code: "may_have_run"} }
-
-// StreamBrokenResponse is the answer where a stream ended early: repeating is harmless only where the class says so.
-func StreamBrokenResponse(effect scheduler.Effect, group scheduler.DedupScope) Response {
-	a := Response{HTTPStatus: 502, Code: "stream_broken", RetryIsSafe: RepeatAllowed(effect, group, true)}
-	return a
-}
-
-// DeadlineResponse is the answer where a whole answer is not ready when its client gives up.
-func DeadlineResponse(effect scheduler.Effect, group scheduler.DedupScope) Response {
-	return Response{HTTPStatus: 504, Code: "answer_too_slow", RetryIsSafe: RepeatAllowed(effect, group, true)}
-}
-
-// RepeatAllowed tells whether the client may be told that a further try is harmless (rule 2): always where nothing
-// can have run, and else where every engine takes or discards a repeat.
-func RepeatAllowed(effect scheduler.Effect, group scheduler.DedupScope, mayHaveRun bool) bool {
-	return !mayHaveRun || effect == scheduler.Idempotent || effect == scheduler.IdempotentByKey && group == scheduler.DedupFleet
-}
--- a/internal/decide/requesttable/releases.go
+++ b/internal/decide/requesttable/releases.go
@@ -46,7 +46,7 @@
 // stateIsGone reports whether the end of an attempt that was to fetch a state shows that the state is no longer held.
 func stateIsGone(class outcome.Classification) bool {
 	if class.Status == scheduler.Rejected {
-		return class.Info == 1 // state missing
+		return class.Info == outcome.InfoStateMissing
 	}
 	return class.Status == scheduler.Completed && !class.PassThrough
 }
