--- a/internal/decide/permit/audit.go
+++ b/internal/decide/permit/audit.go
@@ -1,83 +1,95 @@
 package permit
 
-// Violation is a rule that was broken, or would have been judged broken by whoever sees the sockets.
+// Rules of the platform's pages, by their number.
+const (
+	ruleDeadlines    = 1
+	ruleNoDuplicates = 2
+	ruleDraining     = 3
+	ruleStateRelease = 5
+)
+
+// Violation is a rule that was broken, as an observer of the sockets would judge it.
 type Violation struct {
-	Rule   int
+	Rule   int // number of the rule on the platform's pages
 	Reason Reason
 }
 
-// What the pages allow beyond a limit: the time in which a node notices that a client has left, the time for which a node may be held up
-// between its clock and its write, and how late an answer is lost rather than worth nothing.
+// Tolerances of the pages beyond a limit.
 const (
+	// noticeWithin is the time in which a node must notice that a client has disconnected (s).
 	noticeWithin = 0.1
-	heldUp       = 0.15
-	lostAfter    = 0.5
+	// pauseWithin is how long a node may be paused between reading its clock and writing (s).
+	pauseWithin = 0.15
+	// responseLostAfter is how late a response counts as lost rather than as worthless (s).
+	responseLostAfter = 0.5
 )
 
-// Written is an attempt as it was written. Times are of its first byte; a time of 0 stands for never, or none.
+// Written describes an attempt as it was written. At is the time of its first byte; the other times are 0 for never.
 type Written struct {
 	At                   float64
-	ClientDisconnectedAt float64 // when its client left
-	ClientDeadline       float64 // when its client's time was over
-	DedupWindowEnd       float64 // when the window of its repeats was over
-	DrainingSince        float64 // when its engine was known to drain or be gone
+	ClientDisconnectedAt float64
+	ClientDeadline       float64
+	DedupWindowEnd       float64 // when engines stopped recognizing the attempt as a repeat
+	DrainingSince        float64 // since when its engine was known to be draining or removed
 	DrainGrace           float64
 }
 
-// Violations are the rules that the attempt broke.
+// Violations returns the rules that the attempt broke.
 func (w Written) Violations() (broken []Violation) {
 	if w.ClientDisconnectedAt > 0 && w.At > w.ClientDisconnectedAt+noticeWithin {
-		broken = append(broken, Violation{1, ClientDisconnected})
+		broken = append(broken, Violation{Rule: ruleDeadlines, Reason: ClientDisconnected})
 	}
-	if w.ClientDeadline > 0 && w.At > w.ClientDeadline+heldUp {
-		broken = append(broken, Violation{1, DeadlinePassed})
+	if w.ClientDeadline > 0 && w.At > w.ClientDeadline+pauseWithin {
+		broken = append(broken, Violation{Rule: ruleDeadlines, Reason: DeadlinePassed})
 	}
-	if w.DedupWindowEnd > 0 && w.At > w.DedupWindowEnd+heldUp {
-		broken = append(broken, Violation{2, DedupWindowPassed})
+	if w.DedupWindowEnd > 0 && w.At > w.DedupWindowEnd+pauseWithin {
+		broken = append(broken, Violation{Rule: ruleNoDuplicates, Reason: DedupWindowPassed})
 	}
 	if w.DrainingSince > 0 && w.At > w.DrainingSince+w.DrainGrace {
-		broken = append(broken, Violation{3, EngineDraining})
+		broken = append(broken, Violation{Rule: ruleDraining, Reason: EngineDraining})
 	}
 	return broken
 }
 
-// Responded is a final answer, or the first piece of one.
+// Responded describes a final response, or the first piece of one.
 type Responded struct {
-	At, DueBy float64
+	At    float64
+	DueBy float64 // 0 = no deadline
 }
 
-// Violations are the rules that the answer broke.
-func (a Responded) Violations() []Violation {
-	if a.DueBy > 0 && a.At > a.DueBy+lostAfter {
-		return []Violation{{1, DeadlinePassed}}
+// Violations returns the rules that the response broke.
+func (r Responded) Violations() []Violation {
+	if r.DueBy > 0 && r.At > r.DueBy+responseLostAfter {
+		return []Violation{{Rule: ruleDeadlines, Reason: DeadlinePassed}}
 	}
 	return nil
 }
 
-// Closed is a client's connection that the node has closed.
+// Closed describes a client connection that the node has closed.
 type Closed struct {
-	Unanswered         bool // a request was read on it and has no answer
+	Unanswered         bool // a request was read on it and has no response
 	ClientDisconnected bool
 }
 
-// Violations are the rules that the close broke.
+// Violations returns the rules that the close broke.
 func (c Closed) Violations() []Violation {
 	if c.Unanswered && !c.ClientDisconnected {
-		return []Violation{{1, Unanswered}}
+		return []Violation{{Rule: ruleDeadlines, Reason: Unanswered}}
 	}
 	return nil
 }
 
-// HeldState is a state that an engine holds with no attempt out, after a call that was to release it. Times are in seconds.
+// HeldState describes a state that an engine holds with no attempt in flight, after a call that was to release it.
 type HeldState struct {
-	Answered bool // an engine has answered the call
-	At, By   float64
+	Answered bool // an engine has acknowledged the call
+	At       float64
+	By       float64 // limit on the hold time
 }
 
-// Violations are the rules that the state breaks.
+// Violations returns the rules that the state breaks.
 func (h HeldState) Violations() []Violation {
 	if !h.Answered && h.At >= h.By {
-		return []Violation{{5, StateNotReleased}}
+		return []Violation{{Rule: ruleStateRelease, Reason: StateNotReleased}}
 	}
 	return nil
 }
--- a/internal/decide/permit/permit.go
+++ b/internal/decide/permit/permit.go
@@ -1,39 +1,41 @@
-// Package permit is the one place that decides whether something may be sent, repeated, refused, taken, closed or released now. Whoever is about
-// to do one of these states what is so, at the last moment at which it can be left undone, and is told why not. The audit (audit.go)
-// judges by the rules what was done, from other facts than those that were asked about, so that a path which forgets to ask is counted.
-// The package does no I/O and reads no clock; times are in seconds.
+// Package permit decides whether an action is allowed now: accepting a request, starting, writing or repeating an attempt,
+// rejecting a request, closing an idle connection, releasing a state. It is the only place that decides these. Whoever is
+// about to act describes the circumstances at the last moment at which the action can still be left out, and gets the reason
+// if it is not allowed. The audit (audit.go) judges afterwards what was done, from other facts, so that a code path which
+// forgets to ask is counted as a violation. The package does no I/O and reads no clock; times are in seconds.
 package permit
 
 import "dillroute/scheduler"
 
-// Reason says why something may not be done.
+// Reason says why an action is not allowed. It appears in logs and as a label of the metric of rule violations; no client
+// receives it.
 type Reason string
 
-// Reasons. Allowed is none.
+// Reasons; Allowed is the absence of one.
 const (
 	Allowed            Reason = ""
 	RequestEnded       Reason = "the request has ended"
-	ClientDisconnected Reason = "its client has gone"
-	AttemptCanceled    Reason = "the attempt was called off"
-	DeadlinePassed     Reason = "its client's time is over"
-	DedupWindowPassed  Reason = "the window of its repeats is over"
+	ClientDisconnected Reason = "its client has disconnected"
+	AttemptCanceled    Reason = "the attempt was canceled"
+	DeadlinePassed     Reason = "its client's deadline has passed"
+	DedupWindowPassed  Reason = "its deduplication window has passed"
 	AttemptsExhausted  Reason = "no attempt is left"
 	UnknownEngine      Reason = "no list has named this engine"
 	EngineDraining     Reason = "the engine drains or is gone"
 	RepeatUnsafe       Reason = "its effect could happen twice"
 	EffectPossible     Reason = "an attempt may have run"
-	OutcomeUnknown     Reason = "an attempt was sent whole and not heard of"
+	OutcomeUnknown     Reason = "an attempt was written completely and its outcome is unknown"
 	NodeStopping       Reason = "the node is stopping"
-	NodeFull           Reason = "as many requests are open as may be"
+	NodeFull           Reason = "the limit of open requests is reached"
 	IDInUse            Reason = "its id is in use"
-	AttemptInFlight    Reason = "an attempt is out"
-	StateNeeded        Reason = "a state is still wanted"
-	Unanswered         Reason = "a request that was read has no answer"
-	IdleTooBriefly     Reason = "a request may be on its way on it"
-	StateNotReleased   Reason = "no engine has answered in time a call that releases its state"
+	AttemptInFlight    Reason = "an attempt is in flight"
+	StateNeeded        Reason = "a state is still needed"
+	Unanswered         Reason = "a request that was read has no response"
+	IdleTooBriefly     Reason = "the connection has been idle too briefly"
+	StateNotReleased   Reason = "no engine has acknowledged the release of its state in time"
 )
 
-// Accept is a request that may be taken.
+// Accept describes a request that may be accepted.
 type Accept struct {
 	Stopping bool
 	IDInUse  bool
@@ -41,31 +43,31 @@
 	MaxOpen  int
 }
 
-// Reason says why the request may not be taken.
-func (t Accept) Reason() Reason {
+// Reason returns why the request may not be accepted.
+func (a Accept) Reason() Reason {
 	switch {
-	case t.Stopping:
+	case a.Stopping:
 		return NodeStopping
-	case t.Open >= t.MaxOpen:
+	case a.Open >= a.MaxOpen:
 		return NodeFull
-	case t.IDInUse:
+	case a.IDInUse:
 		return IDInUse
 	}
 	return Allowed
 }
 
-// Send is an attempt that may be begun.
+// Send describes an attempt that may be started.
 type Send struct {
-	RequestEnded bool // the client has its answer, or has gone
+	RequestEnded bool // the client has its response, or has disconnected
 	AttemptsLeft int
 	EngineKnown  bool
-	Draining     bool    // the engine drains or is gone
-	DrainingFor  float64 // since when this is known
-	DrainGrace   float64 // for which such an engine may still be sent to
+	Draining     bool    // the engine is draining or removed
+	DrainingFor  float64 // how long this has been known
+	DrainGrace   float64 // for how long such an engine may still receive attempts
 	Repeat       Repeat
 }
 
-// Reason says why the attempt may not be begun.
+// Reason returns why the attempt may not be started.
 func (s Send) Reason() Reason {
 	switch {
 	case s.RequestEnded:
@@ -80,44 +82,56 @@
 	return s.Repeat.Reason()
 }
 
-// Repeat is a further attempt of a request (rule 2). It holds for prefills as well, for though they have no effect, whatever is sent
-// after an attempt that may have run counts as sent again.
+// Repeat describes a further attempt of a request (rule 2). The rule covers prefills as well: they have no effect, but
+// whatever is sent after an attempt that may have run counts as sent again.
 type Repeat struct {
 	Effect       scheduler.Effect
 	DedupScope   scheduler.DedupScope
-	MayHaveRun   bool    // an earlier attempt may have run, or may yet
-	SinceFirst   float64 // when that was sent
-	DedupWindow  float64 // in which engines know a repeat of a keyed request
-	EnginesKnown bool    // both engines are known, the one that may have run it and the next
+	MayHaveRun   bool    // an earlier attempt has run or may run yet
+	SinceFirst   float64 // time since that attempt was sent
+	DedupWindow  float64 // for how long engines recognize a repeat by its idempotency key
+	EnginesKnown bool    // both engines are known: the one that may have run the request and the next
 	SameCell     bool
 	SameZone     bool
 }
 
-// Reason says why the request may not be sent again.
+// Reason returns why the request may not be sent again.
 func (r Repeat) Reason() Reason {
-	switch {
-	case r.Effect == scheduler.Idempotent || !r.MayHaveRun:
+	if r.Effect == scheduler.Idempotent || !r.MayHaveRun {
 		return Allowed
-	case r.Effect == scheduler.AtMostOnce || r.SinceFirst > r.DedupWindow:
+	}
+	if r.Effect == scheduler.AtMostOnce || r.SinceFirst > r.DedupWindow {
 		return RepeatUnsafe
-	case r.DedupScope == scheduler.DedupFleet:
-		return Allowed
-	case !r.EnginesKnown || r.DedupScope == scheduler.DedupZone && !r.SameZone || r.DedupScope == scheduler.DedupCell && !r.SameCell:
+	}
+	if !r.withinDedupScope() {
 		return RepeatUnsafe
 	}
 	return Allowed
 }
 
-// Write is an attempt that has a connection; its first byte is about to be written.
+// withinDedupScope reports whether the next engine recognizes the idempotency key of an attempt at the earlier one.
+func (r Repeat) withinDedupScope() bool {
+	switch r.DedupScope {
+	case scheduler.DedupFleet:
+		return true
+	case scheduler.DedupZone:
+		return r.EnginesKnown && r.SameZone
+	case scheduler.DedupCell:
+		return r.EnginesKnown && r.SameCell
+	}
+	return r.EnginesKnown
+}
+
+// Write describes an attempt that has a connection and is about to write its first byte.
 type Write struct {
 	ClientDisconnected bool
 	AttemptCanceled    bool
-	ClientTimeLeft     float64 // of its client
-	HasDedupWindow     bool    // WindowLeft counts
-	DedupWindowLeft    float64 // in which engines know it as a repeat
+	ClientTimeLeft     float64 // until the client's deadline
+	HasDedupWindow     bool    // DedupWindowLeft is valid
+	DedupWindowLeft    float64 // for how long engines still recognize the attempt as a repeat
 }
 
-// Reason says why the attempt may not be written.
+// Reason returns why the attempt may not be written.
 func (w Write) Reason() Reason {
 	switch {
 	case w.AttemptCanceled:
@@ -132,41 +146,42 @@
 	return Allowed
 }
 
-// Reject is the promise to a client that a retry is harmless (rule 2).
+// Reject describes a rejection that promises the client that a retry is safe (rule 2).
 type Reject struct {
 	Effect         scheduler.Effect
 	DedupScope     scheduler.DedupScope
 	ProvenNotRun   bool    // the bytes of every attempt prove that it has not run
-	OutcomeUnknown bool    // one was written whole and ended without an answer
-	ClientTimeLeft float64 // of the client
+	OutcomeUnknown bool    // one attempt was written completely and ended without a response
+	ClientTimeLeft float64 // until the client's deadline
 }
 
-// lastMoment is the time in which no client can come again: a refusal that rests on an engine which was not heard of is of no use then,
-// and a class that must not run twice is better served by a failure.
-const lastMoment = 0.1
+// minRetryTime is the time that a client needs for a retry (s). With less time left, a rejection that rests on an engine
+// that did not respond is of no use, and a failure serves an at-most-once request better.
+const minRetryTime = 0.1
 
-// Reason says why the promise may not be made.
+// Reason returns why the promise may not be made.
 func (r Reject) Reason() Reason {
+	keyedInFleet := r.Effect == scheduler.IdempotentByKey && r.DedupScope == scheduler.DedupFleet
 	switch {
 	case r.Effect == scheduler.Idempotent:
 		return Allowed
-	case !r.ProvenNotRun && !(r.Effect == scheduler.IdempotentByKey && r.DedupScope == scheduler.DedupFleet):
+	case !r.ProvenNotRun && !keyedInFleet:
 		return EffectPossible
-	case r.OutcomeUnknown && r.ClientTimeLeft < lastMoment:
+	case r.OutcomeUnknown && r.ClientTimeLeft < minRetryTime:
 		return OutcomeUnknown
 	}
 	return Allowed
 }
 
-// CloseIdle is a client's connection that rests between requests and may be ended. One on which a request has begun to come is not ended: who
-// reads it decides that, under a lock (http1.Server).
+// CloseIdle describes an idle client connection that may be closed. A connection on which a request has begun to arrive is
+// not idle; http1.Server decides that under a lock.
 type CloseIdle struct {
-	Evicts  bool    // another client needs its place; else its time is over, or the node is stopping
-	IdleFor float64 // since its last answer, or its opening
+	Evicts  bool    // another client needs its place; otherwise its idle timeout has passed, or the node is stopping
+	IdleFor float64 // since its last response, or since it was opened
 	MinIdle float64 // after which a request is hardly on its way any more
 }
 
-// Reason says why the connection may not be ended.
+// Reason returns why the connection may not be closed.
 func (c CloseIdle) Reason() Reason {
 	if c.Evicts && c.IdleFor <= c.MinIdle {
 		return IdleTooBriefly
@@ -174,24 +189,28 @@
 	return Allowed
 }
 
-// Release is a call that releases all that any engine holds for a request and that no attempt waits for.
+// Release describes a call that releases every state which any engine holds for a request and which no attempt is to fetch.
 type Release struct {
 	AttemptsInFlight int
 	StateNeeded      bool
-	// LimitNear tells that the state's time is nearly over and that the attempt which is to take it has not been heard of. Whether its request
-	// has reached its engine is not known then. If it has, the call costs a read at that engine; if not, the state must go, for
-	// such an attempt does not stop its time.
-	LimitNear        bool
-	EngineResponded  bool             // its engine was heard of since the attempt began (lease.Heard): it runs, and the request has likely reached it
-	Effect           scheduler.Effect // of the class: what may be repeated anywhere is called off by the module when it is silent,
-	SilentTwice      bool             // and but for an attempt that was to take the state before, and ended in silence too, in time
-	PrefillsInFlight int              // of the attempts, those that read a prompt: the call could take what one brings just then
+	// LimitNear says that the limit on the state's hold time is near and that the attempt which is to fetch the state has
+	// not responded. It is unknown then whether its request has reached its engine. If it has, the call costs that engine
+	// a prefill; if not, the state must be released, for such an attempt does not stop the limit.
+	LimitNear bool
+	// EngineResponded says that the engine of that attempt has responded to some call since the attempt started
+	// (staterelease.EngineResponded): it runs, and the request has likely reached it.
+	EngineResponded bool
+	// Effect is that of the class. The scheduler cancels a silent attempt of an idempotent request in time itself, unless
+	// the attempt before it was silent too (SilentTwice).
+	Effect           scheduler.Effect
+	SilentTwice      bool
+	PrefillsInFlight int // prefill attempts in flight: the call could free a state that one of them just made
 }
 
-// Reason says why the call may not be made yet.
+// Reason returns why the call may not be made yet.
 func (r Release) Reason() Reason {
 	switch {
-	case r.LimitNear && !r.EngineResponded && r.PrefillsInFlight == 0 && (r.Effect != scheduler.Idempotent || r.SilentTwice):
+	case r.concurrentAllowed():
 		return Allowed
 	case r.AttemptsInFlight > 0:
 		return AttemptInFlight
@@ -200,3 +219,9 @@
 	}
 	return Allowed
 }
+
+// concurrentAllowed reports whether the call may be made while the attempt that is to fetch the state is in flight.
+func (r Release) concurrentAllowed() bool {
+	silent := r.LimitNear && !r.EngineResponded && r.PrefillsInFlight == 0
+	return silent && (r.Effect != scheduler.Idempotent || r.SilentTwice)
+}
