--- a/internal/decide/permit/permit_test.go
+++ b/internal/decide/permit/permit_test.go
@@ -9,15 +9,19 @@
 	"pgregory.net/rapid"
 )
 
-func TestReasonOfEachAction(t *testing.T) {
-	once := Repeat{Effect: scheduler.AtMostOnce, MayHaveRun: true}
-	keyed := Repeat{Effect: scheduler.IdempotentByKey, DedupScope: scheduler.DedupCell, MayHaveRun: true, SinceFirst: 1,
+// Actions that several cases vary.
+var (
+	atMostOnceRepeat = Repeat{Effect: scheduler.AtMostOnce, MayHaveRun: true}
+	keyedRepeat      = Repeat{Effect: scheduler.IdempotentByKey, DedupScope: scheduler.DedupCell, MayHaveRun: true, SinceFirst: 1,
 		DedupWindow: 5, EnginesKnown: true, SameCell: true}
-	elsewhere, late := keyed, keyed
-	elsewhere.SameCell, late.SinceFirst = false, 5.1
-	send := Send{AttemptsLeft: 1, EngineKnown: true, Draining: true, DrainingFor: 0.2, DrainGrace: 0.25}
-	leaving := send
-	leaving.DrainingFor = 0.3
+	sendWithinGrace = Send{AttemptsLeft: 1, EngineKnown: true, Draining: true, DrainingFor: 0.2, DrainGrace: 0.25}
+)
+
+func TestReasonOfEachAction(t *testing.T) {
+	otherCell, lateRepeat, sendAfterGrace := keyedRepeat, keyedRepeat, sendWithinGrace
+	otherCell.SameCell = false
+	lateRepeat.SinceFirst = 5.1
+	sendAfterGrace.DrainingFor = 0.3
 	for _, c := range []struct {
 		name string
 		ask  interface{ Reason() Reason }
@@ -27,15 +31,17 @@
 		{"accept when full", Accept{Open: 1, MaxOpen: 1}, NodeFull},
 		{"accept when stopping", Accept{Stopping: true, MaxOpen: 1}, NodeStopping},
 		{"accept an id that is in use", Accept{IDInUse: true, MaxOpen: 1}, IDInUse},
-		{"send to a draining engine within the grace", send, Allowed},
-		{"send to a draining engine after the grace", leaving, EngineDraining},
-		{"repeat an at-most-once request that may have run", Send{AttemptsLeft: 1, EngineKnown: true, Repeat: once}, RepeatUnsafe},
+		{"send to a draining engine within the grace", sendWithinGrace, Allowed},
+		{"send to a draining engine after the grace", sendAfterGrace, EngineDraining},
+		{"repeat an at-most-once request that may have run",
+			Send{AttemptsLeft: 1, EngineKnown: true, Repeat: atMostOnceRepeat},
+			RepeatUnsafe},
 		{"send with no attempt left", Send{EngineKnown: true}, AttemptsExhausted},
 		{"send after the end of the request", Send{RequestEnded: true, AttemptsLeft: 1, EngineKnown: true}, RequestEnded},
 		{"send to an unknown engine", Send{AttemptsLeft: 1}, UnknownEngine},
-		{"repeat within the deduplication scope and window", keyed, Allowed},
-		{"repeat outside the scope", elsewhere, RepeatUnsafe},
-		{"repeat after the window", late, RepeatUnsafe},
+		{"repeat within the deduplication scope and window", keyedRepeat, Allowed},
+		{"repeat outside the scope", otherCell, RepeatUnsafe},
+		{"repeat after the window", lateRepeat, RepeatUnsafe},
 		{"repeat at an unknown engine", Repeat{Effect: scheduler.IdempotentByKey, DedupScope: scheduler.DedupZone, MayHaveRun: true,
 			DedupWindow: 5}, RepeatUnsafe},
 		{"write", Write{ClientTimeLeft: 1}, Allowed},
--- a/internal/decide/requesttable/golden_test.go
+++ b/internal/decide/requesttable/golden_test.go
@@ -181,7 +181,8 @@
 	if at >= 0 {
 		w.inFlight = append(w.inFlight[:at:at], w.inFlight[at+1:]...)
 	}
-	f := outcome.Evidence{Cause: goldenCauses[w.random.Intn(len(goldenCauses))], Progress: goldenProgress[w.random.Intn(len(goldenProgress))]}
+	f := outcome.Evidence{Cause: goldenCauses[w.random.Intn(len(goldenCauses))],
+		Progress: goldenProgress[w.random.Intn(len(goldenProgress))]}
 	if f.Cause == outcome.ResponseComplete {
 		f.Progress, f.ResponseKind = outcome.HeaderReceived, goldenMeanings[w.random.Intn(len(goldenMeanings))]
 		if s.Stage == outcome.Prefill && w.chance(0.7) {
@@ -411,7 +412,8 @@
 	switch v := c.(type) {
 	case StartAttempt:
 		return fmt.Sprintf("start id=%s engine=%s n=%d stage=%s state=%t,%d,%s held=%s timeout=%s write-by=%s", v.ID, v.Engine, v.Attempt,
-			stageWord(v.Stage), v.FetchState, v.StateAttempt, num(v.HeldSince), num(v.HeldSinceIfUndelivered), num(v.Timeout), num(v.WriteBy)), ""
+			stageWord(v.Stage), v.FetchState, v.StateAttempt, num(v.HeldSince), num(v.HeldSinceIfUndelivered), num(v.Timeout),
+			num(v.WriteBy)), ""
 	case CancelAttempt:
 		return fmt.Sprintf("abort id=%s n=%d cause=%s", v.ID, v.Attempt, causeWord(v.Cause)), ""
 	case GrantResponse:
@@ -463,55 +465,36 @@
 	return strings.Join(g.lines, "\n") + "\n" + strings.Join(g.words, "\n") + fmt.Sprintf("\nhash of all words: %016x\n", g.wordSum)
 }
 
+// goldenCounts counts the kinds of facts, events and commands in a recording.
+type goldenCounts map[string]int
+
+// countedFields are the fields of a text whose values are counted too.
+var countedFields = []string{"status=", "form=", "cause=", "progress=", "meaning=", "code=", "stage=", "ok="}
+
+func (counts goldenCounts) add(prefix, text string) {
+	fields := strings.Fields(text)
+	counts[prefix+fields[0]]++
+	for _, field := range fields[1:] {
+		for _, counted := range countedFields {
+			if strings.HasPrefix(field, counted) {
+				counts[prefix+fields[0]+" "+field]++
+			}
+		}
+	}
+}
+
 // record plays a world and counts the kinds of facts, events and commands.
-func record(t *testing.T, s goldenSetting, seed int64, counts map[string]int) string {
+func record(t *testing.T, s goldenSetting, seed int64, counts goldenCounts) string {
+	t.Helper()
 	w, g, full := newGoldenWorld(s, seed), &goldenTape{}, goldenFull
 	if seed > 1 { // the first steps of one seed are enough in full
 		full = 10
 	}
-	count := func(prefix, text string) {
-		fields := strings.Fields(text)
-		counts[prefix+fields[0]]++
-		for _, f := range fields[1:] {
-			for _, k := range []string{"status=", "form=", "cause=", "progress=", "meaning=", "code=", "stage=", "ok="} {
-				if strings.HasPrefix(f, k) {
-					counts[prefix+fields[0]+" "+f]++
-				}
-			}
-		}
-	}
 	for i := range goldenSteps {
 		fact := w.fact(i)
-		count("fact ", fact)
+		counts.add("fact ", fact)
 		asked := w.queries()
-		var evs []scheduler.Event
-		var cmds []Command
-		if w.chance(0.2) {
-			cmds = w.table.DrainCommands() // events wait for the next step
-		} else {
-			evs, cmds = w.table.Drain()
-		}
-		var out, words []string
-		for _, ev := range evs {
-			out = append(out, eventText(ev))
-			count("event ", out[len(out)-1])
-		}
-		for _, c := range cmds {
-			text, said := commandText(c)
-			count("command ", text)
-			if r, ok := c.(ReleaseState); ok && r.Concurrent.InFlight {
-				counts["command release beside"]++
-			}
-			if out = append(out, text); said != "" {
-				words = append(words, said)
-			}
-			switch c := c.(type) {
-			case StartAttempt:
-				w.inFlight = append(w.inFlight, c)
-			case ReleaseState:
-				w.releases = append(w.releases, c)
-			}
-		}
+		out, words := w.drain(counts)
 		if err := w.table.Audit(); err != nil {
 			t.Fatal(err)
 		}
@@ -520,6 +503,46 @@
 	return g.text()
 }
 
+// drain drains the events and commands of a step, now and then the commands alone, and returns them as text. words are the texts
+// for people.
+func (w *goldenWorld) drain(counts goldenCounts) (out, words []string) {
+	var events []scheduler.Event
+	var commands []Command
+	if w.chance(0.2) {
+		commands = w.table.DrainCommands() // events wait for the next step
+	} else {
+		events, commands = w.table.Drain()
+	}
+	for _, event := range events {
+		text := eventText(event)
+		out = append(out, text)
+		counts.add("event ", text)
+	}
+	for _, command := range commands {
+		text, said := commandText(command)
+		out = append(out, text)
+		counts.add("command ", text)
+		if said != "" {
+			words = append(words, said)
+		}
+		w.keep(command, counts)
+	}
+	return out, words
+}
+
+// keep remembers the attempts and releases that later facts refer to.
+func (w *goldenWorld) keep(command Command, counts goldenCounts) {
+	switch c := command.(type) {
+	case StartAttempt:
+		w.inFlight = append(w.inFlight, c)
+	case ReleaseState:
+		w.releases = append(w.releases, c)
+		if c.Concurrent.InFlight {
+			counts["command release beside"]++
+		}
+	}
+}
+
 // compareGolden compares a recording with its file, or writes the file.
 func compareGolden(t *testing.T, name string, got string) {
 	t.Helper()
@@ -555,7 +578,7 @@
 
 // The same facts lead to the same events and commands as when the golden files were recorded.
 func TestCommandsAreAsRecorded(t *testing.T) {
-	counts := map[string]int{}
+	counts := goldenCounts{}
 	for _, s := range goldenSettings() {
 		for _, seed := range []int64{1, 2, 3} {
 			name := fmt.Sprintf("%s-%d", s.name, seed)
--- a/internal/node/harness_test.go
+++ b/internal/node/chat_harness_test.go
@@ -23,19 +23,19 @@
 
 const testKey = "test-key-0001"
 
-// rig is a node before a fleet of stand-ins.
-type rig struct {
-	t      testing.TB
-	log    *record.Log
-	fleet  *fleet.Fleet
-	node   *node.ChatNode
-	client *client.Client
-	list   string
-	ops    int
+// chatHarness is a ChatNode with emulated engines and a client.
+type chatHarness struct {
+	t        testing.TB
+	log      *record.Log
+	fleet    *fleet.Fleet
+	node     *node.ChatNode
+	client   *client.Client
+	list     string
+	requests int
 }
 
-// engines makes stand-ins named by role and number.
-func engines(prefill, decode, mixed int, change func(*emulator.Settings)) []fleet.Member {
+// emulators returns engine emulators named by role and number.
+func emulators(prefill, decode, mixed int, change func(*emulator.Settings)) []fleet.Member {
 	var ms []fleet.Member
 	for _, g := range []struct {
 		role string
@@ -53,32 +53,32 @@
 	return ms
 }
 
-// newRig starts engines and a node; set changes the node's configuration.
-func newRig(t testing.TB, ms []fleet.Member, set func(map[string]any)) *rig {
+// newChatHarness starts emulated engines and a node; set changes the node's configuration.
+func newChatHarness(t testing.TB, ms []fleet.Member, set func(map[string]any)) *chatHarness {
 	t.Helper()
-	r := &rig{t: t, log: &record.Log{}, list: filepath.Join(t.TempDir(), "engines.json")}
-	r.fleet = fleet.New(ms, r.log)
-	if err := r.fleet.Start(); err != nil {
+	h := &chatHarness{t: t, log: &record.Log{}, list: filepath.Join(t.TempDir(), "engines.json")}
+	h.fleet = fleet.New(ms, h.log)
+	if err := h.fleet.Start(); err != nil {
 		t.Fatal(err)
 	}
-	r.publish()
-	n, err := node.StartChat(r.config(set), node.WithLogger(slog.New(slog.NewTextHandler(io.Discard, nil))), node.WithSeed(1))
+	h.publishList()
+	n, err := node.StartChat(h.configuration(set), node.WithLogger(slog.New(slog.NewTextHandler(io.Discard, nil))), node.WithSeed(1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.node = n
-	r.client = client.New(testKey, r.log)
+	h.node = n
+	h.client = client.New(testKey, h.log)
 	t.Cleanup(func() {
-		r.client.Close()
+		h.client.Close()
 		n.Shutdown(0)
-		r.fleet.Stop()
+		h.fleet.Stop()
 		goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	})
-	return r
+	return h
 }
 
-func (r *rig) config(set func(map[string]any)) *config.Config {
-	r.t.Helper()
+func (h *chatHarness) configuration(set func(map[string]any)) *config.Config {
+	h.t.Helper()
 	m := map[string]any{"listen": "127.0.0.1:0", "admin": "127.0.0.1:0", "node": map[string]any{"name": "node-0"},
 		"kinds": []any{map[string]any{"name": "prefill", "role": "prefill", "memory_tokens": 200000},
 			map[string]any{"name": "decode", "role": "decode", "memory_tokens": 200000},
@@ -88,50 +88,50 @@
 			map[string]any{"name": "commit", "effect": "once", "aim_s": 2, "patience_s": 4, "token_aim_s": 0.08}},
 		"models":  []any{map[string]any{"name": "chat", "class": "chat"}, map[string]any{"name": "commit", "class": "commit"}},
 		"tenants": []any{map[string]any{"name": "t", "keys": []string{testKey}}},
-		"engines": map[string]any{"file": r.list, "poll_s": 0.05}, "limits": map[string]any{}}
+		"engines": map[string]any{"file": h.list, "poll_s": 0.05}, "limits": map[string]any{}}
 	if set != nil {
 		set(m)
 	}
 	b, err := json.Marshal(m)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	c, err := config.Parse(b)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return c
 }
 
-// limits sets limits of the configuration.
-func limits(set map[string]any) func(map[string]any) {
+// withLimits returns a change that sets the limits of the configuration.
+func withLimits(set map[string]any) func(map[string]any) {
 	return func(m map[string]any) { m["limits"] = set }
 }
 
-func (r *rig) publish() {
-	r.t.Helper()
-	if err := r.fleet.Publish(r.fleet.List(), "node-0", r.list); err != nil {
-		r.t.Fatal(err)
+func (h *chatHarness) publishList() {
+	h.t.Helper()
+	if err := h.fleet.Publish(h.fleet.List(), "node-0", h.list); err != nil {
+		h.t.Fatal(err)
 	}
 }
 
-// ask makes a request of a class.
-func (r *rig) ask(class string, tokens int) client.Ask {
-	r.ops++
+// newRequest returns a request of a class whose response has so many tokens.
+func (h *chatHarness) newRequest(class string, tokens int) client.Ask {
+	h.requests++
 	return client.Ask{Model: class, Patience: 4 * time.Second, MaxTokens: 200,
 		Messages: []emulator.Message{{Role: "system", Content: "You help with rosters."},
-			{Role: "user", Content: fmt.Sprintf("Question %d: who can cover a sick call?", r.ops)}},
-		Mark: emulator.Mark{Op: fmt.Sprintf("op%d", r.ops), Class: class, Answer: tokens}}
+			{Role: "user", Content: fmt.Sprintf("Question %d: who can cover a sick call?", h.requests)}},
+		Mark: emulator.Mark{Op: fmt.Sprintf("op%d", h.requests), Class: class, Answer: tokens}}
 }
 
-func (r *rig) do(a client.Ask) client.Result {
-	return r.client.Do(context.Background(), "node-0", r.node.Addr().String(), a)
+func (h *chatHarness) send(a client.Ask) client.Result {
+	return h.client.Do(context.Background(), "node-0", h.node.Addr().String(), a)
 }
 
-// runs counts how often an operation ran at an engine.
-func (r *rig) count(kind record.Kind, op string) int {
+// countRecords counts the records of a kind for an operation.
+func (h *chatHarness) countRecords(kind record.Kind, op string) int {
 	n := 0
-	for _, x := range r.log.All() {
+	for _, x := range h.log.All() {
 		if x.Kind == kind && x.Op == op {
 			n++
 		}
@@ -139,23 +139,23 @@
 	return n
 }
 
-// eventually waits until a thing is so; the time is a bound for broken code, not part of the proof.
-func (r *rig) eventually(what string, f func() bool) {
-	r.t.Helper()
+// eventually waits until f returns true. The bound is for broken code alone; no test relies on it.
+func (h *chatHarness) eventually(what string, f func() bool) {
+	h.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if f() {
 			return
 		}
 	}
-	r.t.Fatalf("not seen in time: %s", what)
+	h.t.Fatalf("not seen within 10 s: %s", what)
 }
 
-// lawful judges the rules over all that was recorded. States that are held get the time they may have.
-func (r *rig) lawful() {
-	r.t.Helper()
-	r.eventually("no state is held", func() bool {
+// requireNoViolations waits until no engine holds a state and checks the rules against all records.
+func (h *chatHarness) requireNoViolations() {
+	h.t.Helper()
+	h.eventually("no state is held", func() bool {
 		held := map[string]bool{}
-		for _, x := range r.log.All() {
+		for _, x := range h.log.All() {
 			switch x.Kind {
 			case record.Parsed:
 				held[x.State] = true
@@ -165,12 +165,12 @@
 		}
 		return len(held) == 0
 	})
-	for _, v := range rules.Check(r.log.All(), ruleConfig()) {
-		r.t.Error(v)
+	for _, v := range rules.Check(h.log.All(), chatRules()) {
+		h.t.Error(v)
 	}
 }
 
-func ruleConfig() rules.Config {
+func chatRules() rules.Config {
 	return rules.Config{Classes: map[string]rules.Class{"chat": {Effect: "repeatable", Group: "all"},
 		"commit": {Effect: "once", Group: "all"}}, Engines: map[string]rules.Engine{}, AnswerSlack: 0.05, DrainGrace: 0.25,
 		ListLag: 0.5, FallMultiple: 4, TipAfter: 1.5, LetGoBy: 1, Skew: 0.5}
--- a/internal/node/chat_test.go
+++ b/internal/node/chat_test.go
@@ -21,166 +21,166 @@
 	"github.com/openai/openai-go/option"
 )
 
-func TestStreamAndWholeAnswersAreExact(t *testing.T) {
-	r := newRig(t, engines(1, 1, 1, nil), nil)
+func TestChatStreamedAndUnstreamedResponsesAreExact(t *testing.T) {
+	harness := newChatHarness(t, emulators(1, 1, 1, nil), nil)
 	for i := range 20 {
-		a := r.ask([]string{"chat", "commit"}[i%2], 5+i)
-		a.Whole = i%3 == 0
-		if res := r.do(a); res.Outcome != record.Served || !res.OK {
-			t.Fatalf("request %d: %+v", i, res)
+		request := harness.newRequest([]string{"chat", "commit"}[i%2], 5+i)
+		request.Whole = i%3 == 0
+		if result := harness.send(request); result.Outcome != record.Served || !result.OK {
+			t.Fatalf("request %d: got %+v, want an exact response", i, result)
 		}
 	}
-	r.lawful()
+	harness.requireNoViolations()
 }
 
-func TestWriterDiesMidStreamOfOnce(t *testing.T) {
+func TestChatAtMostOnceFailsWhenDecodeEngineDies(t *testing.T) {
 	const tokens = 6
 	for _, after := range []int{0, 1, 4, tokens, tokens + 1} { // events: the tokens, the reason, the mark of the end
 		for _, whole := range []bool{false, true} {
 			t.Run(fmt.Sprintf("after %d, whole %v", after, whole), func(t *testing.T) {
-				r := newRig(t, engines(1, 2, 0, nil), nil)
+				harness := newChatHarness(t, emulators(1, 2, 0, nil), nil)
 				for i := range 2 {
-					r.fleet.Engine(fmt.Sprint("decode-", i+1)).SetFaults(emulator.Faults{DieAfter: &after})
+					harness.fleet.Engine(fmt.Sprint("decode-", i+1)).SetFaults(emulator.Faults{DieAfter: &after})
 				}
-				a := r.ask("commit", tokens)
-				a.Whole = whole
-				res := r.do(a)
-				if res.Outcome != record.Failed || res.Retry || !res.OK && res.Events > 0 {
-					t.Fatalf("want a clear failure without the word that a retry is harmless: %+v", res)
+				request := harness.newRequest("commit", tokens)
+				request.Whole = whole
+				result := harness.send(request)
+				if result.Outcome != record.Failed || result.Retry || !result.OK && result.Events > 0 {
+					t.Fatalf("got %+v, want a failure that does not call a retry safe", result)
 				}
-				if n := r.count(record.Run, a.Mark.Op); n != 1 {
-					t.Fatalf("ran %d times", n)
+				if n := harness.countRecords(record.Run, request.Mark.Op); n != 1 {
+					t.Fatalf("ran %d times, want 1", n)
 				}
-				r.lawful()
+				harness.requireNoViolations()
 			})
 		}
 	}
 }
 
-func TestWriterCutsStreamOfRepeatable(t *testing.T) {
-	r := newRig(t, engines(1, 2, 0, nil), limits(map[string]any{"max_attempts": 8}))
+func TestChatIdempotentIsRetriedAfterCutBeforeFirstToken(t *testing.T) {
+	harness := newChatHarness(t, emulators(1, 2, 0, nil), withLimits(map[string]any{"max_attempts": 8}))
 	cut := 0
-	r.fleet.Engine("decode-1").SetFaults(emulator.Faults{CutAfter: &cut})
-	for range 8 { // before the first token another engine serves it
-		if res := r.do(r.ask("chat", 5)); res.Outcome != record.Served || !res.OK {
-			t.Fatalf("%+v", res)
+	harness.fleet.Engine("decode-1").SetFaults(emulator.Faults{CutAfter: &cut})
+	for range 8 { // another engine serves a request that was cut before its first token
+		if result := harness.send(harness.newRequest("chat", 5)); result.Outcome != record.Served || !result.OK {
+			t.Fatalf("got %+v, want it served", result)
 		}
 	}
-	r.lawful()
+	harness.requireNoViolations()
 }
 
-func TestClientHangsUpJustBeforeTheEnd(t *testing.T) {
-	r := newRig(t, engines(1, 1, 0, nil), nil)
+func TestChatClientDisconnectsAtEndOfStream(t *testing.T) {
+	harness := newChatHarness(t, emulators(1, 1, 0, nil), nil)
 	for i := range 10 {
-		a := r.ask("commit", 8)
-		a.HangupAt = 8 + i%2 // the last token, or the chunk after it
-		r.do(a)
+		request := harness.newRequest("commit", 8)
+		request.HangupAt = 8 + i%2 // the last token, or the chunk after it
+		harness.send(request)
 	}
-	r.eventually("the node holds nothing", func() bool { return r.node.UnfinishedRequests() == 0 })
-	if res := r.do(r.ask("chat", 4)); res.Outcome != record.Served {
-		t.Fatalf("%+v", res)
+	harness.eventually("the node has forgotten every request", func() bool { return harness.node.UnfinishedRequests() == 0 })
+	if result := harness.send(harness.newRequest("chat", 4)); result.Outcome != record.Served {
+		t.Fatalf("got %+v, want it served", result)
 	}
-	r.lawful()
+	harness.requireNoViolations()
 }
 
-// raw opens a connection to the node.
-func (r *rig) raw() net.Conn {
-	r.t.Helper()
-	c, err := net.Dial("tcp", r.node.Addr().String())
+// dial opens a connection to the node.
+func (h *chatHarness) dial() net.Conn {
+	h.t.Helper()
+	c, err := net.Dial("tcp", h.node.Addr().String())
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { c.Close() })
+	h.t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	return c
 }
 
-func post(a client.Ask, headers string) string {
+func chatRequest(a client.Ask, headers string) string {
 	b := a.Body()
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n%sContent-Length: %d\r\n\r\n%s",
 		testKey, headers, len(b), b)
 }
 
-func TestClientHalfCloses(t *testing.T) {
-	r := newRig(t, engines(1, 1, 0, func(s *emulator.Settings) { s.StepMS = 300 }), nil)
-	a := r.ask("commit", 5)
-	c := r.raw()
-	io.WriteString(c, post(a, ""))
-	r.eventually("the request is held", func() bool { return r.node.OpenRequests() == 1 })
+func TestChatHalfClosedClientReceivesFinalResponse(t *testing.T) {
+	harness := newChatHarness(t, emulators(1, 1, 0, func(harness *emulator.Settings) { harness.StepMS = 300 }), nil)
+	request := harness.newRequest("commit", 5)
+	c := harness.dial()
+	io.WriteString(c, chatRequest(request, ""))
+	harness.eventually("the request is open", func() bool { return harness.node.OpenRequests() == 1 })
 	c.(*net.TCPConn).CloseWrite()
 	text, err := io.ReadAll(c)
 	if err != nil || !strings.Contains(string(text), "client_closed") {
-		t.Fatalf("a half-closing client gets a last word, got %q, %v", text, err)
+		t.Fatalf("got %q, %v, want the final response client_closed", text, err)
 	}
-	r.eventually("the node holds nothing", func() bool { return r.node.UnfinishedRequests() == 0 })
+	harness.eventually("the node has forgotten every request", func() bool { return harness.node.UnfinishedRequests() == 0 })
 }
 
-func TestReaderDiesBetweenReadAndFetch(t *testing.T) {
-	r := newRig(t, engines(2, 1, 0, nil), limits(map[string]any{"max_attempts": 8}))
-	r.fleet.Engine("prefill-1").SetFaults(emulator.Faults{DropAfter: true})
+func TestChatLostStateIsPrefilledAgain(t *testing.T) {
+	harness := newChatHarness(t, emulators(2, 1, 0, nil), withLimits(map[string]any{"max_attempts": 8}))
+	harness.fleet.Engine("prefill-1").SetFaults(emulator.Faults{DropAfter: true})
 	for range 4 {
-		if res := r.do(r.ask("commit", 4)); res.Outcome != record.Served || !res.OK {
-			t.Fatalf("a lost state is read anew, elsewhere in the end: %+v", res)
+		if result := harness.send(harness.newRequest("commit", 4)); result.Outcome != record.Served || !result.OK {
+			t.Fatalf("got %+v, want the lost state prefilled again and the request served", result)
 		}
 	}
-	r.lawful()
+	harness.requireNoViolations()
 }
 
-func TestStreamStalls(t *testing.T) {
+func TestChatStalledStreamIsCutAfterLimit(t *testing.T) {
 	short := emulator.Faults{StallAfter: 3, StallS: 0.4}
 	long := emulator.Faults{StallAfter: 3, StallS: 30}
-	r := newRig(t, engines(1, 1, 0, nil), limits(map[string]any{"stall_s": 1.5}))
-	r.fleet.Engine("decode-1").SetFaults(short) // longer than the aim, shorter than the bound
-	if res := r.do(r.ask("chat", 6)); res.Outcome != record.Served || !res.OK {
-		t.Fatalf("a stall within bounds is waited for: %+v", res)
+	harness := newChatHarness(t, emulators(1, 1, 0, nil), withLimits(map[string]any{"stall_s": 1.5}))
+	harness.fleet.Engine("decode-1").SetFaults(short) // longer than the token objective, shorter than the limit
+	if result := harness.send(harness.newRequest("chat", 6)); result.Outcome != record.Served || !result.OK {
+		t.Fatalf("stall within the limit: got %+v, want it served", result)
 	}
-	r.fleet.Engine("decode-1").SetFaults(long)
-	if res := r.do(r.ask("commit", 6)); res.Outcome != record.Failed || res.Code != "stream_broken" {
-		t.Fatalf("a stall beyond the bound ends the stream: %+v", res)
+	harness.fleet.Engine("decode-1").SetFaults(long)
+	if result := harness.send(harness.newRequest("commit", 6)); result.Outcome != record.Failed || result.Code != "stream_broken" {
+		t.Fatalf("stall beyond the limit: got %+v, want stream_broken", result)
 	}
-	r.lawful()
+	harness.requireNoViolations()
 }
 
-func TestEngineTalksNonsense(t *testing.T) {
+func TestChatMalformedEngineResponsesAreRetriedWhereSafe(t *testing.T) {
 	for name, f := range map[string]emulator.Faults{"garbage": {Garbage: true}, "lying chunk": {LyingChunk: true},
 		"cut body": {CutBody: true}, "half close": {HalfClose: 2}} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, engines(1, 2, 0, nil), nil)
-			r.fleet.Engine("decode-1").SetFaults(f)
+			harness := newChatHarness(t, emulators(1, 2, 0, nil), nil)
+			harness.fleet.Engine("decode-1").SetFaults(f)
 			for i := range 6 {
-				a := r.ask([]string{"chat", "commit"}[i%2], 5)
-				res := r.do(a)
-				if a.Model == "chat" && name != "half close" && (res.Outcome != record.Served || !res.OK) {
-					t.Fatalf("a repeatable request goes elsewhere: %+v", res)
+				request := harness.newRequest([]string{"chat", "commit"}[i%2], 5)
+				result := harness.send(request)
+				if request.Model == "chat" && name != "half close" && (result.Outcome != record.Served || !result.OK) {
+					t.Fatalf("idempotent request: got %+v, want it served by another engine", result)
 				}
-				if res.Outcome != record.Served && res.Outcome != record.Failed {
-					t.Fatalf("%+v", res)
+				if result.Outcome != record.Served && result.Outcome != record.Failed {
+					t.Fatalf("got %+v, want it served or failed", result)
 				}
 			}
-			r.lawful()
+			harness.requireNoViolations()
 		})
 	}
 }
 
-func TestEngineJudgesTheRequest(t *testing.T) {
-	r := newRig(t, engines(1, 2, 0, nil), nil)
-	r.fleet.Engine("decode-1").SetFaults(emulator.Faults{Reject: 422})
-	for range 4 { // one engine that dislikes everything is not believed
-		if res := r.do(r.ask("commit", 4)); res.Outcome != record.Served {
-			t.Fatalf("%+v", res)
+func TestChatInvalidRequestNeedsTwoEnginesToAgree(t *testing.T) {
+	harness := newChatHarness(t, emulators(1, 2, 0, nil), nil)
+	harness.fleet.Engine("decode-1").SetFaults(emulator.Faults{Reject: 422})
+	for range 4 { // the opinion of a single engine is not passed through
+		if result := harness.send(harness.newRequest("commit", 4)); result.Outcome != record.Served {
+			t.Fatalf("got %+v, want it served", result)
 		}
 	}
-	r.fleet.Engine("decode-2").SetFaults(emulator.Faults{Reject: 422})
-	if res := r.do(r.ask("commit", 4)); res.Status != 422 || res.Retry {
-		t.Fatalf("two that agree are: %+v", res)
+	harness.fleet.Engine("decode-2").SetFaults(emulator.Faults{Reject: 422})
+	if result := harness.send(harness.newRequest("commit", 4)); result.Status != 422 || result.Retry {
+		t.Fatalf("two engines that agree: got %+v, want status 422 without a safe retry", result)
 	}
-	r.lawful()
+	harness.requireNoViolations()
 }
 
-func TestClientSendsByteByByte(t *testing.T) {
-	r := newRig(t, engines(1, 1, 0, nil), limits(map[string]any{"body_s": 0.5}))
-	c := r.raw()
-	text := post(r.ask("chat", 4), "")
+func TestChatSlowRequestBodyTimesOut(t *testing.T) {
+	harness := newChatHarness(t, emulators(1, 1, 0, nil), withLimits(map[string]any{"body_s": 0.5}))
+	c := harness.dial()
+	text := chatRequest(harness.newRequest("chat", 4), "")
 	head := strings.Index(text, "\r\n\r\n") + 4
 	io.WriteString(c, text[:head])
 	done := make(chan struct{})
@@ -195,82 +195,84 @@
 	}()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != 408 {
-		t.Fatalf("%v %v", resp, err)
+		t.Fatalf("got %v, %v, want status 408", resp, err)
 	}
 	c.Close()
 	<-done
 }
 
-func TestClientReadsNothing(t *testing.T) {
-	r := newRig(t, engines(1, 1, 0, func(s *emulator.Settings) { s.StepMS = 0.01; s.PerSeqMS = 0.001 }),
-		limits(map[string]any{"write_s": 0.3}))
-	a := r.ask("chat", 60000)
-	a.MaxTokens = 60000
-	c := r.raw()
+func TestChatClientThatNeverReadsIsDisconnected(t *testing.T) {
+	harness := newChatHarness(t, emulators(1, 1, 0, func(harness *emulator.Settings) { harness.StepMS = 0.01; harness.PerSeqMS = 0.001 }),
+		withLimits(map[string]any{"write_s": 0.3}))
+	request := harness.newRequest("chat", 60000)
+	request.MaxTokens = 60000
+	c := harness.dial()
 	c.(*net.TCPConn).SetReadBuffer(4096)
-	io.WriteString(c, post(a, ""))
-	r.eventually("it is held", func() bool { return r.node.UnfinishedRequests() == 1 })
-	r.eventually("a client that takes nothing counts as gone", func() bool { return r.node.UnfinishedRequests() == 0 })
+	io.WriteString(c, chatRequest(request, ""))
+	harness.eventually("the request is open", func() bool { return harness.node.UnfinishedRequests() == 1 })
+	harness.eventually("the client that reads nothing counts as disconnected",
+		func() bool { return harness.node.UnfinishedRequests() == 0 })
 }
 
-func TestConnectionsThatNeverSend(t *testing.T) {
-	r := newRig(t, engines(1, 1, 0, nil), limits(map[string]any{"head_s": 1, "max_connections": 1100}))
+func TestChatSilentConnectionsAreClosed(t *testing.T) {
+	harness := newChatHarness(t, emulators(1, 1, 0, nil), withLimits(map[string]any{"head_s": 1, "max_connections": 1100}))
 	for range 1000 {
-		r.raw()
+		harness.dial()
 	}
-	if res := r.do(r.ask("chat", 4)); res.Outcome != record.Served {
-		t.Fatalf("others are served meanwhile: %+v", res)
+	if result := harness.send(harness.newRequest("chat", 4)); result.Outcome != record.Served {
+		t.Fatalf("beside silent connections: got %+v, want it served", result)
 	}
-	r.client.Close()
-	r.eventually("they are closed", func() bool { return r.node.Connections() <= 1 })
+	harness.client.Close()
+	harness.eventually("the silent connections are closed", func() bool { return harness.node.Connections() <= 1 })
 }
 
-func TestShutdownUnderLoad(t *testing.T) {
-	r := newRig(t, engines(2, 2, 0, func(s *emulator.Settings) { s.StepMS = 20 }), nil)
+func TestChatShutdownUnderLoad(t *testing.T) {
+	harness := newChatHarness(t, emulators(2, 2, 0, func(harness *emulator.Settings) { harness.StepMS = 20 }), nil)
 	var wg sync.WaitGroup
 	for i := range 60 {
-		a := r.ask([]string{"chat", "commit"}[i%2], 10+i)
+		request := harness.newRequest([]string{"chat", "commit"}[i%2], 10+i)
 		wg.Add(1)
-		go func() { defer wg.Done(); r.do(a) }()
+		go func() { defer wg.Done(); harness.send(request) }()
 	}
-	r.eventually("many are held", func() bool { return r.node.OpenRequests() > 30 })
-	r.node.Shutdown(300 * time.Millisecond)
+	harness.eventually("many requests are open", func() bool { return harness.node.OpenRequests() > 30 })
+	harness.node.Shutdown(300 * time.Millisecond)
 	wg.Wait()
-	for _, x := range r.log.All() {
+	for _, x := range harness.log.All() {
 		if x.Kind == record.Answer && x.Outcome == record.Cut {
-			t.Errorf("%s was cut: %s", x.Op, x.Note)
+			t.Errorf("%s was cut (%s), want a final response", x.Op, x.Note)
 		}
 	}
-	r.lawful()
+	harness.requireNoViolations()
 }
 
-func TestInvalidListIsNotTaken(t *testing.T) {
-	r := newRig(t, engines(1, 1, 0, nil), nil)
+func TestChatInvalidEndpointListIsRejected(t *testing.T) {
+	harness := newChatHarness(t, emulators(1, 1, 0, nil), nil)
 	for _, text := range []string{"{", `{"engines":[{"id":"x","address":"127.0.0.1:1","kind":"nobody"}]}`, `{"engine":[]}`} {
-		if err := os.WriteFile(r.list, []byte(text), 0o644); err != nil {
+		if err := os.WriteFile(harness.list, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		for range 3 {
-			if res := r.do(r.ask("chat", 4)); res.Outcome != record.Served {
-				t.Fatalf("after the list %q: %+v", text, res)
+			if result := harness.send(harness.newRequest("chat", 4)); result.Outcome != record.Served {
+				t.Fatalf("after the list %q: got %+v, want it served", text, result)
 			}
 		}
 	}
-	r.lawful()
+	harness.requireNoViolations()
 }
 
-func TestTwoRequestsWithOneClientID(t *testing.T) {
-	r := newRig(t, engines(1, 1, 0, func(s *emulator.Settings) { s.StepMS = 10 }), nil)
+func TestChatTwoRequestsWithOneClientID(t *testing.T) {
+	harness := newChatHarness(t, emulators(1, 1, 0, func(harness *emulator.Settings) { harness.StepMS = 10 }), nil)
 	var wg sync.WaitGroup
 	for range 2 {
-		a := r.ask("commit", 10)
+		request := harness.newRequest("commit", 10)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c := r.raw()
-			io.WriteString(c, post(a, "X-Request-Id: same\r\nConnection: close\r\n"))
+			c := harness.dial()
+			io.WriteString(c, chatRequest(request, "X-Request-Id: same\r\nConnection: close\r\n"))
 			text, _ := io.ReadAll(c)
-			if !strings.Contains(string(text), "data: [DONE]") || !strings.Contains(string(text), emulator.Token(emulator.Digest(a.Messages), 9)) {
+			if !strings.Contains(string(text), "data: [DONE]") || !strings.Contains(string(text),
+				emulator.Token(emulator.Digest(request.Messages), 9)) {
 				t.Errorf("got %q", text)
 			}
 		}()
@@ -278,49 +280,51 @@
 	wg.Wait()
 }
 
-func TestDrainedEngineGetsNothingNew(t *testing.T) {
-	r := newRig(t, engines(1, 2, 0, nil), nil)
-	r.fleet.Mark("decode-1", "draining")
-	r.publish()
+func TestChatDrainingEngineReceivesNoNewAttempts(t *testing.T) {
+	harness := newChatHarness(t, emulators(1, 2, 0, nil), nil)
+	harness.fleet.Mark("decode-1", "draining")
+	harness.publishList()
 	stop := time.Now().Add(1500 * time.Millisecond) // beyond the grace and the lag that the checker allows
 	for time.Now().Before(stop) {
-		if res := r.do(r.ask("chat", 2)); res.Outcome != record.Served {
-			t.Fatalf("%+v", res)
+		if result := harness.send(harness.newRequest("chat", 2)); result.Outcome != record.Served {
+			t.Fatalf("got %+v, want it served", result)
 		}
 	}
-	r.lawful()
+	harness.requireNoViolations()
 }
 
-func TestPublishedClientStreams(t *testing.T) {
-	r := newRig(t, engines(1, 1, 0, nil), nil)
+func TestChatPublishedClientLibraryStreams(t *testing.T) {
+	harness := newChatHarness(t, emulators(1, 1, 0, nil), nil)
 	tr := &http.Transport{}
 	defer tr.CloseIdleConnections()
-	c := openai.NewClient(option.WithBaseURL("http://"+r.node.Addr().String()+"/v1"), option.WithAPIKey(testKey),
+	c := openai.NewClient(option.WithBaseURL("http://"+harness.node.Addr().String()+"/v1"), option.WithAPIKey(testKey),
 		option.WithHTTPClient(&http.Client{Transport: tr}))
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	params := openai.ChatCompletionNewParams{Model: "chat", MaxCompletionTokens: openai.Int(7),
-		Messages:      []openai.ChatCompletionMessageParamUnion{openai.SystemMessage("You help with rosters."), openai.UserMessage("Who?")},
+		Messages: []openai.ChatCompletionMessageParamUnion{openai.SystemMessage("You help with rosters."),
+			openai.UserMessage("Who?")},
 		StreamOptions: openai.ChatCompletionStreamOptionsParam{IncludeUsage: openai.Bool(true)}}
-	want := emulator.Answer(emulator.Digest([]emulator.Message{{Role: "system", Content: "You help with rosters."}, {Role: "user", Content: "Who?"}}), 7)
+	want := emulator.Answer(emulator.Digest([]emulator.Message{{Role: "system", Content: "You help with rosters."}, {Role: "user",
+		Content: "Who?"}}), 7)
 	stream := c.Chat.Completions.NewStreaming(ctx, params)
 	acc := openai.ChatCompletionAccumulator{}
 	for stream.Next() {
 		acc.AddChunk(stream.Current())
 	}
 	if err := stream.Err(); err != nil || acc.Choices[0].Message.Content != want || acc.Usage.CompletionTokens != 7 {
-		t.Fatalf("%v, %+v, want %q", err, acc, want)
+		t.Fatalf("got %v, %+v, want %q", err, acc, want)
 	}
 	params.StreamOptions = openai.ChatCompletionStreamOptionsParam{}
 	whole, err := c.Chat.Completions.New(ctx, params)
 	if err != nil || whole.Choices[0].Message.Content != want || whole.Usage.CompletionTokens != 7 {
-		t.Fatalf("%v, %+v", err, whole)
+		t.Fatalf("got %v, %+v, want the same response unstreamed", err, whole)
 	}
 	if _, err := c.Models.Get(ctx, "commit"); err != nil {
 		t.Fatal(err)
 	}
 	params.Model = "nobody"
 	if _, err := c.Chat.Completions.New(ctx, params); err == nil || !strings.Contains(err.Error(), "model_not_found") {
-		t.Fatalf("%v", err)
+		t.Fatalf("got %v, want model_not_found", err)
 	}
 }
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -14,99 +14,110 @@
 	"dillroute/lab/record"
 )
 
-// From 0.1 s after a client has closed its connection no attempt begins for it, wherever its request stood and whatever it has
-// sent behind it; and what was held for it is released.
-func TestRelayNothingBeginsForAClientThatLeft(t *testing.T) {
-	for name, where := range map[string]func(s *stage, e map[string]*platform.Engine){
-		"its read is out":      func(s *stage, e map[string]*platform.Engine) { e["r0"].Slow(150 * time.Millisecond) },
-		"between its attempts": func(s *stage, e map[string]*platform.Engine) { rejectMany(e, "r0") },
-		"its state waits":      func(s *stage, e map[string]*platform.Engine) { rejectMany(e, "w0") },
-		"no engine is up for it": func(s *stage, e map[string]*platform.Engine) {
-			s.d.State("w0", "draining")
-			s.d.State("r0", "draining")
+// From 0.1 s after a client has closed its connection no attempt starts for it, whatever its request waited for and whatever it
+// has sent after it, and the states held for it are released.
+func TestRelayNoAttemptStartsAfterClientDisconnect(t *testing.T) {
+	for name, where := range map[string]func(harness *relayHarness, engines map[string]*platform.Engine){
+		"prefill in flight": func(harness *relayHarness, engines map[string]*platform.Engine) {
+			engines["r0"].Slow(150 * time.Millisecond)
+		},
+		"between attempts": func(harness *relayHarness, engines map[string]*platform.Engine) { rejectAttempts(engines, "r0") },
+		"state held":       func(harness *relayHarness, engines map[string]*platform.Engine) { rejectAttempts(engines, "w0") },
+		"no engine ready": func(harness *relayHarness, engines map[string]*platform.Engine) {
+			harness.discovery.State("w0", "draining")
+			harness.discovery.State("r0", "draining")
 		},
 	} {
-		for behind, text := range map[string]string{"": "", " with much behind it": strings.Repeat("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n", 500)} {
+		for behind, text := range map[string]string{"": "",
+			", pipelined bytes": strings.Repeat("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n", 500)} {
 			t.Run(name+behind, func(t *testing.T) {
-				s, e := newStage(t, 64, 256, "r0 read", "w0 write")
-				where(s, e)
-				time.Sleep(30 * time.Millisecond) // a change of the list is heard
-				a := s.ask("chat")
-				a.ID = "1eff"
-				s.p.Call(a.ID, platform.Op{Name: a.Op, Class: a.Class, Try: 1, Tokens: a.Tokens})
-				c, err := net.Dial("tcp", s.node.Addr().String())
-				if err != nil {
-					t.Fatal(err)
-				}
-				io.WriteString(c, a.Request()+text)
-				time.Sleep(60 * time.Millisecond)
-				c.Close()
-				gone := float64(time.Now().UnixNano()) / 1e9
-				time.Sleep(500 * time.Millisecond)
-				for _, x := range s.log.All() {
-					if x.Kind == record.Arrive && x.Op == a.Op && x.T > gone+0.1 {
-						t.Errorf("an attempt reached %s %.3f s after its client had gone", x.Engine, x.T-gone)
-					}
-				}
-				s.eventually("the node has forgotten it", func() bool { return s.node.UnfinishedRequests() == 0 })
-				s.lawful()
+				harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
+				where(harness, engines)
+				time.Sleep(30 * time.Millisecond) // the node polls the endpoint list
+				harness.requireNoAttemptAfterDisconnect(text)
 			})
 		}
 	}
 }
 
-// rejectMany has an engine reject whatever comes for a while.
-func rejectMany(e map[string]*platform.Engine, id string) {
+// requireNoAttemptAfterDisconnect sends a request, followed by more bytes, closes the connection, and requires that no attempt
+// starts from 0.1 s after that.
+func (h *relayHarness) requireNoAttemptAfterDisconnect(behind string) {
+	h.t.Helper()
+	request := h.newRequest("chat")
+	request.ID = "1eff"
+	h.platform.Call(request.ID, platform.Op{Name: request.Op, Class: request.Class, Try: 1, Tokens: request.Tokens})
+	c, err := net.Dial("tcp", h.node.Addr().String())
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	io.WriteString(c, request.Request()+behind)
+	time.Sleep(60 * time.Millisecond)
+	c.Close()
+	disconnected := unixNow()
+	time.Sleep(500 * time.Millisecond)
+	for _, x := range h.log.All() {
+		if x.Kind == record.Arrive && x.Op == request.Op && x.T > disconnected+0.1 {
+			h.t.Errorf("got an attempt at %s %.3f s after the client disconnected, want none from 0.1 s on", x.Engine,
+				x.T-disconnected)
+		}
+	}
+	h.eventually("the node has forgotten the request", func() bool { return h.node.UnfinishedRequests() == 0 })
+	h.requireNoViolations()
+}
+
+// rejectAttempts makes an engine reject the next 60 attempts.
+func rejectAttempts(e map[string]*platform.Engine, id string) {
 	for range 60 {
 		e[id].Next(platform.Rejects)
 	}
 }
 
-// A client that ends its sending and waits gets an answer, though an attempt is the first to see that it has ended it: the client has
-// sent so much behind its request that its connection is but looked at now and then.
-func TestRelayClientThatEndsItsSendingIsAnswered(t *testing.T) {
-	s, e := newStage(t, 64, 256, "r0 read", "w0 write")
+// A client that closes its sending side and waits receives a final response, also if an attempt is the first to notice it: the
+// client has sent so much after its request that its connection is only polled.
+func TestRelayHalfClosedClientReceivesFinalResponse(t *testing.T) {
+	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
 	behind := strings.Repeat("x", 1<<20+16<<10)
 	for i := range 5 {
-		rejectMany(e, "r0")
-		a := s.ask([]string{"chat", "commit"}[i%2])
-		a.Patience = time.Second
-		a.ID = fmt.Sprintf("%016x", 0x4a1f00+i)
-		s.p.Call(a.ID, platform.Op{Name: a.Op, Class: a.Class, Tokens: a.Tokens})
-		c, err := net.Dial("tcp", s.node.Addr().String())
+		rejectAttempts(engines, "r0")
+		request := harness.newRequest([]string{"chat", "commit"}[i%2])
+		request.Patience = time.Second
+		request.ID = fmt.Sprintf("%016x", 0x4a1f00+i)
+		harness.platform.Call(request.ID, platform.Op{Name: request.Op, Class: request.Class, Tokens: request.Tokens})
+		c, err := net.Dial("tcp", harness.node.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, a.Request()+behind)
+		io.WriteString(c, request.Request()+behind)
 		c.(*net.TCPConn).CloseWrite()
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
-			t.Errorf("request %d: got no answer: %v", i, err)
+			t.Errorf("request %d: got no final response: %v", i, err)
 		}
 		c.Close()
 	}
 }
 
-// A state that no engine could be told to release in time is released when one can be reached again.
-func TestRelayStateIsReleasedAfterAnOutage(t *testing.T) {
-	s, e := newStage(t, 64, 256, "r0 read", "w0 write")
-	rejectMany(e, "w0")
-	a := s.ask("chat")
-	a.ID = "1eff"
-	s.p.Call(a.ID, platform.Op{Name: a.Op, Class: a.Class, Try: 1, Tokens: a.Tokens})
-	c, err := net.Dial("tcp", s.node.Addr().String())
+// A state whose release no engine acknowledged in time is released when an engine can be reached again.
+func TestRelayStateIsReleasedAfterEngineOutage(t *testing.T) {
+	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
+	rejectAttempts(engines, "w0")
+	request := harness.newRequest("chat")
+	request.ID = "1eff"
+	harness.platform.Call(request.ID, platform.Op{Name: request.Op, Class: request.Class, Try: 1, Tokens: request.Tokens})
+	c, err := net.Dial("tcp", harness.node.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(c, a.Request())
-	s.eventually("a state is held", func() bool { return s.p.Held() == 1 })
-	for _, x := range e {
+	io.WriteString(c, request.Request())
+	harness.eventually("an engine holds the state", func() bool { return harness.platform.Held() == 1 })
+	for _, x := range engines {
 		x.Hang(true)
 	}
 	c.Close()
 	time.Sleep(2500 * time.Millisecond)
-	for _, x := range e {
+	for _, x := range engines {
 		x.Hang(false)
 	}
-	s.eventually("the state is released", func() bool { return s.p.Held() == 0 })
+	harness.eventually("the state is released", func() bool { return harness.platform.Held() == 0 })
 }
--- /dev/null
+++ b/internal/node/engine_faults_test.go
@@ -0,0 +1,64 @@
+package node_test
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"dillroute/lab/platform"
+	"dillroute/lab/record"
+)
+
+// A second response that comes some milliseconds late is never taken for the response to the next request, of a prefill or of a
+// stream: the next request is sent before it has come.
+func TestRelayLateSecondResponsesAreDiscarded(t *testing.T) {
+	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
+	for i := range 30 {
+		if i%3 > 0 {
+			engines["r0"].Next(platform.LateAnswer)
+		}
+		engines["w0"].Next(platform.LateAnswer)
+		request := harness.newRequest("chat")
+		if result := harness.send(request); result.Outcome != record.Served || result.Text != platform.Whole(request.Op, request.Tokens) {
+			t.Errorf("request %d: got %+v, want its own response", i, result)
+		}
+	}
+	harness.requireNoViolations()
+}
+
+// A stream without its final event, or cut within its last chunk, or of comments alone from some point on, is not forwarded as
+// complete, and its client's connection is closed in time.
+func TestRelayIncompleteStreamsEndTheClientConnection(t *testing.T) {
+	for _, f := range []platform.Fault{platform.NoFinal, platform.CutLast, platform.Comments} {
+		t.Run(string(f), func(t *testing.T) {
+			harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
+			engines["w0"].Next(f)
+			request := harness.newRequest("commit")
+			result := harness.send(request)
+			if result.Outcome != record.Failed || result.Done || !strings.HasPrefix(platform.Whole(request.Op, request.Tokens),
+				result.Text) || result.Text == "" {
+				t.Errorf("got %+v, want a stream that ends without its last chunk", result)
+			}
+			if result.Took > 5*time.Second {
+				t.Errorf("the stream ended after %v, want at most 5s", result.Took)
+			}
+			if n := harness.countRecords(record.Run, request.Op); n != 1 {
+				t.Errorf("ran %d times, want 1", n)
+			}
+			harness.requireNoViolations()
+		})
+	}
+}
+
+// The header of a rejection, or of a prefill response, decides the outcome of the attempt; its body may be incomplete.
+func TestRelayIncompleteBodiesDoNotDelayRetries(t *testing.T) {
+	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
+	for _, f := range []platform.Fault{platform.HalfReject, platform.HalfRead} {
+		engines["r0"].Next(f)
+		request := harness.newRequest("commit")
+		if result := harness.send(request); result.Outcome != record.Served || result.Took > 2*time.Second {
+			t.Errorf("%s: got %+v, want it served within 2s", f, result)
+		}
+	}
+	harness.requireNoViolations()
+}
--- a/internal/node/golden_chat_test.go
+++ b/internal/node/golden_chat_test.go
@@ -12,11 +12,11 @@
 )
 
 // newGoldenRig is newRig with a tap before each engine.
-func newGoldenRig(t *testing.T, ms []fleet.Member) (*rig, goldenTaps) {
+func newGoldenRig(t *testing.T, ms []fleet.Member) (*chatHarness, goldenTaps) {
 	t.Helper()
 	taps := goldenTaps{}
 	t.Cleanup(taps.close) // after the rig's own end
-	r := newRig(t, ms, func(m map[string]any) {
+	r := newChatHarness(t, ms, func(m map[string]any) {
 		engines := m["engines"].(map[string]any)
 		engines["file"] = tapList(t, engines["file"].(string), taps)
 	})
@@ -32,7 +32,8 @@
 
 // goldenChat is a request in good order with the body given, and further lines of its head.
 func goldenChat(body, lines string) string {
-	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer %s\r\nContent-Type: application/json\r\n%sContent-Length: %d\r\n\r\n%s",
+	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer %s\r\n"+
+		"Content-Type: application/json\r\n%sContent-Length: %d\r\n\r\n%s",
 		testKey, lines, len(body), body)
 }
 
@@ -44,12 +45,13 @@
 func init() {
 	goldenMasks = append(goldenMasks,
 		goldenMask{"id that the node gives", regexp.MustCompile(`node-0-[0-9a-z]+(-[0-9a-z]+)*`), `node-0-ID`},
-		goldenMask{"time left, as chat engines are told", regexp.MustCompile(`(?m)^(X-Request-Timeout-Ms: )\d+(\r?)$`), `${1}MILLISECONDS${2}`})
+		goldenMask{"time left, as chat engines are told", regexp.MustCompile(`(?m)^(X-Request-Timeout-Ms: )\d+(\r?)$`),
+			`${1}MILLISECONDS${2}`})
 }
 
 // Requests that engines answer in good order.
 func TestGoldenChatServed(t *testing.T) {
-	r, taps := newGoldenRig(t, engines(1, 1, 0, nil))
+	r, taps := newGoldenRig(t, emulators(1, 1, 0, nil))
 	good := goldenBody("chat", "true", "")
 	var b strings.Builder
 	goldenRun(t, &b, r.node.Addr().String(), taps, []goldenCase{
@@ -58,10 +60,12 @@
 		{name: "not streamed", request: goldenChat(goldenBody("chat", "false", ""), "")},
 		{name: "class that runs once", request: goldenChat(goldenBody("commit", "true", ""), "")},
 		{name: "class that runs once, not streamed", request: goldenChat(goldenBody("commit", "false", ""), "")},
-		{name: "further members", request: goldenChat(goldenBody("chat", "true", `,"temperature":0.5,"seed":1,"x_more":{"a":[1, 2]}`), "")},
+		{name: "further members", request: goldenChat(goldenBody("chat", "true",
+			`,"temperature":0.5,"seed":1,"x_more":{"a":[1, 2]}`), "")},
 		{name: "session", request: goldenChat(goldenBody("chat", "true", `,"prompt_cache_key":"abc"`), "")},
-		{name: "further fields", request: goldenChat(good, "Traceparent: 00-1-2-3\r\nTracestate: a=b\r\nIdempotency-Key: k1\r\nX-Request-Id: mine\r\n"+
-			"X-Other: 1\r\nCookie: c=1\r\nX-Stainless-Retry-Count: 1\r\nX-Request-Timeout-Ms: 3000\r\n")},
+		{name: "further fields", request: goldenChat(good,
+			"Traceparent: 00-1-2-3\r\nTracestate: a=b\r\nIdempotency-Key: k1\r\nX-Request-Id: mine\r\n"+
+				"X-Other: 1\r\nCookie: c=1\r\nX-Stainless-Retry-Count: 1\r\nX-Request-Timeout-Ms: 3000\r\n")},
 		{name: "connection that is to close", request: goldenChat(good, "Connection: close\r\n")},
 		{name: "HTTP 1.0", request: strings.Replace(goldenChat(good, ""), "HTTP/1.1", "HTTP/1.0", 1)},
 		{name: "chunked request", request: goldenChunked(goldenChat(good, ""))},
@@ -76,7 +80,7 @@
 
 // Requests that are not in order.
 func TestGoldenChatNotInOrder(t *testing.T) {
-	r, taps := newGoldenRig(t, engines(1, 1, 0, nil))
+	r, taps := newGoldenRig(t, emulators(1, 1, 0, nil))
 	good := goldenBody("chat", "true", "")
 	edit := func(old, new string) string { return strings.Replace(goldenChat(good, ""), old, new, 1) }
 	body := func(old, new string) string { return goldenChat(strings.Replace(good, old, new, 1), "") }
@@ -156,7 +160,7 @@
 		{"sending side closes after an event", "commit", "true", emulator.Faults{HalfClose: 1}},
 	} {
 		t.Run(c.class+" "+c.name, func(t *testing.T) {
-			r, taps := newGoldenRig(t, engines(1, 1, 0, nil))
+			r, taps := newGoldenRig(t, emulators(1, 1, 0, nil))
 			r.fleet.Engine("decode-1").SetFaults(c.faults)
 			goldenRun(t, &b, r.node.Addr().String(), taps, []goldenCase{{name: "engine fails, " + c.class + ": " + c.name,
 				request: goldenChat(goldenBody(c.class, c.stream, ""), "X-Request-Timeout-Ms: 3000\r\n")}})
@@ -170,7 +174,7 @@
 func TestGoldenChatRefused(t *testing.T) {
 	var b strings.Builder
 	t.Run("stop", func(t *testing.T) {
-		r, taps := newGoldenRig(t, engines(1, 1, 0, nil))
+		r, taps := newGoldenRig(t, emulators(1, 1, 0, nil))
 		goldenStop(t, &b, r.node.Addr().String(), goldenChat(goldenBody("chat", "true", ""), ""), taps,
 			func() { r.node.Shutdown(2 * time.Second) }, r.node.Ready)
 	})
--- a/internal/node/golden_relay_test.go
+++ b/internal/node/golden_relay_test.go
@@ -17,34 +17,34 @@
 	"go.uber.org/goleak"
 )
 
-// newGoldenStage is newStage with a tap before each engine.
-func newGoldenStage(t *testing.T, memoryMB int, engines ...string) (*stage, map[string]*platform.Engine, goldenTaps) {
+// newGoldenRelayHarness is newStage with a tap before each engine.
+func newGoldenRelayHarness(t *testing.T, memoryMB int, engines ...string) (*relayHarness, map[string]*platform.Engine, goldenTaps) {
 	t.Helper()
-	s := &stage{t: t, log: &record.Log{}, settings: platform.Settings, file: filepath.Join(t.TempDir(), "config.json")}
-	s.p = platform.New("n0", s.log)
+	h := &relayHarness{t: t, log: &record.Log{}, settings: platform.Settings, file: filepath.Join(t.TempDir(), "config.json")}
+	h.platform = platform.New("n0", h.log)
 	byID, taps := map[string]*platform.Engine{}, goldenTaps{}
-	s.d = s.p.Discover()
+	h.discovery = h.platform.Discover()
 	for _, e := range engines {
 		id, role, _ := strings.Cut(e, " ")
-		byID[id] = s.p.Add(id, role)
+		byID[id] = h.platform.Add(id, role)
 		taps[id] = newGoldenTap(t, byID[id].Addr())
-		s.d.Set(id, func(x *platform.Server) {
+		h.discovery.Set(id, func(x *platform.Server) {
 			*x = platform.Server{ID: id, Addr: taps[id].addr(), Zone: "z", Kind: role, State: "up", Weight: 1}
 		})
 	}
-	s.write(memoryMB, 256)
-	s.node = startGoldenRelay(t, s.file)
+	h.writeConfig(memoryMB, 256)
+	h.node = startGoldenRelay(t, h.file)
 	t.Cleanup(func() {
-		if !s.stopped {
-			s.node.Shutdown(0)
+		if !h.stopped {
+			h.node.Shutdown(0)
 		}
-		s.d.Close()
+		h.discovery.Close()
 		taps.close()
-		s.p.Stop()
+		h.platform.Stop()
 		goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	})
-	s.eventually("the node is ready", s.node.Ready)
-	return s, byID, taps
+	h.eventually("the node is ready", h.node.Ready)
+	return h, byID, taps
 }
 
 // startGoldenRelay starts a node by its configuration file.
@@ -62,35 +62,41 @@
 }
 
 // goldenRelayRequest is a request in good order, whose id the platform knows.
-func (s *stage) goldenRelayRequest(id, class string) string {
+func (h *relayHarness) goldenRelayRequest(id, class string) string {
 	a := platform.Ask{Op: "op" + id, Class: class, Tenant: "branch", Session: "abc", Tokens: 3, Patience: 4 * time.Second, ID: id}
-	s.p.Call(id, platform.Op{Name: a.Op, Class: class, Tokens: a.Tokens})
+	h.platform.Call(id, platform.Op{Name: a.Op, Class: class, Tokens: a.Tokens})
 	return a.Request()
 }
 
 // Requests that engines answer in good order.
 func TestGoldenRelayServed(t *testing.T) {
-	s, e, taps := newGoldenStage(t, 64, "r0 read", "w0 write")
+	harness, engines, taps := newGoldenRelayHarness(t, 64, "r0 read", "w0 write")
 	head := func(id, lines string) string {
-		return strings.Replace(s.goldenRelayRequest(id, "chat"), "X-Caller", lines+"X-Caller", 1)
+		return strings.Replace(harness.goldenRelayRequest(id, "chat"), "X-Caller", lines+"X-Caller", 1)
 	}
-	whole := strings.Replace(s.goldenRelayRequest("a9", "chat"), `"stream":true`, `"stream":null`, 1)
+	whole := strings.Replace(harness.goldenRelayRequest("a9", "chat"), `"stream":true`, `"stream":null`, 1)
 	var b strings.Builder
-	goldenRun(t, &b, s.node.Addr().String(), taps, []goldenCase{
-		{name: "repeatable class", request: s.goldenRelayRequest("a1", "chat")},
-		{name: "class that runs once", request: s.goldenRelayRequest("a2", "commit")},
-		{name: "id that was taken before", request: s.goldenRelayRequest("a1", "chat")},
+	goldenRun(t, &b, harness.node.Addr().String(), taps, []goldenCase{
+		{name: "repeatable class", request: harness.goldenRelayRequest("a1", "chat")},
+		{name: "class that runs once", request: harness.goldenRelayRequest("a2", "commit")},
+		{name: "id that was taken before", request: harness.goldenRelayRequest("a1", "chat")},
 		{name: "again by the client", request: head("a3", "X-Again: 1\r\n")},
 		{name: "again after a node's end", request: head("a4", "X-Again: again\r\n")},
-		{name: "further fields", request: head("a5", "Traceparent: 00-1-2-3\r\nX-Other: one\r\nX-Other: two\r\nCookie: c=1\r\nAuthorization: Bearer k\r\n")},
-		{name: "fields of the connection", request: head("a6", "Connection: close, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: 5\r\nTE: trailers\r\n")},
-		{name: "path with a query", request: strings.Replace(s.goldenRelayRequest("a7", "chat"), "completions HTTP", "completions?x=1&y=%20 HTTP", 1)},
-		{name: "HTTP 1.0", request: strings.Replace(s.goldenRelayRequest("a8", "chat"), "HTTP/1.1", "HTTP/1.0", 1)},
+		{name: "further fields", request: head("a5",
+			"Traceparent: 00-1-2-3\r\nX-Other: one\r\nX-Other: two\r\nCookie: c=1\r\nAuthorization: Bearer k\r\n")},
+		{name: "fields of the connection", request: head("a6",
+			"Connection: close, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: 5\r\nTE: trailers\r\n")},
+		{name: "path with a query", request: strings.Replace(harness.goldenRelayRequest("a7", "chat"), "completions HTTP",
+			"completions?x=1&y=%20 HTTP", 1)},
+		{name: "HTTP 1.0", request: strings.Replace(harness.goldenRelayRequest("a8", "chat"), "HTTP/1.1", "HTTP/1.0", 1)},
 		{name: "stream is not asked for", request: whole},
-		{name: "chunked request", request: goldenChunked(s.goldenRelayRequest("b1", "chat"))},
-		{name: "no session and no information", request: goldenWithout(s.goldenRelayRequest("b2", "chat"), "X-Route-Hash", "X-Call-Info")},
-		{name: "interim answers of the engine", request: s.goldenRelayRequest("b3", "chat"), before: func() { e["w0"].Next(platform.Interim) }},
-		{name: "load report that cannot be read", request: s.goldenRelayRequest("b4", "chat"), before: func() { e["w0"].Next(platform.BadReport) }},
+		{name: "chunked request", request: goldenChunked(harness.goldenRelayRequest("b1", "chat"))},
+		{name: "no session and no information", request: goldenWithout(harness.goldenRelayRequest("b2", "chat"), "X-Route-Hash",
+			"X-Call-Info")},
+		{name: "interim answers of the engine", request: harness.goldenRelayRequest("b3", "chat"),
+			before: func() { engines["w0"].Next(platform.Interim) }},
+		{name: "load report that cannot be read", request: harness.goldenRelayRequest("b4", "chat"),
+			before: func() { engines["w0"].Next(platform.BadReport) }},
 		{name: "readiness", request: "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"},
 		{name: "readiness, head alone", request: "HEAD /healthz HTTP/1.1\r\nHost: h\r\n\r\n"},
 	})
@@ -100,7 +106,8 @@
 // goldenChunked sends the body of a request in one chunk.
 func goldenChunked(request string) string {
 	head, body, _ := strings.Cut(request, "\r\n\r\n")
-	return contentLength.ReplaceAllString(head+"\r\n", "Transfer-Encoding: chunked\r") + "\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body)
+	return contentLength.ReplaceAllString(head+"\r\n",
+		"Transfer-Encoding: chunked\r") + "\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 }
 
 // goldenWithout drops fields of a request.
@@ -119,17 +126,20 @@
 	return strings.Join(kept, "")
 }
 
+// goldenRelayBody is a request in good order but for its body.
+func goldenRelayBody(text string) string {
+	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nX-Call-Id: l%d\r\n"+
+		"X-Call-Class: chat\r\nX-Caller: branch\r\nX-Budget: 1\r\n"+
+		"Content-Length: %d\r\n\r\n%s", len(text), len(text), text)
+}
+
 // Requests that are not in order.
 func TestGoldenRelayNotInOrder(t *testing.T) {
-	s, _, taps := newGoldenStage(t, 64, "r0 read", "w0 write")
+	harness, _, taps := newGoldenRelayHarness(t, 64, "r0 read", "w0 write")
 	n := 0
 	edit := func(old, new string) string {
 		n++
-		return strings.Replace(s.goldenRelayRequest(fmt.Sprintf("ab%d", n), "chat"), old, new, 1)
-	}
-	body := func(text string) string {
-		return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nX-Call-Id: l%d\r\nX-Call-Class: chat\r\nX-Caller: branch\r\nX-Budget: 1\r\n"+
-			"Content-Length: %d\r\n\r\n%s", len(text), len(text), text)
+		return strings.Replace(harness.goldenRelayRequest(fmt.Sprintf("ab%d", n), "chat"), old, new, 1)
 	}
 	var cases []goldenCase
 	for _, c := range [][2]string{
@@ -156,8 +166,8 @@
 		{"info malformed", edit("prompt_len=20", "prompt_len")},
 		{"unknown retry mark", edit("X-Budget", "X-Again: perhaps\r\nX-Budget")},
 		{"no JSON", edit(`{"model"`, `<"model"`)},
-		{"a list", body("[]")},
-		{"an empty body", body("")},
+		{"a list", goldenRelayBody("[]")},
+		{"an empty body", goldenRelayBody("")},
 		{"two lengths", edit("Content-Length:", "Content-Length: 1\r\nContent-Length:")},
 		{"length and chunks", edit("Content-Length:", "Transfer-Encoding: chunked\r\nContent-Length:")},
 		{"unknown coding", edit("Content-Length:", "Transfer-Encoding: gzip\r\nX-Length:")},
@@ -181,7 +191,7 @@
 		cases = append(cases, goldenCase{name: c[0], request: c[1]})
 	}
 	var b strings.Builder
-	goldenRun(t, &b, s.node.Addr().String(), taps, cases)
+	goldenRun(t, &b, harness.node.Addr().String(), taps, cases)
 	compareGolden(t, "relay_not_in_order", b.String())
 }
 
@@ -198,10 +208,10 @@
 		{"chat", platform.NoFinal}, {"chat", platform.SecondAnswer},
 	} {
 		t.Run(c.class+" "+string(c.fault), func(t *testing.T) {
-			s, e, taps := newGoldenStage(t, 64, "r0 read", "w0 write")
-			e["w0"].Next(c.fault)
-			goldenRun(t, &b, s.node.Addr().String(), taps, []goldenCase{
-				{name: "engine fails, " + c.class + ": " + string(c.fault), request: s.goldenRelayRequest("f1", c.class)}})
+			harness, engines, taps := newGoldenRelayHarness(t, 64, "r0 read", "w0 write")
+			engines["w0"].Next(c.fault)
+			goldenRun(t, &b, harness.node.Addr().String(), taps, []goldenCase{
+				{name: "engine fails, " + c.class + ": " + string(c.fault), request: harness.goldenRelayRequest("f1", c.class)}})
 		})
 	}
 	compareGolden(t, "relay_faults", b.String())
@@ -211,16 +221,16 @@
 func TestGoldenRelayRefused(t *testing.T) {
 	var b strings.Builder
 	t.Run("stop", func(t *testing.T) {
-		s, _, taps := newGoldenStage(t, 64, "r0 read", "w0 write")
-		s.stopped = true
-		goldenStop(t, &b, s.node.Addr().String(), s.goldenRelayRequest("s1", "chat"), taps,
-			func() { s.node.Shutdown(2 * time.Second) }, s.node.Ready)
+		harness, _, taps := newGoldenRelayHarness(t, 64, "r0 read", "w0 write")
+		harness.stopped = true
+		goldenStop(t, &b, harness.node.Addr().String(), harness.goldenRelayRequest("s1", "chat"), taps,
+			func() { harness.node.Shutdown(2 * time.Second) }, harness.node.Ready)
 	})
 	t.Run("short stop", func(t *testing.T) {
-		s, _, taps := newGoldenStage(t, 64, "r0 read", "w0 write")
-		s.stopped = true
-		goldenStop(t, &b, s.node.Addr().String(), s.goldenRelayRequest("s2", "chat"), taps,
-			func() { s.node.Shutdown(200 * time.Millisecond) }, s.node.Ready)
+		harness, _, taps := newGoldenRelayHarness(t, 64, "r0 read", "w0 write")
+		harness.stopped = true
+		goldenStop(t, &b, harness.node.Addr().String(), harness.goldenRelayRequest("s2", "chat"), taps,
+			func() { harness.node.Shutdown(200 * time.Millisecond) }, harness.node.Ready)
 	})
 	compareGolden(t, "relay_refused", b.String())
 }
--- /dev/null
+++ b/internal/node/header_fields_test.go
@@ -0,0 +1,32 @@
+package node_test
+
+import (
+	"testing"
+
+	"dillroute/lab/platform"
+	"dillroute/lab/record"
+)
+
+// Header fields that the node does not interpret reach every attempt as they were sent: an engine recognizes a repeat by its
+// idempotency key alone.
+func TestRelayForwardsClientHeaderFields(t *testing.T) {
+	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write", "w1 write")
+	engines["w0"].Next(platform.Rejects)
+	engines["w1"].Next(platform.Rejects)
+	request := harness.newRequest("chat")
+	request.Head = "Idempotency-Key: 5f3a 77\r\nX-Route-Hint: a\r\nX-Route-Hint: b\r\nConnection: X-Hop\r\nX-Hop: 1\r\n"
+	if result := harness.send(request); result.Outcome != record.Served {
+		t.Fatalf("got %+v, want it served", result)
+	}
+	headers := harness.platform.Headers(request.Op)
+	if len(headers) < 3 {
+		t.Fatalf("got %d attempts, want at least a prefill and two decodes", len(headers))
+	}
+	for i, h := range headers {
+		if h.Get("Idempotency-Key") != "5f3a 77" || len(h["X-Route-Hint"]) != 2 ||
+			h.Get("X-Hop") != "" || len(h["X-Budget"]) != 1 || len(h["X-Call-Id"]) != 1 {
+			t.Errorf("attempt %d: got the fields %v, want those of the client without the hop-by-hop ones", i, h)
+		}
+	}
+	harness.requireNoViolations()
+}
--- a/internal/node/isolation_test.go
+++ b/internal/node/isolation_test.go
@@ -1,49 +1,46 @@
 package node_test
 
 import (
-	"io"
-	"log/slog"
 	"sync"
 	"testing"
 	"time"
 
 	"dillroute/internal/node"
-	"dillroute/internal/relay"
 	"dillroute/lab/platform"
 	"dillroute/lab/record"
 )
 
-// A client that does not take its stream holds up no other: its socket is held at a gate while others are served whole.
-func TestRelayStreamsDoNotWaitForASlowNeighbour(t *testing.T) {
-	g := newGate(t, "op1.2 ")
-	s, e := newStageOn(t, g, platform.Settings, 64, 256, "r0 read", "w0 write")
-	e["w0"].Step = 5 * time.Millisecond
-	slow := s.ask("chat")
+// A client that does not read its stream delays no other: its socket is blocked by a gate while others are served completely.
+func TestRelaySlowClientDoesNotDelayOtherStreams(t *testing.T) {
+	g := newWriteGate(t, "op1.2 ")
+	harness, engines := newRelayHarnessOn(t, g, platform.Settings, 64, 256, "r0 read", "w0 write")
+	engines["w0"].Step = 5 * time.Millisecond
+	slow := harness.newRequest("chat")
 	slow.Tokens = 20
 	held := make(chan platform.Answer, 1)
-	go func() { held <- s.do(slow) }()
+	go func() { held <- harness.send(slow) }()
 	<-g.reached
 	for range 4 {
-		a := s.ask("chat")
-		a.Tokens = 20
-		if r := s.do(a); r.Outcome != record.Served || !r.Done {
-			t.Errorf("got %+v, want it served beside a slow client", r)
+		request := harness.newRequest("chat")
+		request.Tokens = 20
+		if result := harness.send(request); result.Outcome != record.Served || !result.Done {
+			t.Errorf("got %+v, want it served beside a slow client", result)
 		}
 	}
 	select {
-	case r := <-held:
-		t.Fatalf("the slow client was answered: %+v", r)
+	case result := <-held:
+		t.Fatalf("got %+v for the slow client while its socket is blocked, want none", result)
 	default:
 	}
 	close(g.opened)
-	if r := <-held; r.Outcome != record.Served || r.Text != platform.Whole(slow.Op, slow.Tokens) {
-		t.Errorf("got %+v, want its stream once it is taken", r)
+	if result := <-held; result.Outcome != record.Served || result.Text != platform.Whole(slow.Op, slow.Tokens) {
+		t.Errorf("got %+v, want its complete stream once it is read", result)
 	}
-	s.lawful()
+	harness.requireNoViolations()
 }
 
-// Many nodes that are started together while discovery says nothing are ready by the list that they knew.
-func TestRelayNodesAreReadyWhileDiscoveryIsSilent(t *testing.T) {
+// Nodes that start together while discovery does not respond become ready by the endpoint list in their configuration.
+func TestRelayNodesBecomeReadyWithoutDiscovery(t *testing.T) {
 	const nodes = 300
 	p := platform.New("n0", &record.Log{})
 	d := p.Discover(p.Add("r0", "read"), p.Add("w0", "write"))
@@ -63,12 +60,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			cfg, err := relay.Load(func(string) string { return file })
-			if err != nil {
-				t.Error(err)
-				return
-			}
-			n, err := node.StartRelay(cfg, node.WithLogger(slog.New(slog.NewTextHandler(io.Discard, nil))))
+			n, err := loadAndStart(file)
 			if err != nil {
 				t.Error(err)
 				return
@@ -86,7 +78,7 @@
 	}
 	wg.Wait()
 	if len(all) < nodes || late > nodes/10 {
-		t.Errorf("%d of %d nodes have started, %d of them later than 10 s", len(all), nodes, late)
+		t.Errorf("got %d of %d nodes started, %d of them later than 10 s", len(all), nodes, late)
 	}
 	for _, n := range all {
 		wg.Add(1)
--- a/internal/node/overload_test.go
+++ b/internal/node/overload_test.go
@@ -7,35 +7,35 @@
 	"dillroute/lab/record"
 )
 
-// A crowd of clients at a node with few descriptors: some are served, the others read a refusal that tells when to come,
-// none is cut off, and no rule is broken. Without the bound the file table of a fleet ran full.
-func TestCrowdAtANodeWithFewDescriptors(t *testing.T) {
-	r := newRig(t, engines(1, 1, 0, nil), limits(map[string]any{"files": 64}))
+// Many clients at a node with few descriptors: some are served, the others receive a rejection with Retry-After, no connection is
+// cut, and no rule is broken. Without the connection limit the file table of a fleet ran full.
+func TestChatOverloadWithFewDescriptorsIsRejected(t *testing.T) {
+	harness := newChatHarness(t, emulators(1, 1, 0, nil), withLimits(map[string]any{"files": 64}))
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	seen := map[record.Outcome]int{}
-	untold := 0
+	withoutRetryAfter := 0
 	for i := range 300 {
-		a := r.ask([]string{"chat", "commit"}[i%2], 10)
+		request := harness.newRequest([]string{"chat", "commit"}[i%2], 10)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			res := r.do(a)
+			result := harness.send(request)
 			mu.Lock()
 			defer mu.Unlock()
-			seen[res.Outcome]++
-			if res.Outcome == record.Refused && res.Code == "node_full" && res.After <= 0 {
-				untold++
+			seen[result.Outcome]++
+			if result.Outcome == record.Refused && result.Code == "node_full" && result.After <= 0 {
+				withoutRetryAfter++
 			}
-			if res.Outcome != record.Served && res.Outcome != record.Refused {
-				t.Errorf("%s: %v", res.Outcome, res.Err)
+			if result.Outcome != record.Served && result.Outcome != record.Refused {
+				t.Errorf("got %s (%v), want it served or rejected", result.Outcome, result.Err)
 			}
 		}()
 	}
 	wg.Wait()
 	t.Log(seen)
-	if seen[record.Served] == 0 || seen[record.Served]+seen[record.Refused] != 300 || untold > 0 {
-		t.Errorf("%v, %d refused without a time", seen, untold)
+	if seen[record.Served] == 0 || seen[record.Served]+seen[record.Refused] != 300 || withoutRetryAfter > 0 {
+		t.Errorf("got %v, %d rejections without Retry-After", seen, withoutRetryAfter)
 	}
-	r.lawful()
+	harness.requireNoViolations()
 }
--- a/internal/node/race_test.go
+++ b/internal/node/race_test.go
@@ -2,5 +2,5 @@
 
 package node_test
 
-// raceEnabled tells that the race detector runs, which makes a day some ten times as long.
+// raceEnabled says that the race detector runs, which makes a day about ten times as long.
 const raceEnabled = true
--- /dev/null
+++ b/internal/node/relay_endpoints_test.go
@@ -0,0 +1,96 @@
+package node_test
+
+import (
+	"sync"
+	"testing"
+	"time"
+
+	"dillroute/internal/relay"
+	"dillroute/lab/platform"
+	"dillroute/lab/record"
+)
+
+func TestRelayEngineDrainUnderLoad(t *testing.T) {
+	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "r1 read", "w0 write", "w1 write")
+	var wg sync.WaitGroup
+	stop := make(chan struct{})
+	for i := range 8 {
+		asks := make([]platform.Ask, 200)
+		for k := range asks {
+			asks[k] = harness.newRequest([]string{"chat", "commit"}[i%2])
+		}
+		wg.Add(1)
+		go func() {
+			defer wg.Done()
+			for _, request := range asks {
+				select {
+				case <-stop:
+					return
+				default:
+					harness.send(request)
+				}
+			}
+		}()
+	}
+	time.Sleep(200 * time.Millisecond)
+	harness.discovery.State("w0", "draining")
+	harness.discovery.State("r0", "draining")
+	time.Sleep(500 * time.Millisecond)
+	harness.discovery.State("w0", "removed")
+	engines["w0"].Stop()
+	// A new engine under a new id, at an address that another engine may have had.
+	n := harness.platform.Add("w2", "write")
+	harness.discovery.Set("w2", func(x *platform.Server) {
+		*x = platform.Server{ID: "w2", Addr: n.Addr(), Zone: "z", Kind: "write", State: "up", Weight: 1, Started: time.Now().UnixMilli()}
+	})
+	time.Sleep(300 * time.Millisecond)
+	close(stop)
+	wg.Wait()
+	harness.requireNoViolations()
+}
+
+// Whatever discovery sends or fails to send, the node serves by the latest valid list; a removal takes effect at once.
+func TestRelayServesDuringDiscoveryFaults(t *testing.T) {
+	harness, _ := newRelayHarness(t, 64, 256, "r0 read", "w0 write", "w1 write")
+	served := func(what string) {
+		t.Helper()
+		for range 3 {
+			if result := harness.send(harness.newRequest("chat")); result.Outcome != record.Served {
+				t.Errorf("discovery %s: got %+v, want it served", what, result)
+			}
+		}
+	}
+	served("at first")
+	for _, bad := range []string{"{", `{"version":"x"}`, `{"version":-1,"full":true,"servers":[]}`,
+		`{"version":9,"full":true,"servers":[{"id":"","state":"up"}]}`,
+		`{"version":9,"full":true,"servers":[{"id":"w0","state":"sideways"}]}`} {
+		harness.discovery.Bad(bad, false)
+		time.Sleep(20 * time.Millisecond)
+		served(bad)
+	}
+	harness.discovery.Bad("", true)
+	served("silent")
+	harness.discovery.Close()
+	served("gone")
+	harness.discovery.Bad("", false)
+	harness.discovery.Open()
+	harness.writeConfig(64, 256)
+	cfg, err := relay.Load(func(name string) string { return map[string]string{"RELAY_CONFIG": harness.file}[name] })
+	if err != nil {
+		t.Fatal(err)
+	}
+	harness.node.Reload(cfg)
+	harness.discovery.State("w0", "draining")
+	at := time.Now()
+	harness.eventually("w0 receives no more attempts", func() bool {
+		harness.send(harness.newRequest("chat"))
+		last := 0.0
+		for _, x := range harness.log.All() {
+			if x.Kind == record.Arrive && x.Engine == "w0" {
+				last = max(last, x.T)
+			}
+		}
+		return time.Since(at) > time.Second && float64(at.UnixNano())/1e9+0.6 > last
+	})
+	harness.requireNoViolations()
+}
--- /dev/null
+++ b/internal/node/relay_harness_test.go
@@ -0,0 +1,161 @@
+package node_test
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"dillroute/internal/node"
+	"dillroute/internal/relay"
+	"dillroute/lab/platform"
+	"dillroute/lab/record"
+	"dillroute/lab/rules"
+
+	"go.uber.org/goleak"
+)
+
+// relayHarness is a RelayNode on an emulation of the users' platform.
+type relayHarness struct {
+	t         *testing.T
+	log       *record.Log
+	platform  *platform.Platform
+	discovery *platform.Discovery
+	node      *node.RelayNode
+	file      string
+	settings  string
+	requests  int
+	stopped   bool
+}
+
+// newRelayHarness starts engines by id and role ("r0 read") and a node with the limits given.
+func newRelayHarness(t *testing.T, memoryMB, sockets int, engines ...string) (*relayHarness, map[string]*platform.Engine) {
+	t.Helper()
+	return newRelayHarnessWith(t, platform.Settings, memoryMB, sockets, engines...)
+}
+
+// newRelayHarnessWith is newRelayHarness with settings of the test's own.
+func newRelayHarnessWith(t *testing.T, settings string, memoryMB, sockets int, engines ...string) (*relayHarness,
+	map[string]*platform.Engine) {
+	t.Helper()
+	return newRelayHarnessOn(t, nil, settings, memoryMB, sockets, engines...)
+}
+
+// newRelayHarnessOn is newRelayHarnessWith on a listener of the test's own; nil = the node opens one.
+func newRelayHarnessOn(t *testing.T, l net.Listener, settings string, memoryMB, sockets int, engines ...string) (*relayHarness,
+	map[string]*platform.Engine) {
+	t.Helper()
+	h := &relayHarness{t: t, log: &record.Log{}, settings: settings, file: filepath.Join(t.TempDir(), "config.json")}
+	h.platform = platform.New("n0", h.log)
+	byID := map[string]*platform.Engine{}
+	var all []*platform.Engine
+	for _, e := range engines {
+		id, role, _ := strings.Cut(e, " ")
+		byID[id] = h.platform.Add(id, role)
+		all = append(all, byID[id])
+	}
+	h.discovery = h.platform.Discover(all...)
+	h.writeConfig(memoryMB, sockets)
+	cfg, err := relay.Load(func(name string) string {
+		if name == "RELAY_CONFIG" {
+			return h.file
+		}
+		return ""
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if h.node, err = node.StartRelay(cfg, node.WithLogger(slog.New(slog.NewTextHandler(io.Discard, nil))),
+		node.WithListener(l)); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if !h.stopped {
+			h.node.Shutdown(0)
+		}
+		h.discovery.Close()
+		h.platform.Stop()
+		goleak.VerifyNone(t, goleak.IgnoreCurrent())
+	})
+	h.eventually("the node is ready", h.node.Ready)
+	return h, byID
+}
+
+func (h *relayHarness) writeConfig(memoryMB, sockets int) {
+	h.t.Helper()
+	if err := platform.WriteConfig(h.file, platform.Config(h.settings, "127.0.0.1:0", h.discovery.Addr(), h.discovery.List(),
+		memoryMB, sockets)); err != nil {
+		h.t.Fatal(err)
+	}
+}
+
+func (h *relayHarness) eventually(what string, f func() bool) {
+	h.t.Helper()
+	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+		if f() {
+			return
+		}
+	}
+	h.t.Fatalf("not seen within 10 s: %s", what)
+}
+
+func (h *relayHarness) newRequest(class string) platform.Ask {
+	h.requests++
+	return platform.Ask{Op: fmt.Sprintf("op%d", h.requests), Class: class, Tenant: "branch", Session: "abc", Tokens: 8,
+		Patience: 4 * time.Second}
+}
+
+func (h *relayHarness) send(a platform.Ask) platform.Answer {
+	return h.platform.Do(h.node.Addr().String(), a)
+}
+
+func (h *relayHarness) countRecords(kind record.Kind, op string) (n int) {
+	for _, x := range h.log.All() {
+		if x.Kind == kind && x.Op == op {
+			n++
+		}
+	}
+	return n
+}
+
+// requireNoViolations waits until no engine holds a state and checks the rules against what passed on the sockets.
+func (h *relayHarness) requireNoViolations() {
+	h.t.Helper()
+	h.eventually("no engine holds a state", func() bool { return h.platform.Held() == 0 })
+	c := rules.Config{Classes: map[string]rules.Class{"chat": {Effect: "repeatable", Group: "all"}, "commit": {Effect: "once",
+		Group: "all"}},
+		AnswerSlack: 0.058, DrainGrace: 0.25, FallMultiple: 4, TipAfter: 1.5, LetGoBy: 1.3, Skew: 0.3}
+	for _, v := range rules.Check(h.log.All(), c) {
+		h.t.Error(v)
+	}
+	for _, x := range h.log.All() {
+		if x.Kind == record.More {
+			h.t.Errorf("%s: %s", x.Op, x.Note)
+		}
+	}
+}
+
+// sendRaw sends bytes on a connection of their own and returns the status of the response; 0 = the connection was closed
+// without one.
+func (h *relayHarness) sendRaw(text string) int {
+	h.t.Helper()
+	c, err := net.Dial("tcp", h.node.Addr().String())
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(6 * time.Second))
+	io.WriteString(c, text)
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		return 0
+	}
+	resp.Body.Close()
+	return resp.StatusCode
+}
--- a/internal/node/release_test.go
+++ b/internal/node/release_test.go
@@ -99,7 +99,7 @@
 
 // A state is released as soon as the scheduler releases it, though the next attempt starts in the same pass and takes long to
 // fail: the limit on the hold time runs on meanwhile. The attempt waits for the release call, which would free what it brings.
-func TestReleaseDoesNotWaitForTheNextAttempt(t *testing.T) {
+func TestReleaseDoesNotWaitForNextAttempt(t *testing.T) {
 	t.Run("one prefill", func(t *testing.T) { requireReleaseInTime(t, &failingDecodes{}) })
 	t.Run("a prefill cut before", func(t *testing.T) { requireReleaseInTime(t, &failingDecodes{cutFirst: true}) })
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -13,8 +13,8 @@
 	"dillroute/lab/record"
 )
 
-// Settings with missing, zero or odd values give a node that answers each request in time, or a clear error at the start.
-func TestRelayOddSettings(t *testing.T) {
+// Settings with missing, zero or unusual values give a node that responds to each request in time, or a clear error at the start.
+func TestRelayUnusualSettings(t *testing.T) {
 	for name, edit := range map[string][2]string{
 		"no attempts":           {`"max_attempts":4`, `"max_attempts":0`},
 		"negative attempts":     {`"max_attempts":4`, `"max_attempts":-1`},
@@ -47,31 +47,41 @@
 			if settings == platform.Settings {
 				t.Fatalf("%q is not in the settings", edit[0])
 			}
-			p := platform.New("n0", &record.Log{})
-			d := p.Discover(p.Add("r0", "read"), p.Add("w0", "write"), p.Add("m0", "both"))
-			defer func() { d.Close(); p.Stop() }()
-			file := t.TempDir() + "/config.json"
-			if err := platform.WriteConfig(file, platform.Config(settings, "127.0.0.1:0", d.Addr(), d.List(), 32, 256)); err != nil {
-				t.Fatal(err)
-			}
-			cfg, err := relay.Load(func(string) string { return file })
-			if err == nil {
-				var n *node.RelayNode
-				n, err = node.StartRelay(cfg, node.WithLogger(slog.New(slog.NewTextHandler(io.Discard, nil))))
-				if err == nil {
-					defer n.Stop()
-					a := platform.Ask{Op: "a", Class: "chat", Tenant: "branch", Tokens: 4, Patience: time.Second}
-					if r := p.Do(n.Addr().String(), a); r.Outcome == record.Cut || r.Took > 2*time.Second {
-						t.Errorf("got %+v, want an answer in time", r)
-					}
-					return
-				}
-			}
-			if text := err.Error(); len(text) < 10 || strings.Contains(text, "runtime error") {
-				t.Errorf("got the error %q, want one that names the field", text)
-			} else {
-				t.Log(text)
-			}
+			requireServedOrClearError(t, settings)
 		})
 	}
 }
+
+// requireServedOrClearError starts a node with the settings. It must respond to a request in time, or not start and say why.
+func requireServedOrClearError(t *testing.T, settings string) {
+	t.Helper()
+	p := platform.New("n0", &record.Log{})
+	d := p.Discover(p.Add("r0", "read"), p.Add("w0", "write"), p.Add("m0", "both"))
+	defer func() { d.Close(); p.Stop() }()
+	file := t.TempDir() + "/config.json"
+	if err := platform.WriteConfig(file, platform.Config(settings, "127.0.0.1:0", d.Addr(), d.List(), 32, 256)); err != nil {
+		t.Fatal(err)
+	}
+	n, err := loadAndStart(file)
+	if err != nil {
+		if text := err.Error(); len(text) < 10 || strings.Contains(text, "runtime error") {
+			t.Errorf("got the error %q, want one that names the field", text)
+		}
+		t.Log(err)
+		return
+	}
+	defer n.Stop()
+	request := platform.Ask{Op: "a", Class: "chat", Tenant: "branch", Tokens: 4, Patience: time.Second}
+	if result := p.Do(n.Addr().String(), request); result.Outcome == record.Cut || result.Took > 2*time.Second {
+		t.Errorf("got %+v, want a response within 2s", result)
+	}
+}
+
+// loadAndStart starts a node by a configuration file.
+func loadAndStart(file string) (*node.RelayNode, error) {
+	cfg, err := relay.Load(func(string) string { return file })
+	if err != nil {
+		return nil, err
+	}
+	return node.StartRelay(cfg, node.WithLogger(slog.New(slog.NewTextHandler(io.Discard, nil))))
+}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -6,6 +6,7 @@
 	"net"
 	"net/http"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 
@@ -14,32 +15,32 @@
 	"dillroute/lab/record"
 )
 
-// kept is a client's connection on which requests follow one another.
-type kept struct {
-	s  *stage
-	c  net.Conn
-	br *bufio.Reader
+// openConnection is a client connection on which requests follow one another.
+type openConnection struct {
+	harness *relayHarness
+	conn    net.Conn
+	reader  *bufio.Reader
 }
 
-func (s *stage) connect() *kept {
-	s.t.Helper()
-	c, err := net.Dial("tcp", s.node.Addr().String())
+func (h *relayHarness) openConnection() *openConnection {
+	h.t.Helper()
+	c, err := net.Dial("tcp", h.node.Addr().String())
 	if err != nil {
-		s.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { c.Close() })
-	return &kept{s, c, bufio.NewReader(c)}
+	h.t.Cleanup(func() { c.Close() })
+	return &openConnection{h, c, bufio.NewReader(c)}
 }
 
-// ask makes a request of so many tokens and reads its answer to the end; status is 0 where none came.
-func (k *kept) ask(id string, tokens int) (status int, whole bool) {
-	k.s.t.Helper()
-	a := k.s.ask("chat")
+// send sends a request for so many tokens and reads the response to its end; status is 0 if none came.
+func (k *openConnection) send(id string, tokens int) (status int, whole bool) {
+	k.harness.t.Helper()
+	a := k.harness.newRequest("chat")
 	a.ID, a.Tokens = id, tokens
-	k.s.p.Call(id, platform.Op{Name: a.Op, Class: a.Class, Tokens: tokens})
-	io.WriteString(k.c, a.Request())
-	k.c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	resp, err := http.ReadResponse(k.br, nil)
+	k.harness.platform.Call(id, platform.Op{Name: a.Op, Class: a.Class, Tokens: tokens})
+	io.WriteString(k.conn, a.Request())
+	k.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+	resp, err := http.ReadResponse(k.reader, nil)
 	if err != nil {
 		return 0, false
 	}
@@ -47,37 +48,128 @@
 	return resp.StatusCode, err == nil
 }
 
-// Where clients do not come again for the rest of a stream, a node that is told to stop ends none that runs, and takes none
-// that SIGKILL could cut: what comes on a kept connection later than 0.7 s is refused.
-func TestRelayStopWithoutResume(t *testing.T) {
+// Where clients cannot resume streams, a node that shuts down cuts no running stream and accepts no request that SIGKILL could
+// cut: a request that comes on an open connection later than 0.7 s is rejected.
+func TestRelayShutdownWithoutResume(t *testing.T) {
 	settings := strings.Replace(platform.Settings, `"resume":true`, `"resume":false`, 1)
-	s, e := newStageWith(t, settings, 64, 256, "r0 read", "w0 write")
-	e["w0"].Step = 40 * time.Millisecond
-	early, late := s.connect(), s.connect()
-	for i, k := range []*kept{early, late} {
-		if status, whole := k.ask("a"+string(rune('0'+i)), 1); status != 200 || !whole {
-			t.Fatalf("before: got %d, whole %v", status, whole)
+	harness, engines := newRelayHarnessWith(t, settings, 64, 256, "r0 read", "w0 write")
+	engines["w0"].Step = 40 * time.Millisecond
+	early, late := harness.openConnection(), harness.openConnection()
+	for i, k := range []*openConnection{early, late} {
+		if status, whole := k.send("a"+string(rune('0'+i)), 1); status != 200 || !whole {
+			t.Fatalf("before the shutdown: got status %d, complete %v", status, whole)
 		}
 	}
-	s.stopped = true
+	harness.stopped = true
 	start, done := time.Now(), make(chan struct{})
-	go func() { defer close(done); s.node.ShutdownBy(relay.StopBy(4), 10*time.Second) }()
+	go func() { defer close(done); harness.node.ShutdownBy(relay.StopBy(4), 10*time.Second) }()
 	streamed := make(chan bool, 1)
 	go func() {
-		status, whole := early.ask("b0", 100) // beyond the time at which what has not begun is answered
+		status, whole := early.send("b0", 100) // beyond the time at which queued requests are ended
 		streamed <- status == 200 && whole
 	}()
-	s.eventually("the early stream runs", func() bool { return s.count(record.Run, "op3") == 1 })
+	harness.eventually("the early stream is running", func() bool { return harness.countRecords(record.Run, "op3") == 1 })
 	time.Sleep(time.Until(start.Add(750 * time.Millisecond)))
-	if status, _ := late.ask("b1", 100); status != 503 && status != 0 {
-		t.Errorf("taken 0.75 s after the stop: got status %d, want a refusal or a connection that has ended", status)
+	if status, _ := late.send("b1", 100); status != 503 && status != 0 {
+		t.Errorf("0.75 s after the shutdown began: got status %d, want a rejection or a closed connection", status)
 	}
-	if n := s.count(record.Arrive, "op4"); n > 0 {
-		t.Errorf("what came 0.75 s after the stop was sent on %d times", n)
+	if n := harness.countRecords(record.Arrive, "op4"); n > 0 {
+		t.Errorf("a request 0.75 s after the shutdown began was forwarded %d times, want 0", n)
 	}
 	if !<-streamed {
-		t.Error("the stream that ran was ended")
+		t.Error("the running stream was cut")
 	}
 	<-done
-	s.lawful()
+	harness.requireNoViolations()
+}
+
+// A node that shuts down gives every request a final response in time, and cuts its streams so that their clients resume them at
+// another node.
+func TestRelayShutdownCutsStreamsInTime(t *testing.T) {
+	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
+	engines["w0"].Step = 200 * time.Millisecond
+	var wg sync.WaitGroup
+	results := make(chan platform.Answer, 20)
+	for range 10 {
+		request := harness.newRequest("chat")
+		request.Tokens = 100 // 20 s
+		wg.Add(1)
+		go func() { defer wg.Done(); results <- harness.send(request) }()
+	}
+	harness.eventually("the streams are running", func() bool {
+		n := 0
+		for _, x := range harness.log.All() {
+			if x.Kind == record.First {
+				n++
+			}
+		}
+		return n == 10
+	})
+	start := time.Now()
+	harness.stopped = true
+	harness.node.ShutdownBy(relay.StopBy(4), time.Second)
+	if took := time.Since(start); took > 3700*time.Millisecond {
+		t.Errorf("the shutdown took %v, want at most 3.7s", took)
+	}
+	wg.Wait()
+	close(results)
+	spread := map[int64]bool{}
+	for result := range results {
+		if result.Outcome != record.Failed || result.Done {
+			t.Errorf("got %+v, want a stream that was cut", result)
+		}
+		spread[result.Took.Milliseconds()/100] = true
+	}
+	if len(spread) < 5 {
+		t.Errorf("got the cutoffs in the tenths of a second %v, want them spread over at least 5", spread)
+	}
+	harness.requireNoViolations()
+}
+
+// A node that shuts down still serves on the connections that clients have open, and every request that it accepts then has
+// ended before the process could be killed.
+func TestRelayShutdownServesOpenConnections(t *testing.T) {
+	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
+	engines["w0"].Step = 30 * time.Millisecond
+	c, err := net.Dial("tcp", harness.node.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	br := bufio.NewReader(c)
+	ask := func(id string, tokens int) (status int, whole bool) {
+		request := harness.newRequest("chat")
+		request.ID, request.Tokens = id, tokens
+		harness.platform.Call(id, platform.Op{Name: request.Op, Class: "chat", Tokens: tokens})
+		io.WriteString(c, request.Request())
+		c.SetReadDeadline(time.Now().Add(5 * time.Second))
+		resp, err := http.ReadResponse(br, nil)
+		if err != nil {
+			return 0, false
+		}
+		body, err := io.ReadAll(resp.Body)
+		if resp.StatusCode != 200 {
+			t.Logf("%s: %s", id, body)
+		}
+		return resp.StatusCode, err == nil
+	}
+	if status, whole := ask("c1", 2); status != 200 || !whole {
+		t.Fatalf("before the shutdown: got status %d, complete %v", status, whole)
+	}
+	start := time.Now()
+	harness.stopped = true
+	done := make(chan struct{})
+	go func() { defer close(done); harness.node.ShutdownBy(relay.StopBy(4), time.Second) }()
+	time.Sleep(time.Second)
+	if status, whole := ask("c2", 2); status != 200 || !whole {
+		t.Errorf("on an open connection, 1 s after the shutdown began: got status %d, complete %v, want it served", status, whole)
+	}
+	if status, whole := ask("c3", 300); status != 200 || whole { // 9 s: its client resumes it elsewhere
+		t.Errorf("long stream: got status %d, complete %v, want it cut", status, whole)
+	}
+	if took := time.Since(start); took > 3500*time.Millisecond {
+		t.Errorf("the long stream ended %v after the shutdown began, want at most 3.5s", took)
+	}
+	<-done
+	harness.requireNoViolations()
 }
--- a/internal/node/collapse_test.go
+++ b/internal/node/simulated_days_test.go
@@ -18,7 +18,7 @@
 	"dillroute/lab/simulation"
 )
 
-// relayProcess is a node as the laboratory sees it.
+// relayProcess adapts a RelayNode to simulation.Node.
 type relayProcess struct {
 	*node.RelayNode
 	patience float64
@@ -30,8 +30,9 @@
 
 func (p relayProcess) Kill() { p.Stop() }
 
-// startRelayNode starts a node of the product on sockets in memory.
-func startRelayNode(config []byte, l net.Listener, dial func(ctx context.Context, network, address string) (net.Conn, error)) (simulation.Node, error) {
+// startRelayNode starts a RelayNode on in-memory sockets.
+func startRelayNode(config []byte, l net.Listener, dial func(ctx context.Context, network, address string) (net.Conn,
+	error)) (simulation.Node, error) {
 	cfg, err := relay.Parse(config, func(string) string { return "" })
 	if err != nil {
 		return nil, err
@@ -47,17 +48,17 @@
 	return relayProcess{n, cfg.Settings.LongestClientTimeout}, nil
 }
 
-// playBoth plays a day on the product and by the plain policy, each on a clock of its own.
+// playBoth plays a day with the product and with the baseline policy, each with a clock of its own.
 func playBoth(t *testing.T, d simulation.Day) (got, plain *simulation.Report) {
 	t.Helper()
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // what happens in one instant happens in one order
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // events of one instant happen in one order
 	synctest.Test(t, func(t *testing.T) { plain = d.PlayPlain(simulation.Policy{}) })
 	synctest.Test(t, func(t *testing.T) { got = d.Play(startRelayNode) })
 	return got, plain
 }
 
-// judge fails a test whose day breaks a rule or serves too little beside the plain policy.
-func judge(t *testing.T, d simulation.Day) {
+// requireDay fails the test if the day breaks a rule or serves too little compared with the baseline policy.
+func requireDay(t *testing.T, d simulation.Day) {
 	t.Helper()
 	got, plain := playBoth(t, d)
 	red := append(got.Breaches[:min(maxBreaches, len(got.Breaches))], simulation.Red(got, plain)...)
@@ -70,7 +71,7 @@
 	traceRecords(t, got)
 }
 
-// maxBreaches is how many breaches of one day are told.
+// maxBreaches bounds the violations of one day that are reported.
 const maxBreaches = 8
 
 // traceRecords logs what COLLAPSE_TRACE names: a request's id, or a node and an engine.
@@ -81,12 +82,13 @@
 	}
 	for _, x := range r.Records {
 		if x.Op == name || x.Node+" "+x.Engine == name {
-			t.Logf("%.3f %s try %d node %s engine %s %s %s %s", x.T-r.Records[0].T, x.Kind, x.Try, x.Node, x.Engine, x.State, x.Outcome, x.Note)
+			t.Logf("%.3f %s try %d node %s engine %s %s %s %s", x.T-r.Records[0].T, x.Kind, x.Try, x.Node, x.Engine, x.State,
+				x.Outcome, x.Note)
 		}
 	}
 }
 
-// Days on which service collapsed, or a rule broke, before the mend that each line names; without it each is red again.
+// Days on which service collapsed or a rule was broken before a repair; without the repair each fails again.
 func TestCollapsedDays(t *testing.T) {
 	for _, x := range []struct {
 		seed  uint64
@@ -108,15 +110,16 @@
 				t.Skip("played without the race detector (.ci/run)")
 			}
 			t.Log(x.what)
-			judge(t, simulation.DrawDay(x.seed, x.nodes, drawnRate))
+			requireDay(t, simulation.DrawDay(x.seed, x.nodes, drawnRate))
 		})
 	}
 }
 
-// drawnRate is the most requests a second of a drawn day.
+// drawnRate is the maximum request rate of a drawn day (1/s).
 const drawnRate = 150
 
-// TestDrawnDays plays days drawn from seeds. COLLAPSE_SEEDS=FIRST:COUNT plays others, COLLAPSE_NODES with another number of nodes.
+// TestDrawnDays plays days drawn from seeds. COLLAPSE_SEEDS=FIRST:COUNT chooses other seeds, COLLAPSE_NODES another number of
+// nodes.
 func TestDrawnDays(t *testing.T) {
 	first, count, nodes := 1, 9, 0
 	if raceEnabled {
@@ -139,7 +142,7 @@
 			n = []int{1, 3, 24}[seed%3]
 		}
 		t.Run(fmt.Sprintf("seed %d with %d nodes", seed, n), func(t *testing.T) {
-			judge(t, simulation.DrawDay(uint64(seed), n, drawnRate))
+			requireDay(t, simulation.DrawDay(uint64(seed), n, drawnRate))
 		})
 	}
 }
--- a/internal/node/staterelease_test.go
+++ b/internal/node/staterelease_test.go
@@ -13,38 +13,38 @@
 	"dillroute/lab/record"
 )
 
-// The state of a read is released in time though its holder and every engine of the other role hang, with the attempt that was
-// to take it still out: when the client leaves, and when its time is up.
-func TestRelayReleasesWhereARoleIsSilent(t *testing.T) {
+// A state is released in time though its holder and every engine of the other role hang, with the attempt that was to fetch it
+// still in flight: when the client disconnects, and when its deadline passes.
+func TestRelayStateIsReleasedWhenOneRoleIsSilent(t *testing.T) {
 	for _, leaves := range []bool{true, false} {
-		s, e := newStage(t, 64, 256, "r0 read", "r1 read", "w0 write", "w1 write", "w2 write")
+		harness, engines := newRelayHarness(t, 64, 256, "r0 read", "r1 read", "w0 write", "w1 write", "w2 write")
 		for _, id := range []string{"w0", "w1", "w2"} {
-			e[id].Hang(true)
+			engines[id].Hang(true)
 		}
-		a := s.ask("chat")
-		a.Patience = 1500 * time.Millisecond
-		c := s.start(&a, "1ea5e0")
-		s.eventually("a state waits", func() bool { return s.p.Held() == 1 })
+		request := harness.newRequest("chat")
+		request.Patience = 1500 * time.Millisecond
+		c := harness.startRequest(&request, "1ea5e0")
+		harness.eventually("an engine holds the state", func() bool { return harness.platform.Held() == 1 })
 		for _, id := range []string{"r0", "r1"} {
-			if s.count(record.Parsed, a.Op) > 0 && s.holder(a.Op) == id {
-				e[id].Hang(true)
+			if harness.countRecords(record.Parsed, request.Op) > 0 && harness.prefillEngineOf(request.Op) == id {
+				engines[id].Hang(true)
 			}
 		}
 		if leaves {
-			time.Sleep(20 * time.Millisecond) // the writer's attempt is out
+			time.Sleep(20 * time.Millisecond) // the decode attempt is in flight
 			c.Close()
 		}
-		s.lawful()
-		for _, x := range e {
+		harness.requireNoViolations()
+		for _, x := range engines {
 			x.Hang(false)
 		}
-		s.eventually("the node holds nothing", func() bool { return s.node.UnfinishedRequests() == 0 })
+		harness.eventually("the node has forgotten the request", func() bool { return harness.node.UnfinishedRequests() == 0 })
 	}
 }
 
-// holder is the engine at which an op was read first.
-func (s *stage) holder(op string) string {
-	for _, x := range s.log.All() {
+// prefillEngineOf returns the engine of the first prefill of an operation.
+func (h *relayHarness) prefillEngineOf(op string) string {
+	for _, x := range h.log.All() {
 		if x.Kind == record.Parsed && x.Op == op {
 			return x.Engine
 		}
@@ -52,40 +52,40 @@
 	return ""
 }
 
-// Releases that are owed when a node is told to stop are made before it ends, though the engine asked first says nothing.
-func TestRelayStopMakesTheReleasesOwed(t *testing.T) {
-	s, e := newStage(t, 64, 256, "r0 read", "r1 read", "w0 write")
-	e["w0"].Hang(true)
-	a := s.ask("chat")
-	s.start(&a, "1ea5e1")
-	s.eventually("a state waits", func() bool { return s.p.Held() == 1 })
-	e[s.holder(a.Op)].Hang(true)
-	s.stopped = true
-	s.node.Shutdown(0)
-	if n := s.p.Held(); n > 0 {
-		t.Errorf("the node ended with %d states held", n)
+// States that are held when a node shuts down are released before it ends, though the engine called first does not respond.
+func TestRelayShutdownReleasesStates(t *testing.T) {
+	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "r1 read", "w0 write")
+	engines["w0"].Hang(true)
+	request := harness.newRequest("chat")
+	harness.startRequest(&request, "1ea5e1")
+	harness.eventually("an engine holds the state", func() bool { return harness.platform.Held() == 1 })
+	engines[harness.prefillEngineOf(request.Op)].Hang(true)
+	harness.stopped = true
+	harness.node.Shutdown(0)
+	if n := harness.platform.Held(); n > 0 {
+		t.Errorf("the node ended with %d states held, want 0", n)
 	}
-	for _, x := range e {
+	for _, x := range engines {
 		x.Hang(false)
 	}
-	s.lawful()
+	harness.requireNoViolations()
 }
 
-// The state of a read is released in time though the attempt that was to take it is out: its request lies in the kernel, for the writer's
-// machine takes no more bytes. A send that has not arrived does not stop the time of what is held.
-func TestRelayReleasesWhereASendDoesNotArrive(t *testing.T) {
-	s, _ := newStage(t, 64, 256, "r0 read", "w0 write")
-	full := fullListener(t)
-	s.d.Set("w0", func(x *platform.Server) { x.Addr = full.Addr().String() })
-	time.Sleep(100 * time.Millisecond) // the change is heard
-	a := s.ask("commit")
-	a.Op = strings.Repeat("x", 60<<10)
-	s.do(a)
-	s.lawful()
+// A state is released in time though the attempt that was to fetch it is in flight: its request lies in the kernel, for the decode
+// engine's machine accepts no more bytes. An attempt that is not delivered does not stop the limit on the hold time.
+func TestRelayStateIsReleasedWhenAttemptIsNotDelivered(t *testing.T) {
+	harness, _ := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
+	full := unreadListener(t)
+	harness.discovery.Set("w0", func(x *platform.Server) { x.Addr = full.Addr().String() })
+	time.Sleep(100 * time.Millisecond) // the node polls the endpoint list
+	request := harness.newRequest("commit")
+	request.Op = strings.Repeat("x", 60<<10)
+	harness.send(request)
+	harness.requireNoViolations()
 }
 
-// fullListener takes connections and reads nothing of them; its kernel holds but a few bytes for each.
-func fullListener(t *testing.T) net.Listener {
+// unreadListener accepts connections and reads nothing from them; its kernel buffers only a few bytes for each.
+func unreadListener(t *testing.T) net.Listener {
 	t.Helper()
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var err error
--- /dev/null
+++ b/internal/node/time_budget_test.go
@@ -0,0 +1,78 @@
+package node_test
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"dillroute/lab/platform"
+)
+
+// The time budget that an attempt sends to its engine is at most what the client has left, at the first attempt and at retries.
+func TestRelayBudgetSentToEnginesIsAtMostTheTimeLeft(t *testing.T) {
+	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write", "w1 write")
+	for _, class := range []string{"chat", "commit"} {
+		engines["w0"].Next(platform.Rejects)
+		engines["w1"].Next(platform.Rejects)
+		request := harness.newRequest(class)
+		request.Patience = 2 * time.Second
+		end := float64(time.Now().Add(request.Patience).UnixNano()) / 1e9
+		harness.send(request)
+		told := harness.platform.Budgets(request.Op)
+		if len(told) < 2 {
+			t.Fatalf("%s: got %d attempts, want at least 2", class, len(told))
+		}
+		for i, b := range told {
+			// The client states its budget in ms, counted from when the request is sent, a moment after end was computed.
+			if most := end - b.At + 0.02; b.Told > most || b.Told <= 0 {
+				t.Errorf("%s, attempt %d: got a budget of %.3f s, want at most %.3f", class, i, b.Told, most)
+			}
+		}
+	}
+	harness.requireNoViolations()
+}
+
+// The time of a pipelined request runs from its arrival, not from when its turn comes: engines receive what is left of it, and a
+// request whose time has passed meanwhile is not forwarded.
+func TestRelayPipelinedRequestBudgetRunsFromArrival(t *testing.T) {
+	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
+	engines["w0"].Step = 100 * time.Millisecond
+	asks, text := make([]platform.Ask, 3), ""
+	for i, patience := range []time.Duration{3 * time.Second, 2 * time.Second, 500 * time.Millisecond} {
+		request := harness.newRequest("chat")
+		request.ID, request.Patience = fmt.Sprintf("a1ea%d", i), patience
+		harness.platform.Call(request.ID, platform.Op{Name: request.Op, Class: request.Class, Tokens: request.Tokens})
+		asks[i] = request
+		text += request.Request()
+	}
+	c, err := net.Dial("tcp", harness.node.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	sent := float64(time.Now().UnixNano()) / 1e9
+	io.WriteString(c, text)
+	br := bufio.NewReader(c)
+	for i, request := range asks {
+		c.SetReadDeadline(time.Now().Add(10 * time.Second))
+		resp, err := http.ReadResponse(br, nil)
+		if err != nil {
+			t.Fatalf("request %d: %v", i, err)
+		}
+		io.Copy(io.Discard, resp.Body)
+		told := harness.platform.Budgets(request.Op)
+		if late := i == 2; late == (resp.StatusCode == 200) || late != (len(told) == 0) {
+			t.Errorf("request %d: got status %d and %d attempts", i, resp.StatusCode, len(told))
+		}
+		for _, b := range told {
+			if most := sent + request.Patience.Seconds() - b.At + 0.15; b.Told > most {
+				t.Errorf("request %d: got a budget of %.3f s, want at most %.3f", i, b.Told, most)
+			}
+		}
+	}
+	harness.eventually("no engine holds a state", func() bool { return harness.platform.Held() == 0 })
+}
