--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -20,7 +20,7 @@
 	decision := n.overload.admit(now, overload.Request{
 		ClientTimeout: clientTimeout,
 		Elapsed:       time.Since(exchange.Arrived).Seconds(),
-		HeldBytes:     n.server.Held(),
+		HeldBytes:     n.server.HeldBytes(),
 	})
 	if !decision.Admitted {
 		n.shed(routed, decision)
