--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -74,7 +74,7 @@
 		FetchState:     command.FetchState,
 		StateAttempt:   command.StateAttempt,
 		Timeout:        max(time.Millisecond, seconds(timeout)),
-		ClientDeadline: n.loop.clock.At(clientDeadline),
+		ClientDeadline: n.loop.clock.TimeAt(clientDeadline),
 	}
 	if command.WriteBy > 0 {
 		spec.WriteBy = time.Now().Add(seconds(command.WriteBy - now))
@@ -90,7 +90,7 @@
 	}
 	select {
 	case <-done:
-	case <-time.After(seconds(staterelease.Lead)):
+	case <-time.After(seconds(staterelease.ReleaseLeadTime)):
 	}
 }
 
--- a/internal/node/audit.go
+++ b/internal/node/audit.go
@@ -23,7 +23,7 @@
 		return
 	}
 	n.audit(request.id, permit.Written{
-		At:                   n.loop.clock.Of(result.FirstByteAt),
+		At:                   n.loop.clock.SecondsAt(result.FirstByteAt),
 		ClientDisconnectedAt: request.disconnectedAt,
 		ClientDeadline:       attempt.clientDeadline,
 		DedupWindowEnd:       attempt.writeBy,
--- a/internal/node/chat.go
+++ b/internal/node/chat.go
@@ -41,11 +41,11 @@
 		return nil, err
 	}
 	n.endpoints, err = discovery.Follow(discovery.FollowOptions{
-		Config:   cfg,
-		Clock:    n.loop.clock,
-		Saved:    savedListFile(cfg),
-		Take:     n.updateEndpoints,
-		Complain: func(text string) { n.log.Error("endpoint list error", "text", text) },
+		Config:    cfg,
+		Clock:     n.loop.clock,
+		SavedList: savedListFile(cfg),
+		OnUpdate:  n.updateEndpoints,
+		OnProblem: func(text string) { n.log.Error("endpoint list error", "text", text) },
 	})
 	if err != nil {
 		n.server.Close()
@@ -80,11 +80,11 @@
 		scheduler:         cfg.Scheduler(),
 		table:             chatTableConfig(cfg),
 		tick:              cfg.Tick,
-		stateReleaseLimit: cfg.Rules.LetGoBy,
+		stateReleaseLimit: cfg.Rules.StateReleaseLimit,
 		maxHeldBytes:      cfg.Limits.MaxHeld,
 		limits:            http1.DefaultLimits,
 		overload: overload.Limits{
-			Descriptors:   cfg.Limits.Files,
+			Descriptors:   cfg.Limits.Descriptors,
 			Connections:   cfg.Limits.MaxConnections,
 			Bytes:         cfg.Limits.MaxHeld,
 			ResponseSlack: cfg.Rules.AnswerSlack,
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -189,7 +189,7 @@
 	start := time.Now()
 	actions, err := l.callScheduler(now, events)
 	took := time.Since(start).Seconds()
-	l.owned.dispatch.Done(now, took)
+	l.owned.dispatch.RecordPass(now, took)
 	l.steps.observeStep(took)
 	if err != nil {
 		l.host.schedulerFailed(err)
--- a/internal/node/overload.go
+++ b/internal/node/overload.go
@@ -51,7 +51,7 @@
 
 // admit decides whether a request is admitted.
 func (m *overloadMonitor) admit(now float64, request overload.Request) overload.Decision {
-	request.Draw = rand.Float64()
+	request.Random = rand.Float64()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.controller.Admit(now, request)
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -44,7 +44,7 @@
 }
 
 // Reload applies a new configuration: the address of discovery may change.
-func (r *RelayNode) Reload(next *relay.Config) { r.discovery.Move(next.Discovery) }
+func (r *RelayNode) Reload(next *relay.Config) { r.discovery.SetAddress(next.Discovery) }
 
 // relayHostConfig returns the host's part of the configuration.
 func relayHostConfig(cfg *relay.Config) hostConfig {
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -63,8 +63,8 @@
 	var classes []classify.Class
 	for _, c := range cfg.Classes {
 		classes = append(classes, classify.Class{
-			ClientTimeout: c.Patience, ClientTimeoutPer1KTokens: c.PatiencePerK, MaxTokens: c.MaxTokens,
-			OutputTokenObjective: c.TokenAim})
+			ClientTimeout: c.ClientTimeout, ClientTimeoutPer1KTokens: c.ClientTimeoutPer1KTokens, MaxTokens: c.MaxTokens,
+			OutputTokenObjective: c.OutputTokenObjective})
 	}
 	var keys, hashes [][]string
 	for _, t := range cfg.Tenants {
@@ -210,14 +210,14 @@
 	maxTokens := settings.table.MaxTokens(class, chat.MaxTokens)
 	wait := settings.table.ClientWait(class, chat.PromptTokens, maxTokens, clientTimeout, !chat.Stream)
 	request := scheduler.Request{ID: exchange.id, Class: class, Tenant: tenant, Session: chat.Session, Prefix: chat.Prefix,
-		ClientTimeLeft: wait.First, PromptTokens: float64(chat.PromptTokens), PrefixTokens: float64(chat.PrefixTokens),
+		ClientTimeLeft: wait.FirstToken, PromptTokens: float64(chat.PromptTokens), PrefixTokens: float64(chat.PrefixTokens),
 		MaxOutputTokens: float64(maxTokens), Retry: isClientRetry(client)}
 	if chosen := client.Header.Get("X-Request-Id"); chosen != "" {
 		f.log.Debug("request admitted", "request", exchange.id, "client_request", truncate(chosen),
 			"class", settings.config.Classes[class].Name)
 	}
 	client.Header = nil // the exchange and the request hold what is needed of it
-	if !take(protocol.RoutedRequest{Request: request, WholeResponseTimeout: wait.Whole, Exchange: exchange}) {
+	if !take(protocol.RoutedRequest{Request: request, WholeResponseTimeout: wait.CompleteResponse, Exchange: exchange}) {
 		reject(client, 503, true, "node_stopping", "", "the node is stopping")
 	}
 }
--- /dev/null
+++ b/scheduler/affinity.go
@@ -0,0 +1,126 @@
+package scheduler
+
+import (
+	"cmp"
+	"hash/fnv"
+	"maps"
+	"math"
+	"slices"
+)
+
+// This file chooses the engines that are likely to have a request's prefix or session cached. The ordinary path pairs
+// a prefill engine by hash of the shared prefix with a decode engine of the same cell (design, "Our pairing").
+
+const (
+	// prefixWindow is the time constant, in seconds, over which the share of each prefix in the arrivals is averaged.
+	prefixWindow = 30.0
+	// prefixPrior is the number of requests with other prefixes that are added to the arrivals.
+	prefixPrior = 5
+	// maxAffinityWeight is the largest weight of a prefill engine in the hashing of prefixes; one is an even share.
+	maxAffinityWeight = 1.2
+	// minAffinityWeight is the least weight of a prefill engine in the hashing of prefixes.
+	minAffinityWeight = 0.5
+	// mixedAffinityWeight is the weight of a mixed engine in the hashing of prefixes, as it decodes too.
+	mixedAffinityWeight = 0.5
+	// sessionIdleTime is the time in seconds after which an idle session or prefix is forgotten.
+	sessionIdleTime = 60.0
+)
+
+// session is the latest prefill of a client's session.
+type session struct {
+	promptTokens  float64
+	usedAt        float64
+	prefillEngine *engine
+}
+
+// rendezvousHash hashes a key and an engine's ID to a number between 0 and 1. Similar IDs get unrelated numbers.
+func rendezvousHash(key, id string) float64 {
+	hash := fnv.New64a()
+	hash.Write([]byte(id))
+	hash.Write([]byte(key))
+	sum := hash.Sum64()
+	sum = (sum ^ sum>>31) * 0x9e3779b97f4a7c15
+	return (float64((sum^sum>>29)>>11) + 0.5) / (1 << 53)
+}
+
+// orderByRendezvous orders engines by weighted rendezvous hashing of a key.
+func orderByRendezvous(engines []*engine, key string) {
+	for _, candidate := range engines {
+		candidate.rendezvousScore = -candidate.affinityWeight / math.Log(rendezvousHash(key, candidate.ID))
+	}
+	slices.SortFunc(engines, func(a, b *engine) int { return cmp.Compare(b.rendezvousScore, a.rendezvousScore) })
+}
+
+// prefillCandidates returns the engines that may prefill a request, its preferred replica first: in weighted rendezvous
+// order of the prefix, or of the session where it has none, which is the same at all routers. A hot prefix has several
+// preferred replicas, by its share of the arrivals; sessions are spread over them.
+func (s *Scheduler) prefillCandidates(req *request) []*engine {
+	candidates := s.retryCandidates(req, s.eligibleEngines(func(e *engine) bool {
+		return e.role != Decode && s.repeatAllowed(req, e) && s.slowStartAllows(req, e)
+	}))
+	if req.Prefix == "" {
+		orderByRendezvous(candidates, req.Session)
+		return candidates
+	}
+	orderByRendezvous(candidates, req.Prefix)
+	replicas := int(math.Ceil(s.prefixShare(req.Prefix) * float64(len(candidates))))
+	orderByRendezvous(candidates[:min(len(candidates), replicas)], req.Session)
+	return candidates
+}
+
+// prefixShare is the share of a prefix in this router's arrivals.
+func (s *Scheduler) prefixShare(prefix string) float64 {
+	rate := s.prefixRates[prefix]
+	return rate.get(s.now, 1) / (s.prefixArrivals.get(s.now, 1) + prefixPrior)
+}
+
+func (s *Scheduler) countPrefix(prefix string) {
+	s.prefixArrivals.add(s.now, 1, prefixWindow)
+	rate := s.prefixRates[prefix]
+	rate.add(s.now, 1, prefixWindow)
+	s.prefixRates[prefix] = rate
+}
+
+// cachedPrefixTokens predicts how many tokens of a prompt an engine has cached: all of the session's latest prompt where the
+// engine prefilled it, else the mean share of shared prefixes that was found cached there.
+func (s *Scheduler) cachedPrefixTokens(req *request, target *engine) float64 {
+	if latest, ok := s.sessions[req.Session]; ok && latest.prefillEngine == target && latest.usedAt > target.BootTime {
+		return min(latest.promptTokens, req.PromptTokens)
+	}
+	share := target.prefixHit.get(s.now, s.kinds[target.Kind].prefixHit.get(s.now, 0, 0), prefillWaitForget)
+	return share * min(req.PrefixTokens, req.PromptTokens)
+}
+
+// learnPrefixHit takes the share of a shared prefix that was found cached. The rest is expected to be prefilled anew.
+func (s *Scheduler) learnPrefixHit(req *request, target *engine, cached float64) {
+	if req.PrefixTokens > 0 {
+		share := min(1, cached/req.PrefixTokens)
+		target.prefixHit.add(s.now, share, prefillWaitGain)
+		s.kinds[target.Kind].prefixHit.add(s.now, share, kindGain)
+	}
+}
+
+// forgetIdleSessions forgets sessions and prefixes that have been idle.
+func (s *Scheduler) forgetIdleSessions() {
+	if s.now < s.sweepAt {
+		return
+	}
+	s.sweepAt = s.now + sessionIdleTime/4
+	maps.DeleteFunc(s.prefixRates, func(_ string, rate decayingRate) bool { return s.now-rate.updatedAt > sessionIdleTime })
+	maps.DeleteFunc(s.sessions, func(_ string, latest session) bool { return s.now-latest.usedAt > sessionIdleTime })
+}
+
+// updateAffinityWeights weighs each prefill engine by the root of the ratio of decode to prefill engines in its cell, so that
+// states seldom leave their cell. Routers with the same endpoint list agree on the weights.
+func (s *Scheduler) updateAffinityWeights() {
+	ready := countReady(s.engineList)
+	for _, target := range s.engineList {
+		if target.role == Mixed {
+			target.affinityWeight = mixedAffinityWeight
+			continue
+		}
+		cell, all := ready.byCell[target.Cell], ready.all
+		ratio := cell.decode / max(1, cell.prefill) * all.prefill / max(1, all.decode)
+		target.affinityWeight = max(minAffinityWeight, min(maxAffinityWeight, math.Sqrt(ratio)))
+	}
+}
--- /dev/null
+++ b/scheduler/dispatch.go
@@ -0,0 +1,63 @@
+package scheduler
+
+// This file sends attempts and keeps the counts of what is in flight.
+
+// sendAttempt sends an attempt and counts it.
+func (s *Scheduler) sendAttempt(req *request, target *engine, expected, timeout float64) {
+	s.emit(Send{ID: req.ID, Engine: target.ID, Timeout: timeout})
+	s.countSlowStartSend(req, target)
+	req.inFlight = &attempt{number: req.attemptsSent, engine: target, sentAt: s.now, expected: expected}
+	req.attemptsSent++
+	s.awaitingFirstToken++
+}
+
+// sendPrefill starts the prefill of a request that is admitted to a decode engine.
+func (s *Scheduler) sendPrefill(req *request, prefill, decode *engine) {
+	req.prefill = s.predictPrefill(req, prefill)
+	req.cachedTokens = s.cachedPrefixTokens(req, prefill)
+	req.stage = stagePrefilling
+	req.prefillEngine = prefill
+	timeout := max(s.cfg.Tick, req.deadline-s.now-2*s.responseMargin()) // the outcome comes before the final response is due
+	s.sendAttempt(req, prefill, req.prefill.seconds, timeout)
+	prefill.prefills = append(prefill.prefills, req)
+	s.assignDecodeEngine(req, decode)
+	s.reservePlace(req, decode)
+}
+
+// reservePlace reserves a place at the decode engine where the transfer takes a good part of the time left.
+func (s *Scheduler) reservePlace(req *request, decode *engine) {
+	transfer := s.transferTime(req, req.prefillEngine, decode)
+	if s.cfg.ReservationOffered && transfer > reserveTransferShare*max(0, req.firstTokenDue-s.now) &&
+		s.slowStartAllows(req, decode) && decode.State == EngineReady {
+		s.emit(Reserve{ID: req.ID, Engine: decode.ID})
+		req.reserved = &reservedState{since: s.now}
+	}
+}
+
+// sendPrefillWithDecode has one engine prefill and decode a request.
+func (s *Scheduler) sendPrefillWithDecode(req *request, target *engine) {
+	req.prefill = s.predictPrefill(req, target)
+	s.assignDecodeEngine(req, target)
+	req.stage = stageDecoding
+	s.sendAttempt(req, target, s.firstTokenLatency(target)+req.prefill.seconds, 0)
+}
+
+// sendDecode sends a request whose state waits at a prefill engine to a decode engine.
+func (s *Scheduler) sendDecode(req *request, target *engine) {
+	s.assignDecodeEngine(req, target)
+	transfer := s.transferTime(req, req.prefillEngine, target)
+	req.stage = stageDecoding
+	s.sendAttempt(req, target, s.firstTokenLatency(target)+transfer, 0)
+	s.beginTransfer(req)
+}
+
+// assignDecodeEngine counts a request as admitted to an engine and to no other; nil means to none.
+func (s *Scheduler) assignDecodeEngine(req *request, target *engine) {
+	if req.decodeEngine != nil {
+		req.decodeEngine.admitted = without(req.decodeEngine.admitted, req)
+	}
+	req.decodeEngine = target
+	if target != nil {
+		target.admitted = append(target.admitted, req)
+	}
+}
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -39,32 +39,41 @@
 
 func goldenSettings() []goldenSetting {
 	return []goldenSetting{
-		{"plain", 0.5, 4000, 40, func(c *Config) {}, ordinaryFleet},
-		{"inline", 0.6, 4000, 40, func(c *Config) { c.ReportStyle, c.DecodeEnginesPrefill = ReportInline, true }, ordinaryFleet},
-		{"on-probe", 0.5, 4000, 40, func(c *Config) {
+		{name: "plain", rate: 0.5, prompt: 4000, boots: 40, kinds: ordinaryFleet, change: func(c *Config) {}},
+		{name: "inline", rate: 0.6, prompt: 4000, boots: 40, kinds: ordinaryFleet, change: func(c *Config) {
+			c.ReportStyle, c.DecodeEnginesPrefill = ReportInline, true
+		}},
+		{name: "on-probe", rate: 0.5, prompt: 4000, boots: 40, kinds: ordinaryFleet, change: func(c *Config) {
 			c.ReportStyle, c.Limits.Probe, c.Prices.Probe = ReportOnProbe, true, 1e-4
-		}, ordinaryFleet},
-		{"ahead", 0.5, 30000, 40, func(c *Config) {
+		}},
+		{name: "ahead", rate: 0.5, prompt: 30000, boots: 40, kinds: ordinaryFleet, change: func(c *Config) {
 			c.ReservationOffered, c.Prices = true, Prices{Waste: 0.1, CrossZone: 0.2, LateFailure: 0.5, Transfer: 1e-3}
-		}, ordinaryFleet},
-		{"on-request", 0.5, 4000, 20, func(c *Config) { c.PollsDiscovery = true }, ordinaryFleet},
-		{"unsent-free", 0.5, 4000, 40, func(c *Config) { c.Limits.UnsentAttemptsAreFree, c.Limits.StateTimeRunsDuringConnects = true, true }, ordinaryFleet},
-		{"no-cancel", 0.9, 8000, 20, func(c *Config) {
+		}},
+		{name: "on-request", rate: 0.5, prompt: 4000, boots: 20, kinds: ordinaryFleet, change: func(c *Config) { c.PollsDiscovery = true }},
+		{name: "unsent-free", rate: 0.5, prompt: 4000, boots: 40, kinds: ordinaryFleet, change: func(c *Config) {
+			c.Limits.UnsentAttemptsAreFree, c.Limits.StateTimeRunsDuringConnects = true, true
+		}},
+		{name: "no-cancel", rate: 0.9, prompt: 8000, boots: 20, kinds: []int{0, 1}, change: func(c *Config) {
 			c.Limits.Cancel, c.Limits.RetryAfter, c.Limits.MaxRetryAfter = false, true, 5
-		}, []int{0, 1}},
-		{"quotas", 0.8, 4000, 40, func(c *Config) {
-			c.NodeCount, c.NodeIndex, c.Tenants = 3, 1, []Tenant{{0}, {5}, {30}}
+		}},
+		{name: "quotas", rate: 0.8, prompt: 4000, boots: 40, kinds: ordinaryFleet, change: func(c *Config) {
+			c.NodeCount, c.NodeIndex, c.Tenants = 3, 1, []Tenant{{Quota: 0}, {Quota: 5}, {Quota: 30}}
 			c.Limits.RetryAfter, c.Limits.MaxRetryAfter = true, 2
-		}, ordinaryFleet},
-		{"mixed", 0.6, 4000, 40, func(c *Config) { c.ReportStyle, c.DecodeEnginesPrefill = ReportInline, true }, []int{2, 2, 2, 1}},
-		{"cold", 0.7, 4000, 6, func(c *Config) { c.NodeCount, c.Rules.SlowStartWindow = 2, 1.5 }, ordinaryFleet},
-		{goldenCrowded, 0.6, 1500, 200, func(c *Config) {}, []int{0, 0, 0, 1, 1, 1}},
-		{"all", 0.7, 12000, 20, func(c *Config) {
-			c.ReportStyle, c.Limits.Probe, c.Prices = ReportInline, true, Prices{1e-4, 0.1, 0.2, 0.5, 1e-4}
+		}},
+		{name: "mixed", rate: 0.6, prompt: 4000, boots: 40, kinds: []int{2, 2, 2, 1}, change: func(c *Config) {
+			c.ReportStyle, c.DecodeEnginesPrefill = ReportInline, true
+		}},
+		{name: "cold", rate: 0.7, prompt: 4000, boots: 6, kinds: ordinaryFleet, change: func(c *Config) {
+			c.NodeCount, c.Rules.SlowStartWindow = 2, 1.5
+		}},
+		{name: goldenCrowded, rate: 0.6, prompt: 1500, boots: 200, kinds: []int{0, 0, 0, 1, 1, 1}, change: func(c *Config) {}},
+		{name: "all", rate: 0.7, prompt: 12000, boots: 20, kinds: ordinaryFleet, change: func(c *Config) {
+			c.ReportStyle, c.Limits.Probe = ReportInline, true
+			c.Prices = Prices{Probe: 1e-4, Waste: 0.1, CrossZone: 0.2, LateFailure: 0.5, Transfer: 1e-4}
 			c.PollsDiscovery, c.ReservationOffered, c.DecodeEnginesPrefill, c.NodeCount, c.NodeIndex = true, true, true, 2, 1
 			c.Limits.HedgedRequests, c.Limits.UnsentAttemptsAreFree, c.Limits.StateTimeRunsDuringConnects = true, true, true
-			c.Limits.RetryAfter, c.Limits.MaxRetryAfter, c.Tenants = true, 3, []Tenant{{0}, {10}}
-		}, ordinaryFleet},
+			c.Limits.RetryAfter, c.Limits.MaxRetryAfter, c.Tenants = true, 3, []Tenant{{Quota: 0}, {Quota: 10}}
+		}},
 	}
 }
 
@@ -72,8 +81,10 @@
 	c := testConfig()
 	c.ZoneCount = 2
 	c.Classes = append(c.Classes,
-		Class{Effect: IdempotentByKey, DedupScope: DedupFleet, DedupWindow: 1, FirstTokenObjective: 0.5, ObjectivePerHintSecond: 0.1, ClientTimeout: 3, OutputTokenObjective: 0.05, PriorityWeight: 3, LateValue: 0.1},
-		Class{Effect: IdempotentByKey, DedupScope: DedupZone, DedupWindow: 3, FirstTokenObjective: 2, ObjectivePer1KTokens: 0.1, ClientTimeout: 8, OutputTokenObjective: 0.1, PriorityWeight: 1, LateValue: 0.5})
+		Class{Effect: IdempotentByKey, DedupScope: DedupFleet, DedupWindow: 1, FirstTokenObjective: 0.5, ObjectivePerHintSecond: 0.1,
+			ClientTimeout: 3, OutputTokenObjective: 0.05, PriorityWeight: 3, LateValue: 0.1},
+		Class{Effect: IdempotentByKey, DedupScope: DedupZone, DedupWindow: 3, FirstTokenObjective: 2, ObjectivePer1KTokens: 0.1,
+			ClientTimeout: 8, OutputTokenObjective: 0.1, PriorityWeight: 1, LateValue: 0.5})
 	s.change(&c)
 	return c
 }
@@ -84,24 +95,24 @@
 	n          int
 	role       Role
 	at         float64
-	flowing    bool
+	streaming  bool
 }
 
-// goldenHost makes random events for a router and carries out what it asks for. Whatever it goes through is in a slice, so that
-// the same seed gives the same events.
+// goldenHost makes random events for a scheduler and carries out its actions. It ranges over slices alone, so that the same
+// seed gives the same events.
 type goldenHost struct {
-	s       goldenSetting
-	cfg     Config
-	r       *Scheduler
-	rnd     *rand.Rand
-	now     float64
-	engines []Engine
-	roles   map[string]Role
-	open    []string // requests without an answer
-	sent    map[string]int
-	out     []goldenAttempt
-	timers  []SetTimer
-	due     []Event // answers to what the router asked
+	s         goldenSetting
+	cfg       Config
+	scheduler *Scheduler
+	rnd       *rand.Rand
+	now       float64
+	engines   []Engine
+	roles     map[string]Role
+	open      []string // requests without a final response
+	sent      map[string]int
+	inFlight  []goldenAttempt
+	timers    []SetTimer
+	due       []Event // answers to the scheduler's actions
 }
 
 func newGoldenHost(t *testing.T, s goldenSetting, seed int64) *goldenHost {
@@ -111,9 +122,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.r = r
+	h.scheduler = r
 	for i, kind := range s.kinds {
-		e := eng(fmt.Sprint("e", i), kind, i%2)
+		e := testEngine(fmt.Sprint("e", i), kind, i%2)
 		e.Zone = i / 2 % 2
 		h.engines, h.roles[e.ID] = append(h.engines, e), h.cfg.Kinds[kind].Role
 	}
@@ -124,7 +135,7 @@
 
 // request makes a request with all fields.
 func (h *goldenHost) request(i int) Event {
-	q := ask(fmt.Sprint("q", i), h.rnd.Intn(len(h.cfg.Classes)))
+	q := testRequest(fmt.Sprint("q", i), h.rnd.Intn(len(h.cfg.Classes)))
 	q.Tenant = h.rnd.Intn(len(h.cfg.Tenants))
 	q.Session, q.Prefix = fmt.Sprint("s", h.rnd.Intn(30)), fmt.Sprint("p", h.rnd.Intn(5))
 	switch h.rnd.Intn(8) {
@@ -157,24 +168,24 @@
 
 var goldenStatuses = []Status{ServerError, Rejected, TimedOut, ConnectFailed, ConnectionLost, Canceled, NotSent, Prefilled, Completed}
 
-// ends ends an attempt, or starts its stream.
-func (h *goldenHost) ends(i int) Event {
-	a := h.out[i]
+// endAttempt ends an attempt, or starts its stream.
+func (h *goldenHost) endAttempt(i int) Event {
+	a := h.inFlight[i]
 	spent := h.now - a.at
-	if a.role != Prefill && !a.flowing && h.chance(0.75) {
-		h.out[i].flowing = true
+	if a.role != Prefill && !a.streaming && h.chance(0.75) {
+		h.inFlight[i].streaming = true
 		return FirstToken{ID: a.id, Attempt: a.n, Engine: a.engine, Spent: spent}
 	}
-	h.out = append(h.out[:i:i], h.out[i+1:]...)
+	h.inFlight = append(h.inFlight[:i:i], h.inFlight[i+1:]...)
 	o := Outcome{ID: a.id, Attempt: a.n, Engine: a.engine, Spent: spent, Report: h.report()}
 	switch {
-	case a.flowing && h.chance(0.9):
+	case a.streaming && h.chance(0.9):
 		o.Status = Completed
 	case a.role == Prefill && h.chance(0.8):
 		o.Status = Prefilled
 	default:
 		o.Status = goldenStatuses[h.rnd.Intn(len(goldenStatuses))]
-		if o.Status == Prefilled && a.role != Prefill { // hosts tell this of reads alone
+		if o.Status == Prefilled && a.role != Prefill { // hosts report this of prefill engines alone
 			o.Status = ServerError
 		}
 	}
@@ -183,7 +194,7 @@
 	} else if o.Status == Rejected {
 		o.Info = h.rnd.Intn(2)
 	}
-	o.Closed = a.flowing || o.Status == Completed || !h.isOpen(a.id)
+	o.Closed = a.streaming || o.Status == Completed || !h.isOpen(a.id)
 	if o.Closed {
 		h.close(a.id)
 	}
@@ -208,8 +219,8 @@
 	}
 }
 
-// listed makes a list of engines: a change of one, or a whole list in one of its forms.
-func (h *goldenHost) listed() Event {
+// endpointUpdate makes a list of engines: a change of one, or a whole list in one of its forms.
+func (h *goldenHost) endpointUpdate() Event {
 	i := h.rnd.Intn(len(h.engines))
 	e := &h.engines[i]
 	e.State = EngineState(h.rnd.Intn(3))
@@ -258,7 +269,7 @@
 		evs = append(evs, h.request(i))
 	}
 	if h.rnd.Intn(h.s.boots) == 0 {
-		evs = append(evs, h.listed())
+		evs = append(evs, h.endpointUpdate())
 	}
 	if len(h.open) > 0 && h.chance(0.02) {
 		id := h.open[h.rnd.Intn(len(h.open))]
@@ -271,13 +282,13 @@
 	if h.chance(0.01) {
 		evs = append(evs, ProbeResult{Engine: h.engines[h.rnd.Intn(len(h.engines))].ID, Status: TimedOut, Spent: 0.1})
 	}
-	for j := len(h.out) - 1; j >= 0; j-- {
+	for j := len(h.inFlight) - 1; j >= 0; j-- {
 		p := 0.12
-		if h.out[j].flowing && h.s.name == goldenCrowded { // long streams: writers are full
+		if h.inFlight[j].streaming && h.s.name == goldenCrowded { // long streams: decode engines are full
 			p = 0.01
 		}
 		if h.chance(p) {
-			evs = append(evs, h.ends(j))
+			evs = append(evs, h.endAttempt(j))
 		}
 	}
 	return evs
@@ -288,12 +299,12 @@
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Send:
-			h.out = append(h.out, goldenAttempt{id: a.ID, engine: a.Engine, n: h.sent[a.ID], role: h.roles[a.Engine], at: h.now})
+			h.inFlight = append(h.inFlight, goldenAttempt{id: a.ID, engine: a.Engine, n: h.sent[a.ID], role: h.roles[a.Engine], at: h.now})
 			h.sent[a.ID]++
 		case Cancel:
-			for j, x := range h.out {
+			for j, x := range h.inFlight {
 				if x.id == a.ID && x.n == a.Attempt {
-					h.out = append(h.out[:j:j], h.out[j+1:]...)
+					h.inFlight = append(h.inFlight[:j:j], h.inFlight[j+1:]...)
 					h.due = append(h.due, Outcome{ID: x.id, Attempt: x.n, Engine: x.engine, Status: Canceled,
 						Spent: h.now - x.at, Closed: !h.isOpen(x.id)})
 					break
@@ -338,8 +349,8 @@
 }
 
 func whyWord(w GiveUpReason) string {
-	return map[GiveUpReason]string{"": "none", DeadlineNear: "time-is-up", ObjectiveUnreachable: "too-late", AttemptsExhausted: "no-attempt-left",
-		RepeatUnsafe: "may-run-twice"}[w]
+	return map[GiveUpReason]string{"": "none", DeadlineNear: "time-is-up", ObjectiveUnreachable: "too-late",
+		AttemptsExhausted: "no-attempt-left", RepeatUnsafe: "may-run-twice"}[w]
 }
 
 func reportText(r *LoadReport) string {
@@ -349,10 +360,10 @@
 	has := ""
 	for _, f := range []struct {
 		bit  LoadReportField
-		word string
+		text string
 	}{{HasActive, "a"}, {HasWaiting, "w"}, {HasUtilization, "u"}, {HasLatency, "l"}, {HasMemoryShare, "m"}, {HasTokensWaiting, "t"}} {
 		if r.Has&f.bit != 0 {
-			has += f.word
+			has += f.text
 		}
 	}
 	return "(" + strings.Join([]string{num(r.Active), num(r.Waiting), num(r.Utilization), num(r.LatencyMS), num(r.MemoryShare),
@@ -363,8 +374,8 @@
 	switch v := ev.(type) {
 	case Request:
 		return fmt.Sprintf("request id=%s class=%d tenant=%d session=%q prefix=%q left=%s hint=%s prompt=%s shared=%s out=%s "+
-			"retry=%t returned=%t", v.ID, v.Class, v.Tenant, v.Session, v.Prefix, num(v.ClientTimeLeft), num(v.DurationHint), num(v.PromptTokens), num(v.PrefixTokens),
-			num(v.MaxOutputTokens), v.Retry, v.Returned)
+			"retry=%t returned=%t", v.ID, v.Class, v.Tenant, v.Session, v.Prefix, num(v.ClientTimeLeft),
+			num(v.DurationHint), num(v.PromptTokens), num(v.PrefixTokens), num(v.MaxOutputTokens), v.Retry, v.Returned)
 	case Outcome:
 		return fmt.Sprintf("outcome id=%s n=%d engine=%s status=%s info=%d spent=%s closed=%t report=%s", v.ID, v.Attempt, v.Engine,
 			statusWord(v.Status), v.Info, num(v.Spent), v.Closed, reportText(v.Report))
@@ -466,7 +477,7 @@
 			in = append(in, eventText(ev))
 			g.count(in[len(in)-1])
 		}
-		acts := h.r.Step(h.now, evs)
+		acts := h.scheduler.Step(h.now, evs)
 		for _, a := range acts {
 			text, w := actionText(a)
 			out = append(out, text)
@@ -480,7 +491,7 @@
 	return g
 }
 
-// count counts what a line tells of, with the words that stand for a status, form or reason.
+// count counts the kind of a line, with the words that stand for a status, form or reason.
 func (g *goldenTape) count(text string) {
 	fields := strings.Fields(text)
 	g.counts[fields[0]]++
@@ -524,7 +535,7 @@
 	}
 }
 
-// What the router does on the same events stays the same, to the last digit.
+// The scheduler's actions on the same events stay the same, to the last digit.
 func TestDecisionsAreAsRecorded(t *testing.T) {
 	all, ran := map[string]int{}, 0
 	for _, s := range goldenSettings() {
--- /dev/null
+++ b/scheduler/outlier_test.go
@@ -0,0 +1,216 @@
+package scheduler
+
+import (
+	"fmt"
+	"math"
+	"testing"
+)
+
+func TestAttemptIsNotCanceledWherePredictionsAreLate(t *testing.T) {
+	// One attempt at an engine is all that a router of a large fleet has there: where prefills have lately missed their
+	// predictions by a second, one that is a second late is not canceled.
+	for _, c := range []struct {
+		predictionError float64 // seconds
+		cancels         int
+	}{
+		{predictionError: 0, cancels: 1},
+		{predictionError: 1, cancels: 0},
+	} {
+		sched := startScheduler(t, testConfig(), testFleet())
+		sched.predictionError[Prefill].add(0, c.predictionError, 1)
+		sched.Step(1, []Event{testRequest("a", 0)})
+		if got := len(actionsOf[Cancel](sched.Step(2.6, nil))); got != c.cancels {
+			t.Fatalf("prediction error %g s: got %d cancels, want %d", c.predictionError, got, c.cancels)
+		}
+	}
+}
+
+func TestFailingEngineIsEjectedAndReadmittedOnProbation(t *testing.T) {
+	sched := startScheduler(t, testConfig(), testFleet())
+	e := sched.engines["w0"]
+	sched.now = 1
+	sched.recordFailure(e)
+	sched.recordFailure(e)
+	if sched.acceptsWork(e) {
+		t.Fatal("gets work after two failures in a row")
+	}
+	sched.now += maxEjection
+	if !sched.acceptsWork(e) {
+		t.Fatal("gets no request on probation after the ejection")
+	}
+	e.admitted = []*request{{stage: stageDecoding, decodeEngine: e, inFlight: &attempt{engine: e, sentAt: sched.now, expected: 1}}}
+	if sched.acceptsWork(e) {
+		t.Fatal("gets a second request on probation beside the first")
+	}
+	e.admitted = nil
+	for i := 0; i < 5; i++ {
+		sched.recordSuccess(e)
+	}
+	if e.failureScore >= probationScore {
+		t.Fatal("still on probation after five successes")
+	}
+}
+
+func TestWithAllEjectedTheLeastFailedServes(t *testing.T) {
+	sched := startScheduler(t, testConfig(), testFleet())
+	for _, e := range sched.engineList {
+		e.failureScore, e.ejectedUntil = 0.9, 100
+	}
+	sched.engines["r1"].failureScore, sched.engines["w1"].failureScore = 0.6, 0.6
+	if prefill, w := prefillAndPlace(t, sched, 1, testRequest("a", 0)); prefill != "r1" || w != "w1" {
+		t.Fatalf("sent to %s and %s, want r1 and w1", prefill, w)
+	}
+}
+
+func TestSilentPrefillEngineGetsNothingMore(t *testing.T) {
+	sched := startScheduler(t, testConfig(), testFleet())
+	s := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 0)}))
+	got := onlyAction[Send](t, sched.Step(1.6, []Event{testRequest("b", 0)}))
+	if got.Engine == s.Engine {
+		t.Fatalf("%s is silent and got more", s.Engine)
+	}
+}
+
+// A prefill engine that loses its states (a node cut off, memory run short, a restart that the endpoint list doesn't show)
+// answers prefills as if all were well. The decode engine that finds no state is not full.
+func TestPrefillEngineThatLosesStatesIsAvoided(t *testing.T) {
+	sched := startScheduler(t, testConfig(), testFleet())
+	now, preferred := 1.0, ""
+	for i := range 2 {
+		req := testRequest(fmt.Sprint("q", i), 0)
+		prefill, w := prefillAndPlace(t, sched, now, req)
+		if preferred == "" {
+			preferred = prefill
+		}
+		acts := sched.Step(now+0.2, []Event{Outcome{ID: req.ID, Attempt: 1, Engine: w, Status: Rejected, Info: 1}})
+		if e := sched.engines[w]; e.fullUntil > now {
+			t.Fatalf("%s counts as full", w)
+		}
+		if i == 0 {
+			if s := onlyAction[Send](t, acts); s.Engine != preferred { // once is chance
+				t.Fatalf("prefilled again at %s, want %s", s.Engine, preferred)
+			}
+			sched.Step(now+0.3, []Event{ClientDisconnected{ID: req.ID},
+				Outcome{ID: req.ID, Attempt: 2, Engine: preferred, Status: Canceled, Closed: true}})
+		} else if s := onlyAction[Send](t, acts); s.Engine == preferred {
+			t.Fatalf("%s lost two states and gets the request again", preferred)
+		}
+		now += 0.5
+	}
+}
+
+// An engine answers some attempts and loses others: one that two later ones overtook is canceled and retried elsewhere, and
+// counts against the engine, which isn't taken to be silent. One that a single later one overtook may be slow: it goes on.
+func TestOvertakenAttemptIsCanceledAndRetriedElsewhere(t *testing.T) {
+	for _, c := range []struct {
+		later    int // attempts sent later that are answered earlier
+		canceled bool
+	}{
+		{later: 1, canceled: false},
+		{later: 2, canceled: true},
+	} {
+		t.Run(fmt.Sprintf("overtaken by %d", c.later), func(t *testing.T) {
+			sched, lost := overtakeAttempt(t, c.later)
+			engine := sched.engines[lost.Engine]
+			if engine.failureScore > 0 || !sched.acceptsWork(engine) {
+				t.Fatal("an engine that answers is taken to be silent")
+			}
+			if got := cancels(sched.Step(2.2, []Event{TimerFired{}}), lost.ID); got != c.canceled {
+				t.Fatalf("canceled: got %v, want %v", got, c.canceled)
+			}
+			if c.canceled {
+				checkRetriedElsewhere(t, sched, lost)
+			}
+		})
+	}
+}
+
+// overtakeAttempt sends one attempt, and later ones to the same engine, which it answers earlier.
+func overtakeAttempt(t *testing.T, later int) (*Scheduler, Send) {
+	t.Helper()
+	cfg := testConfig()
+	cfg.Kinds = cfg.Kinds[:2]
+	sched := startScheduler(t, cfg, listOf(testEngine("r0", prefillKind, 0), testEngine("r1", prefillKind, 0),
+		testEngine("w0", decodeKind, 0)))
+	lost := onlyAction[Send](t, sched.Step(1, []Event{testRequest("lost", 0)}))
+	for i := range later {
+		id, now := fmt.Sprint("n", i), 1.1+float64(i)/10
+		sent := onlyAction[Send](t, sched.Step(now, []Event{testRequest(id, 0)}))
+		if sent.Engine != lost.Engine {
+			t.Fatalf("%s went to %s, want %s", id, sent.Engine, lost.Engine)
+		}
+		sched.Step(now+0.05, []Event{Outcome{ID: id, Engine: sent.Engine, Status: Prefilled, Spent: 0.05}})
+	}
+	return sched, lost
+}
+
+// cancels tells whether an attempt of the request is canceled. Others may be too, as the decode engine answers nothing.
+func cancels(actions []Action, id string) bool {
+	for _, cancel := range actionsOf[Cancel](actions) {
+		if cancel.ID == id {
+			return true
+		}
+	}
+	return false
+}
+
+func checkRetriedElsewhere(t *testing.T, sched *Scheduler, lost Send) {
+	t.Helper()
+	actions := sched.Step(2.21, []Event{Outcome{ID: lost.ID, Engine: lost.Engine, Status: Canceled, Spent: 1.2}})
+	for _, sent := range actionsOf[Send](actions) {
+		if sent.ID == lost.ID && sent.Engine == lost.Engine {
+			t.Fatal("retried at the engine that lost it")
+		}
+	}
+	if sched.engines[lost.Engine].failureScore <= 0 {
+		t.Fatal("an attempt that it lost doesn't count against the engine")
+	}
+}
+
+// An engine that hangs while others of its role answer says nothing of the role: the next one that hangs is noticed as soon as
+// the first was. Where the whole role is late, that is learned.
+func TestHangingEngineDoesNotRaisePredictionErrorOfItsRole(t *testing.T) {
+	endpoints := listOf(testEngine("w0", decodeKind, 0))
+	for i := range 6 {
+		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("r", i), prefillKind, 0))
+	}
+	for _, c := range []struct {
+		name         string
+		othersAnswer bool
+		least, most  float64 // mean prediction error afterwards, in seconds
+	}{
+		{name: "others answer", othersAnswer: true, least: 0, most: 0.05},
+		{name: "none answers", othersAnswer: false, least: 0.3, most: math.Inf(1)},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			sched := startScheduler(t, testConfig(), endpoints)
+			now := 1.0
+			for i := range 12 {
+				id := fmt.Sprint("hangs", i)
+				hanging := onlyAction[Send](t, sched.Step(now, []Event{testRequest(id, 0)}))
+				if c.othersAnswer {
+					answerOthers(sched, now, i, hanging.Engine)
+				}
+				sched.Step(now+2, []Event{Outcome{ID: id, Engine: hanging.Engine, Status: Canceled, Spent: 2}, ClientDisconnected{ID: id}})
+				now += 2.5
+			}
+			if got := sched.predictionError[Prefill].get(now, 0, 0); got < c.least || got > c.most {
+				t.Errorf("mean prediction error %.2f s, want %g to %g", got, c.least, c.most)
+			}
+		})
+	}
+}
+
+// answerOthers sends two further requests and answers those that went to other engines than the hanging one.
+func answerOthers(sched *Scheduler, now float64, round int, hanging string) {
+	for k := range 2 {
+		id := fmt.Sprint("good", round, "-", k)
+		req := testRequest(id, 0)
+		req.Prefix = id
+		sent := actionsOf[Send](sched.Step(now+0.01, []Event{req}))
+		if len(sent) == 1 && sent[0].Engine != hanging {
+			sched.Step(now+0.06, []Event{Outcome{ID: id, Engine: sent[0].Engine, Status: Prefilled, Spent: 0.05}})
+		}
+		sched.Step(now+0.06, []Event{ClientDisconnected{ID: id}})
+	}
+}
--- /dev/null
+++ b/scheduler/retry_test.go
@@ -0,0 +1,152 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+)
+
+func TestAtMostOnceIsNeitherRetriedNorRejectedAfterItMayHaveRun(t *testing.T) {
+	for _, c := range []struct {
+		status     Status
+		mayHaveRun bool
+	}{
+		{status: ServerError, mayHaveRun: true},
+		{status: ConnectionLost, mayHaveRun: true},
+		{status: TimedOut, mayHaveRun: true},
+		{status: Canceled, mayHaveRun: true},
+		{status: Rejected, mayHaveRun: false},
+		{status: ConnectFailed, mayHaveRun: false},
+	} {
+		t.Run(c.status.String(), func(t *testing.T) {
+			sched := startScheduler(t, testConfig(), testFleet())
+			_, w := prefillAndPlace(t, sched, 1, testRequest("a", atMostOnceClass))
+			acts := sched.Step(1.2, []Event{Outcome{ID: "a", Attempt: 1, Engine: w, Status: c.status}})
+			if !c.mayHaveRun {
+				onlyAction[Send](t, acts) // the state still waits: another decode engine gets it
+				return
+			}
+			noAction[Send](t, acts)
+			noAction[Reject](t, acts)
+			onlyAction[Fail](t, acts)
+			onlyAction[Release](t, acts)
+		})
+	}
+}
+
+func TestIdempotentByKeyIsRetriedWithinScopeAndWindow(t *testing.T) {
+	endpoints := testFleet()
+	endpoints.Engines = append(endpoints.Engines, testEngine("w0b", 1, 0), testEngine("w1b", 1, 1))
+	sched := startScheduler(t, testConfig(), endpoints)
+	prefill, w := prefillAndPlace(t, sched, 1, testRequest("a", 2))
+	s := onlyAction[Send](t, sched.Step(1.2, []Event{Outcome{ID: "a", Attempt: 1, Engine: w, Status: ServerError}}))
+	if s.Engine[1] != prefill[1] {
+		t.Fatalf("retried at %s, want the cell of %s", s.Engine, w)
+	}
+	// Past the window nothing more may be sent, and a scope smaller than the fleet forbids a rejection.
+	acts := sched.Step(3.2, []Event{Outcome{ID: "a", Attempt: 2, Engine: s.Engine, Status: ServerError}})
+	noAction[Send](t, acts)
+	noAction[Reject](t, acts)
+	onlyAction[Fail](t, acts)
+}
+
+// A by-key request that is to be prefilled anew, after an attempt that may have run, is prefilled within its scope or not at
+// all: whatever is sent then counts as a repeat.
+func TestIdempotentByKeyIsPrefilledAnewWithinScope(t *testing.T) {
+	endpoints, cfg := testFleet(), testConfig()
+	endpoints.Engines = append(endpoints.Engines, testEngine("w0b", 1, 0), testEngine("w1b", 1, 1))
+	cfg.Limits.MaxAttempts = 8
+	sched := startScheduler(t, cfg, endpoints)
+	_, w := prefillAndPlace(t, sched, 1, testRequest("a", 2))
+	s := onlyAction[Send](t, sched.Step(1.2, []Event{Outcome{ID: "a", Attempt: 1, Engine: w, Status: ServerError}}))
+	removed := testEngine("r"+w[1:2], 0, int(w[1]-'0'))
+	removed.State = EngineRemoved
+	acts := sched.Step(1.3, []Event{EndpointUpdate{Form: UpdateIncremental, Engines: []Engine{removed}},
+		Outcome{ID: "a", Attempt: 2, Engine: s.Engine, Status: Rejected, Info: 1}})
+	for _, x := range actionsOf[Send](acts) {
+		if x.Engine[1] != w[1] {
+			t.Fatalf("prefilled anew at %s, after an attempt at %s; want one cell", x.Engine, w)
+		}
+	}
+}
+
+// A client's time is for attempts that can succeed: two went to an engine that fails at once before it was ejected.
+func TestRetryGoesToAnotherEngine(t *testing.T) {
+	endpoints := listOf()
+	for i := range 4 {
+		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("r", i), 0, 0), testEngine(fmt.Sprint("w", i), 1, 0))
+	}
+	sched := startScheduler(t, testConfig(), endpoints)
+	first := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 0)})).Engine
+	again := onlyAction[Send](t, sched.Step(1.01, []Event{Outcome{ID: "a", Engine: first, Status: ServerError, Spent: 0.01}})).Engine
+	if again == first {
+		t.Fatalf("retried at %s, which failed the request", first)
+	}
+	sched = startScheduler(t, testConfig(), listOf(testEngine("r0", 0, 0), testEngine("w0", 1, 0)))
+	sched.Step(1, []Event{testRequest("a", 0)})
+	acts := sched.Step(1.01, []Event{Outcome{ID: "a", Engine: "r0", Status: ServerError, Spent: 0.01}})
+	if again := onlyAction[Send](t, acts).Engine; again != "r0" {
+		t.Fatalf("retried at %s, want the only prefill engine", again)
+	}
+}
+
+// An engine that rejects a request though it reports spare capacity doesn't get it again while there are others; one that
+// reports a queue may.
+func TestRejectionDespiteSpareCapacityIsRetriedElsewhere(t *testing.T) {
+	endpoints := listOf(testEngine("r0", 0, 0), testEngine("r1", 0, 0), testEngine("w0", 1, 0))
+	for _, waiting := range []float64{0, 3} {
+		sched := startScheduler(t, testConfig(), endpoints)
+		s := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 0)}))
+		report := &LoadReport{Waiting: waiting, Utilization: 0.2, Has: HasWaiting | HasUtilization}
+		rejected := Outcome{ID: "a", Engine: s.Engine, Status: Rejected, Spent: 0.28, Report: report}
+		again := onlyAction[Send](t, sched.Step(1.3, []Event{rejected}))
+		if elsewhere := again.Engine != s.Engine; elsewhere != (waiting == 0) {
+			t.Errorf("%g waiting: sent to %s, then %s", waiting, s.Engine, again.Engine)
+		}
+		if sched.engines[s.Engine].failureScore != 0 {
+			t.Error("a rejection counts as a failure")
+		}
+	}
+}
+
+// Engines that died together refuse connections within milliseconds. Where attempts that were never written don't count, a
+// request outlives more of them than it has attempts, waits while all are ejected, and is served by the one that comes back.
+func TestRefusedConnectionsDoNotCountAsAttempts(t *testing.T) {
+	for _, free := range []bool{true, false} {
+		t.Run(fmt.Sprintf("unsent attempts are free %v", free), func(t *testing.T) {
+			cfg := testConfig()
+			cfg.Limits.MaxAttempts, cfg.Limits.UnsentAttemptsAreFree = 4, free
+			sends, served := playOutage(t, cfg)
+			if served != free {
+				t.Errorf("%d attempts, prefilled after the outage: got %v, want %v", sends, served, free)
+			}
+			if free && sends > 2*cfg.Limits.MaxAttempts {
+				t.Errorf("%d attempts, want twice the limit at the most", sends)
+			}
+		})
+	}
+}
+
+// playOutage sends one at-most-once request to prefill engines that refuse connections for 0.4 s, and plays 2 s.
+func playOutage(t *testing.T, cfg Config) (sends int, served bool) {
+	t.Helper()
+	const start, outageEnd, step, steps = 1.0, 1.4, 0.005, 400
+	sched := startScheduler(t, cfg, listOf(testEngine("r0", prefillKind, 0), testEngine("r1", prefillKind, 0),
+		testEngine("r2", prefillKind, 0), testEngine("w0", decodeKind, 0)))
+	now := start
+	actions := sched.Step(now, []Event{testRequest("a", atMostOnceClass)})
+	for range steps {
+		var outcomes []Event
+		for _, sent := range actionsOf[Send](actions) {
+			outcome := Outcome{ID: "a", Attempt: sends, Engine: sent.Engine, Status: Prefilled, Spent: 0.05}
+			if now < outageEnd {
+				outcome.Status, outcome.Spent = ConnectFailed, 1e-3
+			}
+			outcomes = append(outcomes, outcome)
+			sends++
+		}
+		served = served || now > outageEnd && len(outcomes) > 0
+		now += step
+		actions = sched.Step(now, outcomes)
+	}
+	return sends, served
+}
