--- a/internal/decide/outcome/outcome.go
+++ b/internal/decide/outcome/outcome.go
@@ -16,7 +16,7 @@
 )
 
 // String returns the stage as a word for logs.
-func (s Stage) String() string { return word("stage", int(s), "prefill", "decode") }
+func (s Stage) String() string { return enumWord("stage", int(s), "prefill", "decode") }
 
 // Progress is how far an attempt had come on its socket when it ended.
 type Progress int
@@ -34,7 +34,7 @@
 
 // String returns the step as a word for logs.
 func (p Progress) String() string {
-	return word("progress", int(p), "not_started", "connecting", "connected", "request_written", "header_received", "streaming")
+	return enumWord("progress", int(p), "not_started", "connecting", "connected", "request_written", "header_received", "streaming")
 }
 
 // Cause is what ended an attempt.
@@ -54,7 +54,7 @@
 
 // String returns the cause as a word for logs.
 func (c Cause) String() string {
-	return word("cause", int(c), "response_complete", "connection_broken", "attempt_timed_out", "canceled_by_scheduler",
+	return enumWord("cause", int(c), "response_complete", "connection_broken", "attempt_timed_out", "canceled_by_scheduler",
 		"request_ended", "malformed_response", "stream_stalled", "client_disconnected")
 }
 
@@ -73,12 +73,12 @@
 
 // String returns the kind as a word for logs.
 func (k ResponseKind) String() string {
-	return word("response_kind", int(k), "engine_error", "prefill_done", "decode_done", "engine_rejected", "state_missing",
+	return enumWord("response_kind", int(k), "engine_error", "prefill_done", "decode_done", "engine_rejected", "state_missing",
 		"invalid_request")
 }
 
-// word returns the word of an enumeration's value, or its number if it has none.
-func word(enumeration string, value int, words ...string) string {
+// enumWord returns the word of an enumeration's value, or its number if it has none.
+func enumWord(enumeration string, value int, words ...string) string {
 	if value < 0 || value >= len(words) {
 		return fmt.Sprintf("%s(%d)", enumeration, value)
 	}
--- a/internal/decide/requesttable/attempts.go
+++ b/internal/decide/requesttable/attempts.go
@@ -57,7 +57,7 @@
 		engine:       engine,
 		stage:        stage,
 		sentAt:       now,
-		fetchesState: stage == outcome.Decode && record.state.held(),
+		fetchesState: stage == outcome.Decode && record.state.isHeld(),
 		stateAttempt: record.state.attempt,
 	}
 }
@@ -141,7 +141,7 @@
 // AttemptNotDelivered reports that the request of an attempt has not reached its engine while the limit on the held state
 // that it is to fetch is near. Such an attempt does not stop that limit, so it is canceled and the state can be released.
 func (t *Table) AttemptNotDelivered(id string, number int) {
-	if record := t.records[id]; record != nil && record.state.held() {
+	if record := t.records[id]; record != nil && record.state.isHeld() {
 		t.cancel(id, number)
 	}
 }
@@ -160,7 +160,7 @@
 	}
 	record.response = responseStreaming
 	a.state = attemptStreaming
-	if record.state.held() && !a.fetches(record.state) { // the engine computed the prefill itself
+	if record.state.isHeld() && !a.fetches(record.state) { // the engine computed the prefill itself
 		t.releaseHeldState(id, record)
 	}
 	record.state.clear() // else the fetch is complete and the prefill engine has freed the state
--- a/internal/decide/requesttable/record.go
+++ b/internal/decide/requesttable/record.go
@@ -122,8 +122,8 @@
 	attempt int    // number of the prefill attempt that made the latest state
 }
 
-func (s *heldState) held() bool { return s.engine != "" }
-func (s *heldState) clear()     { s.engine = "" }
+func (s *heldState) isHeld() bool { return s.engine != "" }
+func (s *heldState) clear()       { s.engine = "" }
 
 // holdTime is when the limit on the time of a held state (rule 5) began to run.
 type holdTime struct {
--- a/internal/decide/requesttable/releases.go
+++ b/internal/decide/requesttable/releases.go
@@ -23,7 +23,7 @@
 func (t *Table) recordState(now float64, id string, record *requestRecord, a *attempt, class outcome.Classification) {
 	switch {
 	case class.Status == scheduler.Prefilled:
-		if record.state.held() { // a second prefill: only one of the two states will be fetched
+		if record.state.isHeld() { // a second prefill: only one of the two states will be fetched
 			t.releaseHeldState(id, record)
 		}
 		record.state = heldState{engine: a.engine, attempt: a.number}
@@ -54,7 +54,7 @@
 // release carries out the scheduler's Release. It does nothing if an attempt in flight is to fetch the state.
 func (t *Table) release(id string) {
 	record := t.records[id]
-	if record == nil || !record.state.held() {
+	if record == nil || !record.state.isHeld() {
 		return
 	}
 	for i := range record.attempts {
@@ -89,7 +89,7 @@
 
 // releasePermit returns why a call that releases every state of the request may not be made yet.
 func (r *requestRecord) releasePermit() permit.Reason {
-	return permit.Release{AttemptsInFlight: r.inFlight, StateNeeded: r.state.held()}.Reason()
+	return permit.Release{AttemptsInFlight: r.inFlight, StateNeeded: r.state.isHeld()}.Reason()
 }
 
 // issueOwedReleases issues the owed releases once no attempt is in flight and no state is needed. The release of a held
@@ -133,7 +133,7 @@
 	release := permit.Release{
 		AttemptsInFlight: r.inFlight,
 		StateNeeded:      true,
-		LimitNear:        waits && r.state.held() && a.fetches(r.state),
+		LimitNear:        waits && r.state.isHeld() && a.fetches(r.state),
 		EngineResponded:  engineResponded,
 		Effect:           r.class.Effect,
 		SilentTwice:      r.holdTime.latestWasSilent,
--- a/internal/decide/requesttable/releases_test.go
+++ b/internal/decide/requesttable/releases_test.go
@@ -230,7 +230,7 @@
 	table     *Table
 	now       float64
 	inFlight  map[int]StartAttempt
-	held      bool // an engine may hold something
+	mayBeHeld bool // an engine may hold something
 	forgotten bool
 }
 
@@ -244,9 +244,9 @@
 			if len(w.inFlight) > 0 {
 				w.t.Fatal("released while an attempt is in flight")
 			}
-			w.held = false
+			w.mayBeHeld = false
 		case ForgetRequest:
-			if w.held {
+			if w.mayBeHeld {
 				w.t.Fatal("forgotten while an engine may hold a state")
 			}
 			w.forgotten = true
@@ -271,7 +271,7 @@
 	responded := evidence.Cause == outcome.ResponseComplete
 	mayHold := !responded && (start.Stage == outcome.Prefill || !start.FetchState)
 	prefilled := responded && evidence.ResponseKind == outcome.PrefillDone && start.Stage == outcome.Prefill
-	w.held = w.held || mayHold || prefilled
+	w.mayBeHeld = w.mayBeHeld || mayHold || prefilled
 	w.table.AttemptEnded(w.now, "a", n, evidence, nil)
 }
 
@@ -303,7 +303,7 @@
 			delete(w.inFlight, n)
 			ended := outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.RequestEnded}
 			w.table.AttemptEnded(w.now, "a", n, ended, nil)
-			w.held = true
+			w.mayBeHeld = true
 			w.checkCommands()
 		}
 		if !w.forgotten {
--- a/internal/decide/requesttable/table.go
+++ b/internal/decide/requesttable/table.go
@@ -215,7 +215,7 @@
 	if !record.response.ended() || record.inFlight > 0 || t.records[id] != record {
 		return
 	}
-	if record.state.held() {
+	if record.state.isHeld() {
 		t.releaseHeldState(id, record)
 		record.state.clear()
 	}
--- a/internal/node/chat_harness_test.go
+++ b/internal/node/chat_harness_test.go
@@ -154,16 +154,16 @@
 func (h *chatHarness) requireNoViolations() {
 	h.t.Helper()
 	h.eventually("no state is held", func() bool {
-		held := map[string]bool{}
+		heldStates := map[string]bool{}
 		for _, x := range h.log.All() {
 			switch x.Kind {
 			case record.Parsed:
-				held[x.State] = true
+				heldStates[x.State] = true
 			case record.StateEnd:
-				delete(held, x.State)
+				delete(heldStates, x.State)
 			}
 		}
-		return len(held) == 0
+		return len(heldStates) == 0
 	})
 	for _, v := range rules.Check(h.log.All(), chatRules()) {
 		h.t.Error(v)
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -32,7 +32,7 @@
 
 // lagObserver receives how late the event loop handled the oldest fact or timer of a turn (s).
 type lagObserver interface {
-	observeLag(now, lag float64)
+	observeLag(now, delay float64)
 }
 
 // stepObserver receives how long a scheduler step took (s).
@@ -46,13 +46,13 @@
 // eventLoop runs the scheduler and the request table on one goroutine. Facts reach the request table at once, in the order in
 // which they were posted; the scheduler is called at most once in a dispatch interval, with all events gathered meanwhile.
 type eventLoop struct {
-	clock clock.Clock
-	host  host
-	lag   lagObserver
-	steps stepObserver
-	inbox inbox
-	owned loopState
-	done  chan struct{} // closed when the loop has ended
+	clock        clock.Clock
+	host         host
+	lagObserver  lagObserver
+	stepObserver stepObserver
+	inbox        inbox
+	owned        loopState
+	done         chan struct{} // closed when the loop has ended
 }
 
 // loopState belongs to the goroutine of eventLoop.run. Other goroutines reach it through eventLoop.post alone.
@@ -78,11 +78,11 @@
 
 func newEventLoop(o eventLoopOptions) *eventLoop {
 	return &eventLoop{
-		clock: o.clock,
-		host:  o.host,
-		lag:   o.lagObserver,
-		steps: o.stepObserver,
-		inbox: inbox{wake: make(chan struct{}, 1)},
+		clock:        o.clock,
+		host:         o.host,
+		lagObserver:  o.lagObserver,
+		stepObserver: o.stepObserver,
+		inbox:        inbox{wake: make(chan struct{}, 1)},
 		owned: loopState{
 			scheduler: o.scheduler,
 			table:     o.table,
@@ -132,7 +132,7 @@
 	if at, ok := l.owned.timers.Next(); ok {
 		waited = max(waited, now-at)
 	}
-	l.lag.observeLag(now, waited)
+	l.lagObserver.observeLag(now, waited)
 	l.handleFacts(now, facts)
 	if l.owned.stopped {
 		return
@@ -190,7 +190,7 @@
 	actions, err := l.callScheduler(now, events)
 	took := time.Since(start).Seconds()
 	l.owned.dispatch.RecordPass(now, took)
-	l.steps.observeStep(took)
+	l.stepObserver.observeStep(took)
 	if err != nil {
 		l.host.schedulerFailed(err)
 		return
@@ -237,11 +237,11 @@
 type inbox struct {
 	wake chan struct{} // holds a value if a fact has come since the loop last woke
 
-	mu     sync.Mutex
-	facts  []fact
-	spare  []fact    // backing array of the facts that were drained last
-	oldest time.Time // when the first of the facts was posted
-	closed bool
+	mu      sync.Mutex
+	facts   []fact
+	drained []fact    // backing array of the facts that were drained last
+	oldest  time.Time // when the first of the facts was posted
+	closed  bool
 }
 
 // post adds a fact; it reports false if the inbox is closed.
@@ -267,7 +267,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	facts = b.facts
-	b.facts, b.spare = b.spare[:0], facts
+	b.facts, b.drained = b.drained[:0], facts
 	if len(facts) > 0 {
 		waited = time.Since(b.oldest).Seconds()
 	}
--- a/internal/node/golden_relay_test.go
+++ b/internal/node/golden_relay_test.go
@@ -112,7 +112,7 @@
 
 // goldenWithout drops fields of a request.
 func goldenWithout(request string, fields ...string) string {
-	var kept []string
+	var remaining []string
 	for _, l := range strings.SplitAfter(request, "\r\n") {
 		name, _, _ := strings.Cut(l, ":")
 		drop := false
@@ -120,10 +120,10 @@
 			drop = drop || name == f
 		}
 		if !drop {
-			kept = append(kept, l)
+			remaining = append(remaining, l)
 		}
 	}
-	return strings.Join(kept, "")
+	return strings.Join(remaining, "")
 }
 
 // goldenRelayBody is a request in good order but for its body.
--- a/internal/node/isolation_test.go
+++ b/internal/node/isolation_test.go
@@ -17,8 +17,8 @@
 	engines["w0"].Step = 5 * time.Millisecond
 	slow := harness.newRequest("chat")
 	slow.Tokens = 20
-	held := make(chan platform.Answer, 1)
-	go func() { held <- harness.send(slow) }()
+	slowResult := make(chan platform.Answer, 1)
+	go func() { slowResult <- harness.send(slow) }()
 	<-g.reached
 	for range 4 {
 		request := harness.newRequest("chat")
@@ -28,12 +28,12 @@
 		}
 	}
 	select {
-	case result := <-held:
+	case result := <-slowResult:
 		t.Fatalf("got %+v for the slow client while its socket is blocked, want none", result)
 	default:
 	}
 	close(g.opened)
-	if result := <-held; result.Outcome != record.Served || result.Text != platform.Whole(slow.Op, slow.Tokens) {
+	if result := <-slowResult; result.Outcome != record.Served || result.Text != platform.Whole(slow.Op, slow.Tokens) {
 		t.Errorf("got %+v, want its complete stream once it is read", result)
 	}
 	harness.requireNoViolations()
@@ -54,7 +54,7 @@
 	start := time.Now()
 	var mu sync.Mutex
 	var all []*node.RelayNode
-	late := 0
+	startedLate := 0
 	var wg sync.WaitGroup
 	for range nodes {
 		wg.Add(1)
@@ -72,13 +72,13 @@
 			defer mu.Unlock()
 			all = append(all, n)
 			if time.Since(start) > 10*time.Second {
-				late++
+				startedLate++
 			}
 		}()
 	}
 	wg.Wait()
-	if len(all) < nodes || late > nodes/10 {
-		t.Errorf("got %d of %d nodes started, %d of them later than 10 s", len(all), nodes, late)
+	if len(all) < nodes || startedLate > nodes/10 {
+		t.Errorf("got %d of %d nodes started, %d of them later than 10 s", len(all), nodes, startedLate)
 	}
 	for _, n := range all {
 		wg.Add(1)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -111,7 +111,7 @@
 	seed          uint64
 	listener      net.Listener
 	adminListener net.Listener
-	dial          http1.DialFunc
+	dial          http1.DialFunc // of a RelayNode to engines and discovery; nil = the network
 }
 
 // WithLogger sets the logger of the node; the default is slog.Default.
@@ -126,9 +126,6 @@
 // WithAdminListener serves the admin paths on a listener that is already open.
 func WithAdminListener(l net.Listener) Option { return func(o *options) { o.adminListener = l } }
 
-// WithDialer sets how a RelayNode connects to engines and discovery; the default is the network.
-func WithDialer(dial http1.DialFunc) Option { return func(o *options) { o.dial = dial } }
-
 func applyOptions(opts []Option) options {
 	o := options{log: slog.Default(), seed: rand.Uint64()}
 	for _, f := range opts {
--- a/internal/node/overload.go
+++ b/internal/node/overload.go
@@ -22,10 +22,10 @@
 }
 
 // observeLag implements lagObserver.
-func (m *overloadMonitor) observeLag(now, lag float64) {
+func (m *overloadMonitor) observeLag(now, delay float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.controller.ObserveLag(now, lag)
+	m.controller.ObserveLag(now, delay)
 }
 
 // observeDescriptorShortage records that no descriptor was left while so many client connections were open.
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -54,8 +54,8 @@
 	settings := strings.Replace(platform.Settings, `"resume":true`, `"resume":false`, 1)
 	harness, engines := newRelayHarnessWith(t, settings, 64, 256, "r0 read", "w0 write")
 	engines["w0"].Step = 40 * time.Millisecond
-	early, late := harness.openConnection(), harness.openConnection()
-	for i, k := range []*openConnection{early, late} {
+	earlyConn, lateConn := harness.openConnection(), harness.openConnection()
+	for i, k := range []*openConnection{earlyConn, lateConn} {
 		if status, whole := k.send("a"+string(rune('0'+i)), 1); status != 200 || !whole {
 			t.Fatalf("before the shutdown: got status %d, complete %v", status, whole)
 		}
@@ -65,12 +65,12 @@
 	go func() { defer close(done); harness.node.ShutdownBy(relay.StopBy(4), 10*time.Second) }()
 	streamed := make(chan bool, 1)
 	go func() {
-		status, whole := early.send("b0", 100) // beyond the time at which queued requests are ended
+		status, whole := earlyConn.send("b0", 100) // beyond the time at which queued requests are ended
 		streamed <- status == 200 && whole
 	}()
 	harness.eventually("the early stream is running", func() bool { return harness.countRecords(record.Run, "op3") == 1 })
 	time.Sleep(time.Until(start.Add(750 * time.Millisecond)))
-	if status, _ := late.send("b1", 100); status != 503 && status != 0 {
+	if status, _ := lateConn.send("b1", 100); status != 503 && status != 0 {
 		t.Errorf("0.75 s after the shutdown began: got status %d, want a rejection or a closed connection", status)
 	}
 	if n := harness.countRecords(record.Arrive, "op4"); n > 0 {
--- a/internal/node/simulated_days_test.go
+++ b/internal/node/simulated_days_test.go
@@ -76,6 +76,7 @@
 
 // traceRecords logs what COLLAPSE_TRACE names: a request's id, or a node and an engine.
 func traceRecords(t *testing.T, r *simulation.Report) {
+	t.Helper()
 	name := os.Getenv("COLLAPSE_TRACE")
 	if name == "" {
 		return
--- a/internal/node/staterelease.go
+++ b/internal/node/staterelease.go
@@ -101,8 +101,8 @@
 	if release.schedule.PastDeadline {
 		return
 	}
-	held := permit.HeldState{Answered: result == staterelease.Acknowledged, At: now, By: release.schedule.Deadline}
-	broken := held.Violations()
+	state := permit.HeldState{Answered: result == staterelease.Acknowledged, At: now, By: release.schedule.Deadline}
+	broken := state.Violations()
 	release.schedule.PastDeadline = len(broken) > 0
 	n.audit(release.command.ID, broken)
 }
--- a/internal/node/time_budget_test.go
+++ b/internal/node/time_budget_test.go
@@ -22,11 +22,11 @@
 		request.Patience = 2 * time.Second
 		end := float64(time.Now().Add(request.Patience).UnixNano()) / 1e9
 		harness.send(request)
-		told := harness.platform.Budgets(request.Op)
-		if len(told) < 2 {
-			t.Fatalf("%s: got %d attempts, want at least 2", class, len(told))
+		budgets := harness.platform.Budgets(request.Op)
+		if len(budgets) < 2 {
+			t.Fatalf("%s: got %d attempts, want at least 2", class, len(budgets))
 		}
-		for i, b := range told {
+		for i, b := range budgets {
 			// The client states its budget in ms, counted from when the request is sent, a moment after end was computed.
 			if most := end - b.At + 0.02; b.Told > most || b.Told <= 0 {
 				t.Errorf("%s, attempt %d: got a budget of %.3f s, want at most %.3f", class, i, b.Told, most)
@@ -64,11 +64,11 @@
 			t.Fatalf("request %d: %v", i, err)
 		}
 		io.Copy(io.Discard, resp.Body)
-		told := harness.platform.Budgets(request.Op)
-		if late := i == 2; late == (resp.StatusCode == 200) || late != (len(told) == 0) {
-			t.Errorf("request %d: got status %d and %d attempts", i, resp.StatusCode, len(told))
+		budgets := harness.platform.Budgets(request.Op)
+		if expired := i == 2; expired == (resp.StatusCode == 200) || expired != (len(budgets) == 0) {
+			t.Errorf("request %d: got status %d and %d attempts", i, resp.StatusCode, len(budgets))
 		}
-		for _, b := range told {
+		for _, b := range budgets {
 			if most := sent + request.Patience.Seconds() - b.At + 0.15; b.Told > most {
 				t.Errorf("request %d: got a budget of %.3f s, want at most %.3f", i, b.Told, most)
 			}
