--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -53,7 +53,7 @@
 	for i, e := range []struct{ role, cell string }{
 		{"prefill", "a"}, {"decode", "a"}, {"mixed", "a"}, {"prefill", "b"}, {"decode", "b"}} {
 		ms = append(ms, fleet.Member{Kind: e.role, Cell: e.cell, Settings: emulator.Settings{
-			ID: e.role + "-" + e.cell, Role: e.role, LocalRead: true, StepMS: 30, Seed: uint64(i)}})
+			ID: e.role + "-" + e.cell, Role: e.role, LocalPrefill: true, DecodeStepMS: 30, Seed: uint64(i)}})
 	}
 	return ms
 }
@@ -92,7 +92,7 @@
 	}
 	defer f.Stop()
 	list := filepath.Join(dir, "engines.json")
-	if err := f.Publish(f.List(), "demo", list); err != nil {
+	if err := f.WriteListFile(f.List(), "demo", list); err != nil {
 		return err
 	}
 	cfg, err := demoConfig(listen, list)
--- a/internal/node/chat_harness_test.go
+++ b/internal/node/chat_harness_test.go
@@ -42,8 +42,8 @@
 		n    int
 	}{{"prefill", prefill}, {"decode", decode}, {"mixed", mixed}} {
 		for i := range g.n {
-			s := emulator.Settings{ID: fmt.Sprintf("%s-%d", g.role, i+1), Role: g.role, StepMS: 1, ReadPerS: 200_000,
-				MovePerS: 1e7, LocalRead: true, Seed: uint64(i)}
+			s := emulator.Settings{ID: fmt.Sprintf("%s-%d", g.role, i+1), Role: g.role, DecodeStepMS: 1, PrefillTokensPerSecond: 200_000,
+				TransferTokensPerSecond: 1e7, LocalPrefill: true, Seed: uint64(i)}
 			if change != nil {
 				change(&s)
 			}
@@ -110,21 +110,21 @@
 
 func (h *chatHarness) publishList() {
 	h.t.Helper()
-	if err := h.fleet.Publish(h.fleet.List(), "node-0", h.list); err != nil {
+	if err := h.fleet.WriteListFile(h.fleet.List(), "node-0", h.list); err != nil {
 		h.t.Fatal(err)
 	}
 }
 
 // newRequest returns a request of a class whose response has so many tokens.
-func (h *chatHarness) newRequest(class string, tokens int) client.Ask {
+func (h *chatHarness) newRequest(class string, tokens int) client.Request {
 	h.requests++
-	return client.Ask{Model: class, Patience: 4 * time.Second, MaxTokens: 200,
+	return client.Request{Model: class, Patience: 4 * time.Second, MaxTokens: 200,
 		Messages: []emulator.Message{{Role: "system", Content: "You help with rosters."},
 			{Role: "user", Content: fmt.Sprintf("Question %d: who can cover a sick call?", h.requests)}},
-		Mark: emulator.Mark{Op: fmt.Sprintf("op%d", h.requests), Class: class, Answer: tokens}}
+		Mark: emulator.Mark{Operation: fmt.Sprintf("op%d", h.requests), Class: class, ResponseTokens: tokens}}
 }
 
-func (h *chatHarness) send(a client.Ask) client.Result {
+func (h *chatHarness) send(a client.Request) client.Result {
 	return h.client.Do(context.Background(), "node-0", h.node.Addr().String(), a)
 }
 
@@ -157,9 +157,9 @@
 		heldStates := map[string]bool{}
 		for _, x := range h.log.All() {
 			switch x.Kind {
-			case record.Parsed:
+			case record.StateReserved:
 				heldStates[x.State] = true
-			case record.StateEnd:
+			case record.StateEnded:
 				delete(heldStates, x.State)
 			}
 		}
--- a/internal/node/chat_test.go
+++ b/internal/node/chat_test.go
@@ -25,7 +25,7 @@
 	harness := newChatHarness(t, emulators(1, 1, 1, nil), nil)
 	for i := range 20 {
 		request := harness.newRequest([]string{"chat", "commit"}[i%2], 5+i)
-		request.Whole = i%3 == 0
+		request.NoStream = i%3 == 0
 		if result := harness.send(request); result.Outcome != record.Served || !result.OK {
 			t.Fatalf("request %d: got %+v, want an exact response", i, result)
 		}
@@ -40,15 +40,15 @@
 			t.Run(fmt.Sprintf("after %d, whole %v", after, whole), func(t *testing.T) {
 				harness := newChatHarness(t, emulators(1, 2, 0, nil), nil)
 				for i := range 2 {
-					harness.fleet.Engine(fmt.Sprint("decode-", i+1)).SetFaults(emulator.Faults{DieAfter: &after})
+					harness.fleet.Engine(fmt.Sprint("decode-", i+1)).SetFaults(emulator.Faults{CrashAfter: &after})
 				}
 				request := harness.newRequest("commit", tokens)
-				request.Whole = whole
+				request.NoStream = whole
 				result := harness.send(request)
 				if result.Outcome != record.Failed || result.Retry || !result.OK && result.Events > 0 {
 					t.Fatalf("got %+v, want a failure that does not call a retry safe", result)
 				}
-				if n := harness.countRecords(record.Run, request.Mark.Op); n != 1 {
+				if n := harness.countRecords(record.Run, request.Mark.Operation); n != 1 {
 					t.Fatalf("ran %d times, want 1", n)
 				}
 				harness.requireNoViolations()
@@ -60,7 +60,7 @@
 func TestChatIdempotentIsRetriedAfterCutBeforeFirstToken(t *testing.T) {
 	harness := newChatHarness(t, emulators(1, 2, 0, nil), withLimits(map[string]any{"max_attempts": 8}))
 	cut := 0
-	harness.fleet.Engine("decode-1").SetFaults(emulator.Faults{CutAfter: &cut})
+	harness.fleet.Engine("decode-1").SetFaults(emulator.Faults{CloseAfter: &cut})
 	for range 8 { // another engine serves a request that was cut before its first token
 		if result := harness.send(harness.newRequest("chat", 5)); result.Outcome != record.Served || !result.OK {
 			t.Fatalf("got %+v, want it served", result)
@@ -73,7 +73,7 @@
 	harness := newChatHarness(t, emulators(1, 1, 0, nil), nil)
 	for i := range 10 {
 		request := harness.newRequest("commit", 8)
-		request.HangupAt = 8 + i%2 // the last token, or the chunk after it
+		request.DisconnectAfter = 8 + i%2 // the last token, or the chunk after it
 		harness.send(request)
 	}
 	harness.eventually("the node has forgotten every request", func() bool { return harness.node.UnfinishedRequests() == 0 })
@@ -95,14 +95,14 @@
 	return c
 }
 
-func chatRequest(a client.Ask, headers string) string {
+func chatRequest(a client.Request, headers string) string {
 	b := a.Body()
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n%sContent-Length: %d\r\n\r\n%s",
 		testKey, headers, len(b), b)
 }
 
 func TestChatHalfClosedClientReceivesFinalResponse(t *testing.T) {
-	harness := newChatHarness(t, emulators(1, 1, 0, func(harness *emulator.Settings) { harness.StepMS = 300 }), nil)
+	harness := newChatHarness(t, emulators(1, 1, 0, func(harness *emulator.Settings) { harness.DecodeStepMS = 300 }), nil)
 	request := harness.newRequest("commit", 5)
 	c := harness.dial()
 	io.WriteString(c, chatRequest(request, ""))
@@ -117,7 +117,7 @@
 
 func TestChatLostStateIsPrefilledAgain(t *testing.T) {
 	harness := newChatHarness(t, emulators(2, 1, 0, nil), withLimits(map[string]any{"max_attempts": 8}))
-	harness.fleet.Engine("prefill-1").SetFaults(emulator.Faults{DropAfter: true})
+	harness.fleet.Engine("prefill-1").SetFaults(emulator.Faults{LoseStates: true})
 	for range 4 {
 		if result := harness.send(harness.newRequest("commit", 4)); result.Outcome != record.Served || !result.OK {
 			t.Fatalf("got %+v, want the lost state prefilled again and the request served", result)
@@ -127,8 +127,8 @@
 }
 
 func TestChatStalledStreamIsCutAfterLimit(t *testing.T) {
-	short := emulator.Faults{StallAfter: 3, StallS: 0.4}
-	long := emulator.Faults{StallAfter: 3, StallS: 30}
+	short := emulator.Faults{StallAfter: 3, StallSeconds: 0.4}
+	long := emulator.Faults{StallAfter: 3, StallSeconds: 30}
 	harness := newChatHarness(t, emulators(1, 1, 0, nil), withLimits(map[string]any{"stall_s": 1.5}))
 	harness.fleet.Engine("decode-1").SetFaults(short) // longer than the token objective, shorter than the limit
 	if result := harness.send(harness.newRequest("chat", 6)); result.Outcome != record.Served || !result.OK {
@@ -142,8 +142,8 @@
 }
 
 func TestChatMalformedEngineResponsesAreRetriedWhereSafe(t *testing.T) {
-	for name, f := range map[string]emulator.Faults{"garbage": {Garbage: true}, "lying chunk": {LyingChunk: true},
-		"cut body": {CutBody: true}, "half close": {HalfClose: 2}} {
+	for name, f := range map[string]emulator.Faults{"garbage": {MalformedEvent: true}, "lying chunk": {ChunkSizeMismatch: true},
+		"cut body": {TruncatedBody: true}, "half close": {HalfCloseAfter: 2}} {
 		t.Run(name, func(t *testing.T) {
 			harness := newChatHarness(t, emulators(1, 2, 0, nil), nil)
 			harness.fleet.Engine("decode-1").SetFaults(f)
@@ -164,13 +164,13 @@
 
 func TestChatInvalidRequestNeedsTwoEnginesToAgree(t *testing.T) {
 	harness := newChatHarness(t, emulators(1, 2, 0, nil), nil)
-	harness.fleet.Engine("decode-1").SetFaults(emulator.Faults{Reject: 422})
+	harness.fleet.Engine("decode-1").SetFaults(emulator.Faults{RejectStatus: 422})
 	for range 4 { // the opinion of a single engine is not passed through
 		if result := harness.send(harness.newRequest("commit", 4)); result.Outcome != record.Served {
 			t.Fatalf("got %+v, want it served", result)
 		}
 	}
-	harness.fleet.Engine("decode-2").SetFaults(emulator.Faults{Reject: 422})
+	harness.fleet.Engine("decode-2").SetFaults(emulator.Faults{RejectStatus: 422})
 	if result := harness.send(harness.newRequest("commit", 4)); result.Status != 422 || result.Retry {
 		t.Fatalf("two engines that agree: got %+v, want status 422 without a safe retry", result)
 	}
@@ -202,7 +202,7 @@
 }
 
 func TestChatClientThatNeverReadsIsDisconnected(t *testing.T) {
-	harness := newChatHarness(t, emulators(1, 1, 0, func(harness *emulator.Settings) { harness.StepMS = 0.01; harness.PerSeqMS = 0.001 }),
+	harness := newChatHarness(t, emulators(1, 1, 0, func(harness *emulator.Settings) { harness.DecodeStepMS = 0.01; harness.DecodeStepPerSequenceMS = 0.001 }),
 		withLimits(map[string]any{"write_s": 0.3}))
 	request := harness.newRequest("chat", 60000)
 	request.MaxTokens = 60000
@@ -227,7 +227,7 @@
 }
 
 func TestChatShutdownUnderLoad(t *testing.T) {
-	harness := newChatHarness(t, emulators(2, 2, 0, func(harness *emulator.Settings) { harness.StepMS = 20 }), nil)
+	harness := newChatHarness(t, emulators(2, 2, 0, func(harness *emulator.Settings) { harness.DecodeStepMS = 20 }), nil)
 	var wg sync.WaitGroup
 	for i := range 60 {
 		request := harness.newRequest([]string{"chat", "commit"}[i%2], 10+i)
@@ -238,7 +238,7 @@
 	harness.node.Shutdown(300 * time.Millisecond)
 	wg.Wait()
 	for _, x := range harness.log.All() {
-		if x.Kind == record.Answer && x.Outcome == record.Cut {
+		if x.Kind == record.FinalResponse && x.Outcome == record.Cut {
 			t.Errorf("%s was cut (%s), want a final response", x.Op, x.Note)
 		}
 	}
@@ -261,7 +261,7 @@
 }
 
 func TestChatTwoRequestsWithOneClientID(t *testing.T) {
-	harness := newChatHarness(t, emulators(1, 1, 0, func(harness *emulator.Settings) { harness.StepMS = 10 }), nil)
+	harness := newChatHarness(t, emulators(1, 1, 0, func(harness *emulator.Settings) { harness.DecodeStepMS = 10 }), nil)
 	var wg sync.WaitGroup
 	for range 2 {
 		request := harness.newRequest("commit", 10)
@@ -272,7 +272,7 @@
 			io.WriteString(c, chatRequest(request, "X-Request-Id: same\r\nConnection: close\r\n"))
 			text, _ := io.ReadAll(c)
 			if !strings.Contains(string(text), "data: [DONE]") || !strings.Contains(string(text),
-				emulator.Token(emulator.Digest(request.Messages), 9)) {
+				emulator.TokenText(emulator.Digest(request.Messages), 9)) {
 				t.Errorf("got %q", text)
 			}
 		}()
@@ -282,7 +282,7 @@
 
 func TestChatDrainingEngineReceivesNoNewAttempts(t *testing.T) {
 	harness := newChatHarness(t, emulators(1, 2, 0, nil), nil)
-	harness.fleet.Mark("decode-1", "draining")
+	harness.fleet.SetState("decode-1", "draining")
 	harness.publishList()
 	stop := time.Now().Add(1500 * time.Millisecond) // beyond the grace and the lag that the checker allows
 	for time.Now().Before(stop) {
@@ -305,7 +305,7 @@
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.SystemMessage("You help with rosters."),
 			openai.UserMessage("Who?")},
 		StreamOptions: openai.ChatCompletionStreamOptionsParam{IncludeUsage: openai.Bool(true)}}
-	want := emulator.Answer(emulator.Digest([]emulator.Message{{Role: "system", Content: "You help with rosters."}, {Role: "user",
+	want := emulator.ResponseText(emulator.Digest([]emulator.Message{{Role: "system", Content: "You help with rosters."}, {Role: "user",
 		Content: "Who?"}}), 7)
 	stream := c.Chat.Completions.NewStreaming(ctx, params)
 	acc := openai.ChatCompletionAccumulator{}
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -19,13 +19,13 @@
 func TestRelayNoAttemptStartsAfterClientDisconnect(t *testing.T) {
 	for name, where := range map[string]func(harness *relayHarness, engines map[string]*platform.Engine){
 		"prefill in flight": func(harness *relayHarness, engines map[string]*platform.Engine) {
-			engines["r0"].Slow(150 * time.Millisecond)
+			engines["r0"].SetStartDelay(150 * time.Millisecond)
 		},
 		"between attempts": func(harness *relayHarness, engines map[string]*platform.Engine) { rejectAttempts(engines, "r0") },
 		"state held":       func(harness *relayHarness, engines map[string]*platform.Engine) { rejectAttempts(engines, "w0") },
 		"no engine ready": func(harness *relayHarness, engines map[string]*platform.Engine) {
-			harness.discovery.State("w0", "draining")
-			harness.discovery.State("r0", "draining")
+			harness.discovery.SetState("w0", "draining")
+			harness.discovery.SetState("r0", "draining")
 		},
 	} {
 		for behind, text := range map[string]string{"": "",
@@ -46,18 +46,18 @@
 	h.t.Helper()
 	request := h.newRequest("chat")
 	request.ID = "1eff"
-	h.platform.Call(request.ID, platform.Op{Name: request.Op, Class: request.Class, Try: 1, Tokens: request.Tokens})
+	h.platform.RegisterCall(request.ID, platform.Operation{Name: request.Operation, Class: request.Class, Attempt: 1, ResponseTokens: request.ResponseTokens})
 	c, err := net.Dial("tcp", h.node.Addr().String())
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	io.WriteString(c, request.Request()+behind)
+	io.WriteString(c, request.Encode()+behind)
 	time.Sleep(60 * time.Millisecond)
 	c.Close()
 	disconnected := unixNow()
 	time.Sleep(500 * time.Millisecond)
 	for _, x := range h.log.All() {
-		if x.Kind == record.Arrive && x.Op == request.Op && x.T > disconnected+0.1 {
+		if x.Kind == record.Arrive && x.Op == request.Operation && x.T > disconnected+0.1 {
 			h.t.Errorf("got an attempt at %s %.3f s after the client disconnected, want none from 0.1 s on", x.Engine,
 				x.T-disconnected)
 		}
@@ -69,7 +69,7 @@
 // rejectAttempts makes an engine reject the next 60 attempts.
 func rejectAttempts(e map[string]*platform.Engine, id string) {
 	for range 60 {
-		e[id].Next(platform.Rejects)
+		e[id].QueueFaults(platform.Rejection)
 	}
 }
 
@@ -81,14 +81,14 @@
 	for i := range 5 {
 		rejectAttempts(engines, "r0")
 		request := harness.newRequest([]string{"chat", "commit"}[i%2])
-		request.Patience = time.Second
+		request.Timeout = time.Second
 		request.ID = fmt.Sprintf("%016x", 0x4a1f00+i)
-		harness.platform.Call(request.ID, platform.Op{Name: request.Op, Class: request.Class, Tokens: request.Tokens})
+		harness.platform.RegisterCall(request.ID, platform.Operation{Name: request.Operation, Class: request.Class, ResponseTokens: request.ResponseTokens})
 		c, err := net.Dial("tcp", harness.node.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, request.Request()+behind)
+		io.WriteString(c, request.Encode()+behind)
 		c.(*net.TCPConn).CloseWrite()
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
@@ -104,20 +104,20 @@
 	rejectAttempts(engines, "w0")
 	request := harness.newRequest("chat")
 	request.ID = "1eff"
-	harness.platform.Call(request.ID, platform.Op{Name: request.Op, Class: request.Class, Try: 1, Tokens: request.Tokens})
+	harness.platform.RegisterCall(request.ID, platform.Operation{Name: request.Operation, Class: request.Class, Attempt: 1, ResponseTokens: request.ResponseTokens})
 	c, err := net.Dial("tcp", harness.node.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(c, request.Request())
-	harness.eventually("an engine holds the state", func() bool { return harness.platform.Held() == 1 })
+	io.WriteString(c, request.Encode())
+	harness.eventually("an engine holds the state", func() bool { return harness.platform.CallsWithState() == 1 })
 	for _, x := range engines {
-		x.Hang(true)
+		x.SetHung(true)
 	}
 	c.Close()
 	time.Sleep(2500 * time.Millisecond)
 	for _, x := range engines {
-		x.Hang(false)
+		x.SetHung(false)
 	}
-	harness.eventually("the state is released", func() bool { return harness.platform.Held() == 0 })
+	harness.eventually("the state is released", func() bool { return harness.platform.CallsWithState() == 0 })
 }
--- a/internal/node/disconnect_phases_test.go
+++ b/internal/node/disconnect_phases_test.go
@@ -50,16 +50,16 @@
 }
 
 // startRequest sends a request on a connection of its own, whose response nobody reads.
-func (h *relayHarness) startRequest(a *platform.Ask, id string) *net.TCPConn {
+func (h *relayHarness) startRequest(a *platform.Request, id string) *net.TCPConn {
 	h.t.Helper()
 	a.ID = id
-	h.platform.Call(a.ID, platform.Op{Name: a.Op, Class: a.Class, Tokens: a.Tokens})
+	h.platform.RegisterCall(a.ID, platform.Operation{Name: a.Operation, Class: a.Class, ResponseTokens: a.ResponseTokens})
 	c, err := net.Dial("tcp", h.node.Addr().String())
 	if err != nil {
 		h.t.Fatal(err)
 	}
 	h.t.Cleanup(func() { c.Close() })
-	io.WriteString(c, a.Request())
+	io.WriteString(c, a.Encode())
 	return c.(*net.TCPConn)
 }
 
@@ -80,10 +80,10 @@
 func TestRelayDisconnectWhileEngineConnects(t *testing.T) {
 	for how, leave := range disconnects {
 		t.Run(how, func(t *testing.T) {
-			settings := strings.Replace(platform.Settings, `"connect_timeout_s":0.25`, `"connect_timeout_s":30`, 1)
+			settings := strings.Replace(platform.SettingsJSON, `"connect_timeout_s":0.25`, `"connect_timeout_s":30`, 1)
 			harness, _ := newRelayHarnessWith(t, settings, 64, 256, "r0 read", "w0 write")
 			deaf := unreachableAddress(t)
-			harness.discovery.Set("r0", func(x *platform.Server) { x.Addr = deaf })
+			harness.discovery.Update("r0", func(x *platform.Endpoint) { x.Address = deaf })
 			time.Sleep(50 * time.Millisecond) // the node polls the endpoint list
 			request := harness.newRequest("commit")
 			c := harness.startRequest(&request, "de01")
@@ -91,7 +91,7 @@
 			time.Sleep(20 * time.Millisecond)
 			leave(c)
 			harness.eventually("the node has forgotten the request", func() bool { return harness.node.UnfinishedRequests() == 0 })
-			if at := harness.lastArrival(request.Op); at > 0 {
+			if at := harness.lastArrival(request.Operation); at > 0 {
 				t.Errorf("got an attempt at an engine that cannot be reached")
 			}
 			harness.requireNoViolations()
@@ -105,10 +105,10 @@
 	for how, leave := range disconnects {
 		t.Run(how, func(t *testing.T) {
 			g := newWriteGate(t, "HTTP/1.1 200")
-			harness, engines := newRelayHarnessOn(t, g, platform.Settings, 64, 256, "r0 read", "w0 write")
-			engines["w0"].Step = 20 * time.Millisecond
+			harness, engines := newRelayHarnessOn(t, g, platform.SettingsJSON, 64, 256, "r0 read", "w0 write")
+			engines["w0"].TokenInterval = 20 * time.Millisecond
 			request := harness.newRequest("commit")
-			request.Tokens = 400 // 8 s
+			request.ResponseTokens = 400 // 8 s
 			c := harness.startRequest(&request, "de02")
 			<-g.reached
 			leave(c)
@@ -116,10 +116,10 @@
 			time.Sleep(20 * time.Millisecond)
 			close(g.opened)
 			harness.eventually("the node has forgotten the request", func() bool { return harness.node.UnfinishedRequests() == 0 })
-			if at := harness.lastArrival(request.Op); at > left+0.1 {
+			if at := harness.lastArrival(request.Operation); at > left+0.1 {
 				t.Errorf("got an attempt %.3f s after the client disconnected, want none from 0.1 s on", at-left)
 			}
-			if n := harness.countRecords(record.Run, request.Op); n != 1 {
+			if n := harness.countRecords(record.Run, request.Operation); n != 1 {
 				t.Errorf("ran %d times, want 1", n)
 			}
 			if took := unixNow() - left; took > 4 {
@@ -135,11 +135,11 @@
 	for how, leave := range disconnects {
 		t.Run(how, func(t *testing.T) {
 			harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
-			engines["w0"].Step = 20 * time.Millisecond
+			engines["w0"].TokenInterval = 20 * time.Millisecond
 			request := harness.newRequest("chat")
-			request.Tokens = 400 // 8 s
+			request.ResponseTokens = 400 // 8 s
 			c := harness.startRequest(&request, "de03")
-			harness.eventually("the stream runs", func() bool { return engines["w0"].Writing() == 1 })
+			harness.eventually("the stream runs", func() bool { return engines["w0"].StreamsStarted() == 1 })
 			time.Sleep(50 * time.Millisecond)
 			left := time.Now()
 			leave(c)
@@ -160,8 +160,8 @@
 				harness, _ := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
 				request := harness.newRequest("commit")
 				request.ID = "de04"
-				text := request.Request()
-				harness.platform.Call(request.ID, platform.Op{Name: request.Op, Class: request.Class, Tokens: request.Tokens})
+				text := request.Encode()
+				harness.platform.RegisterCall(request.ID, platform.Operation{Name: request.Operation, Class: request.Class, ResponseTokens: request.ResponseTokens})
 				c, err := net.Dial("tcp", harness.node.Addr().String())
 				if err != nil {
 					t.Fatal(err)
@@ -170,7 +170,7 @@
 				leave(c.(*net.TCPConn))
 				harness.eventually("the client connection is freed", func() bool { return harness.node.Connections() == 0 })
 				c.Close()
-				if harness.lastArrival(request.Op) > 0 {
+				if harness.lastArrival(request.Operation) > 0 {
 					t.Error("an incomplete request was forwarded")
 				}
 				harness.requireNoViolations()
--- a/internal/node/engine_faults_test.go
+++ b/internal/node/engine_faults_test.go
@@ -15,11 +15,11 @@
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
 	for i := range 30 {
 		if i%3 > 0 {
-			engines["r0"].Next(platform.LateAnswer)
+			engines["r0"].QueueFaults(platform.DelayedSecondResponse)
 		}
-		engines["w0"].Next(platform.LateAnswer)
+		engines["w0"].QueueFaults(platform.DelayedSecondResponse)
 		request := harness.newRequest("chat")
-		if result := harness.send(request); result.Outcome != record.Served || result.Text != platform.Whole(request.Op, request.Tokens) {
+		if result := harness.send(request); result.Outcome != record.Served || result.Text != platform.ResponseText(request.Operation, request.ResponseTokens) {
 			t.Errorf("request %d: got %+v, want its own response", i, result)
 		}
 	}
@@ -29,20 +29,20 @@
 // A stream without its final event, or cut within its last chunk, or of comments alone from some point on, is not forwarded as
 // complete, and its client's connection is closed in time.
 func TestRelayIncompleteStreamsEndTheClientConnection(t *testing.T) {
-	for _, f := range []platform.Fault{platform.NoFinal, platform.CutLast, platform.Comments} {
+	for _, f := range []platform.Fault{platform.NoFinalEvent, platform.CloseInLastChunk, platform.EndlessComments} {
 		t.Run(string(f), func(t *testing.T) {
 			harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
-			engines["w0"].Next(f)
+			engines["w0"].QueueFaults(f)
 			request := harness.newRequest("commit")
 			result := harness.send(request)
-			if result.Outcome != record.Failed || result.Done || !strings.HasPrefix(platform.Whole(request.Op, request.Tokens),
+			if result.Outcome != record.Failed || result.Complete || !strings.HasPrefix(platform.ResponseText(request.Operation, request.ResponseTokens),
 				result.Text) || result.Text == "" {
 				t.Errorf("got %+v, want a stream that ends without its last chunk", result)
 			}
-			if result.Took > 5*time.Second {
-				t.Errorf("the stream ended after %v, want at most 5s", result.Took)
+			if result.Duration > 5*time.Second {
+				t.Errorf("the stream ended after %v, want at most 5s", result.Duration)
 			}
-			if n := harness.countRecords(record.Run, request.Op); n != 1 {
+			if n := harness.countRecords(record.Run, request.Operation); n != 1 {
 				t.Errorf("ran %d times, want 1", n)
 			}
 			harness.requireNoViolations()
@@ -53,10 +53,10 @@
 // The header of a rejection, or of a prefill response, decides the outcome of the attempt; its body may be incomplete.
 func TestRelayIncompleteBodiesDoNotDelayRetries(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
-	for _, f := range []platform.Fault{platform.HalfReject, platform.HalfRead} {
-		engines["r0"].Next(f)
+	for _, f := range []platform.Fault{platform.IncompleteRejection, platform.IncompletePrefillResponse} {
+		engines["r0"].QueueFaults(f)
 		request := harness.newRequest("commit")
-		if result := harness.send(request); result.Outcome != record.Served || result.Took > 2*time.Second {
+		if result := harness.send(request); result.Outcome != record.Served || result.Duration > 2*time.Second {
 			t.Errorf("%s: got %+v, want it served within 2s", f, result)
 		}
 	}
--- a/internal/node/golden_relay_test.go
+++ b/internal/node/golden_relay_test.go
@@ -20,16 +20,16 @@
 // newGoldenRelayHarness is newStage with a tap before each engine.
 func newGoldenRelayHarness(t *testing.T, memoryMB int, engines ...string) (*relayHarness, map[string]*platform.Engine, goldenTaps) {
 	t.Helper()
-	h := &relayHarness{t: t, log: &record.Log{}, settings: platform.Settings, file: filepath.Join(t.TempDir(), "config.json")}
+	h := &relayHarness{t: t, log: &record.Log{}, settings: platform.SettingsJSON, file: filepath.Join(t.TempDir(), "config.json")}
 	h.platform = platform.New("n0", h.log)
 	byID, taps := map[string]*platform.Engine{}, goldenTaps{}
-	h.discovery = h.platform.Discover()
+	h.discovery = h.platform.StartDiscovery()
 	for _, e := range engines {
 		id, role, _ := strings.Cut(e, " ")
-		byID[id] = h.platform.Add(id, role)
-		taps[id] = newGoldenTap(t, byID[id].Addr())
-		h.discovery.Set(id, func(x *platform.Server) {
-			*x = platform.Server{ID: id, Addr: taps[id].addr(), Zone: "z", Kind: role, State: "up", Weight: 1}
+		byID[id] = h.platform.StartEngine(id, role)
+		taps[id] = newGoldenTap(t, byID[id].Address())
+		h.discovery.Update(id, func(x *platform.Endpoint) {
+			*x = platform.Endpoint{ID: id, Address: taps[id].addr(), Zone: "z", Kind: role, State: "up", Weight: 1}
 		})
 	}
 	h.writeConfig(memoryMB, 256)
@@ -63,9 +63,9 @@
 
 // goldenRelayRequest is a request in good order, whose id the platform knows.
 func (h *relayHarness) goldenRelayRequest(id, class string) string {
-	a := platform.Ask{Op: "op" + id, Class: class, Tenant: "branch", Session: "abc", Tokens: 3, Patience: 4 * time.Second, ID: id}
-	h.platform.Call(id, platform.Op{Name: a.Op, Class: class, Tokens: a.Tokens})
-	return a.Request()
+	a := platform.Request{Operation: "op" + id, Class: class, Tenant: "branch", Session: "abc", ResponseTokens: 3, Timeout: 4 * time.Second, ID: id}
+	h.platform.RegisterCall(id, platform.Operation{Name: a.Operation, Class: class, ResponseTokens: a.ResponseTokens})
+	return a.Encode()
 }
 
 // Requests that engines answer in good order.
@@ -94,9 +94,9 @@
 		{name: "no session and no information", request: goldenWithout(harness.goldenRelayRequest("b2", "chat"), "X-Route-Hash",
 			"X-Call-Info")},
 		{name: "interim answers of the engine", request: harness.goldenRelayRequest("b3", "chat"),
-			before: func() { engines["w0"].Next(platform.Interim) }},
+			before: func() { engines["w0"].QueueFaults(platform.InterimResponses) }},
 		{name: "load report that cannot be read", request: harness.goldenRelayRequest("b4", "chat"),
-			before: func() { engines["w0"].Next(platform.BadReport) }},
+			before: func() { engines["w0"].QueueFaults(platform.MalformedLoadReport) }},
 		{name: "readiness", request: "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"},
 		{name: "readiness, head alone", request: "HEAD /healthz HTTP/1.1\r\nHost: h\r\n\r\n"},
 	})
@@ -202,14 +202,14 @@
 		class string
 		fault platform.Fault
 	}{
-		{"commit", platform.Error500}, {"commit", platform.Plain503}, {"commit", platform.CutBefore}, {"commit", platform.BadHead},
-		{"commit", platform.Noise}, {"commit", platform.CutStream}, {"commit", platform.BadChunk}, {"commit", platform.MisfitChunk},
-		{"commit", platform.NoFinal}, {"commit", platform.CutLast}, {"chat", platform.CutStream}, {"chat", platform.BadChunk},
-		{"chat", platform.NoFinal}, {"chat", platform.SecondAnswer},
+		{"commit", platform.InternalError}, {"commit", platform.Unavailable}, {"commit", platform.CloseBeforeResponse}, {"commit", platform.MalformedHead},
+		{"commit", platform.NoiseForHead}, {"commit", platform.CloseMidStream}, {"commit", platform.MalformedChunkSize}, {"commit", platform.ChunkSizeMismatch},
+		{"commit", platform.NoFinalEvent}, {"commit", platform.CloseInLastChunk}, {"chat", platform.CloseMidStream}, {"chat", platform.MalformedChunkSize},
+		{"chat", platform.NoFinalEvent}, {"chat", platform.SecondResponse},
 	} {
 		t.Run(c.class+" "+string(c.fault), func(t *testing.T) {
 			harness, engines, taps := newGoldenRelayHarness(t, 64, "r0 read", "w0 write")
-			engines["w0"].Next(c.fault)
+			engines["w0"].QueueFaults(c.fault)
 			goldenRun(t, &b, harness.node.Addr().String(), taps, []goldenCase{
 				{name: "engine fails, " + c.class + ": " + string(c.fault), request: harness.goldenRelayRequest("f1", c.class)}})
 		})
--- a/internal/node/header_fields_test.go
+++ b/internal/node/header_fields_test.go
@@ -11,14 +11,14 @@
 // idempotency key alone.
 func TestRelayForwardsClientHeaderFields(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write", "w1 write")
-	engines["w0"].Next(platform.Rejects)
-	engines["w1"].Next(platform.Rejects)
+	engines["w0"].QueueFaults(platform.Rejection)
+	engines["w1"].QueueFaults(platform.Rejection)
 	request := harness.newRequest("chat")
-	request.Head = "Idempotency-Key: 5f3a 77\r\nX-Route-Hint: a\r\nX-Route-Hint: b\r\nConnection: X-Hop\r\nX-Hop: 1\r\n"
+	request.ExtraHeader = "Idempotency-Key: 5f3a 77\r\nX-Route-Hint: a\r\nX-Route-Hint: b\r\nConnection: X-Hop\r\nX-Hop: 1\r\n"
 	if result := harness.send(request); result.Outcome != record.Served {
 		t.Fatalf("got %+v, want it served", result)
 	}
-	headers := harness.platform.Headers(request.Op)
+	headers := harness.platform.Headers(request.Operation)
 	if len(headers) < 3 {
 		t.Fatalf("got %d attempts, want at least a prefill and two decodes", len(headers))
 	}
--- a/internal/node/isolation_test.go
+++ b/internal/node/isolation_test.go
@@ -13,17 +13,17 @@
 // A client that does not read its stream delays no other: its socket is blocked by a gate while others are served completely.
 func TestRelaySlowClientDoesNotDelayOtherStreams(t *testing.T) {
 	g := newWriteGate(t, "op1.2 ")
-	harness, engines := newRelayHarnessOn(t, g, platform.Settings, 64, 256, "r0 read", "w0 write")
-	engines["w0"].Step = 5 * time.Millisecond
+	harness, engines := newRelayHarnessOn(t, g, platform.SettingsJSON, 64, 256, "r0 read", "w0 write")
+	engines["w0"].TokenInterval = 5 * time.Millisecond
 	slow := harness.newRequest("chat")
-	slow.Tokens = 20
-	slowResult := make(chan platform.Answer, 1)
+	slow.ResponseTokens = 20
+	slowResult := make(chan platform.Response, 1)
 	go func() { slowResult <- harness.send(slow) }()
 	<-g.reached
 	for range 4 {
 		request := harness.newRequest("chat")
-		request.Tokens = 20
-		if result := harness.send(request); result.Outcome != record.Served || !result.Done {
+		request.ResponseTokens = 20
+		if result := harness.send(request); result.Outcome != record.Served || !result.Complete {
 			t.Errorf("got %+v, want it served beside a slow client", result)
 		}
 	}
@@ -33,7 +33,7 @@
 	default:
 	}
 	close(g.opened)
-	if result := <-slowResult; result.Outcome != record.Served || result.Text != platform.Whole(slow.Op, slow.Tokens) {
+	if result := <-slowResult; result.Outcome != record.Served || result.Text != platform.ResponseText(slow.Operation, slow.ResponseTokens) {
 		t.Errorf("got %+v, want its complete stream once it is read", result)
 	}
 	harness.requireNoViolations()
@@ -43,12 +43,12 @@
 func TestRelayNodesBecomeReadyWithoutDiscovery(t *testing.T) {
 	const nodes = 300
 	p := platform.New("n0", &record.Log{})
-	d := p.Discover(p.Add("r0", "read"), p.Add("w0", "write"))
+	d := p.StartDiscovery(p.StartEngine("r0", "read"), p.StartEngine("w0", "write"))
 	defer func() { d.Close(); p.Stop() }()
-	known := d.List()
-	d.Bad("", true)
+	known := d.Snapshot()
+	d.SetFault("", true)
 	file := t.TempDir() + "/config.json"
-	if err := platform.WriteConfig(file, platform.Config(platform.Settings, "127.0.0.1:0", d.Addr(), known, 32, 256)); err != nil {
+	if err := platform.WriteConfig(file, platform.ConfigText(platform.SettingsJSON, "127.0.0.1:0", d.Address(), known, 32, 256)); err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
--- a/internal/node/overload_test.go
+++ b/internal/node/overload_test.go
@@ -24,17 +24,17 @@
 			mu.Lock()
 			defer mu.Unlock()
 			seen[result.Outcome]++
-			if result.Outcome == record.Refused && result.Code == "node_full" && result.After <= 0 {
+			if result.Outcome == record.Rejected && result.Code == "node_full" && result.RetryAfter <= 0 {
 				withoutRetryAfter++
 			}
-			if result.Outcome != record.Served && result.Outcome != record.Refused {
+			if result.Outcome != record.Served && result.Outcome != record.Rejected {
 				t.Errorf("got %s (%v), want it served or rejected", result.Outcome, result.Err)
 			}
 		}()
 	}
 	wg.Wait()
 	t.Log(seen)
-	if seen[record.Served] == 0 || seen[record.Served]+seen[record.Refused] != 300 || withoutRetryAfter > 0 {
+	if seen[record.Served] == 0 || seen[record.Served]+seen[record.Rejected] != 300 || withoutRetryAfter > 0 {
 		t.Errorf("got %v, %d rejections without Retry-After", seen, withoutRetryAfter)
 	}
 	harness.requireNoViolations()
--- a/internal/node/relay_clients_test.go
+++ b/internal/node/relay_clients_test.go
@@ -15,22 +15,22 @@
 // A request with the id of an open one is rejected and leaves the open one unaffected.
 func TestRelayDuplicateIDIsRejected(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
-	engines["r0"].Slow(300 * time.Millisecond)
+	engines["r0"].SetStartDelay(300 * time.Millisecond)
 	request := harness.newRequest("chat")
 	request.ID = "00ff"
-	got := make(chan platform.Answer, 1)
+	got := make(chan platform.Response, 1)
 	go func() { got <- harness.send(request) }()
-	harness.eventually("the first attempt is in flight", func() bool { return harness.countRecords(record.Arrive, request.Op) == 1 })
-	if status := harness.sendRaw(request.Request()); status != 409 {
+	harness.eventually("the first attempt is in flight", func() bool { return harness.countRecords(record.Arrive, request.Operation) == 1 })
+	if status := harness.sendRaw(request.Encode()); status != 409 {
 		t.Errorf("second request: got status %d, want 409", status)
 	}
-	if result := <-got; result.Outcome != record.Served || result.Text != platform.Whole(request.Op, request.Tokens) {
+	if result := <-got; result.Outcome != record.Served || result.Text != platform.ResponseText(request.Operation, request.ResponseTokens) {
 		t.Errorf("got %+v, want it served", result)
 	}
-	if status := harness.sendRaw(request.Request()); status != 409 {
+	if status := harness.sendRaw(request.Encode()); status != 409 {
 		t.Errorf("after the first has ended: got status %d, want 409", status)
 	}
-	if n := harness.countRecords(record.Arrive, request.Op); n != 2 {
+	if n := harness.countRecords(record.Arrive, request.Operation); n != 2 {
 		t.Errorf("got %d attempts, want 2", n)
 	}
 	harness.requireNoViolations()
@@ -39,12 +39,12 @@
 // Invalid requests receive an error and reach no engine.
 func TestRelayInvalidRequestsAreRejected(t *testing.T) {
 	harness, _ := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
-	good := func() platform.Ask {
+	good := func() platform.Request {
 		request := harness.newRequest("chat")
 		request.ID = fmt.Sprintf("ab%d", harness.requests)
 		return request
 	}
-	edit := func(old, new string) string { return strings.Replace(good().Request(), old, new, 1) }
+	edit := func(old, new string) string { return strings.Replace(good().Encode(), old, new, 1) }
 	for name, text := range map[string]string{
 		"no id":               edit("X-Call-Id:", "X-Other:"),
 		"two ids":             edit("X-Caller", "X-Call-Id: 77\r\nX-Caller"),
@@ -72,7 +72,7 @@
 		"negative length":   edit("Content-Length: ", "Content-Length: -"),
 		"huge length":       edit("Content-Length: ", "Content-Length: 99999999999999999999"),
 		"60 MB":             "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 62914560\r\n\r\n",
-		"bare LF":           strings.ReplaceAll(good().Request(), "\r\n", "\n"),
+		"bare LF":           strings.ReplaceAll(good().Encode(), "\r\n", "\n"),
 		"other path":        "GET /v1/servers HTTP/1.1\r\nHost: h\r\n\r\n",
 		"other method":      edit("POST", "PUT"),
 		"noise":             "\x16\x03\x01\x02\x00\x01\x00\r\n\r\n",
@@ -82,7 +82,7 @@
 		}
 	}
 	for _, x := range harness.log.All() {
-		if x.Kind == record.Arrive || x.Kind == record.More {
+		if x.Kind == record.Arrive || x.Kind == record.ExtraResponse {
 			t.Errorf("an invalid request reached an engine: %+v", x)
 		}
 	}
@@ -113,7 +113,7 @@
 		open("POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\n{")
 	}
 	for range 5 {
-		if result := harness.send(harness.newRequest("chat")); result.Outcome != record.Served || result.Took > time.Second {
+		if result := harness.send(harness.newRequest("chat")); result.Outcome != record.Served || result.Duration > time.Second {
 			t.Errorf("got %+v, want it served", result)
 		}
 	}
--- a/internal/node/relay_endpoints_test.go
+++ b/internal/node/relay_endpoints_test.go
@@ -15,7 +15,7 @@
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
 	for i := range 8 {
-		asks := make([]platform.Ask, 200)
+		asks := make([]platform.Request, 200)
 		for k := range asks {
 			asks[k] = harness.newRequest([]string{"chat", "commit"}[i%2])
 		}
@@ -33,15 +33,15 @@
 		}()
 	}
 	time.Sleep(200 * time.Millisecond)
-	harness.discovery.State("w0", "draining")
-	harness.discovery.State("r0", "draining")
+	harness.discovery.SetState("w0", "draining")
+	harness.discovery.SetState("r0", "draining")
 	time.Sleep(500 * time.Millisecond)
-	harness.discovery.State("w0", "removed")
+	harness.discovery.SetState("w0", "removed")
 	engines["w0"].Stop()
 	// A new engine under a new id, at an address that another engine may have had.
-	n := harness.platform.Add("w2", "write")
-	harness.discovery.Set("w2", func(x *platform.Server) {
-		*x = platform.Server{ID: "w2", Addr: n.Addr(), Zone: "z", Kind: "write", State: "up", Weight: 1, Started: time.Now().UnixMilli()}
+	n := harness.platform.StartEngine("w2", "write")
+	harness.discovery.Update("w2", func(x *platform.Endpoint) {
+		*x = platform.Endpoint{ID: "w2", Address: n.Address(), Zone: "z", Kind: "write", State: "up", Weight: 1, Started: time.Now().UnixMilli()}
 	})
 	time.Sleep(300 * time.Millisecond)
 	close(stop)
@@ -64,23 +64,23 @@
 	for _, bad := range []string{"{", `{"version":"x"}`, `{"version":-1,"full":true,"servers":[]}`,
 		`{"version":9,"full":true,"servers":[{"id":"","state":"up"}]}`,
 		`{"version":9,"full":true,"servers":[{"id":"w0","state":"sideways"}]}`} {
-		harness.discovery.Bad(bad, false)
+		harness.discovery.SetFault(bad, false)
 		time.Sleep(20 * time.Millisecond)
 		served(bad)
 	}
-	harness.discovery.Bad("", true)
+	harness.discovery.SetFault("", true)
 	served("silent")
 	harness.discovery.Close()
 	served("gone")
-	harness.discovery.Bad("", false)
-	harness.discovery.Open()
+	harness.discovery.SetFault("", false)
+	harness.discovery.Listen()
 	harness.writeConfig(64, 256)
 	cfg, err := relay.Load(func(name string) string { return map[string]string{"RELAY_CONFIG": harness.file}[name] })
 	if err != nil {
 		t.Fatal(err)
 	}
 	harness.node.Reload(cfg)
-	harness.discovery.State("w0", "draining")
+	harness.discovery.SetState("w0", "draining")
 	at := time.Now()
 	harness.eventually("w0 receives no more attempts", func() bool {
 		harness.send(harness.newRequest("chat"))
--- a/internal/node/relay_harness_test.go
+++ b/internal/node/relay_harness_test.go
@@ -37,7 +37,7 @@
 // newRelayHarness starts engines by id and role ("r0 read") and a node with the limits given.
 func newRelayHarness(t *testing.T, memoryMB, sockets int, engines ...string) (*relayHarness, map[string]*platform.Engine) {
 	t.Helper()
-	return newRelayHarnessWith(t, platform.Settings, memoryMB, sockets, engines...)
+	return newRelayHarnessWith(t, platform.SettingsJSON, memoryMB, sockets, engines...)
 }
 
 // newRelayHarnessWith is newRelayHarness with settings of the test's own.
@@ -57,10 +57,10 @@
 	var all []*platform.Engine
 	for _, e := range engines {
 		id, role, _ := strings.Cut(e, " ")
-		byID[id] = h.platform.Add(id, role)
+		byID[id] = h.platform.StartEngine(id, role)
 		all = append(all, byID[id])
 	}
-	h.discovery = h.platform.Discover(all...)
+	h.discovery = h.platform.StartDiscovery(all...)
 	h.writeConfig(memoryMB, sockets)
 	cfg, err := relay.Load(func(name string) string {
 		if name == "RELAY_CONFIG" {
@@ -89,7 +89,7 @@
 
 func (h *relayHarness) writeConfig(memoryMB, sockets int) {
 	h.t.Helper()
-	if err := platform.WriteConfig(h.file, platform.Config(h.settings, "127.0.0.1:0", h.discovery.Addr(), h.discovery.List(),
+	if err := platform.WriteConfig(h.file, platform.ConfigText(h.settings, "127.0.0.1:0", h.discovery.Address(), h.discovery.Snapshot(),
 		memoryMB, sockets)); err != nil {
 		h.t.Fatal(err)
 	}
@@ -105,14 +105,14 @@
 	h.t.Fatalf("not seen within 10 s: %s", what)
 }
 
-func (h *relayHarness) newRequest(class string) platform.Ask {
+func (h *relayHarness) newRequest(class string) platform.Request {
 	h.requests++
-	return platform.Ask{Op: fmt.Sprintf("op%d", h.requests), Class: class, Tenant: "branch", Session: "abc", Tokens: 8,
-		Patience: 4 * time.Second}
+	return platform.Request{Operation: fmt.Sprintf("op%d", h.requests), Class: class, Tenant: "branch", Session: "abc", ResponseTokens: 8,
+		Timeout: 4 * time.Second}
 }
 
-func (h *relayHarness) send(a platform.Ask) platform.Answer {
-	return h.platform.Do(h.node.Addr().String(), a)
+func (h *relayHarness) send(a platform.Request) platform.Response {
+	return h.platform.Send(h.node.Addr().String(), a)
 }
 
 func (h *relayHarness) countRecords(kind record.Kind, op string) (n int) {
@@ -127,7 +127,7 @@
 // requireNoViolations waits until no engine holds a state and checks the rules against what passed on the sockets.
 func (h *relayHarness) requireNoViolations() {
 	h.t.Helper()
-	h.eventually("no engine holds a state", func() bool { return h.platform.Held() == 0 })
+	h.eventually("no engine holds a state", func() bool { return h.platform.CallsWithState() == 0 })
 	c := rules.Config{Classes: map[string]rules.Class{"chat": {Effect: "repeatable", Group: "all"}, "commit": {Effect: "once",
 		Group: "all"}},
 		AnswerSlack: 0.058, DrainGrace: 0.25, OverloadMultiple: 4, SlowStartWindow: 1.5, StateReleaseLimit: 1.3, Skew: 0.3}
@@ -135,7 +135,7 @@
 		h.t.Error(v)
 	}
 	for _, x := range h.log.All() {
-		if x.Kind == record.More {
+		if x.Kind == record.ExtraResponse {
 			h.t.Errorf("%s: %s", x.Op, x.Note)
 		}
 	}
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -18,8 +18,8 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if result := harness.send(request); result.Outcome != record.Served || result.Text != platform.Whole(request.Op,
-				request.Tokens) {
+			if result := harness.send(request); result.Outcome != record.Served || result.Text != platform.ResponseText(request.Operation,
+				request.ResponseTokens) {
 				t.Errorf("got %+v, want it served unchanged", result)
 			}
 		}()
@@ -35,14 +35,14 @@
 		fault platform.Fault
 		ran   bool
 	}{
-		{platform.Rejects, false}, {platform.NoState, false}, {platform.Error500, true}, {platform.Plain503, true},
-		{platform.CutBefore, true}, {platform.Noise, true}, {platform.BadHead, true}, {platform.EndlessHead, true},
+		{platform.Rejection, false}, {platform.StateMissing, false}, {platform.InternalError, true}, {platform.Unavailable, true},
+		{platform.CloseBeforeResponse, true}, {platform.NoiseForHead, true}, {platform.MalformedHead, true}, {platform.EndlessHead, true},
 	} {
 		t.Run(string(c.fault), func(t *testing.T) {
 			harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write", "w1 write")
 			for _, class := range []string{"chat", "commit"} {
-				engines["w0"].Next(c.fault)
-				engines["w1"].Next(c.fault)
+				engines["w0"].QueueFaults(c.fault)
+				engines["w1"].QueueFaults(c.fault)
 				harness.requireFaultHandled(class, class == "commit" && c.ran)
 				harness.send(harness.newRequest("chat")) // consumes the faults that are left
 				harness.send(harness.newRequest("chat"))
@@ -57,36 +57,36 @@
 func (h *relayHarness) requireFaultHandled(class string, mustFail bool) {
 	h.t.Helper()
 	request := h.newRequest(class)
-	request.Patience = 3 * time.Second
+	request.Timeout = 3 * time.Second
 	result := h.send(request)
 	want := record.Served
 	if mustFail {
 		want = record.Failed
 	}
-	if result.Outcome != want && !(class == "chat" && result.Outcome == record.Refused) {
+	if result.Outcome != want && !(class == "chat" && result.Outcome == record.Rejected) {
 		h.t.Errorf("%s: got %+v, want %s", class, result, want)
 	}
-	if runs := h.countRecords(record.Run, request.Op); class == "commit" && runs > 1 {
-		h.t.Errorf("%s ran %d times, want at most 1", request.Op, runs)
+	if runs := h.countRecords(record.Run, request.Operation); class == "commit" && runs > 1 {
+		h.t.Errorf("%s ran %d times, want at most 1", request.Operation, runs)
 	}
 }
 
 // A stream that is malformed or cut after its first events closes the client's connection soon, without the last chunk.
 func TestRelayFaultsMidStreamEndTheClientConnection(t *testing.T) {
-	for _, f := range []platform.Fault{platform.BadChunk, platform.MisfitChunk, platform.HugeChunk, platform.CutStream, platform.Silent} {
+	for _, f := range []platform.Fault{platform.MalformedChunkSize, platform.ChunkSizeMismatch, platform.HugeChunk, platform.CloseMidStream, platform.StallMidStream} {
 		t.Run(string(f), func(t *testing.T) {
 			harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
-			engines["w0"].Next(f)
+			engines["w0"].QueueFaults(f)
 			request := harness.newRequest("chat")
 			result := harness.send(request)
-			if result.Outcome != record.Failed || result.Done || result.Text == "" || !strings.HasPrefix(platform.Whole(request.Op,
-				request.Tokens), result.Text) {
+			if result.Outcome != record.Failed || result.Complete || result.Text == "" || !strings.HasPrefix(platform.ResponseText(request.Operation,
+				request.ResponseTokens), result.Text) {
 				t.Errorf("got %+v, want an incomplete stream", result)
 			}
-			if limit := map[bool]time.Duration{true: 5 * time.Second, false: 2 * time.Second}[f == platform.Silent]; result.Took > limit {
-				t.Errorf("the stream ended after %v, want at most %v", result.Took, limit)
+			if limit := map[bool]time.Duration{true: 5 * time.Second, false: 2 * time.Second}[f == platform.StallMidStream]; result.Duration > limit {
+				t.Errorf("the stream ended after %v, want at most %v", result.Duration, limit)
 			}
-			if n := harness.countRecords(record.Run, request.Op); n != 1 {
+			if n := harness.countRecords(record.Run, request.Operation); n != 1 {
 				t.Errorf("ran %d times, want 1", n)
 			}
 			harness.requireNoViolations()
@@ -97,11 +97,11 @@
 // Bytes beyond a response affect neither it nor the next one on that connection.
 func TestRelayExtraBytesDoNotAffectResponses(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
-	engines["r0"].Next(platform.BadReport)
-	engines["w0"].Next(platform.Interim, platform.BadReport, platform.SecondAnswer, platform.None)
+	engines["r0"].QueueFaults(platform.MalformedLoadReport)
+	engines["w0"].QueueFaults(platform.InterimResponses, platform.MalformedLoadReport, platform.SecondResponse, platform.NoFault)
 	for range 5 {
 		request := harness.newRequest("commit")
-		if result := harness.send(request); result.Outcome != record.Served || result.Text != platform.Whole(request.Op, request.Tokens) {
+		if result := harness.send(request); result.Outcome != record.Served || result.Text != platform.ResponseText(request.Operation, request.ResponseTokens) {
 			t.Errorf("got %+v, want it served unchanged", result)
 		}
 	}
@@ -113,10 +113,10 @@
 func TestRelayStatesOfCutPrefillsAreReleased(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "r1 read", "w0 write")
 	for range 6 {
-		engines["r0"].Next(platform.CutBefore)
-		engines["r1"].Next(platform.CutBefore)
+		engines["r0"].QueueFaults(platform.CloseBeforeResponse)
+		engines["r1"].QueueFaults(platform.CloseBeforeResponse)
 		request := harness.newRequest("chat")
-		request.Patience = 2 * time.Second
+		request.Timeout = 2 * time.Second
 		harness.send(request)
 	}
 	harness.requireNoViolations()
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -43,8 +43,8 @@
 		"no memory told":        {`"tokens_by_kind":[200000,150000,200000]`, `"tokens_by_kind":[]`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			settings := strings.Replace(platform.Settings, edit[0], edit[1], 1)
-			if settings == platform.Settings {
+			settings := strings.Replace(platform.SettingsJSON, edit[0], edit[1], 1)
+			if settings == platform.SettingsJSON {
 				t.Fatalf("%q is not in the settings", edit[0])
 			}
 			requireServedOrClearError(t, settings)
@@ -56,10 +56,10 @@
 func requireServedOrClearError(t *testing.T, settings string) {
 	t.Helper()
 	p := platform.New("n0", &record.Log{})
-	d := p.Discover(p.Add("r0", "read"), p.Add("w0", "write"), p.Add("m0", "both"))
+	d := p.StartDiscovery(p.StartEngine("r0", "read"), p.StartEngine("w0", "write"), p.StartEngine("m0", "both"))
 	defer func() { d.Close(); p.Stop() }()
 	file := t.TempDir() + "/config.json"
-	if err := platform.WriteConfig(file, platform.Config(settings, "127.0.0.1:0", d.Addr(), d.List(), 32, 256)); err != nil {
+	if err := platform.WriteConfig(file, platform.ConfigText(settings, "127.0.0.1:0", d.Address(), d.Snapshot(), 32, 256)); err != nil {
 		t.Fatal(err)
 	}
 	n, err := loadAndStart(file)
@@ -71,8 +71,8 @@
 		return
 	}
 	defer n.Stop()
-	request := platform.Ask{Op: "a", Class: "chat", Tenant: "branch", Tokens: 4, Patience: time.Second}
-	if result := p.Do(n.Addr().String(), request); result.Outcome == record.Cut || result.Took > 2*time.Second {
+	request := platform.Request{Operation: "a", Class: "chat", Tenant: "branch", ResponseTokens: 4, Timeout: time.Second}
+	if result := p.Send(n.Addr().String(), request); result.Outcome == record.Cut || result.Duration > 2*time.Second {
 		t.Errorf("got %+v, want a response within 2s", result)
 	}
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -36,9 +36,9 @@
 func (k *openConnection) send(id string, tokens int) (status int, whole bool) {
 	k.harness.t.Helper()
 	a := k.harness.newRequest("chat")
-	a.ID, a.Tokens = id, tokens
-	k.harness.platform.Call(id, platform.Op{Name: a.Op, Class: a.Class, Tokens: tokens})
-	io.WriteString(k.conn, a.Request())
+	a.ID, a.ResponseTokens = id, tokens
+	k.harness.platform.RegisterCall(id, platform.Operation{Name: a.Operation, Class: a.Class, ResponseTokens: tokens})
+	io.WriteString(k.conn, a.Encode())
 	k.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 	resp, err := http.ReadResponse(k.reader, nil)
 	if err != nil {
@@ -51,9 +51,9 @@
 // Where clients cannot resume streams, a node that shuts down cuts no running stream and accepts no request that SIGKILL could
 // cut: a request that comes on an open connection later than 0.7 s is rejected.
 func TestRelayShutdownWithoutResume(t *testing.T) {
-	settings := strings.Replace(platform.Settings, `"resume":true`, `"resume":false`, 1)
+	settings := strings.Replace(platform.SettingsJSON, `"resume":true`, `"resume":false`, 1)
 	harness, engines := newRelayHarnessWith(t, settings, 64, 256, "r0 read", "w0 write")
-	engines["w0"].Step = 40 * time.Millisecond
+	engines["w0"].TokenInterval = 40 * time.Millisecond
 	earlyConn, lateConn := harness.openConnection(), harness.openConnection()
 	for i, k := range []*openConnection{earlyConn, lateConn} {
 		if status, whole := k.send("a"+string(rune('0'+i)), 1); status != 200 || !whole {
@@ -87,19 +87,19 @@
 // another node.
 func TestRelayShutdownCutsStreamsInTime(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
-	engines["w0"].Step = 200 * time.Millisecond
+	engines["w0"].TokenInterval = 200 * time.Millisecond
 	var wg sync.WaitGroup
-	results := make(chan platform.Answer, 20)
+	results := make(chan platform.Response, 20)
 	for range 10 {
 		request := harness.newRequest("chat")
-		request.Tokens = 100 // 20 s
+		request.ResponseTokens = 100 // 20 s
 		wg.Add(1)
 		go func() { defer wg.Done(); results <- harness.send(request) }()
 	}
 	harness.eventually("the streams are running", func() bool {
 		n := 0
 		for _, x := range harness.log.All() {
-			if x.Kind == record.First {
+			if x.Kind == record.FirstToken {
 				n++
 			}
 		}
@@ -115,10 +115,10 @@
 	close(results)
 	spread := map[int64]bool{}
 	for result := range results {
-		if result.Outcome != record.Failed || result.Done {
+		if result.Outcome != record.Failed || result.Complete {
 			t.Errorf("got %+v, want a stream that was cut", result)
 		}
-		spread[result.Took.Milliseconds()/100] = true
+		spread[result.Duration.Milliseconds()/100] = true
 	}
 	if len(spread) < 5 {
 		t.Errorf("got the cutoffs in the tenths of a second %v, want them spread over at least 5", spread)
@@ -130,7 +130,7 @@
 // ended before the process could be killed.
 func TestRelayShutdownServesOpenConnections(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
-	engines["w0"].Step = 30 * time.Millisecond
+	engines["w0"].TokenInterval = 30 * time.Millisecond
 	c, err := net.Dial("tcp", harness.node.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -139,9 +139,9 @@
 	br := bufio.NewReader(c)
 	ask := func(id string, tokens int) (status int, whole bool) {
 		request := harness.newRequest("chat")
-		request.ID, request.Tokens = id, tokens
-		harness.platform.Call(id, platform.Op{Name: request.Op, Class: "chat", Tokens: tokens})
-		io.WriteString(c, request.Request())
+		request.ID, request.ResponseTokens = id, tokens
+		harness.platform.RegisterCall(id, platform.Operation{Name: request.Operation, Class: "chat", ResponseTokens: tokens})
+		io.WriteString(c, request.Encode())
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil {
--- a/internal/node/simulated_days_test.go
+++ b/internal/node/simulated_days_test.go
@@ -52,7 +52,7 @@
 func playBoth(t *testing.T, d simulation.Day) (got, plain *simulation.Report) {
 	t.Helper()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // events of one instant happen in one order
-	synctest.Test(t, func(t *testing.T) { plain = d.PlayPlain(simulation.Policy{}) })
+	synctest.Test(t, func(t *testing.T) { plain = d.PlayBaseline(simulation.Policy{}) })
 	synctest.Test(t, func(t *testing.T) { got = d.Play(startRelayNode) })
 	return got, plain
 }
@@ -61,7 +61,7 @@
 func requireDay(t *testing.T, d simulation.Day) {
 	t.Helper()
 	got, plain := playBoth(t, d)
-	red := append(got.Breaches[:min(maxBreaches, len(got.Breaches))], simulation.Red(got, plain)...)
+	red := append(got.Violations[:min(maxBreaches, len(got.Violations))], simulation.Shortfalls(got, plain)...)
 	if len(red) > 0 || testing.Verbose() {
 		t.Log("\n" + got.Summary(plain))
 	}
--- a/internal/node/staterelease_test.go
+++ b/internal/node/staterelease_test.go
@@ -19,15 +19,15 @@
 	for _, leaves := range []bool{true, false} {
 		harness, engines := newRelayHarness(t, 64, 256, "r0 read", "r1 read", "w0 write", "w1 write", "w2 write")
 		for _, id := range []string{"w0", "w1", "w2"} {
-			engines[id].Hang(true)
+			engines[id].SetHung(true)
 		}
 		request := harness.newRequest("chat")
-		request.Patience = 1500 * time.Millisecond
+		request.Timeout = 1500 * time.Millisecond
 		c := harness.startRequest(&request, "1ea5e0")
-		harness.eventually("an engine holds the state", func() bool { return harness.platform.Held() == 1 })
+		harness.eventually("an engine holds the state", func() bool { return harness.platform.CallsWithState() == 1 })
 		for _, id := range []string{"r0", "r1"} {
-			if harness.countRecords(record.Parsed, request.Op) > 0 && harness.prefillEngineOf(request.Op) == id {
-				engines[id].Hang(true)
+			if harness.countRecords(record.StateReserved, request.Operation) > 0 && harness.prefillEngineOf(request.Operation) == id {
+				engines[id].SetHung(true)
 			}
 		}
 		if leaves {
@@ -36,7 +36,7 @@
 		}
 		harness.requireNoViolations()
 		for _, x := range engines {
-			x.Hang(false)
+			x.SetHung(false)
 		}
 		harness.eventually("the node has forgotten the request", func() bool { return harness.node.UnfinishedRequests() == 0 })
 	}
@@ -45,7 +45,7 @@
 // prefillEngineOf returns the engine of the first prefill of an operation.
 func (h *relayHarness) prefillEngineOf(op string) string {
 	for _, x := range h.log.All() {
-		if x.Kind == record.Parsed && x.Op == op {
+		if x.Kind == record.StateReserved && x.Op == op {
 			return x.Engine
 		}
 	}
@@ -55,18 +55,18 @@
 // States that are held when a node shuts down are released before it ends, though the engine called first does not respond.
 func TestRelayShutdownReleasesStates(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "r1 read", "w0 write")
-	engines["w0"].Hang(true)
+	engines["w0"].SetHung(true)
 	request := harness.newRequest("chat")
 	harness.startRequest(&request, "1ea5e1")
-	harness.eventually("an engine holds the state", func() bool { return harness.platform.Held() == 1 })
-	engines[harness.prefillEngineOf(request.Op)].Hang(true)
+	harness.eventually("an engine holds the state", func() bool { return harness.platform.CallsWithState() == 1 })
+	engines[harness.prefillEngineOf(request.Operation)].SetHung(true)
 	harness.stopped = true
 	harness.node.Shutdown(0)
-	if n := harness.platform.Held(); n > 0 {
+	if n := harness.platform.CallsWithState(); n > 0 {
 		t.Errorf("the node ended with %d states held, want 0", n)
 	}
 	for _, x := range engines {
-		x.Hang(false)
+		x.SetHung(false)
 	}
 	harness.requireNoViolations()
 }
@@ -76,10 +76,10 @@
 func TestRelayStateIsReleasedWhenAttemptIsNotDelivered(t *testing.T) {
 	harness, _ := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
 	full := unreadListener(t)
-	harness.discovery.Set("w0", func(x *platform.Server) { x.Addr = full.Addr().String() })
+	harness.discovery.Update("w0", func(x *platform.Endpoint) { x.Address = full.Addr().String() })
 	time.Sleep(100 * time.Millisecond) // the node polls the endpoint list
 	request := harness.newRequest("commit")
-	request.Op = strings.Repeat("x", 60<<10)
+	request.Operation = strings.Repeat("x", 60<<10)
 	harness.send(request)
 	harness.requireNoViolations()
 }
--- a/internal/node/time_budget_test.go
+++ b/internal/node/time_budget_test.go
@@ -16,20 +16,20 @@
 func TestRelayBudgetSentToEnginesIsAtMostTheTimeLeft(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write", "w1 write")
 	for _, class := range []string{"chat", "commit"} {
-		engines["w0"].Next(platform.Rejects)
-		engines["w1"].Next(platform.Rejects)
+		engines["w0"].QueueFaults(platform.Rejection)
+		engines["w1"].QueueFaults(platform.Rejection)
 		request := harness.newRequest(class)
-		request.Patience = 2 * time.Second
-		end := float64(time.Now().Add(request.Patience).UnixNano()) / 1e9
+		request.Timeout = 2 * time.Second
+		end := float64(time.Now().Add(request.Timeout).UnixNano()) / 1e9
 		harness.send(request)
-		budgets := harness.platform.Budgets(request.Op)
+		budgets := harness.platform.Budgets(request.Operation)
 		if len(budgets) < 2 {
 			t.Fatalf("%s: got %d attempts, want at least 2", class, len(budgets))
 		}
 		for i, b := range budgets {
 			// The client states its budget in ms, counted from when the request is sent, a moment after end was computed.
-			if most := end - b.At + 0.02; b.Told > most || b.Told <= 0 {
-				t.Errorf("%s, attempt %d: got a budget of %.3f s, want at most %.3f", class, i, b.Told, most)
+			if most := end - b.ReceivedAt + 0.02; b.RemainingSeconds > most || b.RemainingSeconds <= 0 {
+				t.Errorf("%s, attempt %d: got a budget of %.3f s, want at most %.3f", class, i, b.RemainingSeconds, most)
 			}
 		}
 	}
@@ -40,14 +40,14 @@
 // request whose time has passed meanwhile is not forwarded.
 func TestRelayPipelinedRequestBudgetRunsFromArrival(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
-	engines["w0"].Step = 100 * time.Millisecond
-	asks, text := make([]platform.Ask, 3), ""
+	engines["w0"].TokenInterval = 100 * time.Millisecond
+	asks, text := make([]platform.Request, 3), ""
 	for i, patience := range []time.Duration{3 * time.Second, 2 * time.Second, 500 * time.Millisecond} {
 		request := harness.newRequest("chat")
-		request.ID, request.Patience = fmt.Sprintf("a1ea%d", i), patience
-		harness.platform.Call(request.ID, platform.Op{Name: request.Op, Class: request.Class, Tokens: request.Tokens})
+		request.ID, request.Timeout = fmt.Sprintf("a1ea%d", i), patience
+		harness.platform.RegisterCall(request.ID, platform.Operation{Name: request.Operation, Class: request.Class, ResponseTokens: request.ResponseTokens})
 		asks[i] = request
-		text += request.Request()
+		text += request.Encode()
 	}
 	c, err := net.Dial("tcp", harness.node.Addr().String())
 	if err != nil {
@@ -64,15 +64,15 @@
 			t.Fatalf("request %d: %v", i, err)
 		}
 		io.Copy(io.Discard, resp.Body)
-		budgets := harness.platform.Budgets(request.Op)
+		budgets := harness.platform.Budgets(request.Operation)
 		if expired := i == 2; expired == (resp.StatusCode == 200) || expired != (len(budgets) == 0) {
 			t.Errorf("request %d: got status %d and %d attempts", i, resp.StatusCode, len(budgets))
 		}
 		for _, b := range budgets {
-			if most := sent + request.Patience.Seconds() - b.At + 0.15; b.Told > most {
-				t.Errorf("request %d: got a budget of %.3f s, want at most %.3f", i, b.Told, most)
+			if most := sent + request.Timeout.Seconds() - b.ReceivedAt + 0.15; b.RemainingSeconds > most {
+				t.Errorf("request %d: got a budget of %.3f s, want at most %.3f", i, b.RemainingSeconds, most)
 			}
 		}
 	}
-	harness.eventually("no engine holds a state", func() bool { return harness.platform.Held() == 0 })
+	harness.eventually("no engine holds a state", func() bool { return harness.platform.CallsWithState() == 0 })
 }
--- a/internal/node/write_gate_test.go
+++ b/internal/node/write_gate_test.go
@@ -55,20 +55,20 @@
 func TestRelayShutdownForwardsReceivedBytes(t *testing.T) {
 	for range 10 {
 		g := newWriteGate(t, "op1.3 ")
-		harness, engines := newRelayHarnessOn(t, g, platform.Settings, 64, 256, "r0 read", "w0 write")
+		harness, engines := newRelayHarnessOn(t, g, platform.SettingsJSON, 64, 256, "r0 read", "w0 write")
 		request := harness.newRequest("chat")
-		request.Tokens = 60
-		got := make(chan platform.Answer, 1)
+		request.ResponseTokens = 60
+		got := make(chan platform.Response, 1)
 		go func() { got <- harness.send(request) }()
 		<-g.reached
-		harness.eventually("the engine has finished", func() bool { return engines["w0"].Whole() == 1 })
+		harness.eventually("the engine has finished", func() bool { return engines["w0"].StreamsCompleted() == 1 })
 		harness.stopped = true
 		done := make(chan struct{})
 		go func() { defer close(done); harness.node.Shutdown(0) }()
 		harness.eventually("the stream was cut", func() bool { return harness.node.OpenRequests() == 0 })
 		time.Sleep(50 * time.Millisecond) // the grace for bytes that are on their way has passed as well
 		close(g.opened)
-		if result := <-got; !result.Done || result.Text != platform.Whole(request.Op, request.Tokens) {
+		if result := <-got; !result.Complete || result.Text != platform.ResponseText(request.Operation, request.ResponseTokens) {
 			t.Fatalf("got %+v, want the complete stream", result)
 		}
 		<-done
--- a/lab/simulation/baseline.go
+++ b/lab/simulation/baseline.go
@@ -29,8 +29,8 @@
 	down     map[int]bool   // nodes that have been told to end and are not back
 }
 
-// PlayPlain plays the day by the plain policy, inside a synctest bubble.
-func (d *Day) PlayPlain(policy Policy) *Report {
+// PlayBaseline plays the day by the plain policy, inside a synctest bubble.
+func (d *Day) PlayBaseline(policy Policy) *Report {
 	p := &plain{fleet: newFleet(d.Site, nil), day: d, policy: policy, rng: rand.New(rand.NewPCG(d.Site.Seed, 0x91a1)), inflight: map[string]int{}, down: map[int]bool{}}
 	over := make(chan struct{})
 	p.fleet.strike(d, over, func(f Fault) { p.lose(f, over) })
--- a/lab/simulation/oracle.go
+++ b/lab/simulation/oracle.go
@@ -11,11 +11,11 @@
 
 // Report is what became of a day.
 type Report struct {
-	Day      *Day
-	Results  []Result
-	Breaches []string // of rules and terms
-	Records  []record.Record
-	ColdUse  float64 // the most of a cold engine's allowance that was used
+	Day        *Day
+	Results    []Result
+	Violations []string // of rules and terms
+	Records    []record.Record
+	ColdUse    float64 // the most of a cold engine's allowance that was used
 }
 
 // Share is the part of the worth asked for that was served, of the results that fit.
@@ -46,8 +46,8 @@
 	everything   = 1000000.0 // s
 )
 
-// Red says in what the service of a day falls short of the plain policy's, a line each.
-func Red(got, plain *Report) []string {
+// Shortfalls says in what the service of a day falls short of the plain policy's, a line each.
+func Shortfalls(got, plain *Report) []string {
 	var red []string
 	check := func(name string, part float64, fit func(Result) bool) {
 		share, n := got.Share(fit)
@@ -137,7 +137,7 @@
 	share, n := r.Share(func(Result) bool { return true })
 	want, _ := plain.Share(func(Result) bool { return true })
 	fmt.Fprintf(&b, "seed %d: %d nodes, %d engines, %.0f requests/s, %d requests: served %.3f, plain %.3f; cold use %.2f; breaches %d\n",
-		s.Seed, s.Nodes, len(s.Engines), s.Rate, n, share, want, r.ColdUse, len(r.Breaches))
+		s.Seed, s.Nodes, len(s.Engines), s.Rate, n, share, want, r.ColdUse, len(r.Violations))
 	for _, f := range r.Day.Faults {
 		fmt.Fprintf(&b, "  fault: %s\n", f)
 	}
--- a/lab/simulation/oracle_test.go
+++ b/lab/simulation/oracle_test.go
@@ -16,7 +16,7 @@
 func playPlain(t *testing.T, d Day, p Policy) (r *Report) {
 	t.Helper()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	synctest.Test(t, func(t *testing.T) { r = d.PlayPlain(p) })
+	synctest.Test(t, func(t *testing.T) { r = d.PlayBaseline(p) })
 	return r
 }
 
@@ -25,7 +25,7 @@
 func TestOracleTellsBadPolicies(t *testing.T) {
 	d := coldDay()
 	plain := playPlain(t, d, Policy{})
-	if red := Red(playPlain(t, d, Policy{}), plain); len(red) > 0 {
+	if red := Shortfalls(playPlain(t, d, Policy{}), plain); len(red) > 0 {
 		t.Errorf("the plain policy is red against itself: %v", red)
 	}
 	for name, p := range map[string]Policy{
@@ -35,7 +35,7 @@
 		"never opens a cold engine":    {NeverCold: true},
 		"refuses from 35 s to the end": {RefuseFrom: 35, RefuseTo: 45},
 	} {
-		if red := Red(playPlain(t, d, p), plain); len(red) == 0 {
+		if red := Shortfalls(playPlain(t, d, p), plain); len(red) == 0 {
 			t.Errorf("a policy that %s is not red", name)
 		}
 	}
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -102,7 +102,7 @@
 func (f *Fleet) rulesConfig() rules.Config {
 	c := rules.Config{Classes: map[string]rules.Class{"chat": {Effect: "repeatable", Group: "all"}, "commit": {Effect: "once", Group: "all"},
 		"keyed": {Effect: "by_key", Group: "cell", KeyTTL: keyedWindow}}, Engines: map[string]rules.Engine{},
-		AnswerSlack: 0.058, ToldSlack: 0.15 + lateBy.Seconds(), DrainGrace: 0.3, StateReleaseLimit: 1.3, Skew: 0.25}
+		AnswerSlack: 0.058, StatedTimeSlack: 0.15 + lateBy.Seconds(), DrainGrace: 0.3, StateReleaseLimit: 1.3, Skew: 0.25}
 	for _, id := range f.order {
 		c.Engines[id] = rules.Engine{Cell: fmt.Sprint(cellOf(id))}
 	}
@@ -212,12 +212,12 @@
 
 // connect makes the way from a node to an engine. The lock is held, or the day has not begun.
 func (f *Fleet) connect(n *Node, id string) {
-	p, err := NewProxy(f.engines[id].Addr())
+	p, err := NewProxy(f.engines[id].Address())
 	if err != nil {
 		panic(err) // loopback without ports: no day can be played
 	}
 	n.reach[id] = p
-	f.platform.Reach(n.name, p.Addr())
+	f.platform.RegisterRoute(n.name, p.Addr())
 }
 
 // addEngine starts an engine and has it listed.
@@ -225,7 +225,7 @@
 	f.mu.Lock()
 	f.added++
 	id := fmt.Sprintf("%s-%d", role, f.added)
-	e := f.platform.Add(id, role)
+	e := f.platform.StartEngine(id, role)
 	f.engines[id] = e
 	f.order = append(f.order, id)
 	for _, n := range f.nodes {
@@ -236,8 +236,8 @@
 		started = time.Now().UnixMilli()
 	}
 	f.mu.Unlock()
-	f.reg.Set(id, func(s *platform.Server) {
-		*s = platform.Server{ID: id, Zone: "z", Kind: role, Cell: cellOf(id), State: "up", Weight: 1, Started: started}
+	f.reg.Set(id, func(s *platform.Endpoint) {
+		*s = platform.Endpoint{ID: id, Zone: "z", Kind: role, Cell: cellOf(id), State: "up", Weight: 1, Started: started}
 	})
 	return id
 }
@@ -296,10 +296,10 @@
 	f.byNode[n.name][o]++
 }
 
-func (f *Fleet) cross(n *Node, a platform.Ask, at float64) {
+func (f *Fleet) cross(n *Node, a platform.Request, at float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.crossed = append(f.crossed, crossing{n, a.ID, a.Op, at})
+	f.crossed = append(f.crossed, crossing{n, a.ID, a.Operation, at})
 }
 
 // stopAll stops all nodes.
@@ -382,7 +382,7 @@
 // killedAt tells whether a node was killed within seconds of a time.
 func (f *Fleet) killedAt(n *Node, t float64) bool {
 	for _, x := range f.log.All() {
-		if x.Kind == record.NodeKill && x.Node == n.name && x.T > t-0.2 && x.T < t+6 {
+		if x.Kind == record.NodeKilled && x.Node == n.name && x.T > t-0.2 && x.T < t+6 {
 			return true
 		}
 	}
--- a/lab/soak/node.go
+++ b/lab/soak/node.go
@@ -63,9 +63,9 @@
 
 // write writes the configuration, with the list that the node is to know at its start.
 func (n *Node) write(known []byte) error {
-	settings := strings.Replace(platform.Settings, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, len(n.fleet.nodes)), 1)
+	settings := strings.Replace(platform.SettingsJSON, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, len(n.fleet.nodes)), 1)
 	settings = strings.Replace(settings, `"classes":[`, `"classes":[`+keyedClass+`,`, 1)
-	text := platform.Config(settings, n.addr, n.agent.Addr(), known, nodeMemoryMB, nodeSockets)
+	text := platform.ConfigText(settings, n.addr, n.agent.Addr(), known, nodeMemoryMB, nodeSockets)
 	text = bytes.Replace(text, []byte("8c1f30d27a5be964"), fmt.Appendf(nil, "%016x", n.seed+uint64(n.starts)<<32), 1)
 	return platform.WriteConfig(n.config, text)
 }
@@ -106,7 +106,7 @@
 		return err
 	}
 	n.proc, n.term, n.killed = p, time.Time{}, time.Time{}
-	n.fleet.log.Add(record.Record{Kind: record.NodeUp, Node: n.name})
+	n.fleet.log.Add(record.Record{Kind: record.NodeStarted, Node: n.name})
 	go func() {
 		err := p.cmd.Wait()
 		n.mu.Lock()
@@ -168,10 +168,10 @@
 		n.killed = time.Now()
 	}
 	n.mu.Unlock()
-	n.fleet.log.Add(record.Record{Kind: record.NodeKill, Node: n.name})
+	n.fleet.log.Add(record.Record{Kind: record.NodeKilled, Node: n.name})
 	p.cmd.Process.Signal(syscall.SIGKILL)
 	<-p.ended
-	n.fleet.log.Add(record.Record{Kind: record.NodeKill, Node: n.name})
+	n.fleet.log.Add(record.Record{Kind: record.NodeKilled, Node: n.name})
 	n.mu.Lock()
 	n.in = false
 	n.mu.Unlock()
--- a/lab/soak/scenario_test.go
+++ b/lab/soak/scenario_test.go
@@ -112,16 +112,16 @@
 			time.Sleep(300 * time.Millisecond)
 			s.n.clock.Step(int64(step))
 			for i := range 300 { // a busy discovery: each change is an answer, and a call that follows it
-				s.f.reg.Set("both-9", func(x *platform.Server) { x.Weight = 1 + float64(i)/100 })
+				s.f.reg.Set("both-9", func(x *platform.Endpoint) { x.Weight = 1 + float64(i)/100 })
 				time.Sleep(40 * time.Millisecond)
 			}
 			for _, id := range []string{"read-1", "write-5", "read-2", "write-6"} {
-				s.f.reg.Set(id, func(x *platform.Server) { x.State = "draining" })
+				s.f.reg.Set(id, func(x *platform.Endpoint) { x.State = "draining" })
 				time.Sleep(500 * time.Millisecond)
 			}
 			s.stopAsking()
 			s.lawful()
-			if refused, served := s.f.outcomes[record.Refused], s.f.outcomes[record.Served]; served < 9*refused {
+			if refused, served := s.f.outcomes[record.Rejected], s.f.outcomes[record.Served]; served < 9*refused {
 				t.Errorf("outcomes %v", s.f.outcomes)
 			}
 		})
@@ -182,7 +182,7 @@
 	failing.Store(false)
 	s.ask(8)
 	time.Sleep(toldAfterReload)
-	s.f.reg.Set("read-1", func(x *platform.Server) { x.State = "draining" })
+	s.f.reg.Set("read-1", func(x *platform.Endpoint) { x.State = "draining" })
 	time.Sleep(1500 * time.Millisecond)
 	s.stopAsking()
 	s.lawful()
@@ -265,7 +265,7 @@
 		time.Sleep(2 * time.Second)
 		s.stopAsking()
 		t.Logf("%v: outcomes %v", errno, s.f.outcomes)
-		if refused := s.f.outcomes[record.Refused] + s.f.outcomes[record.Failed]; refused*20 > s.f.outcomes[record.Served] {
+		if refused := s.f.outcomes[record.Rejected] + s.f.outcomes[record.Failed]; refused*20 > s.f.outcomes[record.Served] {
 			t.Errorf("%v: outcomes %v, want nearly all served", errno, s.f.outcomes)
 		}
 		s.lawful()
