--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -128,7 +128,7 @@
 	}
 	defer f.Stop()
 	list := filepath.Join(dir, "list.json")
-	if err := f.Publish(f.List(), "n", list); err != nil {
+	if err := f.WriteListFile(f.List(), "n", list); err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(dir, "node.json")
@@ -199,7 +199,7 @@
 		t.Fatal(err)
 	}
 	defer f.Stop()
-	if err := f.Publish(f.List(), "n", filepath.Join(dir, "list.json")); err != nil {
+	if err := f.WriteListFile(f.List(), "n", filepath.Join(dir, "list.json")); err != nil {
 		t.Fatal(err)
 	}
 	cfg, err := demoConfig("127.0.0.1:0", "list.json")
@@ -322,7 +322,7 @@
 	if err := f.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Publish(f.List(), "n", filepath.Join(dir, "list.json")); err != nil {
+	if err := f.WriteListFile(f.List(), "n", filepath.Join(dir, "list.json")); err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(dir, "node.json")
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -92,7 +92,7 @@
 	}
 	defer f.Stop()
 	list := filepath.Join(dir, "engines.json")
-	if err := f.Publish(f.List(), "demo", list); err != nil {
+	if err := f.WriteListFile(f.List(), "demo", list); err != nil {
 		return err
 	}
 	cfg, err := demoConfig(listen, list)
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -23,7 +23,8 @@
 )
 
 func fleetCommand() *cobra.Command {
-	p := scenario.FleetPlan{Nodes: 60, Engines: 24, PerS: 100, Length: 60, Restarts: 1, Churn: 0.1, Notice: 0.5, Roll: true, Seed: 1}
+	p := scenario.FleetPlan{Nodes: 60, Engines: 24, SessionsPerSecond: 100, Length: 60, NodeRestartsPerSecond: 1,
+		EngineRestartsPerSecond: 0.1, ListDelay: 0.5, RestartAllNodes: true, Seed: 1}
 	var processes bool
 	var report, picture, trouble string
 	var release bool
@@ -52,16 +53,16 @@
 	f := c.Flags()
 	f.IntVar(&p.Nodes, "nodes", p.Nodes, "nodes")
 	f.IntVar(&p.Engines, "engines", p.Engines, "emulated engines")
-	f.Float64Var(&p.PerS, "rate", p.PerS, "requests a second")
+	f.Float64Var(&p.SessionsPerSecond, "rate", p.SessionsPerSecond, "requests a second")
 	f.Float64Var(&p.Load, "load", 0, "requests a second as a part of what the engines can do, in place of --rate")
 	f.StringVar(&trouble, "trouble", "", "add the faults of this scenario script")
 	f.BoolVar(&release, "release", false, "restart all prefill engines in steps, a third at a time")
 	f.Float64Var(&p.Length, "seconds", p.Length, "length of the run")
-	f.Float64Var(&p.Restarts, "restarts", p.Restarts, "nodes killed and restarted a second")
-	f.Float64Var(&p.Churn, "churn", p.Churn, "engines that die and come back in slow start a second")
-	f.Float64Var(&p.Notice, "notice", p.Notice, "seconds by which the list is late")
+	f.Float64Var(&p.NodeRestartsPerSecond, "restarts", p.NodeRestartsPerSecond, "nodes killed and restarted a second")
+	f.Float64Var(&p.EngineRestartsPerSecond, "churn", p.EngineRestartsPerSecond, "engines that die and come back in slow start a second")
+	f.Float64Var(&p.ListDelay, "notice", p.ListDelay, "seconds by which the list is late")
 	f.BoolVar(&p.ListServer, "list-server", false, "nodes ask one list server by blocking queries, in place of a file each")
-	f.BoolVar(&p.Roll, "roll", p.Roll, "restart all nodes within a second near the end")
+	f.BoolVar(&p.RestartAllNodes, "roll", p.RestartAllNodes, "restart all nodes within a second near the end")
 	f.Uint64Var(&p.Seed, "seed", p.Seed, "seed of load, restarts and engines")
 	f.BoolVar(&processes, "processes", false, "run each node in a process of its own")
 	f.StringVar(&picture, "plot", "", "draw service, nodes, fairness and slow-start budgets over time as PNG to this file")
@@ -75,9 +76,9 @@
 		return nil, withExitCode(ExitUsage, fmt.Errorf("a fleet has 1 node, 3 engines and 5 seconds at least, and a load above 0"))
 	}
 	if release {
-		prefillEngines := p.Script().Readers()
+		prefillEngines := p.Script().PrefillEngines()
 		third := (len(prefillEngines) + 2) / 3
-		p.Troubles = scenario.CrowdTroubles(prefillEngines, third, 0.25*p.Length, 0.15*p.Length, min(2, 0.1*p.Length))
+		p.Faults = scenario.RestartFaults(prefillEngines, third, 0.25*p.Length, 0.15*p.Length, min(2, 0.1*p.Length))
 	}
 	if trouble != "" {
 		text, err := os.ReadFile(trouble)
@@ -88,7 +89,7 @@
 		if err != nil {
 			return nil, withExitCode(ExitConfig, fmt.Errorf("%s:\n%w", trouble, err))
 		}
-		p.Troubles = append(p.Troubles, script.Troubles...)
+		p.Faults = append(p.Faults, script.Faults...)
 	}
 	s := p.Script()
 	if err := s.Check(); err != nil {
@@ -102,7 +103,7 @@
 	defer stop()
 	o := scenario.Options{Launch: inProcessLauncher(io.Discard), Skew: 0.5, Progress: func(q scenario.Progress) {
 		fmt.Fprintf(out, "\r%5.0f of %.0f s  %d nodes up, %d starts  %d served in time of %d  slow-start budget %.0f%%  %d breaches   ",
-			q.T, q.Length, q.Up, q.Starts, q.InTime, q.Ended, 100*q.SlowStartUse, q.Broken)
+			q.T, q.Length, q.Up, q.Starts, q.ServedInTime, q.Ended, 100*q.SlowStartUse, q.Violations)
 	}}
 	o.Files = service.DescriptorLimit()
 	if processes {
--- a/internal/cli/relay_test.go
+++ b/internal/cli/relay_test.go
@@ -119,7 +119,7 @@
 		t.Fatal("did not end")
 	}
 	t.Logf("%v; ended %v after SIGTERM", seen, time.Since(stopped))
-	if seen[record.Served] < 50 || seen[record.Cut]+seen[record.Unmet] > 0 {
+	if seen[record.Served] < 50 || seen[record.Cut]+seen[record.Unreachable] > 0 {
 		t.Errorf("outcomes %v\n%s", seen, logs.String())
 	}
 	classes := map[string]rules.Class{"chat": {Effect: "repeatable", Group: "all"}, "commit": {Effect: "once", Group: "all"}}
@@ -129,7 +129,7 @@
 		t.Error(v)
 	}
 	for _, x := range log.All() {
-		if x.Kind == record.More {
+		if x.Kind == record.ExtraResponse {
 			t.Errorf("%s: %s", x.Op, x.Note)
 		}
 	}
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -105,8 +105,8 @@
 // reportError turns what a day came to into the command's end.
 func reportError(r *scenario.Report) error {
 	switch {
-	case r.Broken > 0:
-		return withExitCode(ExitRules, fmt.Errorf("%d breaches of the rules", r.Broken))
+	case r.ViolationCount > 0:
+		return withExitCode(ExitRules, fmt.Errorf("%d breaches of the rules", r.ViolationCount))
 	case r.Unfinished != "":
 		return withExitCode(ExitRun, errors.New("the day did not end in time"))
 	}
--- a/internal/node/chat_test.go
+++ b/internal/node/chat_test.go
@@ -25,7 +25,7 @@
 	r := newRig(t, engines(1, 1, 1, nil), nil)
 	for i := range 20 {
 		a := r.ask([]string{"chat", "commit"}[i%2], 5+i)
-		a.Whole = i%3 == 0
+		a.NoStream = i%3 == 0
 		if res := r.do(a); res.Outcome != record.Served || !res.OK {
 			t.Fatalf("request %d: %+v", i, res)
 		}
@@ -43,7 +43,7 @@
 					r.fleet.Engine(fmt.Sprint("decode-", i+1)).SetFaults(emulator.Faults{DieAfter: &after})
 				}
 				a := r.ask("commit", tokens)
-				a.Whole = whole
+				a.NoStream = whole
 				res := r.do(a)
 				if res.Outcome != record.Failed || res.Retry || !res.OK && res.Events > 0 {
 					t.Fatalf("want a clear failure without the word that a retry is harmless: %+v", res)
@@ -73,7 +73,7 @@
 	r := newRig(t, engines(1, 1, 0, nil), nil)
 	for i := range 10 {
 		a := r.ask("commit", 8)
-		a.HangupAt = 8 + i%2 // the last token, or the chunk after it
+		a.DisconnectAfter = 8 + i%2 // the last token, or the chunk after it
 		r.do(a)
 	}
 	r.eventually("the node holds nothing", func() bool { return r.node.Held() == 0 })
@@ -95,7 +95,7 @@
 	return c
 }
 
-func post(a client.Ask, headers string) string {
+func post(a client.Request, headers string) string {
 	b := a.Body()
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n%sContent-Length: %d\r\n\r\n%s",
 		testKey, headers, len(b), b)
@@ -237,7 +237,7 @@
 	r.node.Shutdown(300 * time.Millisecond)
 	wg.Wait()
 	for _, x := range r.log.All() {
-		if x.Kind == record.Answer && x.Outcome == record.Cut {
+		if x.Kind == record.FinalResponse && x.Outcome == record.Cut {
 			t.Errorf("%s was cut: %s", x.Op, x.Note)
 		}
 	}
@@ -280,7 +280,7 @@
 
 func TestDrainedEngineGetsNothingNew(t *testing.T) {
 	r := newRig(t, engines(1, 2, 0, nil), nil)
-	r.fleet.Mark("decode-1", "draining")
+	r.fleet.SetState("decode-1", "draining")
 	r.publish()
 	stop := time.Now().Add(1500 * time.Millisecond) // beyond the grace and the lag that the checker allows
 	for time.Now().Before(stop) {
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -110,21 +110,21 @@
 
 func (r *rig) publish() {
 	r.t.Helper()
-	if err := r.fleet.Publish(r.fleet.List(), "node-0", r.list); err != nil {
+	if err := r.fleet.WriteListFile(r.fleet.List(), "node-0", r.list); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
 // ask makes a request of a class.
-func (r *rig) ask(class string, tokens int) client.Ask {
+func (r *rig) ask(class string, tokens int) client.Request {
 	r.ops++
-	return client.Ask{Model: class, Patience: 4 * time.Second, MaxTokens: 200,
+	return client.Request{Model: class, Patience: 4 * time.Second, MaxTokens: 200,
 		Messages: []emulator.Message{{Role: "system", Content: "You help with rosters."},
 			{Role: "user", Content: fmt.Sprintf("Question %d: who can cover a sick call?", r.ops)}},
 		Mark: emulator.Mark{Op: fmt.Sprintf("op%d", r.ops), Class: class, Answer: tokens}}
 }
 
-func (r *rig) do(a client.Ask) client.Result {
+func (r *rig) do(a client.Request) client.Result {
 	return r.client.Do(context.Background(), "node-0", r.node.Addr().String(), a)
 }
 
@@ -157,9 +157,9 @@
 		held := map[string]bool{}
 		for _, x := range r.log.All() {
 			switch x.Kind {
-			case record.Parsed:
+			case record.StateReserved:
 				held[x.State] = true
-			case record.StateEnd:
+			case record.StateEnded:
 				delete(held, x.State)
 			}
 		}
--- a/internal/node/overload_test.go
+++ b/internal/node/overload_test.go
@@ -24,17 +24,17 @@
 			mu.Lock()
 			defer mu.Unlock()
 			seen[res.Outcome]++
-			if res.Outcome == record.Refused && res.Code == "node_full" && res.After <= 0 {
+			if res.Outcome == record.Rejected && res.Code == "node_full" && res.RetryAfter <= 0 {
 				untold++
 			}
-			if res.Outcome != record.Served && res.Outcome != record.Refused {
+			if res.Outcome != record.Served && res.Outcome != record.Rejected {
 				t.Errorf("%s: %v", res.Outcome, res.Err)
 			}
 		}()
 	}
 	wg.Wait()
 	t.Log(seen)
-	if seen[record.Served] == 0 || seen[record.Served]+seen[record.Refused] != 300 || untold > 0 {
+	if seen[record.Served] == 0 || seen[record.Served]+seen[record.Rejected] != 300 || untold > 0 {
 		t.Errorf("%v, %d refused without a time", seen, untold)
 	}
 	r.lawful()
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -128,7 +128,7 @@
 		s.t.Error(v)
 	}
 	for _, x := range s.log.All() {
-		if x.Kind == record.More {
+		if x.Kind == record.ExtraResponse {
 			s.t.Errorf("%s: %s", x.Op, x.Note)
 		}
 	}
@@ -173,7 +173,7 @@
 				if class == "commit" && c.ran {
 					want = record.Failed
 				}
-				if r.Outcome != want && !(class == "chat" && r.Outcome == record.Refused) {
+				if r.Outcome != want && !(class == "chat" && r.Outcome == record.Rejected) {
 					t.Errorf("%s: %+v", class, r)
 				}
 				if runs := s.count(record.Run, a.Op); class == "commit" && runs > 1 {
@@ -366,7 +366,7 @@
 		}
 	}
 	for _, x := range s.log.All() {
-		if x.Kind == record.Arrive || x.Kind == record.More {
+		if x.Kind == record.Arrive || x.Kind == record.ExtraResponse {
 			t.Errorf("reached an engine: %+v", x)
 		}
 	}
@@ -472,7 +472,7 @@
 	s.eventually("the streams run", func() bool {
 		n := 0
 		for _, x := range s.log.All() {
-			if x.Kind == record.First {
+			if x.Kind == record.FirstToken {
 				n++
 			}
 		}
--- a/internal/node/staterelease_test.go
+++ b/internal/node/staterelease_test.go
@@ -26,7 +26,7 @@
 		c := s.start(&a, "1ea5e0")
 		s.eventually("a state waits", func() bool { return s.p.Held() == 1 })
 		for _, id := range []string{"r0", "r1"} {
-			if s.count(record.Parsed, a.Op) > 0 && s.holder(a.Op) == id {
+			if s.count(record.StateReserved, a.Op) > 0 && s.holder(a.Op) == id {
 				e[id].Hang(true)
 			}
 		}
@@ -45,7 +45,7 @@
 // holder is the engine at which an op was read first.
 func (s *stage) holder(op string) string {
 	for _, x := range s.log.All() {
-		if x.Kind == record.Parsed && x.Op == op {
+		if x.Kind == record.StateReserved && x.Op == op {
 			return x.Engine
 		}
 	}
--- a/lab/chart/chart.go
+++ b/lab/chart/chart.go
@@ -47,7 +47,7 @@
 			{"served", func(p scenario.Point) float64 { return float64(p.Served) }}}},
 		{"", "nodes up", []line{{"up", func(p scenario.Point) float64 { return float64(p.Up) }}}},
 		{"", "Jain's index over engines", fair},
-		{"", "cold budget used, at most so far", []line{{"share", func(p scenario.Point) float64 { return p.Cold }}}},
+		{"", "cold budget used, at most so far", []line{{"share", func(p scenario.Point) float64 { return p.SlowStartUse }}}},
 	}
 	img := vgimg.New(24*vg.Centimeter, 26*vg.Centimeter)
 	tiles := draw.Tiles{Rows: len(panels), Cols: 1, PadTop: vg.Points(4), PadBottom: vg.Points(4), PadLeft: vg.Points(4),
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -22,33 +22,33 @@
 	"dillroute/lab/record"
 )
 
-// Ask is one request of a client.
-type Ask struct {
-	Model     string
-	Messages  []emulator.Message
-	Mark      emulator.Mark
-	MaxTokens int
-	Whole     bool          // no stream
-	Session   string        // prompt_cache_key
-	Patience  time.Duration // without a first token
-	HangupAt  int           // leave after this many events; 0 = never
-	Key       string        // in place of the client's; "" = that
-	Tenant    string        // in the record
+// Request is one request of a client.
+type Request struct {
+	Model           string
+	Messages        []emulator.Message
+	Mark            emulator.Mark
+	MaxTokens       int
+	NoStream        bool          // no stream
+	Session         string        // prompt_cache_key
+	Patience        time.Duration // without a first token
+	DisconnectAfter int           // leave after this many events; 0 = never
+	Key             string        // in place of the client's; "" = that
+	Tenant          string        // in the record
 }
 
 // Result is what the client saw of one try.
 type Result struct {
-	Outcome record.Outcome
-	Status  int
-	Code    string
-	Retry   bool          // the node said that a further try is harmless
-	After   time.Duration // and when to come
-	Text    string
-	OK      bool // the text is whole and as it should be
-	First   time.Duration
-	Took    time.Duration
-	Events  int
-	Err     error
+	Outcome    record.Outcome
+	Status     int
+	Code       string
+	Retry      bool          // the node said that a further try is harmless
+	RetryAfter time.Duration // and when to come
+	Text       string
+	OK         bool // the text is whole and as it should be
+	FirstToken time.Duration
+	Duration   time.Duration
+	Events     int
+	Err        error
 }
 
 // Client asks one node. It is safe for concurrent use.
@@ -68,8 +68,8 @@
 func (c *Client) Close() { c.HTTP.CloseIdleConnections() }
 
 // Body writes the request.
-func (a *Ask) Body() []byte {
-	m := map[string]any{"model": a.Model, "messages": a.Messages, "stream": !a.Whole, "x_lab": a.Mark,
+func (a *Request) Body() []byte {
+	m := map[string]any{"model": a.Model, "messages": a.Messages, "stream": !a.NoStream, "x_lab": a.Mark,
 		"temperature": 0}
 	if a.MaxTokens > 0 {
 		m["max_completion_tokens"] = a.MaxTokens
@@ -82,7 +82,7 @@
 }
 
 // Do sends one try to a node and reads its answer. node names it in the record.
-func (c *Client) Do(ctx context.Context, node, address string, a Ask) Result {
+func (c *Client) Do(ctx context.Context, node, address string, a Request) Result {
 	parent := ctx
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -118,22 +118,22 @@
 			watch.Stop()
 		}
 	}
-	note(record.Ask, func(r *record.Record) { r.Tokens = a.Patience.Seconds() })
+	note(record.RequestSent, func(r *record.Record) { r.Tokens = a.Patience.Seconds() })
 	res := c.read(q, &a, start, func() {
 		met()
-		note(record.First, nil)
+		note(record.FirstToken, nil)
 	})
 	met()
-	res.Took = time.Since(start)
+	res.Duration = time.Since(start)
 	if res.Outcome == record.Cut && late {
-		res.Outcome = record.Overdue
+		res.Outcome = record.TimedOut
 	}
 	told := parent.Err() != nil && res.Outcome == record.Cut && !late // the run is over: it left, nobody cut it off
-	if told || a.HangupAt > 0 && errors.Is(res.Err, errLeft) {
-		note(record.Hangup, nil)
+	if told || a.DisconnectAfter > 0 && errors.Is(res.Err, errLeft) {
+		note(record.ClientDisconnected, nil)
 		return res
 	}
-	note(record.Answer, func(r *record.Record) {
+	note(record.FinalResponse, func(r *record.Record) {
 		r.Outcome, r.OK, r.State = res.Outcome, res.OK, strconv.FormatBool(res.Retry)
 		r.Tokens = float64(res.Events)
 		r.Note = fmt.Sprintf("%d %s", res.Status, res.Code)
@@ -150,14 +150,14 @@
 var errLeft = errors.New("client: left")
 
 // read does the exchange.
-func (c *Client) read(q *http.Request, a *Ask, start time.Time, first func()) Result {
+func (c *Client) read(q *http.Request, a *Request, start time.Time, first func()) Result {
 	res := Result{Outcome: record.Cut}
 	resp, err := c.HTTP.Do(q)
 	if err != nil {
 		res.Err = err
 		var op *net.OpError
 		if errors.As(err, &op) && op.Op == "dial" {
-			res.Outcome = record.Unmet
+			res.Outcome = record.Unreachable
 		}
 		return res
 	}
@@ -165,7 +165,7 @@
 	res.Status = resp.StatusCode
 	res.Retry = resp.Header.Get("X-Should-Retry") == "true"
 	if ms, err := strconv.Atoi(resp.Header.Get("Retry-After-Ms")); err == nil {
-		res.After = time.Duration(ms) * time.Millisecond
+		res.RetryAfter = time.Duration(ms) * time.Millisecond
 	}
 	want, _ := emulator.Expected(a.Messages, a.Mark, a.MaxTokens)
 	switch {
@@ -178,16 +178,16 @@
 		res.Code = errorCode(body)
 		res.Outcome = record.Failed
 		if res.Retry {
-			res.Outcome = record.Refused
+			res.Outcome = record.Rejected
 		}
-	case a.Whole:
+	case a.NoStream:
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
 			res.Err = err
 			return res
 		}
 		first()
-		res.First = time.Since(start)
+		res.FirstToken = time.Since(start)
 		var reply struct {
 			Choices []struct {
 				Message struct {
@@ -219,7 +219,7 @@
 }
 
 // stream reads server-sent events to the end.
-func (c *Client) stream(body io.Reader, a *Ask, start time.Time, first func(), want string, res *Result) {
+func (c *Client) stream(body io.Reader, a *Request, start time.Time, first func(), want string, res *Result) {
 	sc := bufio.NewScanner(body)
 	sc.Buffer(make([]byte, 0, 4096), 1<<20)
 	var text strings.Builder
@@ -235,7 +235,7 @@
 			return
 		}
 		if res.Events++; res.Events == 1 {
-			res.First = time.Since(start)
+			res.FirstToken = time.Since(start)
 			first()
 		}
 		if data == "[DONE]" {
@@ -264,7 +264,7 @@
 		for _, choice := range chunk.Choices {
 			text.WriteString(choice.Delta.Content)
 		}
-		if a.HangupAt > 0 && res.Events >= a.HangupAt {
+		if a.DisconnectAfter > 0 && res.Events >= a.DisconnectAfter {
 			res.Err = errLeft
 			return
 		}
--- a/lab/emulator/engine.go
+++ b/lab/emulator/engine.go
@@ -169,7 +169,7 @@
 	if cold {
 		booted = 1
 	}
-	e.log.Add(record.Record{Kind: record.Boot, Engine: e.ID, Tokens: booted, T: e.bootedAt})
+	e.log.Add(record.Record{Kind: record.EngineStarted, Engine: e.ID, Tokens: booted, T: e.bootedAt})
 	go e.server.Serve(&slowListener{l, e})
 	return nil
 }
@@ -216,7 +216,7 @@
 	s.Close()
 	r.work.Wait()
 	e.forget(r) // and what a read added meanwhile
-	e.log.Add(record.Record{Kind: record.Died, Engine: e.ID})
+	e.log.Add(record.Record{Kind: record.EngineStopped, Engine: e.ID})
 }
 
 // forget drops all states, as a process that dies does.
@@ -224,7 +224,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id, s := range r.states {
-		e.log.Add(record.Record{Kind: record.StateEnd, Engine: e.ID, State: id, Op: s.mark.Op, Try: s.mark.Try, Note: "died"})
+		e.log.Add(record.Record{Kind: record.StateEnded, Engine: e.ID, State: id, Op: s.mark.Op, Try: s.mark.Try, Note: "died"})
 		delete(r.states, id)
 		r.memory -= s.tokens
 	}
@@ -377,7 +377,7 @@
 	}
 	r.mu.Unlock()
 	if ok {
-		e.log.Add(record.Record{Kind: record.StateEnd, Engine: e.ID, State: id, Op: s.mark.Op, Try: s.mark.Try, Note: why})
+		e.log.Add(record.Record{Kind: record.StateEnded, Engine: e.ID, State: id, Op: s.mark.Op, Try: s.mark.Try, Note: why})
 	}
 	return s, ok
 }
--- a/lab/emulator/fault.go
+++ b/lab/emulator/fault.go
@@ -74,13 +74,13 @@
 	switch {
 	case f.Silent || f.cutFrom(j.node):
 		<-j.ctx.Done()
-		j.note(record.End, "silent")
+		j.note(record.AttemptEnded, "silent")
 	case f.Refuse:
 		j.turn(503, "engine_full", "no")
 	case f.Reject > 0:
 		j.turn(f.Reject, "rejected", "not to its liking")
 	case unlucky:
-		j.note(record.End, "error")
+		j.note(record.AttemptEnded, "error")
 		fail(j.w, 500, "internal", "failed")
 	case f.Garbage:
 		j.note(record.Run, "garbage")
--- a/lab/emulator/job.go
+++ b/lab/emulator/job.go
@@ -41,7 +41,7 @@
 }
 
 func (j *job) turn(status int, code, message string) {
-	j.note(record.Turned, code)
+	j.note(record.AttemptRejected, code)
 	fail(j.w, status, code, message)
 }
 
@@ -135,7 +135,7 @@
 	ok := j.prompt(j.tokens - kept)
 	j.leave(j.tokens)
 	if !ok {
-		j.note(record.End, "gone")
+		j.note(record.AttemptEnded, "gone")
 		return
 	}
 	r := j.r
@@ -149,7 +149,7 @@
 	r.states[j.id] = s
 	r.memory += s.tokens
 	r.mu.Unlock()
-	j.note(record.Parsed, "")
+	j.note(record.StateReserved, "")
 	if j.e.faults.Load().DropAfter {
 		j.e.drop(r, j.id, "lost")
 	}
@@ -191,7 +191,7 @@
 		return
 	}
 	defer j.leave(memory)
-	defer j.note(record.End, "")
+	defer j.note(record.AttemptEnded, "")
 	if has {
 		digest, err := j.fetch()
 		if err != nil {
--- a/lab/faultyrouter/faultyrouter.go
+++ b/lab/faultyrouter/faultyrouter.go
@@ -13,24 +13,24 @@
 	"time"
 )
 
-// Sin is what a wrong node does wrong.
-type Sin string
+// Defect is what a wrong node does wrong.
+type Defect string
 
 // Sins, each with the rule that it breaks.
 const (
-	None       Sin = ""
-	Mute       Sin = "mute"        // 1: never answers
-	Late       Sin = "late"        // 1: answers after the client's patience
-	Twice      Sin = "twice"       // 1: goes on after the final answer
-	After      Sin = "after"       // 1: sends to an engine after the final answer
-	Drop       Sin = "drop"        // 1: closes the connection without an answer
-	Skip       Sin = "skip"        // 0: leaves an event out
-	Repeat     Sin = "repeat"      // 2: tries a once request again that may have run
-	RefuseRan  Sin = "refuse_ran"  // 2: calls a retry harmless after it may have run
-	Drain      Sin = "drain"       // 3: goes on sending to a draining engine
-	Flood      Sin = "flood"       // 4: sends everything to the engine that has just started
-	Pin        Sin = "pin"         // 5: lets a read state wait
-	KeepFailed Sin = "keep_failed" // 5: leaves the state behind when it gives up
+	None               Defect = ""
+	NeverAnswers       Defect = "mute"        // 1: never answers
+	AnswersLate        Defect = "late"        // 1: answers after the client's patience
+	AnswersTwice       Defect = "twice"       // 1: goes on after the final answer
+	SendsAfterAnswer   Defect = "after"       // 1: sends to an engine after the final answer
+	DropsConnection    Defect = "drop"        // 1: closes the connection without an answer
+	SkipsEvent         Defect = "skip"        // 0: leaves an event out
+	RepeatsOnce        Defect = "repeat"      // 2: tries a once request again that may have run
+	CallsRetryHarmless Defect = "refuse_ran"  // 2: calls a retry harmless after it may have run
+	SendsToDraining    Defect = "drain"       // 3: goes on sending to a draining engine
+	FloodsColdEngine   Defect = "flood"       // 4: sends everything to the engine that has just started
+	DelaysDecode       Defect = "pin"         // 5: lets a read state wait
+	LeavesState        Defect = "keep_failed" // 5: leaves the state behind when it gives up
 )
 
 // Engine is an engine as a wrong node is told of it.
@@ -39,27 +39,27 @@
 	Draining, Cold    bool
 }
 
-// Node is a wrong node.
-type Node struct {
-	sin     Sin
-	name    string
-	server  *http.Server
-	addr    net.Addr
-	client  *http.Client
-	engines func() []Engine
-	held    sync.WaitGroup
-	mu      sync.Mutex
-	next    int
-	stop    chan struct{}
+// Router is a wrong node.
+type Router struct {
+	defect   Defect
+	name     string
+	server   *http.Server
+	addr     net.Addr
+	client   *http.Client
+	engines  func() []Engine
+	inFlight sync.WaitGroup
+	mu       sync.Mutex
+	next     int
+	stop     chan struct{}
 }
 
 // Start starts one on a free loopback port. engines is asked for each request.
-func Start(sin Sin, name string, engines func() []Engine) (*Node, error) {
+func Start(sin Defect, name string, engines func() []Engine) (*Router, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{sin: sin, name: name, addr: l.Addr(), engines: engines, stop: make(chan struct{}),
+	n := &Router{defect: sin, name: name, addr: l.Addr(), engines: engines, stop: make(chan struct{}),
 		client: &http.Client{Transport: &http.Transport{}}}
 	n.server = &http.Server{Handler: http.HandlerFunc(n.serve)}
 	go n.server.Serve(l)
@@ -67,30 +67,30 @@
 }
 
 // Addr is where it listens.
-func (n *Node) Addr() net.Addr { return n.addr }
+func (n *Router) Addr() net.Addr { return n.addr }
 
 // Stop ends it.
-func (n *Node) Stop() {
+func (n *Router) Stop() {
 	close(n.stop)
 	n.server.Close()
-	n.held.Wait()
+	n.inFlight.Wait()
 	n.client.CloseIdleConnections()
 }
 
 // pick returns engines of a role, in turn.
-func (n *Node) pick(role string) *Engine {
+func (n *Router) pick(role string) *Engine {
 	var fit []Engine
 	for _, e := range n.engines() {
 		if e.Role != role && e.Role != "mixed" {
 			continue
 		}
-		if n.sin == Flood && e.Cold {
+		if n.defect == FloodsColdEngine && e.Cold {
 			return &e
 		}
-		if !e.Draining || n.sin == Drain {
+		if !e.Draining || n.defect == SendsToDraining {
 			fit = append(fit, e)
 		}
-		if n.sin == Drain && e.Draining {
+		if n.defect == SendsToDraining && e.Draining {
 			return &e
 		}
 	}
@@ -103,16 +103,16 @@
 	return &fit[n.next%len(fit)]
 }
 
-func (n *Node) wait(d time.Duration) {
+func (n *Router) wait(d time.Duration) {
 	select {
 	case <-n.stop:
 	case <-time.After(d):
 	}
 }
 
-func (n *Node) serve(w http.ResponseWriter, q *http.Request) {
-	n.held.Add(1)
-	defer n.held.Done()
+func (n *Router) serve(w http.ResponseWriter, q *http.Request) {
+	n.inFlight.Add(1)
+	defer n.inFlight.Done()
 	body, _ := io.ReadAll(q.Body)
 	var m map[string]json.RawMessage
 	if json.Unmarshal(body, &m) != nil {
@@ -120,15 +120,15 @@
 		return
 	}
 	patience, _ := time.ParseDuration(q.Header.Get("X-Request-Timeout-Ms") + "ms")
-	switch n.sin {
-	case Mute:
+	switch n.defect {
+	case NeverAnswers:
 		n.wait(patience + 2*time.Second)
 		panic(http.ErrAbortHandler)
-	case Late:
+	case AnswersLate:
 		n.wait(patience + 200*time.Millisecond)
 		refuse(w, 503, true)
 		return
-	case Drop:
+	case DropsConnection:
 		panic(http.ErrAbortHandler)
 	}
 	id := strings.ReplaceAll(q.RemoteAddr, ":", "-") + time.Now().Format("-150405.000000000")
@@ -142,15 +142,15 @@
 		refuse(w, 503, true)
 		return
 	}
-	if n.sin == Pin {
+	if n.defect == DelaysDecode {
 		n.wait(2500 * time.Millisecond)
 	}
 	n.decode(w, m, state, id, reader)
-	if n.sin == After {
+	if n.defect == SendsAfterAnswer {
 		w.(http.Flusher).Flush()
-		n.held.Add(1)
+		n.inFlight.Add(1)
 		go func() {
-			defer n.held.Done()
+			defer n.inFlight.Done()
 			n.wait(700 * time.Millisecond)
 			n.prefill(reader, m, id+"x")
 			n.release(reader, id+"x")
@@ -171,7 +171,7 @@
 	return b
 }
 
-func (n *Node) post(e *Engine, path string, body []byte, id string) (*http.Response, error) {
+func (n *Router) post(e *Engine, path string, body []byte, id string) (*http.Response, error) {
 	q, err := http.NewRequest("POST", "http://"+e.Address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -182,7 +182,7 @@
 	return n.client.Do(q)
 }
 
-func (n *Node) prefill(e *Engine, m map[string]json.RawMessage, id string) (string, bool) {
+func (n *Router) prefill(e *Engine, m map[string]json.RawMessage, id string) (string, bool) {
 	resp, err := n.post(e, "/v1/chat/completions", with(m, map[string]string{"stream": "false", "max_tokens": "1",
 		"kv_transfer_params": `{"do_remote_decode":true}`}), id)
 	if err != nil {
@@ -198,7 +198,7 @@
 	return string(reply.State), true
 }
 
-func (n *Node) release(e *Engine, id string) {
+func (n *Router) release(e *Engine, id string) {
 	b, _ := json.Marshal(map[string]string{"request_id": id})
 	if resp, err := n.post(e, "/v1/kv/release", b, id); err == nil {
 		resp.Body.Close()
@@ -206,7 +206,7 @@
 }
 
 // decode streams the answer; a decode engine that turns it away before a token leaves another one to be tried.
-func (n *Node) decode(w http.ResponseWriter, m map[string]json.RawMessage, state, id string, reader *Engine) {
+func (n *Router) decode(w http.ResponseWriter, m map[string]json.RawMessage, state, id string, reader *Engine) {
 	for try := 0; try < 3; try++ {
 		e := n.pick("decode")
 		if e == nil {
@@ -215,7 +215,7 @@
 		resp, err := n.post(e, "/v1/chat/completions", with(m, map[string]string{"stream": "true", "kv_transfer_params": state}), id)
 		if err != nil {
 			n.giveUp(reader, id)
-			refuse(w, 500, n.sin == RefuseRan)
+			refuse(w, 500, n.defect == CallsRetryHarmless)
 			return
 		}
 		if resp.StatusCode != 200 {
@@ -223,12 +223,12 @@
 			if resp.StatusCode == 503 {
 				continue
 			}
-			if n.sin == Repeat {
+			if n.defect == RepeatsOnce {
 				state = "null"
 				continue
 			}
 			n.giveUp(reader, id)
-			refuse(w, 500, n.sin == RefuseRan)
+			refuse(w, 500, n.defect == CallsRetryHarmless)
 			return
 		}
 		began, done := n.copy(w, resp)
@@ -236,13 +236,13 @@
 		if done {
 			return
 		}
-		if !began && n.sin == Repeat {
+		if !began && n.defect == RepeatsOnce {
 			state = "null" // the state has gone; the engine reads anew
 			continue
 		}
 		if !began {
 			n.giveUp(reader, id)
-			refuse(w, 500, n.sin == RefuseRan)
+			refuse(w, 500, n.defect == CallsRetryHarmless)
 			return
 		}
 		io.WriteString(w, "data: {\"error\":{\"message\":\"broken\",\"type\":\"server_error\",\"param\":null,\"code\":\"stream_broken\"}}\n\n")
@@ -252,14 +252,14 @@
 	refuse(w, 503, true)
 }
 
-func (n *Node) giveUp(reader *Engine, id string) {
-	if n.sin != KeepFailed {
+func (n *Router) giveUp(reader *Engine, id string) {
+	if n.defect != LeavesState {
 		n.release(reader, id)
 	}
 }
 
 // copy passes events on and tells whether any came, and the last.
-func (n *Node) copy(w http.ResponseWriter, resp *http.Response) (began, done bool) {
+func (n *Router) copy(w http.ResponseWriter, resp *http.Response) (began, done bool) {
 	b, events := make([]byte, 0, 4096), 0
 	buf := make([]byte, 4096)
 	for {
@@ -272,7 +272,7 @@
 			}
 			event := string(b[:i+2])
 			b = b[i+2:]
-			if events++; events == 3 && n.sin == Skip {
+			if events++; events == 3 && n.defect == SkipsEvent {
 				continue
 			}
 			if !began {
@@ -282,7 +282,7 @@
 			io.WriteString(w, event)
 			w.(http.Flusher).Flush()
 			if strings.HasPrefix(event, "data: [DONE]") {
-				if n.sin == Twice {
+				if n.defect == AnswersTwice {
 					io.WriteString(w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"more\"}}]}\n\ndata: [DONE]\n\n")
 				}
 				return true, true
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -66,22 +66,22 @@
 // Members returns the members, in their order.
 func (f *Fleet) Members() []Member { return f.members }
 
-// Mark says what the list is to tell of an engine: "" (ready), "draining" or "gone".
-func (f *Fleet) Mark(id, state string) {
+// SetState says what the list is to tell of an engine: "" (ready), "draining" or "gone".
+func (f *Fleet) SetState(id, state string) {
 	f.mu.Lock()
 	f.states[id] = state
 	f.mu.Unlock()
 }
 
-// Become lists an engine as another kind.
-func (f *Fleet) Become(id, kind string) {
+// SetKind lists an engine as another kind.
+func (f *Fleet) SetKind(id, kind string) {
 	f.mu.Lock()
 	f.kinds[id] = kind
 	f.mu.Unlock()
 }
 
-// entry is an engine in a list file, by its published shape.
-type entry struct {
+// listEntry is an engine in a list file, by its published shape.
+type listEntry struct {
 	ID      string  `json:"id"`
 	Address string  `json:"address"`
 	Kind    string  `json:"kind"`
@@ -95,7 +95,7 @@
 type Snapshot struct {
 	Text    []byte
 	States  map[string]string // of each engine: ready, draining or gone
-	entries []entry
+	entries []listEntry
 }
 
 // List writes the list as it stands. An engine that was never restarted has no start time.
@@ -103,7 +103,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := Snapshot{States: map[string]string{}}
-	entries := []entry{}
+	entries := []listEntry{}
 	for _, m := range f.members {
 		e := f.engines[m.ID]
 		state := f.states[m.ID]
@@ -114,7 +114,7 @@
 		if state == "gone" {
 			continue
 		}
-		n := entry{ID: m.ID, Address: e.Address(), Kind: cmp.Or(f.kinds[m.ID], m.Kind), Cell: m.Cell, Zone: m.Zone, State: state}
+		n := listEntry{ID: m.ID, Address: e.Address(), Kind: cmp.Or(f.kinds[m.ID], m.Kind), Cell: m.Cell, Zone: m.Zone, State: state}
 		if at, cold := e.ColdBoot(); cold {
 			n.Boot = at
 		}
@@ -125,8 +125,8 @@
 	return s
 }
 
-// Publish gives a snapshot to a node: its list file is replaced in one step, and what it was told is recorded.
-func (f *Fleet) Publish(s Snapshot, node, path string) error {
+// WriteListFile gives a snapshot to a node: its list file is replaced in one step, and what it was told is recorded.
+func (f *Fleet) WriteListFile(s Snapshot, node, path string) error {
 	tmp, err := os.CreateTemp(filepath.Dir(path), ".list-*")
 	if err != nil {
 		return err
@@ -140,12 +140,12 @@
 		os.Remove(tmp.Name())
 		return err
 	}
-	f.told(s, before, node)
+	f.recordDelivery(s, before, node)
 	return nil
 }
 
-// Serve gives a snapshot to a list server, which tells all nodes at once; what each was told is recorded.
-func (f *Fleet) Serve(s Snapshot, server *emulator.ListServer, nodes []string) {
+// UpdateListServer gives a snapshot to a list server, which tells all nodes at once; what each was told is recorded.
+func (f *Fleet) UpdateListServer(s Snapshot, server *emulator.ListServer, nodes []string) {
 	var list []emulator.Instance
 	for _, e := range s.entries {
 		meta := map[string]string{"kind": e.Kind, "cell": e.Cell, "zone": e.Zone, "state": e.State}
@@ -156,12 +156,12 @@
 	}
 	before := record.Now()
 	server.Set(list)
-	f.told(s, before, nodes...)
+	f.recordDelivery(s, before, nodes...)
 }
 
-// told records what nodes were told, from a moment on until now: that an engine may be used counts from before, as a node
+// recordDelivery records what nodes were told, from a moment on until now: that an engine may be used counts from before, as a node
 // may read it before we come here; that it may not, from now.
-func (f *Fleet) told(s Snapshot, before float64, nodes ...string) {
+func (f *Fleet) recordDelivery(s Snapshot, before float64, nodes ...string) {
 	now := record.Now()
 	for _, node := range nodes {
 		for id, state := range s.States {
@@ -169,7 +169,7 @@
 			if state == "ready" {
 				at = before
 			}
-			f.log.Add(record.Record{T: at, Kind: record.Told, Node: node, Engine: id, State: state})
+			f.log.Add(record.Record{T: at, Kind: record.ListDelivered, Node: node, Engine: id, State: state})
 		}
 	}
 }
--- a/lab/platform/client.go
+++ b/lab/platform/client.go
@@ -56,12 +56,12 @@
 	start := time.Now()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
-		return Answer{Outcome: record.Unmet, Err: err}
+		return Answer{Outcome: record.Unreachable, Err: err}
 	}
 	defer c.Close()
 	base := record.Record{Op: a.Op, Class: a.Class, Node: p.Node}
 	ask := base
-	ask.Kind, ask.Tokens = record.Ask, a.Patience.Seconds()
+	ask.Kind, ask.Tokens = record.RequestSent, a.Patience.Seconds()
 	p.Log.Add(ask)
 	if _, err = io.WriteString(c, a.Request()); err != nil {
 		return Answer{Outcome: record.Cut, Err: err}
@@ -69,7 +69,7 @@
 	ans := p.hear(c, a, base)
 	ans.Took = time.Since(start)
 	end := base
-	end.Kind, end.Outcome, end.OK = record.Answer, ans.Outcome, ans.Outcome == record.Served && ans.Text == Whole(a.Op, a.Tokens) ||
+	end.Kind, end.Outcome, end.OK = record.FinalResponse, ans.Outcome, ans.Outcome == record.Served && ans.Text == Whole(a.Op, a.Tokens) ||
 		ans.Outcome == record.Failed && strings.HasPrefix(Whole(a.Op, a.Tokens), ans.Text)
 	if ans.Err != nil {
 		end.Note = ans.Err.Error()
@@ -88,7 +88,7 @@
 	ans := Answer{Status: resp.StatusCode, After: resp.Header.Get("Retry-After")}
 	switch {
 	case resp.StatusCode == 429 || resp.StatusCode == 503:
-		ans.Outcome = record.Refused
+		ans.Outcome = record.Rejected
 	case resp.StatusCode != 200:
 		ans.Outcome = record.Failed
 	}
@@ -97,7 +97,7 @@
 		return ans
 	}
 	first := base
-	first.Kind = record.First
+	first.Kind = record.FirstToken
 	p.Log.Add(first)
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	ans.Outcome = record.Failed
--- a/lab/platform/discovery.go
+++ b/lab/platform/discovery.go
@@ -159,6 +159,6 @@
 	w.Write(text)
 	for _, s := range a["servers"].([]Server) {
 		state := map[string]string{"up": "ready", "draining": "draining", "removed": "gone"}[s.State]
-		d.p.Log.Add(record.Record{Kind: record.Told, Node: d.p.Node, Engine: s.ID, State: state})
+		d.p.Log.Add(record.Record{Kind: record.ListDelivered, Node: d.p.Node, Engine: s.ID, State: state})
 	}
 }
--- a/lab/platform/engine.go
+++ b/lab/platform/engine.go
@@ -227,7 +227,7 @@
 	call := r.Header.Get("X-Call-Id")
 	op, known := e.p.op(call)
 	if !known {
-		e.p.Log.Add(record.Record{Kind: record.More, Op: "void:" + call, Note: "an id that no client sent"})
+		e.p.Log.Add(record.Record{Kind: record.ExtraResponse, Op: "void:" + call, Note: "an id that no client sent"})
 		return reply(c, 400, "", "no client sent this id") && another(gone, next)
 	}
 	told, _ := strconv.ParseFloat(r.Header.Get("X-Budget"), 64)
@@ -239,13 +239,13 @@
 	if e.Role == "read" {
 		stage = "prefill"
 	}
-	rec := record.Record{Kind: record.Arrive, Op: op.Name, Try: op.Try, Class: op.Class, Node: e.p.caller(r.Host), Engine: e.ID, Note: stage, Work: 1, Left: told}
+	rec := record.Record{Kind: record.Arrive, Op: op.Name, Try: op.Try, Class: op.Class, Node: e.p.caller(r.Host), Engine: e.ID, Note: stage, Work: 1, StatedTime: told}
 	if stage == "decode" {
 		rec.State = stateName(call, e.p.holder(call))
 	}
 	e.p.Log.Add(rec)
 	end := rec
-	end.Kind = record.End
+	end.Kind = record.AttemptEnded
 	defer func() { e.p.Log.Add(end) }()
 	if !e.lives(gone) {
 		return false
--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -120,7 +120,7 @@
 	}
 	p.holds[call][engine] = true
 	p.mu.Unlock()
-	p.Log.Add(record.Record{Kind: record.Parsed, Op: op.Name, Try: op.Try, Class: op.Class, Node: node, Engine: engine, State: stateName(call, engine)})
+	p.Log.Add(record.Record{Kind: record.StateReserved, Op: op.Name, Try: op.Try, Class: op.Class, Node: node, Engine: engine, State: stateName(call, engine)})
 }
 
 // release lets go of all that is held for a call, whatever engine holds it; it tells whether anything was.
@@ -130,7 +130,7 @@
 	delete(p.holds, call)
 	p.mu.Unlock()
 	for engine := range held {
-		p.Log.Add(record.Record{Kind: record.StateEnd, Engine: engine, State: stateName(call, engine), Note: why})
+		p.Log.Add(record.Record{Kind: record.StateEnded, Engine: engine, State: stateName(call, engine), Note: why})
 	}
 	return len(held) > 0
 }
--- a/lab/rules/rules.go
+++ b/lab/rules/rules.go
@@ -17,7 +17,7 @@
 	Classes           map[string]Class
 	Engines           map[string]Engine
 	AnswerSlack       float64 // rule 1: after the client's patience
-	ToldSlack         float64 // rule 1: by how much engines may be told more time than the client has left; 0 = not judged
+	StatedTimeSlack   float64 // rule 1: by how much engines may be told more time than the client has left; 0 = not judged
 	DrainGrace        float64 // rule 3
 	ListLag           float64 // rule 3: for a node to read its list once it has been given it
 	OverloadMultiple  float64 // rule 4
@@ -36,9 +36,9 @@
 // Engine is what a rule needs of an engine. PerS is the work that it does a second when warm, in the tokens that
 // records tell: of prompts for the prefill stage, of answers for the decode stage.
 type Engine struct {
-	Cell, Zone       string
-	ReadPerS, WriteS float64
-	ColdShare, ColdS float64
+	Cell, Zone                                    string
+	PrefillTokensPerSecond, DecodeTokensPerSecond float64
+	SlowStartShare, SlowStartSeconds              float64
 }
 
 // Violation is a rule broken.
@@ -98,9 +98,9 @@
 // mean is a running mean.
 type mean struct{ sum, n float64 }
 
-// Judge judges a run as it goes on. Its memory is bounded by what happens within the horizon, not by the length of the
+// Checker judges a run as it goes on. Its memory is bounded by what happens within the horizon, not by the length of the
 // run. It is not safe for concurrent use.
-type Judge struct {
+type Checker struct {
 	cfg     Config
 	buffer  waiting // not yet judged
 	newest  float64 // time of the latest record
@@ -116,26 +116,26 @@
 	swept   float64
 	out     []Violation
 	broken  map[int]int // breaches by rule
-	most    ColdUse
+	most    SlowStartUse
 }
 
-// ColdUse is how near sends to a cold engine came to their budget.
-type ColdUse struct {
+// SlowStartUse is how near sends to a cold engine came to their budget.
+type SlowStartUse struct {
 	Share  float64 // of the budget; above 1 the rule is broken
 	Engine string
 	T      float64
 }
 
-// NewJudge returns a judge who has seen nothing.
-func NewJudge(cfg Config) *Judge {
-	return &Judge{cfg: cfg, ops: map[string]*operation{}, kills: map[string][]float64{}, told: map[pair]record.Record{},
+// NewChecker returns a judge who has seen nothing.
+func NewChecker(cfg Config) *Checker {
+	return &Checker{cfg: cfg, ops: map[string]*operation{}, kills: map[string][]float64{}, told: map[pair]record.Record{},
 		boots: map[string]float64{}, knows: map[pair]bool{}, sent: map[string][]push{}, holds: map[string]*hold{},
 		weights: map[string]*mean{}, broken: map[int]int{}}
 }
 
 // Check returns every breach of a run that is over, in order of time.
 func Check(rs []record.Record, cfg Config) []Violation {
-	j := NewJudge(cfg)
+	j := NewChecker(cfg)
 	for _, r := range rs {
 		j.Add(r)
 	}
@@ -143,7 +143,7 @@
 }
 
 // Add takes a record. Records may come a little out of order.
-func (j *Judge) Add(r record.Record) {
+func (j *Checker) Add(r record.Record) {
 	j.serial++
 	heap.Push(&j.buffer, pending{r, j.serial})
 	j.newest = max(j.newest, r.T)
@@ -184,7 +184,7 @@
 const keptOfRule = 25
 
 // Close judges what is left and returns the breaches that are kept, the first of each rule.
-func (j *Judge) Close() []Violation {
+func (j *Checker) Close() []Violation {
 	for len(j.buffer) > 0 {
 		j.see(heap.Pop(&j.buffer).(pending).Record)
 	}
@@ -199,7 +199,7 @@
 }
 
 // Broken returns how many breaches there were; ByRule, of which rule (0 = a wrong text).
-func (j *Judge) Broken() (n int) {
+func (j *Checker) Broken() (n int) {
 	for _, k := range j.broken {
 		n += k
 	}
@@ -207,27 +207,27 @@
 }
 
 // ByRule returns how many breaches there were of each rule.
-func (j *Judge) ByRule() map[int]int { return maps.Clone(j.broken) }
+func (j *Checker) ByRule() map[int]int { return maps.Clone(j.broken) }
 
-// Cold returns how near sends to a cold engine came to their budget.
-func (j *Judge) Cold() ColdUse { return j.most }
+// SlowStartUse returns how near sends to a cold engine came to their budget.
+func (j *Checker) SlowStartUse() SlowStartUse { return j.most }
 
-func (j *Judge) breach(rule int, t float64, format string, args ...any) {
+func (j *Checker) breach(rule int, t float64, format string, args ...any) {
 	if j.broken[rule]++; j.broken[rule] <= keptOfRule {
 		j.out = append(j.out, Violation{rule, t, fmt.Sprintf(format, args...)})
 	}
 }
 
 // see judges a record; those before it have been seen.
-func (j *Judge) see(x record.Record) {
+func (j *Checker) see(x record.Record) {
 	switch x.Kind {
-	case record.NodeKill:
+	case record.NodeKilled:
 		j.kills[x.Node] = append(j.kills[x.Node], x.T)
-	case record.Told:
+	case record.ListDelivered:
 		j.tell(x)
-	case record.Boot:
+	case record.EngineStarted:
 		j.boot(x)
-	case record.Ask, record.First, record.Answer, record.Hangup, record.More, record.Run:
+	case record.RequestSent, record.FirstToken, record.FinalResponse, record.ClientDisconnected, record.ExtraResponse, record.Run:
 		j.operation(x)
 	case record.Arrive:
 		j.arrive(x)
@@ -239,7 +239,7 @@
 }
 
 // sweep forgets what is beyond the horizon.
-func (j *Judge) sweep(now float64) {
+func (j *Checker) sweep(now float64) {
 	j.swept = now
 	for _, id := range slices.Sorted(maps.Keys(j.ops)) {
 		o := j.ops[id]
@@ -263,7 +263,7 @@
 }
 
 // forget closes the book on an operation: what has had no answer by now has none.
-func (j *Judge) forget(id string, o *operation) {
+func (j *Checker) forget(id string, o *operation) {
 	for n, t := range o.tries {
 		if len(t.ends) == 0 && t.ask.T > 0 && !t.late {
 			t.late = true
@@ -272,7 +272,7 @@
 	}
 }
 
-func (j *Judge) op(id string) *operation {
+func (j *Checker) op(id string) *operation {
 	o := j.ops[id]
 	if o == nil {
 		o = &operation{tries: map[int]*try{}}
@@ -291,19 +291,19 @@
 }
 
 // killed tells whether a node was killed within a span: what it held then is the client's to retry.
-func (j *Judge) killed(node string, from, to float64) bool {
+func (j *Checker) killed(node string, from, to float64) bool {
 	return slices.ContainsFunc(j.kills[node], func(t float64) bool { return t >= from-j.cfg.Skew && t <= to+j.cfg.Skew })
 }
 
 // operation is rules 1 and 2 as clients and engines see a request.
-func (j *Judge) operation(x record.Record) {
+func (j *Checker) operation(x record.Record) {
 	o := j.op(x.Op)
 	o.last = max(o.last, x.T)
 	t := o.try(x.Try)
 	switch x.Kind {
-	case record.Ask:
+	case record.RequestSent:
 		t.ask = x
-	case record.First:
+	case record.FirstToken:
 		t.began = x.T
 	case record.Run:
 		t.ran = x.Engine
@@ -324,16 +324,16 @@
 }
 
 // answer is rule 1 for a final answer.
-func (j *Judge) answer(end record.Record, t *try) {
+func (j *Checker) answer(end record.Record, t *try) {
 	ask := t.ask
-	if end.Kind == record.Hangup {
+	if end.Kind == record.ClientDisconnected {
 		return
 	}
 	limit := ask.Tokens + j.cfg.AnswerSlack + j.cfg.Skew // an ask records its patience there
 	switch {
-	case (end.Outcome == record.Cut || end.Outcome == record.Overdue) && !j.killed(ask.Node, ask.T, end.T):
+	case (end.Outcome == record.Cut || end.Outcome == record.TimedOut) && !j.killed(ask.Node, ask.T, end.T):
 		j.breach(1, end.T, "%s try %d was %s: %s", end.Op, end.Try, end.Outcome, end.Note)
-	case end.Outcome == record.Unmet, end.Outcome == record.Cut, end.Outcome == record.Overdue:
+	case end.Outcome == record.Unreachable, end.Outcome == record.Cut, end.Outcome == record.TimedOut:
 	case t.began > 0 && ask.Tokens > 0 && t.began-ask.T > limit:
 		j.breach(1, t.began, "%s try %d began %.3f s after the client's patience", end.Op, end.Try, t.began-ask.T-ask.Tokens)
 	case t.began == 0 && ask.Tokens > 0 && end.T-ask.T > limit:
@@ -345,18 +345,18 @@
 }
 
 // refused is rule 2 for the word that a retry is harmless.
-func (j *Judge) refused(op string, n int, t *try, end record.Record) {
+func (j *Checker) refused(op string, n int, t *try, end record.Record) {
 	class := j.cfg.Classes[end.Class]
 	if class.Effect == "repeatable" || class.Effect == "by_key" && class.Group == "all" {
 		return
 	}
-	if end.Outcome == record.Refused && t.ran != "" {
+	if end.Outcome == record.Rejected && t.ran != "" {
 		j.breach(2, end.T, "%s try %d was refused, a retry being called harmless, though %s had run it", op, n, t.ran)
 	}
 }
 
 // again is rule 2 for a second effect.
-func (j *Judge) again(x record.Record, o *operation) {
+func (j *Checker) again(x record.Record, o *operation) {
 	if len(o.runs) == 0 {
 		return
 	}
@@ -369,7 +369,7 @@
 	}
 }
 
-func (j *Judge) sameGroup(group, a, b string) bool {
+func (j *Checker) sameGroup(group, a, b string) bool {
 	switch x, y := j.cfg.Engines[a], j.cfg.Engines[b]; group {
 	case "zone":
 		return x.Zone == y.Zone
@@ -380,7 +380,7 @@
 }
 
 // tell files what a node was told of an engine.
-func (j *Judge) tell(x record.Record) {
+func (j *Checker) tell(x record.Record) {
 	k := pair{x.Node, x.Engine}
 	if j.told[k].State != x.State {
 		j.told[k] = x
@@ -391,7 +391,7 @@
 }
 
 // boot files a start of an engine; Tokens of 1 says that it is cold.
-func (j *Judge) boot(x record.Record) {
+func (j *Checker) boot(x record.Record) {
 	delete(j.boots, x.Engine)
 	delete(j.sent, x.Engine)
 	if x.Tokens > 0 {
@@ -401,7 +401,7 @@
 }
 
 // arrive is rule 1 for what is sent after the final answer, rule 3, and rule 4.
-func (j *Judge) arrive(x record.Record) {
+func (j *Checker) arrive(x record.Record) {
 	if x.Op != "" {
 		o := j.op(x.Op)
 		o.last = max(o.last, x.T)
@@ -420,14 +420,14 @@
 }
 
 // timeTold judges the time that an engine was told by what its client has left.
-func (j *Judge) timeTold(x, ask record.Record) {
+func (j *Checker) timeTold(x, ask record.Record) {
 	left := ask.T + ask.Tokens - x.T
-	if j.cfg.ToldSlack > 0 && ask.T > 0 && x.Left > max(0, left)+j.cfg.ToldSlack+j.cfg.Skew {
-		j.breach(1, x.T, "%s try %d: %s was told %.3f s, its client has %.3f s left", x.Op, x.Try, x.Engine, x.Left, left)
+	if j.cfg.StatedTimeSlack > 0 && ask.T > 0 && x.StatedTime > max(0, left)+j.cfg.StatedTimeSlack+j.cfg.Skew {
+		j.breach(1, x.T, "%s try %d: %s was told %.3f s, its client has %.3f s left", x.Op, x.Try, x.Engine, x.StatedTime, left)
 	}
 }
 
-func (j *Judge) weight(key string) *mean {
+func (j *Checker) weight(key string) *mean {
 	w := j.weights[key]
 	if w == nil {
 		w = &mean{}
@@ -438,13 +438,13 @@
 
 // cold is rule 4: in every window of the stated length the work sent must stay under the multiple of what the
 // engine can do at that time, with room for two requests by chance. A send weighs as the mean of its class so far.
-func (j *Judge) cold(x record.Record) {
+func (j *Checker) cold(x record.Record) {
 	stage := stageOf(x)
 	w := j.weight(x.Class + stage)
 	w.sum, w.n = w.sum+x.Work, w.n+1
 	at, ok := j.boots[x.Engine]
 	e := j.cfg.Engines[x.Engine]
-	if !ok || x.T > at+e.ColdS {
+	if !ok || x.T > at+e.SlowStartSeconds {
 		return
 	}
 	weight := w.sum / w.n
@@ -458,15 +458,15 @@
 			told += p.weight
 		}
 	}
-	rate := e.WriteS
+	rate := e.DecodeTokensPerSecond
 	if stage == "prefill" {
-		rate = e.ReadPerS
+		rate = e.PrefillTokensPerSecond
 	}
-	age := min(1, max(0, x.T-at)/max(1e-9, e.ColdS))
-	can := rate * min(1, e.ColdShare+(1-e.ColdShare)*age) * j.cfg.SlowStartWindow
+	age := min(1, max(0, x.T-at)/max(1e-9, e.SlowStartSeconds))
+	can := rate * min(1, e.SlowStartShare+(1-e.SlowStartShare)*age) * j.cfg.SlowStartWindow
 	limit := j.cfg.OverloadMultiple*can + 2*weight
 	if share := sum / limit; share > j.most.Share {
-		j.most = ColdUse{share, x.Engine, x.T}
+		j.most = SlowStartUse{share, x.Engine, x.T}
 	}
 	if sum > limit && told*3 >= sum*2 {
 		j.breach(4, x.T, "%s, %.1f s after its start, was sent %.0f tokens in %.1f s, %.1f times what it can do",
@@ -482,26 +482,26 @@
 }
 
 // state is rule 5.
-func (j *Judge) state(x record.Record) {
+func (j *Checker) state(x record.Record) {
 	h := j.holds[x.State]
 	switch {
-	case x.Kind == record.Parsed:
+	case x.Kind == record.StateReserved:
 		j.holds[x.State] = &hold{Record: x, since: x.T}
 	case h == nil || x.State == "":
-	case x.Kind == record.StateEnd && x.Engine == h.Engine:
+	case x.Kind == record.StateEnded && x.Engine == h.Engine:
 		j.waited(h, x.T)
 		delete(j.holds, x.State)
 	case x.Kind == record.Arrive && stageOf(x) == "decode":
 		j.waited(h, x.T)
 		h.out++
-	case (x.Kind == record.End || x.Kind == record.Turned) && stageOf(x) == "decode" && h.out > 0:
+	case (x.Kind == record.AttemptEnded || x.Kind == record.AttemptRejected) && stageOf(x) == "decode" && h.out > 0:
 		h.out--
 		h.since = x.T
 	}
 }
 
 // waited judges how long a state has waited with no attempt out.
-func (j *Judge) waited(h *hold, t float64) {
+func (j *Checker) waited(h *hold, t float64) {
 	if h.out == 0 && !h.told && t-h.since > j.cfg.StateReleaseLimit+j.cfg.Skew && !j.killed(h.Node, h.T, t) {
 		h.told = true
 		j.breach(5, t, "the state of %s try %d waited at %s for %.3f s with no attempt out", h.Op, h.Try, h.Engine, t-h.since)
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -17,9 +17,9 @@
 
 // scene is a fleet with a wrong node before it.
 type scene struct {
-	sin   faultyrouter.Sin
+	sin   faultyrouter.Defect
 	rule  int // that must be found broken; -1 = none may be
-	ask   func(*client.Ask)
+	ask   func(*client.Request)
 	fault func(f *fleet.Fleet)
 }
 
@@ -49,17 +49,17 @@
 		t.Fatal(err)
 	}
 	tell := func(id, state string) {
-		log.Add(record.Record{Kind: record.Told, Node: "node-0", Engine: id, State: state})
+		log.Add(record.Record{Kind: record.ListDelivered, Node: "node-0", Engine: id, State: state})
 	}
 	for _, m := range ms {
 		tell(m.ID, "ready")
 	}
 	switch s.sin {
-	case faultyrouter.Drain:
+	case faultyrouter.SendsToDraining:
 		drained["decode-1"] = true
 		tell("decode-1", "draining")
 		time.Sleep(1100 * time.Millisecond) // the grace must have passed
-	case faultyrouter.Flood:
+	case faultyrouter.FloodsColdEngine:
 		f.Engine("decode-1").Kill()
 		if err := f.Engine("decode-1").Start(true); err != nil {
 			t.Fatal(err)
@@ -73,14 +73,14 @@
 	c := client.New("k", log)
 	defer c.Close()
 	asks := 4
-	if s.sin == faultyrouter.Flood {
+	if s.sin == faultyrouter.FloodsColdEngine {
 		asks = 60
 	}
 	var wg sync.WaitGroup
 	for i := range asks {
-		a := client.Ask{Model: "m", Patience: 1500 * time.Millisecond, MaxTokens: 100, Messages: []emulator.Message{{Role: "user", Content: fmt.Sprint("q", i)}},
+		a := client.Request{Model: "m", Patience: 1500 * time.Millisecond, MaxTokens: 100, Messages: []emulator.Message{{Role: "user", Content: fmt.Sprint("q", i)}},
 			Mark: emulator.Mark{Op: fmt.Sprint("op", i), Class: "commit", Answer: 12}}
-		if s.sin == faultyrouter.Flood {
+		if s.sin == faultyrouter.FloodsColdEngine {
 			a.Mark.Answer = 40
 			a.Patience = 10 * time.Second
 		}
@@ -91,20 +91,20 @@
 		go func() { defer wg.Done(); c.Do(context.Background(), "node-0", n.Addr().String(), a) }()
 	}
 	wg.Wait()
-	if s.sin == faultyrouter.After || s.sin == faultyrouter.KeepFailed {
+	if s.sin == faultyrouter.SendsAfterAnswer || s.sin == faultyrouter.LeavesState {
 		time.Sleep(1800 * time.Millisecond) // what comes after the answer, or does not, has to be seen
 	}
 	n.Stop()
-	log.Add(record.Record{Kind: record.Close})
+	log.Add(record.Record{Kind: record.RecordEnded})
 	if s.rule < 0 && s.fault == nil { // an honest node that serves nobody proves nothing
 		for _, x := range log.All() {
-			if x.Kind == record.Answer && x.Outcome != record.Served {
+			if x.Kind == record.FinalResponse && x.Outcome != record.Served {
 				t.Errorf("%s: %s", x.Outcome, x.Note)
 			}
 		}
 	}
 	return rules.Check(log.All(), rules.Config{Classes: map[string]rules.Class{"commit": {Effect: "once", Group: "all"}},
-		Engines:     map[string]rules.Engine{"decode-1": {ReadPerS: 1e5, WriteS: 4 / 0.0024, ColdShare: 0.3, ColdS: 30}},
+		Engines:     map[string]rules.Engine{"decode-1": {PrefillTokensPerSecond: 1e5, DecodeTokensPerSecond: 4 / 0.0024, SlowStartShare: 0.3, SlowStartSeconds: 30}},
 		AnswerSlack: 0.02, DrainGrace: 0.25, ListLag: 0.1, OverloadMultiple: 2, SlowStartWindow: 1, StateReleaseLimit: 1, Skew: 0.1})
 }
 
@@ -127,10 +127,10 @@
 	}
 	for _, s := range []scene{
 		{sin: faultyrouter.None, rule: -1}, {sin: faultyrouter.None, rule: -1, fault: cut(3)}, {sin: faultyrouter.None, rule: -1, fault: rejects},
-		{sin: faultyrouter.Mute, rule: 1}, {sin: faultyrouter.Late, rule: 1}, {sin: faultyrouter.Drop, rule: 1}, {sin: faultyrouter.Twice, rule: 1},
-		{sin: faultyrouter.After, rule: 1}, {sin: faultyrouter.Skip, rule: 0}, {sin: faultyrouter.Repeat, rule: 2, fault: cut(0)},
-		{sin: faultyrouter.RefuseRan, rule: 2, fault: errors}, {sin: faultyrouter.Drain, rule: 3}, {sin: faultyrouter.Flood, rule: 4},
-		{sin: faultyrouter.Pin, rule: 5, ask: func(a *client.Ask) { a.Patience = 6 * time.Second }}, {sin: faultyrouter.KeepFailed, rule: 5, fault: rejects},
+		{sin: faultyrouter.NeverAnswers, rule: 1}, {sin: faultyrouter.AnswersLate, rule: 1}, {sin: faultyrouter.DropsConnection, rule: 1}, {sin: faultyrouter.AnswersTwice, rule: 1},
+		{sin: faultyrouter.SendsAfterAnswer, rule: 1}, {sin: faultyrouter.SkipsEvent, rule: 0}, {sin: faultyrouter.RepeatsOnce, rule: 2, fault: cut(0)},
+		{sin: faultyrouter.CallsRetryHarmless, rule: 2, fault: errors}, {sin: faultyrouter.SendsToDraining, rule: 3}, {sin: faultyrouter.FloodsColdEngine, rule: 4},
+		{sin: faultyrouter.DelaysDecode, rule: 5, ask: func(a *client.Request) { a.Patience = 6 * time.Second }}, {sin: faultyrouter.LeavesState, rule: 5, fault: rejects},
 	} {
 		t.Run(fmt.Sprintf("%s rule %d", s.sin, s.rule), func(t *testing.T) {
 			t.Parallel()
--- a/lab/rules/told_test.go
+++ b/lab/rules/told_test.go
@@ -14,10 +14,10 @@
 		want int
 	}{{1.9, 0}, {2.1, 0}, {2.3, 1}} {
 		got := rules.Check([]record.Record{
-			{T: 100, Kind: record.Ask, Op: "a", Class: "chat", Node: "n", Tokens: 3},
-			{T: 101, Kind: record.Arrive, Op: "a", Class: "chat", Node: "n", Engine: "e", Note: "decode", Left: c.told},
-			{T: 102, Kind: record.Answer, Op: "a", Class: "chat", Node: "n", Outcome: record.Refused},
-		}, rules.Config{Classes: map[string]rules.Class{"chat": {Effect: "repeatable"}}, ToldSlack: 0.15})
+			{T: 100, Kind: record.RequestSent, Op: "a", Class: "chat", Node: "n", Tokens: 3},
+			{T: 101, Kind: record.Arrive, Op: "a", Class: "chat", Node: "n", Engine: "e", Note: "decode", StatedTime: c.told},
+			{T: 102, Kind: record.FinalResponse, Op: "a", Class: "chat", Node: "n", Outcome: record.Rejected},
+		}, rules.Config{Classes: map[string]rules.Class{"chat": {Effect: "repeatable"}}, StatedTimeSlack: 0.15})
 		if len(got) != c.want {
 			t.Errorf("told %g s with 2 s left: got %v, want %d breaches", c.told, got, c.want)
 		}
--- a/lab/scenario/convert.go
+++ b/lab/scenario/convert.go
@@ -107,18 +107,18 @@
 	}
 	squeeze := length / full
 	tier := b.Tiers[0]
-	s := &Script{Name: b.Site, Seed: b.Noise % 1_000_000, Length: length, Nodes: max(1, len(b.Balancers)), Zones: zones(&b),
-		Load:    Load{PerS: rate, Shape: shape(b.Traffic.Shape)},
-		Clients: Clients{Retries: b.Clients.Retries, Backoff: b.Clients.BackoffUS / 1e6, Notice: b.Front / 1e6, TryShare: b.Clients.TryShare},
-		List:    List{Notice: b.Discovery.Notice / 1e6 * squeeze},
-		Rules: Rules{AnswerSlack: 0.05, DrainGrace: b.Grace / 1e6, FallMultiple: b.Multiple, TipAfter: b.FallFor / 1e6,
-			LetGoBy: b.Fam.Release / 1e6, ColdShare: tier.ColdFrom, ColdS: tier.ColdFor / 1e6},
+	s := &Script{Name: b.Site, Seed: b.Noise % 1_000_000, LengthSeconds: length, Nodes: max(1, len(b.Balancers)), Zones: zones(&b),
+		Load:    Load{SessionsPerSecond: rate, Shape: shape(b.Traffic.Shape)},
+		Clients: Clients{Retries: b.Clients.Retries, Backoff: b.Clients.BackoffUS / 1e6, FailureDetectionDelay: b.Front / 1e6, AttemptShare: b.Clients.TryShare},
+		List:    List{Delay: b.Discovery.Notice / 1e6 * squeeze},
+		Rules: Rules{AnswerSlack: 0.05, DrainGrace: b.Grace / 1e6, OverloadMultiple: b.Multiple, SlowStartWindow: b.FallFor / 1e6,
+			StateReleaseLimit: b.Fam.Release / 1e6, SlowStartShare: tier.ColdFrom, SlowStartSeconds: tier.ColdFor / 1e6},
 		Limits: Limits{MaxAttempts: b.Allow.MaxAttempts, LocalRead: b.Fam.Reads}}
 	for i, k := range tier.Kinds {
 		e := b.Fam.Engines[min(i, len(b.Fam.Engines)-1)]
 		s.Kinds = append(s.Kinds, Kind{Name: k.Name, Role: map[string]string{"read": "prefill", "write": "decode"}[role(&b, i)],
-			Slots: e.Slots, Queue: e.Queue, MemoryTokens: e.Memory, ReadPerS: e.ReadPerS, StepMS: e.StepMS, PerSeqMS: e.PerSeq,
-			MovePerS: b.Fam.Near, ColdShare: k.ColdFrom, ColdS: k.Cold / 1e6, ReportMS: tier.Report / 1e3})
+			Slots: e.Slots, Queue: e.Queue, MemoryTokens: e.Memory, PrefillTokensPerSecond: e.ReadPerS, StepMS: e.StepMS, PerSeqMS: e.PerSeq,
+			TransferTokensPerSecond: b.Fam.Near, SlowStartShare: k.ColdFrom, SlowStartSeconds: k.Cold / 1e6, ReportMS: tier.Report / 1e3})
 		if s.Kinds[i].Role == "" {
 			s.Kinds[i].Role = "mixed"
 		}
@@ -140,14 +140,14 @@
 	}
 	s.classes(&b)
 	for _, t := range b.Troubles {
-		x := Trouble{Kind: t.Kind, At: t.At / 1e6 * squeeze, Len: t.Len / 1e6 * squeeze, Size: t.Size, Extra: t.Extra, Part: t.Part}
+		x := Fault{Kind: t.Kind, At: t.At / 1e6 * squeeze, Len: t.Len / 1e6 * squeeze, Size: t.Size, Extra: t.Extra, Part: t.Part}
 		for _, i := range t.On {
 			if i >= 0 && i < len(ids) {
 				x.Engines = append(x.Engines, ids[i])
 			}
 		}
 		x.fit(&b, t.Which, s)
-		s.Troubles = append(s.Troubles, x)
+		s.Faults = append(s.Faults, x)
 	}
 	s.defaults()
 	return s, s.Check()
@@ -191,16 +191,16 @@
 	effects := map[string]string{"safe": "repeatable", "keyed": "by_key", "unsafe": "once"}
 	for i, c := range b.Classes {
 		t := b.Fam.Talks[min(i, len(b.Fam.Talks)-1)]
-		s.Classes = append(s.Classes, Class{Name: c.Name, Effect: effects[c.Effect], Group: c.Group, KeyWindow: c.Window / 1e6,
-			Share: c.Share, Aim: c.Aim / 1e6, AimPerK: t.AimPerK / 1e3, Patience: c.Deadline / 1e6, PatiencePerK: 2 * t.AimPerK / 1e3,
-			TokenAim: t.TokenMS / 1e3, MaxTokens: t.MaxOut, NewTokens: t.NewTokens, NewSigma: t.NewSigma,
+		s.Classes = append(s.Classes, Class{Name: c.Name, Effect: effects[c.Effect], Group: c.Group, KeyTTL: c.Window / 1e6,
+			Share: c.Share, LatencyObjective: c.Aim / 1e6, LatencyObjectivePerK: t.AimPerK / 1e3, Patience: c.Deadline / 1e6, PatiencePerK: 2 * t.AimPerK / 1e3,
+			TokenLatencyObjective: t.TokenMS / 1e3, MaxTokens: t.MaxOut, NewTokens: t.NewTokens, NewSigma: t.NewSigma,
 			AnswerTokens: t.OutTokens, AnswerSigma: t.OutSigma, Prefixes: t.Prefixes, PrefixShare: t.PrefixShare,
 			PrefixTokens: int(t.PrefixTokens), Turns: t.Turns, Think: t.Think})
 	}
 }
 
 // fit turns the figures of a trouble into those of its counterpart.
-func (t *Trouble) fit(b *benchDay, which int, s *Script) {
+func (t *Fault) fit(b *benchDay, which int, s *Script) {
 	if t.Part == 0 && len(t.Engines) == 0 {
 		t.Part = 0.2
 	}
@@ -227,8 +227,8 @@
 			t.Size /= 1e3
 		}
 	}
-	if !slices.Contains(Kinds(), t.Kind) { // named by the bench alone: it is left to check, which says so
+	if !slices.Contains(FaultKinds(), t.Kind) { // named by the bench alone: it is left to check, which says so
 		return
 	}
-	t.Len = math.Min(t.Len, s.Length-t.At)
+	t.Len = math.Min(t.Len, s.LengthSeconds-t.At)
 }
--- a/lab/scenario/fault.go
+++ b/lab/scenario/fault.go
@@ -15,40 +15,40 @@
 
 // troubles are the kinds that can be played, by the bench's names, each with what begins and ends it. A player
 // returns what mends it, or nil where it has mended itself.
-var troubles map[string]func(d *day, t Trouble) func()
+var troubles map[string]func(d *run, t Fault) func()
 
 func init() {
-	troubles = map[string]func(d *day, t Trouble) func(){
-		"crash":          (*day).crash,
-		"mass_restart":   (*day).massRestart,
-		"zone_loss":      (*day).zoneLoss,
-		"fast_errors":    faulty(func(f *emulator.Faults, t Trouble) { f.Errors = cmp.Or(t.Size, 0.8) }),
-		"origin_slow":    faulty(func(f *emulator.Faults, t Trouble) { f.LinkSlow = cmp.Or(t.Size, 4) }),
-		"report_late":    faulty(func(f *emulator.Faults, t Trouble) { f.ReportLate = cmp.Or(t.Size, 10) }),
-		"handshake_slow": faulty(func(f *emulator.Faults, t Trouble) { f.HandshakeMS = cmp.Or(t.Size, 100) }),
-		"silent":         faulty(func(f *emulator.Faults, _ Trouble) { f.Silent = true }),
-		"cut_streams":    faulty(func(f *emulator.Faults, t Trouble) { n := int(t.Size); f.CutAfter = &n }),
-		"pauses": faulty(func(f *emulator.Faults, t Trouble) {
+	troubles = map[string]func(d *run, t Fault) func(){
+		"crash":          (*run).crash,
+		"mass_restart":   (*run).massRestart,
+		"zone_loss":      (*run).zoneLoss,
+		"fast_errors":    faulty(func(f *emulator.Faults, t Fault) { f.Errors = cmp.Or(t.Size, 0.8) }),
+		"origin_slow":    faulty(func(f *emulator.Faults, t Fault) { f.LinkSlow = cmp.Or(t.Size, 4) }),
+		"report_late":    faulty(func(f *emulator.Faults, t Fault) { f.ReportLate = cmp.Or(t.Size, 10) }),
+		"handshake_slow": faulty(func(f *emulator.Faults, t Fault) { f.HandshakeMS = cmp.Or(t.Size, 100) }),
+		"silent":         faulty(func(f *emulator.Faults, _ Fault) { f.Silent = true }),
+		"cut_streams":    faulty(func(f *emulator.Faults, t Fault) { n := int(t.Size); f.CutAfter = &n }),
+		"pauses": faulty(func(f *emulator.Faults, t Fault) {
 			f.PauseMS, f.PauseShare = cmp.Or(t.Size, 150), cmp.Or(t.Extra, 0.05)
 		}),
-		"ageing":          (*day).ageing,
-		"zone_cut":        (*day).zoneCut,
-		"drain":           (*day).drain,
-		"role_change":     (*day).roleChange,
-		"burst":           (*day).burst,
-		"heavy_tail":      (*day).heavyTail,
-		"hot_key":         (*day).hotKey,
-		"give_up":         (*day).gives,
-		"discovery_stale": (*day).stale,
-		"stale_half":      (*day).staleHalf,
-		"balancer_roll":   (*day).roll,
-		"restarts":        (*day).restarts,
-		"churn":           (*day).churn,
+		"ageing":          (*run).ageing,
+		"zone_cut":        (*run).zoneCut,
+		"drain":           (*run).drain,
+		"role_change":     (*run).roleChange,
+		"burst":           (*run).burst,
+		"heavy_tail":      (*run).heavyTail,
+		"hot_key":         (*run).hotKey,
+		"give_up":         (*run).gives,
+		"discovery_stale": (*run).stale,
+		"stale_half":      (*run).staleHalf,
+		"balancer_roll":   (*run).roll,
+		"restarts":        (*run).restarts,
+		"churn":           (*run).churn,
 	}
 }
 
-// Kinds lists the troubles that can be played.
-func Kinds() []string {
+// FaultKinds lists the troubles that can be played.
+func FaultKinds() []string {
 	var names []string
 	for k := range troubles {
 		names = append(names, k)
@@ -58,7 +58,7 @@
 }
 
 // play waits for a trouble's time, begins it and mends it.
-func (d *day) play(t Trouble) {
+func (d *run) play(t Fault) {
 	if !d.sleep(t.At) {
 		return
 	}
@@ -72,7 +72,7 @@
 }
 
 // struck picks the engines of a trouble: those named, or a part of all, drawn by the day's seed.
-func (d *day) struck(t Trouble, fallback float64) []*emulator.Engine {
+func (d *run) struck(t Fault, fallback float64) []*emulator.Engine {
 	var xs []*emulator.Engine
 	for _, m := range d.fleet.Members() {
 		named := slices.ContainsFunc(t.Engines, func(p string) bool { ok, _ := path.Match(p, m.ID); return ok })
@@ -91,8 +91,8 @@
 }
 
 // faulty plays a trouble that is a fault of some engines.
-func faulty(set func(*emulator.Faults, Trouble)) func(*day, Trouble) func() {
-	return func(d *day, t Trouble) func() {
+func faulty(set func(*emulator.Faults, Fault)) func(*run, Fault) func() {
+	return func(d *run, t Fault) func() {
 		xs := d.struck(t, 0.2)
 		for _, e := range xs {
 			e.ChangeFaults(func(f *emulator.Faults) { set(f, t) })
@@ -106,12 +106,12 @@
 }
 
 // down kills engines; the list tells of it late. What it returns starts them again, cold.
-func (d *day) down(xs []*emulator.Engine) func() {
+func (d *run) down(xs []*emulator.Engine) func() {
 	var wg sync.WaitGroup
 	for _, e := range xs {
 		wg.Add(1)
 		go func() { defer wg.Done(); e.Kill() }()
-		d.fleet.Mark(e.ID, "gone")
+		d.fleet.SetState(e.ID, "gone")
 	}
 	wg.Wait()
 	d.changed()
@@ -122,22 +122,22 @@
 				fmt.Fprintln(d.o.Out, e.ID, "does not come back:", err)
 				continue
 			}
-			d.fleet.Mark(e.ID, "")
+			d.fleet.SetState(e.ID, "")
 		}
 		d.changed()
 	}
 }
 
-func (d *day) crash(t Trouble) func()       { return d.down(d.struck(t, 0.2)) }
-func (d *day) massRestart(t Trouble) func() { return d.down(d.struck(t, 0.6)) }
+func (d *run) crash(t Fault) func()       { return d.down(d.struck(t, 0.2)) }
+func (d *run) massRestart(t Fault) func() { return d.down(d.struck(t, 0.6)) }
 
-func (d *day) zoneLoss(t Trouble) func() {
+func (d *run) zoneLoss(t Fault) func() {
 	t.Part = 1
 	return d.down(d.struck(t, 1))
 }
 
 // ageing slows engines more and more, and then they die.
-func (d *day) ageing(t Trouble) func() {
+func (d *run) ageing(t Fault) func() {
 	xs := d.struck(t, 0.2)
 	steps := 8
 	for i := range steps {
@@ -152,7 +152,7 @@
 }
 
 // zoneCut parts a zone from the others: nodes and engines of either side do not hear the other.
-func (d *day) zoneCut(t Trouble) func() {
+func (d *run) zoneCut(t Fault) func() {
 	zone := t.Zone
 	if zone == "" && len(d.s.Zones) > 0 {
 		zone = d.s.Zones[0]
@@ -186,15 +186,15 @@
 }
 
 // drain lists engines as draining.
-func (d *day) drain(t Trouble) func() {
+func (d *run) drain(t Fault) func() {
 	xs := d.struck(t, 0.2)
 	for _, e := range xs {
-		d.fleet.Mark(e.ID, "draining")
+		d.fleet.SetState(e.ID, "draining")
 	}
 	d.changed()
 	return func() {
 		for _, e := range xs {
-			d.fleet.Mark(e.ID, "")
+			d.fleet.SetState(e.ID, "")
 		}
 		d.changed()
 	}
@@ -202,12 +202,12 @@
 
 // roleChange restarts engines as another kind, for good. The list tells late, and then tells two things at once: a start
 // and a role.
-func (d *day) roleChange(t Trouble) func() {
+func (d *run) roleChange(t Fault) func() {
 	i := slices.IndexFunc(d.s.Kinds, func(k Kind) bool { return k.Name == t.To })
 	for _, e := range d.struck(t, 0.2) {
 		e.Kill()
 		e.Become(d.s.Kinds[i].Role)
-		d.fleet.Become(e.ID, t.To)
+		d.fleet.SetKind(e.ID, t.To)
 		if err := e.Start(true); err != nil {
 			fmt.Fprintln(d.o.Out, e.ID, "does not come back:", err)
 		}
@@ -217,7 +217,7 @@
 }
 
 // set changes a figure of the day and returns what puts it back.
-func (d *day) set(change, back func()) func() {
+func (d *run) set(change, back func()) func() {
 	locked := func(f func()) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -227,35 +227,35 @@
 	return func() { locked(back) }
 }
 
-func (d *day) burst(t Trouble) func() {
+func (d *run) burst(t Fault) func() {
 	return d.set(func() { d.load *= cmp.Or(t.Size, 2) }, func() { d.load /= cmp.Or(t.Size, 2) })
 }
 
-func (d *day) heavyTail(t Trouble) func() {
+func (d *run) heavyTail(t Fault) func() {
 	class := cmp.Or(t.Class, d.s.Classes[0].Name)
 	return d.set(func() { d.heavy[class] = [2]float64{cmp.Or(t.Size, 10), cmp.Or(t.Extra, 0.02)} },
 		func() { delete(d.heavy, class) })
 }
 
-func (d *day) hotKey(t Trouble) func() {
+func (d *run) hotKey(t Fault) func() {
 	return d.set(func() { d.hot, d.hotSeed = cmp.Or(t.Size, 0.2), uint64(t.At*1000)+77 }, func() { d.hot = 0 })
 }
 
-func (d *day) gives(t Trouble) func() {
+func (d *run) gives(t Fault) func() {
 	return d.set(func() { d.giveUp = cmp.Or(t.Size, 0.3) }, func() { d.giveUp = 0 })
 }
 
-func (d *day) stale(t Trouble) func() {
+func (d *run) stale(t Fault) func() {
 	return d.set(func() { d.lateBy += cmp.Or(t.Size, 3) }, func() { d.lateBy -= cmp.Or(t.Size, 3) })
 }
 
 // staleHalf makes the list later for every second node.
-func (d *day) staleHalf(t Trouble) func() {
+func (d *run) staleHalf(t Fault) func() {
 	return d.set(func() { d.lateHalf += cmp.Or(t.Size, 10) }, func() { d.lateHalf -= cmp.Or(t.Size, 10) })
 }
 
 // roll kills and restarts nodes, some at a time: Part of them in all, Size of them at once, Extra seconds down.
-func (d *day) roll(t Trouble) func() {
+func (d *run) roll(t Fault) func() {
 	n := max(1, int(math.Ceil(cmp.Or(t.Part, 1)*float64(len(d.nodes)))))
 	batch := max(1, int(math.Round(cmp.Or(t.Size, 0.2)*float64(len(d.nodes)))))
 	rounds := (n + batch - 1) / batch
@@ -281,7 +281,7 @@
 }
 
 // restarts kills and restarts single nodes at random: Size of them a second, each down for Extra seconds.
-func (d *day) restarts(t Trouble) func() {
+func (d *run) restarts(t Fault) func() {
 	rng := rand.New(rand.NewPCG(d.s.Seed, 77))
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -315,9 +315,9 @@
 
 // churn kills single engines at random, Size of them a second, and brings each back cold after Extra seconds. The list
 // tells of both, late.
-func (d *day) churn(t Trouble) func() {
+func (d *run) churn(t Fault) func() {
 	rng := rand.New(rand.NewPCG(d.s.Seed, 78))
-	xs := d.struck(Trouble{Engines: t.Engines, Part: 1}, 1)
+	xs := d.struck(Fault{Engines: t.Engines, Part: 1}, 1)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for at := t.At; ; {
--- a/lab/scenario/fleet.go
+++ b/lab/scenario/fleet.go
@@ -4,53 +4,53 @@
 
 // FleetPlan says how large a fleet is and what happens to it.
 type FleetPlan struct {
-	Nodes, Engines int
-	PerS           float64 // sessions a second
-	Length         float64 // s
-	Restarts       float64 // of single nodes, a second
-	Churn          float64 // engines that die and come back cold, a second
-	Notice         float64 // s by which the list is late
-	ListServer     bool    // nodes ask one list server
-	Roll           bool    // every node is restarted once more, a fifth at a time
-	Load           float64 // requests a second as a part of what the engines can do, in place of PerS; 0 = PerS holds
-	Troubles       []Trouble
-	Seed           uint64
+	Nodes, Engines          int
+	SessionsPerSecond       float64 // sessions a second
+	Length                  float64 // s
+	NodeRestartsPerSecond   float64 // of single nodes, a second
+	EngineRestartsPerSecond float64 // engines that die and come back cold, a second
+	ListDelay               float64 // s by which the list is late
+	ListServer              bool    // nodes ask one list server
+	RestartAllNodes         bool    // every node is restarted once more, a fifth at a time
+	Load                    float64 // requests a second as a part of what the engines can do, in place of PerS; 0 = PerS holds
+	Faults                  []Fault
+	Seed                    uint64
 }
 
 // Script writes the day of a fleet: readers, writers and a few mixed engines in cells of six, two classes as users have
 // them, nodes restarted at random by the seed and, in the end, all of them within one second.
 func (p FleetPlan) Script() *Script {
-	s := &Script{Name: fmt.Sprintf("fleet of %d nodes and %d engines", p.Nodes, p.Engines), Seed: p.Seed, Length: p.Length, Nodes: p.Nodes,
-		Load:    Load{PerS: p.PerS, MaxAsks: 1_000_000},
+	s := &Script{Name: fmt.Sprintf("fleet of %d nodes and %d engines", p.Nodes, p.Engines), Seed: p.Seed, LengthSeconds: p.Length, Nodes: p.Nodes,
+		Load:    Load{SessionsPerSecond: p.SessionsPerSecond, MaxRequests: 1_000_000},
 		Tenants: []Tenant{{Name: "wellington", Share: 0.51}, {Name: "manawatu", Share: 0.42}, {Name: "wairarapa", Share: 0.07}},
-		Clients: Clients{Retries: 2, Backoff: 0.3, Hangups: 0.01, Notice: 1.5},
-		List:    List{Notice: p.Notice, Server: p.ListServer}, Limits: Limits{MaxAttempts: 4, LocalRead: true},
-		Kinds: []Kind{{Name: "prefill", Role: "prefill", Slots: 8, Queue: 60, ReadPerS: 20000},
+		Clients: Clients{Retries: 2, Backoff: 0.3, DisconnectShare: 0.01, FailureDetectionDelay: 1.5},
+		List:    List{Delay: p.ListDelay, Server: p.ListServer}, Limits: Limits{MaxAttempts: 4, LocalRead: true},
+		Kinds: []Kind{{Name: "prefill", Role: "prefill", Slots: 8, Queue: 60, PrefillTokensPerSecond: 20000},
 			{Name: "decode", Role: "decode", Slots: 64, Queue: 40, StepMS: 10, PerSeqMS: 0.2},
 			{Name: "mixed", Role: "mixed", Slots: 48, Queue: 40, StepMS: 10, PerSeqMS: 0.2}},
 		Classes: []Class{
-			{Name: "roster-chat", Effect: "repeatable", Share: 0.82, Aim: 1, AimPerK: 0.04, Patience: 5, PatiencePerK: 0.08, TokenAim: 0.06,
+			{Name: "roster-chat", Effect: "repeatable", Share: 0.82, LatencyObjective: 1, LatencyObjectivePerK: 0.04, Patience: 5, PatiencePerK: 0.08, TokenLatencyObjective: 0.06,
 				NewTokens: 200, AnswerTokens: 15, Prefixes: 40, PrefixTokens: 600, PrefixShare: 0.8},
-			{Name: "roster-commit", Effect: "once", Share: 0.18, Aim: 3, AimPerK: 0.12, Patience: 8, PatiencePerK: 0.24, TokenAim: 0.08,
+			{Name: "roster-commit", Effect: "once", Share: 0.18, LatencyObjective: 3, LatencyObjectivePerK: 0.12, Patience: 8, PatiencePerK: 0.24, TokenLatencyObjective: 0.08,
 				NewTokens: 600, AnswerTokens: 20}}}
 	for i := range p.Engines {
 		kind := []string{"prefill", "decode", "decode", "prefill", "decode", "mixed"}[i%6]
 		s.Engines = append(s.Engines, Group{Kind: kind, Count: 1, Cell: fmt.Sprint("c", i/6)})
 	}
 	whole := p.Length * 0.85
-	if p.Restarts > 0 {
-		s.Troubles = append(s.Troubles, Trouble{Kind: "restarts", At: p.Length * 0.05, Len: whole, Size: p.Restarts, Extra: 0.3})
+	if p.NodeRestartsPerSecond > 0 {
+		s.Faults = append(s.Faults, Fault{Kind: "restarts", At: p.Length * 0.05, Len: whole, Size: p.NodeRestartsPerSecond, Extra: 0.3})
 	}
-	if p.Churn > 0 {
-		s.Troubles = append(s.Troubles, Trouble{Kind: "churn", At: p.Length * 0.05, Len: whole, Size: p.Churn, Extra: 2})
+	if p.EngineRestartsPerSecond > 0 {
+		s.Faults = append(s.Faults, Fault{Kind: "churn", At: p.Length * 0.05, Len: whole, Size: p.EngineRestartsPerSecond, Extra: 2})
 	}
-	if p.Roll {
-		s.Troubles = append(s.Troubles, Trouble{Kind: "balancer_roll", At: p.Length * 0.92, Len: 1, Part: 1, Size: 0.2, Extra: 0.1})
+	if p.RestartAllNodes {
+		s.Faults = append(s.Faults, Fault{Kind: "balancer_roll", At: p.Length * 0.92, Len: 1, Part: 1, Size: 0.2, Extra: 0.1})
 	}
-	s.Troubles = append(s.Troubles, p.Troubles...)
+	s.Faults = append(s.Faults, p.Faults...)
 	s.defaults()
 	if p.Load > 0 {
-		s.Load.PerS = p.Load * s.Capacity()
+		s.Load.SessionsPerSecond = p.Load * s.Capacity()
 	}
 	return s
 }
@@ -65,7 +65,7 @@
 	var read, write float64 // tokens a second
 	s.each(func(_ string, k Kind, g Group) {
 		if k.Role == "prefill" {
-			read += k.ReadPerS * g.Speed
+			read += k.PrefillTokensPerSecond * g.Speed
 			return
 		}
 		slots := float64(k.Slots)
@@ -80,18 +80,18 @@
 	return share * min(read/max(1, prompt), write/max(1, answer))
 }
 
-// CrowdTroubles restarts all readers in steps, so many at a time, one step every few seconds from a time on: a release.
-func CrowdTroubles(readers []string, atATime int, from, every, down float64) []Trouble {
-	var ts []Trouble
+// RestartFaults restarts all readers in steps, so many at a time, one step every few seconds from a time on: a release.
+func RestartFaults(readers []string, atATime int, from, every, down float64) []Fault {
+	var ts []Fault
 	for i := 0; i < len(readers); i += atATime {
-		ts = append(ts, Trouble{Kind: "crash", At: from + every*float64(i/atATime), Len: down,
+		ts = append(ts, Fault{Kind: "crash", At: from + every*float64(i/atATime), Len: down,
 			Engines: readers[i:min(len(readers), i+atATime)]})
 	}
 	return ts
 }
 
-// Readers lists the ids of the engines that only read prompts.
-func (s *Script) Readers() []string {
+// PrefillEngines lists the ids of the engines that only read prompts.
+func (s *Script) PrefillEngines() []string {
 	var ids []string
 	s.each(func(id string, k Kind, _ Group) {
 		if k.Role == "prefill" {
--- a/lab/scenario/machine.go
+++ b/lab/scenario/machine.go
@@ -12,11 +12,11 @@
 // Machine tells how near the machine, not the fleet, was to its end during a day. Where wake-ups come late, every figure
 // of the day is the machine's: nodes, engines, clients and the judge share it.
 type Machine struct {
-	Cores   int     `json:"cores"`
-	CPU     float64 `json:"cpu"`         // share of the cores that this process used
-	Late50  float64 `json:"late_p50_s"`  // by which a sleeping goroutine woke late
-	Late99  float64 `json:"late_p99_s"`  //
-	LateMax float64 `json:"late_most_s"` //
+	Cores           int     `json:"cores"`
+	CPU             float64 `json:"cpu"`         // share of the cores that this process used
+	WakeLatenessP50 float64 `json:"late_p50_s"`  // by which a sleeping goroutine woke late
+	WakeLatenessP99 float64 `json:"late_p99_s"`  //
+	WakeLatenessMax float64 `json:"late_most_s"` //
 }
 
 // Limits of what counts as a machine that was the limit: with the 99th percentile of wake-ups late by more than a rule's
@@ -27,11 +27,11 @@
 )
 
 // Limit tells whether the machine was the limit.
-func (m Machine) Limit() bool { return m.Late99 > lateMachine || m.CPU > busyMachine }
+func (m Machine) Limit() bool { return m.WakeLatenessP99 > lateMachine || m.CPU > busyMachine }
 
 func (m Machine) String() string {
 	s := fmt.Sprintf("machine: %.0f%% of %d cores, wake-ups late by %.1f ms at the median, %.0f ms at the 99th percentile, %.0f ms at most",
-		100*m.CPU, m.Cores, 1000*m.Late50, 1000*m.Late99, 1000*m.LateMax)
+		100*m.CPU, m.Cores, 1000*m.WakeLatenessP50, 1000*m.WakeLatenessP99, 1000*m.WakeLatenessMax)
 	if m.Limit() {
 		s += "\nTHE MACHINE WAS THE LIMIT, not the fleet: figures of service tell of it"
 	}
@@ -76,7 +76,7 @@
 	at := func(q float64) float64 { return float64(m.late.ValueAtQuantile(q)) / 1e6 }
 	cores := runtime.GOMAXPROCS(0)
 	return Machine{Cores: cores, CPU: (cpuTime() - m.cpu).Seconds() / time.Since(m.began).Seconds() / float64(cores),
-		Late50: at(50), Late99: at(99), LateMax: float64(m.late.Max()) / 1e6}
+		WakeLatenessP50: at(50), WakeLatenessP99: at(99), WakeLatenessMax: float64(m.late.Max()) / 1e6}
 }
 
 // cpuTime is what this process has used so far, in user and system time.
--- a/lab/scenario/report.go
+++ b/lab/scenario/report.go
@@ -18,42 +18,42 @@
 
 // Report is what a day came to.
 type Report struct {
-	Name         string             `json:"name"`
-	Seed         uint64             `json:"seed"`
-	Began        float64            `json:"began"` // Unix seconds
-	Length       float64            `json:"length_s"`
-	Rows         []Row              `json:"rows"`
-	Violations   []rules.Violation  `json:"violations"`
-	Records      int                `json:"records"`
-	Broken       int                `json:"broken"` // breaches; Violations holds the first of each rule
-	ByRule       map[int]int        `json:"broken_by_rule"`
-	Machine      Machine            `json:"machine"`
-	Unfinished   string             `json:"unfinished,omitempty"` // what still ran when the day was cut off
-	SlowStartUse rules.ColdUse      `json:"cold_use"`
-	Fairness     map[string]float64 `json:"fairness"`    // Jain's index of work over the engines of a kind
-	ReadyP99     float64            `json:"ready_p99_s"` // from the start of a node until it is ready
-	Starts       int                `json:"node_starts"`
-	Series       []Point            `json:"series"`
-	Lost         map[string]int     `json:"lost_why"` // tries that had no answer, by what the client saw
+	Name             string             `json:"name"`
+	Seed             uint64             `json:"seed"`
+	Began            float64            `json:"began"` // Unix seconds
+	Length           float64            `json:"length_s"`
+	Rows             []Row              `json:"rows"`
+	Violations       []rules.Violation  `json:"violations"`
+	Records          int                `json:"records"`
+	ViolationCount   int                `json:"broken"` // breaches; Violations holds the first of each rule
+	ViolationsByRule map[int]int        `json:"broken_by_rule"`
+	Machine          Machine            `json:"machine"`
+	Unfinished       string             `json:"unfinished,omitempty"` // what still ran when the day was cut off
+	SlowStartUse     rules.SlowStartUse `json:"cold_use"`
+	Fairness         map[string]float64 `json:"fairness"`    // Jain's index of work over the engines of a kind
+	ReadyP99         float64            `json:"ready_p99_s"` // from the start of a node until it is ready
+	Starts           int                `json:"node_starts"`
+	Series           []Point            `json:"series"`
+	LostByCause      map[string]int     `json:"lost_why"` // tries that had no answer, by what the client saw
 }
 
 // Row is what happened to the operations of a class that were first asked while a trouble was on.
 type Row struct {
-	Trouble string  `json:"trouble"` // "quiet" = none, "all" = the whole day
-	Class   string  `json:"class"`
-	Asked   int     `json:"asked"`
-	InTime  int     `json:"served_in_time"`
-	Late    int     `json:"served_late"`
-	Refused int     `json:"refused"`
-	Failed  int     `json:"failed"`
-	Lost    int     `json:"lost"` // cut off by a killed node, or no node met
-	Left    int     `json:"left"` // the client hung up by its own choice
-	First50 float64 `json:"first_token_p50_s"`
-	First99 float64 `json:"first_token_p99_s"`
-	PerS    float64 `json:"tokens_per_s"` // mean over streams
-	first   *hdrhistogram.Histogram
-	streams int
-	sumPerS float64
+	Fault           string  `json:"trouble"` // "quiet" = none, "all" = the whole day
+	Class           string  `json:"class"`
+	Asked           int     `json:"asked"`
+	ServedInTime    int     `json:"served_in_time"`
+	ServedLate      int     `json:"served_late"`
+	Rejected        int     `json:"refused"`
+	Failed          int     `json:"failed"`
+	Lost            int     `json:"lost"` // cut off by a killed node, or no node met
+	Disconnected    int     `json:"left"` // the client hung up by its own choice
+	FirstTokenP50   float64 `json:"first_token_p50_s"`
+	FirstTokenP99   float64 `json:"first_token_p99_s"`
+	TokensPerSecond float64 `json:"tokens_per_s"` // mean over streams
+	first           *hdrhistogram.Histogram
+	streams         int
+	sumPerS         float64
 }
 
 // outcome is what became of one operation.
@@ -91,12 +91,12 @@
 
 // Point is what happened in a few seconds of a day.
 type Point struct {
-	T        float64            `json:"t_s"`
-	Asked    int                `json:"asked"`
-	Served   int                `json:"served"`
-	Cold     float64            `json:"cold_use"` // greatest part of a cold budget that was used so far
-	Fairness map[string]float64 `json:"fairness"` // Jain's index over the engines of a kind, in these seconds
-	Up       int                `json:"nodes_up"`
+	T            float64            `json:"t_s"`
+	Asked        int                `json:"asked"`
+	Served       int                `json:"served"`
+	SlowStartUse float64            `json:"cold_use"` // greatest part of a cold budget that was used so far
+	Fairness     map[string]float64 `json:"fairness"` // Jain's index over the engines of a kind, in these seconds
+	Up           int                `json:"nodes_up"`
 }
 
 // pointEvery is the length of a point (s); at most pointsMost are kept, whatever the length of the day.
@@ -123,7 +123,7 @@
 		byKind[kind] = append(byKind[kind], t.window[id])
 	}
 	last := &t.series[len(t.series)-1]
-	last.Cold, last.Up, last.Fairness = cold, t.up, map[string]float64{}
+	last.SlowStartUse, last.Up, last.Fairness = cold, t.up, map[string]float64{}
 	for kind, xs := range byKind {
 		last.Fairness[kind] = jain(xs)
 	}
@@ -145,24 +145,24 @@
 	}
 	now := &t.series[len(t.series)-1]
 	switch {
-	case x.Kind == record.NodeUp:
+	case x.Kind == record.NodeStarted:
 		t.up++
-	case x.Kind == record.NodeKill && x.Note == "":
+	case x.Kind == record.NodeKilled && x.Note == "":
 		t.up--
-	case x.Kind == record.Answer && x.Outcome == record.Served:
+	case x.Kind == record.FinalResponse && x.Outcome == record.Served:
 		now.Served++
 	}
-	if x.Kind == record.Answer && x.Outcome != record.Served && x.Outcome != record.Refused && x.Outcome != record.Failed {
+	if x.Kind == record.FinalResponse && x.Outcome != record.Served && x.Outcome != record.Rejected && x.Outcome != record.Failed {
 		t.why(x)
 	}
 	o := t.ops[x.Op]
 	switch {
-	case x.Kind == record.Ask && o == nil:
+	case x.Kind == record.RequestSent && o == nil:
 		now.Asked++
 		o = &outcome{class: x.Class, tenant: x.Tenant, at: x.T}
 		t.ops[x.Op] = o
 		fallthrough
-	case x.Kind == record.Ask:
+	case x.Kind == record.RequestSent:
 		o.asked, o.first, o.began, o.last, o.end = x.T, 0, 0, x.T, record.Record{}
 	case x.Kind == record.Arrive:
 		t.sent[x.Engine] += x.Work
@@ -171,9 +171,9 @@
 			o.prompt, o.last = x.Tokens, x.T
 		}
 	case o == nil:
-	case x.Kind == record.First:
+	case x.Kind == record.FirstToken:
 		o.first, o.began, o.last = x.T-o.asked, x.T, x.T
-	case x.Kind == record.Answer, x.Kind == record.Hangup:
+	case x.Kind == record.FinalResponse, x.Kind == record.ClientDisconnected:
 		o.end, o.last = x, x.T
 	}
 	if x.T > t.swept+quietFor/3 {
@@ -209,10 +209,10 @@
 	t.ops = nil
 	var rows []Row
 	for _, r := range t.rows {
-		r.First50 = float64(r.first.ValueAtQuantile(50)) / 1e6
-		r.First99 = float64(r.first.ValueAtQuantile(99)) / 1e6
+		r.FirstTokenP50 = float64(r.first.ValueAtQuantile(50)) / 1e6
+		r.FirstTokenP99 = float64(r.first.ValueAtQuantile(99)) / 1e6
 		if r.streams > 0 {
-			r.PerS = r.sumPerS / float64(r.streams)
+			r.TokensPerSecond = r.sumPerS / float64(r.streams)
 		}
 		rows = append(rows, *r)
 	}
@@ -226,7 +226,7 @@
 		return 2
 	}
 	slices.SortFunc(rows, func(a, b Row) int {
-		return cmp.Or(cmp.Compare(order(a.Trouble), order(b.Trouble)), cmp.Compare(a.Trouble, b.Trouble), cmp.Compare(a.Class, b.Class))
+		return cmp.Or(cmp.Compare(order(a.Fault), order(b.Fault)), cmp.Compare(a.Fault, b.Fault), cmp.Compare(a.Class, b.Class))
 	})
 	return rows
 }
@@ -234,7 +234,7 @@
 // during names the troubles that are on at a time, "quiet" if none; a trouble works on for a while.
 func (t *tally) during(at float64) []string {
 	var names []string
-	for _, x := range t.s.Troubles {
+	for _, x := range t.s.Faults {
 		if d := at - t.start; d >= x.At && d <= x.At+x.Len+1 && !slices.Contains(names, x.Kind) {
 			names = append(names, x.Kind)
 		}
@@ -256,7 +256,7 @@
 	for _, trouble := range append(t.during(o.at), "all") {
 		k := [2]string{trouble, o.class}
 		if t.rows[k] == nil {
-			t.rows[k] = &Row{Trouble: trouble, Class: o.class, first: hdrhistogram.New(1, 600_000_000, 3)}
+			t.rows[k] = &Row{Fault: trouble, Class: o.class, first: hdrhistogram.New(1, 600_000_000, 3)}
 		}
 		t.file(t.rows[k], o)
 	}
@@ -267,8 +267,8 @@
 	r.Asked++
 	c := t.s.Classes[slices.IndexFunc(t.s.Classes, func(c Class) bool { return c.Name == o.class })]
 	switch {
-	case o.end.Kind == record.Hangup:
-		r.Left++
+	case o.end.Kind == record.ClientDisconnected:
+		r.Disconnected++
 	case o.end.Outcome == record.Served:
 		first, pace := o.first, 0.0
 		if o.end.Tokens == 0 { // a whole answer has no first token that a client could see
@@ -276,11 +276,11 @@
 		} else if o.end.Tokens > 2 { // [DONE] and the chunk with the reason carry no text
 			pace = (o.end.T - o.began) / (o.end.Tokens - 2)
 		}
-		if first > c.Aim+c.AimPerK*o.prompt/1000 || pace > c.TokenAim {
-			r.Late++
+		if first > c.LatencyObjective+c.LatencyObjectivePerK*o.prompt/1000 || pace > c.TokenLatencyObjective {
+			r.ServedLate++
 		} else {
-			r.InTime++
-			if r.Trouble == "all" {
+			r.ServedInTime++
+			if r.Fault == "all" {
 				t.tenants[o.tenant].inTime++
 			}
 		}
@@ -291,8 +291,8 @@
 			r.streams++
 			r.sumPerS += 1 / pace
 		}
-	case o.end.Outcome == record.Refused:
-		r.Refused++
+	case o.end.Outcome == record.Rejected:
+		r.Rejected++
 	case o.end.Outcome == record.Failed:
 		r.Failed++
 	default:
@@ -306,16 +306,16 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "trouble\tclass\tasked\tin time\tlate\trefused\tfailed\tlost\tleft\tp50 first\tp99 first\ttokens/s\t")
 	for _, x := range r.Rows {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f s\t%.3f s\t%.1f\t\n", x.Trouble, x.Class, x.Asked, x.InTime,
-			x.Late, x.Refused, x.Failed, x.Lost, x.Left, x.First50, x.First99, x.PerS)
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f s\t%.3f s\t%.1f\t\n", x.Fault, x.Class, x.Asked, x.ServedInTime,
+			x.ServedLate, x.Rejected, x.Failed, x.Lost, x.Disconnected, x.FirstTokenP50, x.FirstTokenP99, x.TokensPerSecond)
 	}
 	t.Flush()
-	if len(r.Lost) > 0 {
+	if len(r.LostByCause) > 0 {
 		fmt.Fprintln(w, "\ntries without an answer, by what the client saw:")
-		for _, cause := range slices.SortedFunc(maps.Keys(r.Lost), func(a, b string) int {
-			return cmp.Or(cmp.Compare(r.Lost[b], r.Lost[a]), cmp.Compare(a, b))
+		for _, cause := range slices.SortedFunc(maps.Keys(r.LostByCause), func(a, b string) int {
+			return cmp.Or(cmp.Compare(r.LostByCause[b], r.LostByCause[a]), cmp.Compare(a, b))
 		}) {
-			fmt.Fprintf(w, "  %6d  %s\n", r.Lost[cause], cause)
+			fmt.Fprintf(w, "  %6d  %s\n", r.LostByCause[cause], cause)
 		}
 	}
 	fmt.Fprintf(w, "\n%s\n", r.Machine)
@@ -326,9 +326,9 @@
 		fmt.Fprintf(w, "\nno rule broken, by %d records of the sockets\n", r.Records)
 		return
 	}
-	fmt.Fprintf(w, "\n%d BREACHES OF THE RULES\n", r.Broken)
-	for _, rule := range slices.Sorted(maps.Keys(r.ByRule)) {
-		fmt.Fprintf(w, "rule %d, %d times; the first:\n", rule, r.ByRule[rule])
+	fmt.Fprintf(w, "\n%d BREACHES OF THE RULES\n", r.ViolationCount)
+	for _, rule := range slices.Sorted(maps.Keys(r.ViolationsByRule)) {
+		fmt.Fprintf(w, "rule %d, %d times; the first:\n", rule, r.ViolationsByRule[rule])
 		shown := 0
 		for _, v := range r.Violations {
 			if v.Rule == rule && shown < shownOfRule {
--- a/lab/scenario/run.go
+++ b/lab/scenario/run.go
@@ -45,8 +45,8 @@
 	Files    int     // descriptors of the process that nodes, engines and clients share; 0 = each node has a table of its own
 }
 
-// day is a day under way.
-type day struct {
+// run is a day under way.
+type run struct {
 	s      *Script
 	o      Options
 	dir    string
@@ -61,7 +61,7 @@
 	told int        // serial of the newest list that it has
 
 	mu       sync.Mutex
-	nodes    []*slot
+	nodes    []*nodeSlot
 	serial   int     // of list snapshots
 	lateBy   float64 // added to the list's lateness
 	lateHalf float64 // and for every second node
@@ -77,8 +77,8 @@
 	ctx      context.Context
 }
 
-// slot is the place of a node, which may be down.
-type slot struct {
+// nodeSlot is the place of a node, which may be down.
+type nodeSlot struct {
 	name, zone string
 	rank       int
 	node       Node
@@ -105,10 +105,10 @@
 	if o.Out == nil {
 		o.Out = io.Discard
 	}
-	d := &day{s: s, o: o, dir: dir, load: 1, ready: hdrhistogram.New(1, 60_000_000, 3), heavy: map[string][2]float64{},
+	d := &run{s: s, o: o, dir: dir, load: 1, ready: hdrhistogram.New(1, 60_000_000, 3), heavy: map[string][2]float64{},
 		rng: rand.New(rand.NewPCG(s.Seed, 1))}
-	judge, counts := rules.NewJudge(d.ruleConfig()), newTally(s, record.Now())
-	d.log = &record.Log{Sink: func(r record.Record) { judge.Add(r); counts.add(r, judge.Cold().Share) }}
+	judge, counts := rules.NewChecker(d.ruleConfig()), newTally(s, record.Now())
+	d.log = &record.Log{Sink: func(r record.Record) { judge.Add(r); counts.add(r, judge.SlowStartUse().Share) }}
 	d.client = client.New("", d.log)
 	defer d.client.Close()
 	d.fleet = fleet.New(d.members(), d.log)
@@ -127,12 +127,12 @@
 		d.stopNodes()
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, seconds(s.Length+overtime))
+	ctx, cancel := context.WithTimeout(ctx, seconds(s.LengthSeconds+overtime))
 	defer cancel()
 	d.ctx = ctx
 	d.start = time.Now()
 	d.log.Hold(func() { counts.start = record.Now() })
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		d.work.Add(1)
 		go func() { defer d.work.Done(); d.play(t) }()
 	}
@@ -162,7 +162,7 @@
 
 // finish waits until all clients and troubles have ended; past its time, or told to stop, it waits a bounded while and
 // says what it did not wait for.
-func (d *day) finish(ctx context.Context) (unfinished string) {
+func (d *run) finish(ctx context.Context) (unfinished string) {
 	ended := make(chan struct{})
 	go func() { d.work.Wait(); close(ended) }()
 	select {
@@ -179,7 +179,7 @@
 }
 
 // progress tells now and then how the day goes.
-func (d *day) progress(judge *rules.Judge, counts *tally) (stop func()) {
+func (d *run) progress(judge *rules.Checker, counts *tally) (stop func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -193,11 +193,11 @@
 			}
 			var p Progress
 			d.log.Hold(func() {
-				p = Progress{T: time.Since(d.start).Seconds(), Length: d.s.Length, Broken: judge.Broken(), SlowStartUse: judge.Cold().Share}
+				p = Progress{T: time.Since(d.start).Seconds(), Length: d.s.LengthSeconds, Violations: judge.Broken(), SlowStartUse: judge.SlowStartUse().Share}
 				for k, r := range counts.rows {
 					if k[0] == "all" {
 						p.Ended += r.Asked
-						p.InTime += r.InTime
+						p.ServedInTime += r.ServedInTime
 					}
 				}
 			})
@@ -218,19 +218,19 @@
 
 // Progress is how a day goes.
 type Progress struct {
-	T, Length     float64
-	Ended, InTime int // operations
-	Records       int
-	Up, Starts    int // nodes
-	Broken        int
-	SlowStartUse  float64 // greatest part of a cold budget that was used
+	T, Length           float64
+	Ended, ServedInTime int // operations
+	Records             int
+	Up, Starts          int // nodes
+	Violations          int
+	SlowStartUse        float64 // greatest part of a cold budget that was used
 }
 
 // report sums a day up.
-func (d *day) report(judge *rules.Judge, counts *tally) *Report {
-	rep := &Report{Name: d.s.Name, Seed: d.s.Seed, Length: d.s.Length, Violations: judge.Close(),
+func (d *run) report(judge *rules.Checker, counts *tally) *Report {
+	rep := &Report{Name: d.s.Name, Seed: d.s.Seed, Length: d.s.LengthSeconds, Violations: judge.Close(),
 		Fairness: map[string]float64{}, Starts: d.starts}
-	rep.Rows, rep.Broken, rep.ByRule, rep.SlowStartUse = counts.close(), judge.Broken(), judge.ByRule(), judge.Cold()
+	rep.Rows, rep.ViolationCount, rep.ViolationsByRule, rep.SlowStartUse = counts.close(), judge.Broken(), judge.ByRule(), judge.SlowStartUse()
 	rep.Began = counts.start
 	rep.ReadyP99 = float64(d.ready.ValueAtQuantile(99)) / 1e6
 	byKind := map[string][]float64{}
@@ -245,7 +245,7 @@
 		parts = append(parts, x.inTime/max(1, x.asked))
 	}
 	rep.Fairness["tenants"] = jain(parts)
-	rep.Series, rep.Lost = counts.series, counts.lost
+	rep.Series, rep.LostByCause = counts.series, counts.lost
 	return rep
 }
 
@@ -265,8 +265,8 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // sleep waits until a time of the day, or its end; false = the day was ended.
-func (d *day) sleep(until float64) bool {
-	until = min(until, d.s.Length+0.001)
+func (d *run) sleep(until float64) bool {
+	until = min(until, d.s.LengthSeconds+0.001)
 	t := time.NewTimer(time.Until(d.start.Add(seconds(until))))
 	defer t.Stop()
 	select {
@@ -278,49 +278,49 @@
 }
 
 // settle gives states that wait at engines the time that rule 5 allows before the books are closed.
-func (d *day) settle() {
-	time.Sleep(seconds(d.s.Rules.LetGoBy + d.o.Skew + 0.2))
-	d.log.Add(record.Record{Kind: record.Close})
+func (d *run) settle() {
+	time.Sleep(seconds(d.s.Rules.StateReleaseLimit + d.o.Skew + 0.2))
+	d.log.Add(record.Record{Kind: record.RecordEnded})
 }
 
-func (d *day) members() []fleet.Member {
+func (d *run) members() []fleet.Member {
 	var ms []fleet.Member
 	d.s.each(func(id string, k Kind, g Group) {
 		ms = append(ms, fleet.Member{Kind: k.Name, Cell: g.Cell, Zone: g.Zone, Settings: emulator.Settings{ID: id, Role: k.Role,
-			Slots: k.Slots, Queue: k.Queue, MemoryTokens: k.MemoryTokens, ReadPerS: k.ReadPerS * g.Speed,
-			StepMS: k.StepMS / g.Speed, PerSeqMS: k.PerSeqMS / g.Speed, MovePerS: k.MovePerS, ColdShare: k.ColdShare,
-			ColdS: k.ColdS, ReportMS: k.ReportMS, LocalRead: d.s.Limits.LocalRead, StateTTL: 30,
+			Slots: k.Slots, Queue: k.Queue, MemoryTokens: k.MemoryTokens, ReadPerS: k.PrefillTokensPerSecond * g.Speed,
+			StepMS: k.StepMS / g.Speed, PerSeqMS: k.PerSeqMS / g.Speed, MovePerS: k.TransferTokensPerSecond, ColdShare: k.SlowStartShare,
+			ColdS: k.SlowStartSeconds, ReportMS: k.ReportMS, LocalRead: d.s.Limits.LocalRead, StateTTL: 30,
 			Seed: d.s.Seed*1000 + uint64(len(ms))}})
 	})
 	return ms
 }
 
-func (d *day) ruleConfig() rules.Config {
+func (d *run) ruleConfig() rules.Config {
 	c := rules.Config{Classes: map[string]rules.Class{}, Engines: map[string]rules.Engine{},
 		AnswerSlack: d.s.Rules.AnswerSlack, DrainGrace: d.s.Rules.DrainGrace, ListLag: 0.2,
-		OverloadMultiple: d.s.Rules.FallMultiple, SlowStartWindow: d.s.Rules.TipAfter, StateReleaseLimit: d.s.Rules.LetGoBy, Skew: d.o.Skew}
+		OverloadMultiple: d.s.Rules.OverloadMultiple, SlowStartWindow: d.s.Rules.SlowStartWindow, StateReleaseLimit: d.s.Rules.StateReleaseLimit, Skew: d.o.Skew}
 	for _, k := range d.s.Classes {
-		c.Classes[k.Name] = rules.Class{Effect: k.Effect, Group: k.Group, KeyTTL: k.KeyWindow}
+		c.Classes[k.Name] = rules.Class{Effect: k.Effect, Group: k.Group, KeyTTL: k.KeyTTL}
 	}
 	d.s.each(func(id string, k Kind, g Group) {
 		slots := float64(k.Slots)
-		c.Engines[id] = rules.Engine{Cell: g.Cell, Zone: g.Zone, ReadPerS: k.ReadPerS * g.Speed,
-			WriteS:    slots / ((k.StepMS + k.PerSeqMS*slots) / 1000 / g.Speed),
-			ColdShare: k.ColdShare, ColdS: k.ColdS}
+		c.Engines[id] = rules.Engine{Cell: g.Cell, Zone: g.Zone, PrefillTokensPerSecond: k.PrefillTokensPerSecond * g.Speed,
+			DecodeTokensPerSecond: slots / ((k.StepMS + k.PerSeqMS*slots) / 1000 / g.Speed),
+			SlowStartShare:        k.SlowStartShare, SlowStartSeconds: k.SlowStartSeconds}
 	})
 	return c
 }
 
 // nodeConfig writes a node's configuration, by its published shape.
-func (d *day) nodeConfig(s *slot, listen string) []byte {
+func (d *run) nodeConfig(s *nodeSlot, listen string) []byte {
 	var kinds, classes, models, tenants []any
 	for _, k := range d.s.Kinds {
 		kinds = append(kinds, map[string]any{"name": k.Name, "role": k.Role, "memory_tokens": k.MemoryTokens})
 	}
 	for _, c := range d.s.Classes {
 		classes = append(classes, map[string]any{"name": c.Name, "effect": c.Effect, "group": c.Group,
-			"key_window_s": c.KeyWindow, "aim_s": c.Aim, "aim_per_1k_prompt_s": c.AimPerK, "patience_s": c.Patience,
-			"patience_per_1k_prompt_s": c.PatiencePerK, "token_aim_s": c.TokenAim, "max_tokens": c.MaxTokens})
+			"key_window_s": c.KeyTTL, "aim_s": c.LatencyObjective, "aim_per_1k_prompt_s": c.LatencyObjectivePerK, "patience_s": c.Patience,
+			"patience_per_1k_prompt_s": c.PatiencePerK, "token_aim_s": c.TokenLatencyObjective, "max_tokens": c.MaxTokens})
 		models = append(models, map[string]any{"name": c.Name, "class": c.Name})
 	}
 	for _, t := range d.s.Tenants {
@@ -336,8 +336,8 @@
 		"tenants": tenants,
 		"engines": map[string]any{"file": d.listFile(s), "poll_s": 0.1},
 		"limits":  map[string]any{"max_attempts": d.s.Limits.MaxAttempts, "stall_s": 5, "shutdown_s": 2, "files": files},
-		"rules": map[string]any{"answer_slack_s": r.AnswerSlack, "drain_grace_s": r.DrainGrace, "cold_share": r.ColdShare,
-			"cold_s": r.ColdS, "fall_multiple": r.FallMultiple, "tip_after_s": r.TipAfter, "let_go_by_s": r.LetGoBy}}
+		"rules": map[string]any{"answer_slack_s": r.AnswerSlack, "drain_grace_s": r.DrainGrace, "cold_share": r.SlowStartShare,
+			"cold_s": r.SlowStartSeconds, "fall_multiple": r.OverloadMultiple, "tip_after_s": r.SlowStartWindow, "let_go_by_s": r.StateReleaseLimit}}
 	if d.lists != nil {
 		m["engines"] = map[string]any{"consul": d.lists.Address(), "wait_s": 5}
 	}
@@ -357,20 +357,20 @@
 	filesLeast     = 60
 )
 
-func (d *day) listFile(s *slot) string { return filepath.Join(d.dir, s.name+".json") }
+func (d *run) listFile(s *nodeSlot) string { return filepath.Join(d.dir, s.name+".json") }
 
-func (d *day) startNodes() error {
+func (d *run) startNodes() error {
 	if d.lists != nil {
-		d.fleet.Serve(d.fleet.List(), d.lists, d.names())
+		d.fleet.UpdateListServer(d.fleet.List(), d.lists, d.names())
 	}
 	for i := range d.s.Nodes {
-		s := &slot{name: fmt.Sprintf("node-%d", i), rank: i}
+		s := &nodeSlot{name: fmt.Sprintf("node-%d", i), rank: i}
 		if len(d.s.Zones) > 0 {
 			s.zone = d.s.Zones[i%len(d.s.Zones)]
 		}
 		d.nodes = append(d.nodes, s)
 		if d.lists == nil {
-			if err := d.fleet.Publish(d.fleet.List(), s.name, d.listFile(s)); err != nil {
+			if err := d.fleet.WriteListFile(d.fleet.List(), s.name, d.listFile(s)); err != nil {
 				return err
 			}
 		}
@@ -382,7 +382,7 @@
 }
 
 // names lists all nodes.
-func (d *day) names() []string {
+func (d *run) names() []string {
 	var names []string
 	for i := range d.s.Nodes {
 		names = append(names, fmt.Sprintf("node-%d", i))
@@ -391,7 +391,7 @@
 }
 
 // launch starts a node at the address that it had, with nothing but its last list.
-func (d *day) launch(s *slot) error {
+func (d *run) launch(s *nodeSlot) error {
 	listen := s.address
 	if listen == "" {
 		listen = "127.0.0.1:0"
@@ -417,12 +417,12 @@
 	d.starts++
 	s.node, s.address = n, n.Addr().String()
 	d.mu.Unlock()
-	d.log.Add(record.Record{Kind: record.NodeUp, Node: s.name})
+	d.log.Add(record.Record{Kind: record.NodeStarted, Node: s.name})
 	return nil
 }
 
 // kill ends a node at once.
-func (d *day) kill(s *slot) {
+func (d *run) kill(s *nodeSlot) {
 	d.mu.Lock()
 	n := s.node
 	s.node, s.downAt = nil, time.Now()
@@ -430,12 +430,12 @@
 	if n == nil {
 		return
 	}
-	d.log.Add(record.Record{Kind: record.NodeKill, Node: s.name})
+	d.log.Add(record.Record{Kind: record.NodeKilled, Node: s.name})
 	n.Stop()
-	d.log.Add(record.Record{Kind: record.NodeKill, Node: s.name, Note: "until now"})
+	d.log.Add(record.Record{Kind: record.NodeKilled, Node: s.name, Note: "until now"})
 }
 
-func (d *day) stopNodes() {
+func (d *run) stopNodes() {
 	var wg sync.WaitGroup
 	for _, s := range d.nodes {
 		if s.node != nil {
@@ -447,11 +447,11 @@
 }
 
 // changed tells every node of the list as it stands now, as late as the list is.
-func (d *day) changed() {
+func (d *run) changed() {
 	snap := d.fleet.List()
 	d.mu.Lock()
 	d.serial++
-	serial, late := d.serial, d.s.List.Notice+d.lateBy
+	serial, late := d.serial, d.s.List.Delay+d.lateBy
 	d.mu.Unlock()
 	if d.lists != nil {
 		d.work.Add(1)
@@ -462,7 +462,7 @@
 				defer d.pub.Unlock()
 				if d.told < serial {
 					d.told = serial
-					d.fleet.Serve(snap, d.lists, d.names())
+					d.fleet.UpdateListServer(snap, d.lists, d.names())
 				}
 			}
 		}()
@@ -487,7 +487,7 @@
 			defer s.pub.Unlock()
 			if s.told < serial {
 				s.told = serial
-				if err := d.fleet.Publish(snap, s.name, d.listFile(s)); err != nil {
+				if err := d.fleet.WriteListFile(snap, s.name, d.listFile(s)); err != nil {
 					fmt.Fprintln(d.o.Out, "list not given to", s.name, err)
 				}
 			}
@@ -496,12 +496,12 @@
 }
 
 // front picks a node as a plain front layer does: at random, dead ones too until it has noticed.
-func (d *day) front(rng *rand.Rand) *slot {
+func (d *run) front(rng *rand.Rand) *nodeSlot {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var fit []*slot
+	var fit []*nodeSlot
 	for _, s := range d.nodes {
-		if s.node != nil || time.Since(s.downAt) < seconds(d.s.Clients.Notice) {
+		if s.node != nil || time.Since(s.downAt) < seconds(d.s.Clients.FailureDetectionDelay) {
 			fit = append(fit, s)
 		}
 	}
@@ -530,13 +530,13 @@
 }
 
 // arrivals starts sessions by a Poisson process whose rate follows the day.
-func (d *day) arrivals() {
+func (d *run) arrivals() {
 	rng := rand.New(rand.NewPCG(d.s.Seed, 2))
 	t, n := 0.0, 0
 	for {
 		d.mu.Lock()
-		rate := d.s.Load.PerS * d.load * d.s.Load.shape(t/d.s.Length)
-		full := d.asks >= d.s.Load.MaxAsks
+		rate := d.s.Load.SessionsPerSecond * d.load * d.s.Load.shape(t/d.s.LengthSeconds)
+		full := d.asks >= d.s.Load.MaxRequests
 		d.mu.Unlock()
 		if full || !(rate > 0) {
 			rate = 0
@@ -546,7 +546,7 @@
 			step = min(0.5, rng.ExpFloat64()/rate)
 		}
 		t += step
-		if t >= d.s.Length || !d.sleep(t) {
+		if t >= d.s.LengthSeconds || !d.sleep(t) {
 			return
 		}
 		if rate == 0 || step == 0.5 {
@@ -560,7 +560,7 @@
 }
 
 // tenant draws a tenant by the shares.
-func (d *day) tenant(rng *rand.Rand) *Tenant {
+func (d *run) tenant(rng *rand.Rand) *Tenant {
 	sum := 0.0
 	for _, t := range d.s.Tenants {
 		sum += t.Share
@@ -575,7 +575,7 @@
 }
 
 // class draws a class by the shares.
-func (d *day) class(rng *rand.Rand) *Class {
+func (d *run) class(rng *rand.Rand) *Class {
 	sum := 0.0
 	for _, c := range d.s.Classes {
 		sum += c.Share
@@ -594,7 +594,7 @@
 }
 
 // session asks its turns one after another; each holds all that went before.
-func (d *day) session(seed uint64) {
+func (d *run) session(seed uint64) {
 	rng := rand.New(rand.NewPCG(d.s.Seed^0xabcdef, seed))
 	c, who := d.class(rng), d.tenant(rng)
 	ms := []emulator.Message{{Role: "system", Content: d.beginning(rng, c, seed)}}
@@ -616,14 +616,14 @@
 			return
 		}
 		ms = append(ms[:len(ms):len(ms)], emulator.Message{Role: "assistant", Content: text})
-		if !d.sleep(time.Since(d.start).Seconds()+c.Think*rng.ExpFloat64()) || time.Since(d.start) > seconds(d.s.Length) {
+		if !d.sleep(time.Since(d.start).Seconds()+c.Think*rng.ExpFloat64()) || time.Since(d.start) > seconds(d.s.LengthSeconds) {
 			return
 		}
 	}
 }
 
 // beginning is the system text: a shared one, one of the newly hot ones, or the session's own.
-func (d *day) beginning(rng *rand.Rand, c *Class, seed uint64) string {
+func (d *run) beginning(rng *rand.Rand, c *Class, seed uint64) string {
 	d.mu.Lock()
 	hot, hotSeed := d.hot, d.hotSeed
 	d.mu.Unlock()
@@ -638,22 +638,22 @@
 }
 
 // operation asks once and comes again as clients do. It returns the text of a served answer.
-func (d *day) operation(rng *rand.Rand, c *Class, who *Tenant, op, session string, ms []emulator.Message, answer int) (string, bool) {
+func (d *run) operation(rng *rand.Rand, c *Class, who *Tenant, op, session string, ms []emulator.Message, answer int) (string, bool) {
 	prompt := 0
 	for _, m := range ms {
 		prompt += len(m.Content)/4 + 4
 	}
-	patience := (c.Patience + c.PatiencePerK*float64(prompt)/1000) * d.s.Clients.TryShare
+	patience := (c.Patience + c.PatiencePerK*float64(prompt)/1000) * d.s.Clients.AttemptShare
 	d.mu.Lock()
 	if d.giveUp > 0 && rng.Float64() < d.giveUp {
 		patience *= 0.3
 	}
 	d.mu.Unlock()
-	a := client.Ask{Model: c.Name, Messages: ms, MaxTokens: c.MaxTokens, Session: session, Patience: seconds(patience),
-		Whole: rng.Float64() < c.Whole, Key: keyOf(*who), Tenant: who.Name, Mark: emulator.Mark{Op: op, Class: c.Name, Answer: answer}}
-	if rng.Float64() < d.s.Clients.Hangups {
-		a.HangupAt = 1 + rng.IntN(max(1, answer))
-		a.Whole = false
+	a := client.Request{Model: c.Name, Messages: ms, MaxTokens: c.MaxTokens, Session: session, Patience: seconds(patience),
+		NoStream: rng.Float64() < c.NoStreamShare, Key: keyOf(*who), Tenant: who.Name, Mark: emulator.Mark{Op: op, Class: c.Name, Answer: answer}}
+	if rng.Float64() < d.s.Clients.DisconnectShare {
+		a.DisconnectAfter = 1 + rng.IntN(max(1, answer))
+		a.NoStream = false
 	}
 	for try := 0; ; try++ {
 		a.Mark.Try = try
@@ -665,11 +665,11 @@
 		if res.Outcome == record.Served {
 			return res.Text, res.OK
 		}
-		if try >= d.s.Clients.Retries || !again(c, res) || a.HangupAt > 0 {
+		if try >= d.s.Clients.Retries || !again(c, res) || a.DisconnectAfter > 0 {
 			return "", false
 		}
 		select {
-		case <-time.After(max(res.After, seconds(d.s.Clients.Backoff*(0.5+rng.Float64())))):
+		case <-time.After(max(res.RetryAfter, seconds(d.s.Clients.Backoff*(0.5+rng.Float64())))):
 		case <-d.ctx.Done():
 			return "", false
 		}
@@ -679,8 +679,8 @@
 // again tells whether a client may come again: always after a refusal or where no node was met; else only where
 // a repeat does no harm.
 func again(c *Class, res client.Result) bool {
-	if errors.Is(res.Err, context.Canceled) && res.Outcome != record.Overdue {
+	if errors.Is(res.Err, context.Canceled) && res.Outcome != record.TimedOut {
 		return false
 	}
-	return res.Outcome == record.Refused || res.Outcome == record.Unmet || c.Effect == "repeatable"
+	return res.Outcome == record.Rejected || res.Outcome == record.Unreachable || c.Effect == "repeatable"
 }
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -43,8 +43,8 @@
 	}
 	served := 0
 	for _, row := range r.Rows {
-		if row.Trouble == "all" {
-			served += row.InTime + row.Late
+		if row.Fault == "all" {
+			served += row.ServedInTime + row.ServedLate
 		}
 	}
 	if served < 50 {
@@ -95,10 +95,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(s.Engines) != 3 || s.Kinds[0].Role != "prefill" || s.Classes[0].Effect != "once" || s.Nodes != 2 || s.Length != 5 {
+	if len(s.Engines) != 3 || s.Kinds[0].Role != "prefill" || s.Classes[0].Effect != "once" || s.Nodes != 2 || s.LengthSeconds != 5 {
 		t.Fatalf("%+v", s)
 	}
-	if tr := s.Troubles[0]; tr.At != 1 || tr.Len != 1.5 || tr.Engines[0] != "w-c0-2" {
+	if tr := s.Faults[0]; tr.At != 1 || tr.Len != 1.5 || tr.Engines[0] != "w-c0-2" {
 		t.Fatalf("%+v", tr)
 	}
 	if _, err := scenario.Convert([]byte(`{"family":"proxy"}`), 1, 1); err == nil {
@@ -117,7 +117,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Troubles = nil
+	s.Faults = nil
 	change(s)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
@@ -135,13 +135,13 @@
 // changed its role are as they were.
 func TestHalfTheNodesHoldAnOlderList(t *testing.T) {
 	r := play(t, func(s *scenario.Script) {
-		s.Nodes, s.Length = 6, 7
-		s.Troubles = []scenario.Trouble{{Kind: "stale_half", At: 0.5, Len: 6, Size: 3}, {Kind: "drain", At: 1, Len: 5, Engines: []string{"decode-a-2"}},
+		s.Nodes, s.LengthSeconds = 6, 7
+		s.Faults = []scenario.Fault{{Kind: "stale_half", At: 0.5, Len: 6, Size: 3}, {Kind: "drain", At: 1, Len: 5, Engines: []string{"decode-a-2"}},
 			{Kind: "crash", At: 1.5, Len: 4, Engines: []string{"prefill-a-2"}},
 			{Kind: "role_change", At: 2, Len: 1, Engines: []string{"decode-a-1"}, To: "prefill"}}
 	})
 	for _, row := range r.Rows {
-		if row.Trouble == "all" && float64(row.InTime+row.Late+row.Left) < 0.7*float64(row.Asked) {
+		if row.Fault == "all" && float64(row.ServedInTime+row.ServedLate+row.Disconnected) < 0.7*float64(row.Asked) {
 			t.Errorf("%+v", row)
 		}
 	}
@@ -150,11 +150,11 @@
 // An engine that all nodes had learned to do without comes back cold before all of them at once.
 func TestColdEngineBeforeAllNodesAtOnce(t *testing.T) {
 	r := play(t, func(s *scenario.Script) {
-		s.Nodes, s.Length, s.Load.PerS, s.Rules.ColdS = 20, 8, 60, 3
+		s.Nodes, s.LengthSeconds, s.Load.SessionsPerSecond, s.Rules.SlowStartSeconds = 20, 8, 60, 3
 		for i := range s.Kinds {
-			s.Kinds[i].ColdS = 3
+			s.Kinds[i].SlowStartSeconds = 3
 		}
-		s.Troubles = []scenario.Trouble{{Kind: "crash", At: 2, Len: 1.5, Engines: []string{"decode-a-1", "prefill-a-1"}}}
+		s.Faults = []scenario.Fault{{Kind: "crash", At: 2, Len: 1.5, Engines: []string{"decode-a-1", "prefill-a-1"}}}
 	})
 	if r.SlowStartUse.Share > 1 || r.SlowStartUse.Share == 0 {
 		t.Errorf("sends to cold engines came to %.2f of their budget", r.SlowStartUse.Share)
@@ -163,8 +163,8 @@
 
 func TestManyNodesRestartWithinASecond(t *testing.T) {
 	r := play(t, func(s *scenario.Script) {
-		s.Nodes, s.Length = 60, 6
-		s.Troubles = []scenario.Trouble{{Kind: "balancer_roll", At: 3, Len: 1, Part: 1, Size: 0.25, Extra: 0.1}}
+		s.Nodes, s.LengthSeconds = 60, 6
+		s.Faults = []scenario.Fault{{Kind: "balancer_roll", At: 3, Len: 1, Part: 1, Size: 0.25, Extra: 0.1}}
 	})
 	if r.Starts != 120 {
 		t.Errorf("%d starts", r.Starts)
@@ -174,14 +174,14 @@
 // A release restarts each reader once, and the load of a fleet follows from what its engines can do.
 func TestReleaseRestartsEveryReaderOnceAndLoadFollowsCapacity(t *testing.T) {
 	p := scenario.FleetPlan{Nodes: 2, Engines: 24, Length: 60, Load: 0.5}
-	readers := p.Script().Readers()
-	p.Troubles = scenario.CrowdTroubles(readers, 3, 15, 9, 2)
+	readers := p.Script().PrefillEngines()
+	p.Faults = scenario.RestartFaults(readers, 3, 15, 9, 2)
 	s := p.Script()
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
 	}
 	struck := map[string]int{}
-	for _, x := range s.Troubles {
+	for _, x := range s.Faults {
 		for _, id := range x.Engines {
 			struck[id]++
 		}
@@ -192,7 +192,7 @@
 		}
 	}
 	p.Engines = 48
-	if more := p.Script().Load.PerS; len(readers) != 8 || more < 1.9*s.Load.PerS || more > 2.1*s.Load.PerS {
-		t.Fatalf("%d readers, %g/s; twice the engines: %g/s", len(readers), s.Load.PerS, more)
+	if more := p.Script().Load.SessionsPerSecond; len(readers) != 8 || more < 1.9*s.Load.SessionsPerSecond || more > 2.1*s.Load.SessionsPerSecond {
+		t.Fatalf("%d readers, %g/s; twice the engines: %g/s", len(readers), s.Load.SessionsPerSecond, more)
 	}
 }
--- a/lab/scenario/script.go
+++ b/lab/scenario/script.go
@@ -15,44 +15,44 @@
 
 // Script is a bad day. api/scenario.schema.json describes each field; times are in seconds from the start.
 type Script struct {
-	Name     string    `json:"name"`
-	Seed     uint64    `json:"seed"`
-	Length   float64   `json:"length_s"`
-	Nodes    int       `json:"nodes"`
-	Zones    []string  `json:"zones,omitempty"`
-	Load     Load      `json:"load"`
-	Kinds    []Kind    `json:"kinds"`
-	Engines  []Group   `json:"engines"`
-	Classes  []Class   `json:"classes"`
-	Tenants  []Tenant  `json:"tenants,omitempty"`
-	Clients  Clients   `json:"clients"`
-	List     List      `json:"list"`
-	Rules    Rules     `json:"rules"`
-	Limits   Limits    `json:"limits"`
-	Troubles []Trouble `json:"troubles"`
+	Name          string   `json:"name"`
+	Seed          uint64   `json:"seed"`
+	LengthSeconds float64  `json:"length_s"`
+	Nodes         int      `json:"nodes"`
+	Zones         []string `json:"zones,omitempty"`
+	Load          Load     `json:"load"`
+	Kinds         []Kind   `json:"kinds"`
+	Engines       []Group  `json:"engines"`
+	Classes       []Class  `json:"classes"`
+	Tenants       []Tenant `json:"tenants,omitempty"`
+	Clients       Clients  `json:"clients"`
+	List          List     `json:"list"`
+	Rules         Rules    `json:"rules"`
+	Limits        Limits   `json:"limits"`
+	Faults        []Fault  `json:"troubles"`
 }
 
 // Load is how much is asked. Shape holds pairs of a time (share of the day) and a factor, joined by lines.
 type Load struct {
-	PerS    float64      `json:"per_s"`
-	MaxAsks int          `json:"max_asks"`
-	Shape   [][2]float64 `json:"shape,omitempty"`
+	SessionsPerSecond float64      `json:"per_s"`
+	MaxRequests       int          `json:"max_asks"`
+	Shape             [][2]float64 `json:"shape,omitempty"`
 }
 
 // Kind is a kind of stand-in engine.
 type Kind struct {
-	Name         string  `json:"name"`
-	Role         string  `json:"role"`
-	Slots        int     `json:"slots"`
-	Queue        int     `json:"queue"`
-	MemoryTokens int     `json:"memory_tokens"`
-	ReadPerS     float64 `json:"read_per_s"`
-	StepMS       float64 `json:"step_ms"`
-	PerSeqMS     float64 `json:"per_seq_ms"`
-	MovePerS     float64 `json:"move_per_s"`
-	ColdShare    float64 `json:"cold_share"`
-	ColdS        float64 `json:"cold_s"`
-	ReportMS     float64 `json:"report_ms"`
+	Name                    string  `json:"name"`
+	Role                    string  `json:"role"`
+	Slots                   int     `json:"slots"`
+	Queue                   int     `json:"queue"`
+	MemoryTokens            int     `json:"memory_tokens"`
+	PrefillTokensPerSecond  float64 `json:"read_per_s"`
+	StepMS                  float64 `json:"step_ms"`
+	PerSeqMS                float64 `json:"per_seq_ms"`
+	TransferTokensPerSecond float64 `json:"move_per_s"`
+	SlowStartShare          float64 `json:"cold_share"`
+	SlowStartSeconds        float64 `json:"cold_s"`
+	ReportMS                float64 `json:"report_ms"`
 }
 
 // Group is some engines of a kind in a cell.
@@ -66,27 +66,27 @@
 
 // Class is a class of requests and how they look.
 type Class struct {
-	Name         string  `json:"name"`
-	Effect       string  `json:"effect"`
-	Group        string  `json:"group"`
-	KeyWindow    float64 `json:"key_window_s"`
-	Share        float64 `json:"share"`
-	Aim          float64 `json:"aim_s"`
-	AimPerK      float64 `json:"aim_per_1k_prompt_s"`
-	Patience     float64 `json:"patience_s"`
-	PatiencePerK float64 `json:"patience_per_1k_prompt_s"`
-	TokenAim     float64 `json:"token_aim_s"`
-	MaxTokens    int     `json:"max_tokens"`
-	NewTokens    float64 `json:"new_tokens"`    // of a turn, mean of a log-normal distribution
-	NewSigma     float64 `json:"new_sigma"`     // its sigma
-	AnswerTokens float64 `json:"answer_tokens"` // mean
-	AnswerSigma  float64 `json:"answer_sigma"`
-	Prefixes     int     `json:"prefixes"` // shared beginnings
-	PrefixTokens int     `json:"prefix_tokens"`
-	PrefixShare  float64 `json:"prefix_share"` // part of sessions that begin with one
-	Turns        float64 `json:"turns"`        // mean number in a session
-	Think        float64 `json:"think_s"`      // between them
-	Whole        float64 `json:"whole"`        // part asked for without a stream
+	Name                  string  `json:"name"`
+	Effect                string  `json:"effect"`
+	Group                 string  `json:"group"`
+	KeyTTL                float64 `json:"key_window_s"`
+	Share                 float64 `json:"share"`
+	LatencyObjective      float64 `json:"aim_s"`
+	LatencyObjectivePerK  float64 `json:"aim_per_1k_prompt_s"`
+	Patience              float64 `json:"patience_s"`
+	PatiencePerK          float64 `json:"patience_per_1k_prompt_s"`
+	TokenLatencyObjective float64 `json:"token_aim_s"`
+	MaxTokens             int     `json:"max_tokens"`
+	NewTokens             float64 `json:"new_tokens"`    // of a turn, mean of a log-normal distribution
+	NewSigma              float64 `json:"new_sigma"`     // its sigma
+	AnswerTokens          float64 `json:"answer_tokens"` // mean
+	AnswerSigma           float64 `json:"answer_sigma"`
+	Prefixes              int     `json:"prefixes"` // shared beginnings
+	PrefixTokens          int     `json:"prefix_tokens"`
+	PrefixShare           float64 `json:"prefix_share"` // part of sessions that begin with one
+	Turns                 float64 `json:"turns"`        // mean number in a session
+	Think                 float64 `json:"think_s"`      // between them
+	NoStreamShare         float64 `json:"whole"`        // part asked for without a stream
 }
 
 // Tenant is an account, its part of the requests, and what it is allotted over all nodes.
@@ -98,28 +98,28 @@
 
 // Clients say how clients behave.
 type Clients struct {
-	Retries  int     `json:"retries"`
-	Backoff  float64 `json:"backoff_s"`
-	Hangups  float64 `json:"hangups"`        // part that leaves in mid-stream
-	Notice   float64 `json:"front_notice_s"` // a dead node is still tried for this long
-	TryShare float64 `json:"try_share"`      // part of the patience that a try is given
+	Retries               int     `json:"retries"`
+	Backoff               float64 `json:"backoff_s"`
+	DisconnectShare       float64 `json:"hangups"`        // part that leaves in mid-stream
+	FailureDetectionDelay float64 `json:"front_notice_s"` // a dead node is still tried for this long
+	AttemptShare          float64 `json:"try_share"`      // part of the patience that a try is given
 }
 
 // List says how late the engine list is.
 type List struct {
-	Notice float64 `json:"notice_s"`
+	Delay  float64 `json:"notice_s"`
 	Server bool    `json:"server"` // nodes ask one list server, in place of a file each
 }
 
 // Rules are the figures of the rules for the nodes and for the checker.
 type Rules struct {
-	AnswerSlack  float64 `json:"answer_slack_s"`
-	DrainGrace   float64 `json:"drain_grace_s"`
-	FallMultiple float64 `json:"fall_multiple"`
-	TipAfter     float64 `json:"tip_after_s"`
-	LetGoBy      float64 `json:"let_go_by_s"`
-	ColdShare    float64 `json:"cold_share"`
-	ColdS        float64 `json:"cold_s"`
+	AnswerSlack       float64 `json:"answer_slack_s"`
+	DrainGrace        float64 `json:"drain_grace_s"`
+	OverloadMultiple  float64 `json:"fall_multiple"`
+	SlowStartWindow   float64 `json:"tip_after_s"`
+	StateReleaseLimit float64 `json:"let_go_by_s"`
+	SlowStartShare    float64 `json:"cold_share"`
+	SlowStartSeconds  float64 `json:"cold_s"`
 }
 
 // Limits are the allowances that the nodes are given.
@@ -128,8 +128,8 @@
 	LocalRead   bool `json:"local_read"`
 }
 
-// Trouble is something that goes wrong. The meaning of Size, Part and Extra depends on Kind; see docs/operate/scenario.md.
-type Trouble struct {
+// Fault is something that goes wrong. The meaning of Size, Part and Extra depends on Kind; see docs/operate/scenario.md.
+type Fault struct {
 	Kind    string   `json:"kind"`
 	At      float64  `json:"at_s"`
 	Len     float64  `json:"len_s"`
@@ -163,29 +163,29 @@
 	for i := range s.Tenants {
 		set(&s.Tenants[i].Share, 1)
 	}
-	s.Load.MaxAsks = cmp.Or(s.Load.MaxAsks, 20000)
+	s.Load.MaxRequests = cmp.Or(s.Load.MaxRequests, 20000)
 	set(&s.Clients.Backoff, 0.3)
-	set(&s.Clients.Notice, 1)
-	set(&s.Clients.TryShare, 1)
-	set(&s.List.Notice, 0.5)
+	set(&s.Clients.FailureDetectionDelay, 1)
+	set(&s.Clients.AttemptShare, 1)
+	set(&s.List.Delay, 0.5)
 	set(&s.Rules.AnswerSlack, 0.05)
 	set(&s.Rules.DrainGrace, 0.25)
-	set(&s.Rules.FallMultiple, 4)
-	set(&s.Rules.TipAfter, 1.5)
-	set(&s.Rules.LetGoBy, 1)
-	set(&s.Rules.ColdShare, 0.25)
-	set(&s.Rules.ColdS, 5)
+	set(&s.Rules.OverloadMultiple, 4)
+	set(&s.Rules.SlowStartWindow, 1.5)
+	set(&s.Rules.StateReleaseLimit, 1)
+	set(&s.Rules.SlowStartShare, 0.25)
+	set(&s.Rules.SlowStartSeconds, 5)
 	s.Limits.MaxAttempts = cmp.Or(s.Limits.MaxAttempts, 4)
 	for i := range s.Kinds {
 		k := &s.Kinds[i]
 		k.Slots, k.Queue = cmp.Or(k.Slots, 32), cmp.Or(k.Queue, 32)
 		k.MemoryTokens = cmp.Or(k.MemoryTokens, 200_000)
-		set(&k.ReadPerS, 20_000)
+		set(&k.PrefillTokensPerSecond, 20_000)
 		set(&k.StepMS, 10)
 		set(&k.PerSeqMS, 0.2)
-		set(&k.MovePerS, 200_000)
-		set(&k.ColdShare, s.Rules.ColdShare)
-		set(&k.ColdS, s.Rules.ColdS)
+		set(&k.TransferTokensPerSecond, 200_000)
+		set(&k.SlowStartShare, s.Rules.SlowStartShare)
+		set(&k.SlowStartSeconds, s.Rules.SlowStartSeconds)
 		set(&k.ReportMS, 200)
 	}
 	for i := range s.Engines {
@@ -220,13 +220,13 @@
 			add(fmt.Sprintf("/engines/%d/zone", i), "%q is not one of zones", g.Zone)
 		}
 	}
-	for i, t := range s.Troubles {
+	for i, t := range s.Faults {
 		at := fmt.Sprintf("/troubles/%d", i)
 		if _, ok := troubles[t.Kind]; !ok {
 			add(at+"/kind", "%q is not known", t.Kind)
 		}
-		if t.At+t.Len > s.Length {
-			add(at+"/len_s", "it ends at %g, after the day's length, %g", t.At+t.Len, s.Length)
+		if t.At+t.Len > s.LengthSeconds {
+			add(at+"/len_s", "it ends at %g, after the day's length, %g", t.At+t.Len, s.LengthSeconds)
 		}
 		if t.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == t.Class }) {
 			add(at+"/class", "no class is named %q", t.Class)
--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -182,7 +182,7 @@
 		return answered{ending: Unmet}
 	}
 	ask := rec
-	ask.Kind, ask.Tokens = record.Ask, t.budget
+	ask.Kind, ask.Tokens = record.RequestSent, t.budget
 	p.log.Add(ask)
 	br := bufio.NewReader(c)
 	var leaving *time.Timer
@@ -197,21 +197,21 @@
 	a, reuse := p.hear(c, br, t, rec)
 	if leaving != nil && !leaving.Stop() {
 		<-left
-		rec.Kind = record.Hangup
+		rec.Kind = record.ClientDisconnected
 		p.log.Add(rec)
 		return answered{ending: Left}
 	}
 	if a.ending == NoReply && kept && a.code == "closed" { // it crossed the end of a kept connection: sent again on a new one
 		c.Close()
-		rec.Kind, rec.Outcome = record.Answer, record.Unmet
+		rec.Kind, rec.Outcome = record.FinalResponse, record.Unreachable
 		p.log.Add(rec)
 		return answered{ending: Unmet}
 	}
-	rec.Kind, rec.OK = record.Answer, true
-	rec.Outcome = map[Ending]record.Outcome{InTime: record.Served, Late: record.Served, Refused: record.Refused, Failed: record.Failed,
+	rec.Kind, rec.OK = record.FinalResponse, true
+	rec.Outcome = map[Ending]record.Outcome{InTime: record.Served, Late: record.Served, Refused: record.Rejected, Failed: record.Failed,
 		Broken: record.Failed, NoReply: record.Cut}[a.ending]
 	if a.ending == NoReply && a.code == "overdue" {
-		rec.Outcome = record.Overdue
+		rec.Outcome = record.TimedOut
 	}
 	rec.Note = a.code
 	p.log.Add(rec)
@@ -266,7 +266,7 @@
 		a.after, _ = strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		return a, !resp.Close
 	}
-	rec.Kind = record.First
+	rec.Kind = record.FirstToken
 	p.log.Add(rec)
 	a.first = time.Now()
 	c.SetReadDeadline(a.first.Add(time.Minute))
--- a/lab/simulation/day.go
+++ b/lab/simulation/day.go
@@ -332,14 +332,14 @@
 		select {
 		case <-ended:
 		case <-time.After(duration(killAfter + min(killCounts, p.patience()))):
-			p.log.Add(record.Record{Kind: record.NodeKill, Node: h.name})
+			p.log.Add(record.Record{Kind: record.NodeKilled, Node: h.name})
 			l.Close()
 			l.ResetAll()
 			n.Kill()
 			<-ended
 		}
 	} else {
-		p.log.Add(record.Record{Kind: record.NodeKill, Node: h.name})
+		p.log.Add(record.Record{Kind: record.NodeKilled, Node: h.name})
 		l.Close()
 		l.ResetAll()
 		n.Kill()
@@ -547,7 +547,7 @@
 		c.Classes[className(i)] = rules.Class{Effect: x.Effect, Group: x.Group, KeyTTL: x.KeyTTL}
 	}
 	for _, e := range p.engines {
-		c.Engines[e.ID] = rules.Engine{Cell: fmt.Sprint(e.Cell), Zone: zoneName(e.Zone), ReadPerS: 1, WriteS: 1, ColdShare: 1, ColdS: 0}
+		c.Engines[e.ID] = rules.Engine{Cell: fmt.Sprint(e.Cell), Zone: zoneName(e.Zone), PrefillTokensPerSecond: 1, DecodeTokensPerSecond: 1, SlowStartShare: 1, SlowStartSeconds: 0}
 	}
 	r := &Report{Day: p.day, Results: p.results, Breaches: p.breaches, ColdUse: p.most}
 	for _, v := range rules.Check(p.log.All(), c) {
--- a/lab/simulation/engine.go
+++ b/lab/simulation/engine.go
@@ -74,7 +74,7 @@
 	}
 	e.mu.Unlock()
 	if cold {
-		e.fleet.log.Add(record.Record{Kind: record.Boot, Engine: e.ID, Tokens: 1})
+		e.fleet.log.Add(record.Record{Kind: record.EngineStarted, Engine: e.ID, Tokens: 1})
 	}
 	if e.fleet.network != nil {
 		l := e.fleet.network.Listen(e.address())
@@ -484,7 +484,7 @@
 	}
 	e.fleet.log.Add(rec)
 	defer func() {
-		rec.Kind = record.End
+		rec.Kind = record.AttemptEnded
 		e.fleet.log.Add(rec)
 	}()
 	if stage == "prefill" {
--- a/lab/simulation/fleet.go
+++ b/lab/simulation/fleet.go
@@ -154,7 +154,7 @@
 	f.mu.Lock()
 	f.holds[t.id] = e
 	f.mu.Unlock()
-	f.log.Add(record.Record{Kind: record.Parsed, Op: t.name(), Try: t.n, Class: className(t.class), Node: node, Engine: e.ID, State: t.id + "@" + e.ID})
+	f.log.Add(record.Record{Kind: record.StateReserved, Op: t.name(), Try: t.n, Class: className(t.class), Node: node, Engine: e.ID, State: t.id + "@" + e.ID})
 }
 
 func (f *fleet) holder(id string) *engine {
@@ -170,7 +170,7 @@
 	delete(f.holds, id)
 	f.mu.Unlock()
 	if e != nil {
-		f.log.Add(record.Record{Kind: record.StateEnd, Engine: e.ID, State: id + "@" + e.ID})
+		f.log.Add(record.Record{Kind: record.StateEnded, Engine: e.ID, State: id + "@" + e.ID})
 	}
 }
 
--- a/lab/simulation/registry.go
+++ b/lab/simulation/registry.go
@@ -114,7 +114,7 @@
 
 func (r *registry) told(node, engine, state string) {
 	words := map[string]string{stateUp: "ready", stateDraining: "draining", stateRemoved: "gone"}
-	r.fleet.log.Add(record.Record{Kind: record.Told, Node: node, Engine: engine, State: words[state]})
+	r.fleet.log.Add(record.Record{Kind: record.ListDelivered, Node: node, Engine: engine, State: words[state]})
 }
 
 // silence sets whether discovery says nothing.
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -105,9 +105,9 @@
 		switch out {
 		case crossed: // asked anew on a new connection
 			continue
-		case record.Unmet:
+		case record.Unreachable:
 			time.Sleep(50 * time.Millisecond)
-		case record.Refused:
+		case record.Rejected:
 			if c.rng.Float64() > retryAtOnce {
 				time.Sleep(after)
 			}
@@ -178,17 +178,17 @@
 		stay = c.rng.IntN(pipelined)
 	}
 	for i, a := range asks[:stay] {
-		ask := record.Record{Kind: record.Ask, Op: a.Op, Class: a.Class, Node: n.name, Tokens: (a.Patience + time.Duration(i)*a.Patience).Seconds()}
+		ask := record.Record{Kind: record.RequestSent, Op: a.Op, Class: a.Class, Node: n.name, Tokens: (a.Patience + time.Duration(i)*a.Patience).Seconds()}
 		c.fleet.log.Add(ask)
 		a.Patience *= time.Duration(i + 1)
 		ans, keep := hear(k, a, func() {
 			first := ask
-			first.Kind, first.Tokens, first.T = record.First, 0, 0
+			first.Kind, first.Tokens, first.T = record.FirstToken, 0, 0
 			c.fleet.log.Add(first)
 		})
 		if ans.Outcome == record.Cut && i > 0 { // the node may close behind any answer
 			c.fleet.cross(n, a, record.Now())
-			c.fleet.log.Add(record.Record{Kind: record.Hangup, Op: a.Op, Class: a.Class, Node: n.name})
+			c.fleet.log.Add(record.Record{Kind: record.ClientDisconnected, Op: a.Op, Class: a.Class, Node: n.name})
 			return
 		}
 		c.fleet.log.Add(end(a, ask, ans))
@@ -200,7 +200,7 @@
 
 // end is the record of an answer.
 func end(a platform.Ask, base record.Record, ans platform.Answer) record.Record {
-	base.Kind, base.Outcome, base.Tokens, base.T = record.Answer, ans.Outcome, 0, 0
+	base.Kind, base.Outcome, base.Tokens, base.T = record.FinalResponse, ans.Outcome, 0, 0
 	whole := platform.Whole(a.Op, a.Tokens)
 	base.OK = ans.Outcome == record.Served && ans.Text == whole || ans.Outcome == record.Failed && strings.HasPrefix(whole, ans.Text)
 	base.Note = fmt.Sprintf("%s status %d", a.ID, ans.Status)
@@ -214,19 +214,19 @@
 func (c *client) try(n *Node, a platform.Ask, try int) (record.Outcome, time.Duration) {
 	k, err := c.connect(n)
 	if err != nil {
-		return record.Unmet, 0
+		return record.Unreachable, 0
 	}
 	a.ID = fmt.Sprintf("%016x", callIDs.Add(1))
 	c.fleet.platform.Call(a.ID, platform.Op{Name: a.Op, Class: a.Class, Try: try, Tokens: a.Tokens})
 	base := record.Record{Op: a.Op, Try: try, Class: a.Class, Node: n.name}
 	ask := base
-	ask.Kind, ask.Tokens, ask.T = record.Ask, a.Patience.Seconds(), record.Now()
+	ask.Kind, ask.Tokens, ask.T = record.RequestSent, a.Patience.Seconds(), record.Now()
 	if _, err := io.WriteString(k, a.Request()); err != nil {
 		k.Close()
 		if k.used {
 			return crossed, 0
 		}
-		return record.Unmet, 0
+		return record.Unreachable, 0
 	}
 	c.fleet.log.Add(ask)
 	var left atomic.Bool
@@ -234,7 +234,7 @@
 		leave := time.AfterFunc(time.Duration(c.rng.Float64()*float64(600*time.Millisecond)), func() {
 			if left.CompareAndSwap(false, true) {
 				gone := base
-				gone.Kind, gone.Note = record.Hangup, a.ID
+				gone.Kind, gone.Note = record.ClientDisconnected, a.ID
 				c.fleet.log.Add(gone)
 				k.Close()
 			}
@@ -246,7 +246,7 @@
 	}
 	ans, keep := hear(k, a, func() {
 		first := base
-		first.Kind = record.First
+		first.Kind = record.FirstToken
 		c.fleet.log.Add(first)
 	})
 	if !left.CompareAndSwap(false, true) {
@@ -260,7 +260,7 @@
 	if ans.Outcome == record.Cut && k.used {
 		c.fleet.cross(n, a, ask.T)
 		gone := base
-		gone.Kind, gone.Note = record.Hangup, a.ID
+		gone.Kind, gone.Note = record.ClientDisconnected, a.ID
 		c.fleet.log.Add(gone)
 		return over, 0 // what was recorded under a try cannot be recorded there again
 	}
@@ -280,7 +280,7 @@
 	if _, err := k.br.Peek(1); err != nil {
 		ans.Outcome, ans.Err = record.Cut, err
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			ans.Outcome = record.Overdue
+			ans.Outcome = record.TimedOut
 		}
 		return ans, false
 	}
@@ -291,7 +291,7 @@
 	ans.Status, ans.After = resp.StatusCode, resp.Header.Get("Retry-After")
 	switch {
 	case resp.StatusCode == 429 || resp.StatusCode == 503:
-		ans.Outcome = record.Refused
+		ans.Outcome = record.Rejected
 	case resp.StatusCode != 200:
 		ans.Outcome = record.Failed
 	}
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -102,7 +102,7 @@
 func (f *Fleet) rulesConfig() rules.Config {
 	c := rules.Config{Classes: map[string]rules.Class{"chat": {Effect: "repeatable", Group: "all"}, "commit": {Effect: "once", Group: "all"},
 		"keyed": {Effect: "by_key", Group: "cell", KeyTTL: keyedWindow}}, Engines: map[string]rules.Engine{},
-		AnswerSlack: 0.058, ToldSlack: 0.15 + lateBy.Seconds(), DrainGrace: 0.3, StateReleaseLimit: 1.3, Skew: 0.25}
+		AnswerSlack: 0.058, StatedTimeSlack: 0.15 + lateBy.Seconds(), DrainGrace: 0.3, StateReleaseLimit: 1.3, Skew: 0.25}
 	for _, id := range f.order {
 		c.Engines[id] = rules.Engine{Cell: fmt.Sprint(cellOf(id))}
 	}
@@ -382,7 +382,7 @@
 // killedAt tells whether a node was killed within seconds of a time.
 func (f *Fleet) killedAt(n *Node, t float64) bool {
 	for _, x := range f.log.All() {
-		if x.Kind == record.NodeKill && x.Node == n.name && x.T > t-0.2 && x.T < t+6 {
+		if x.Kind == record.NodeKilled && x.Node == n.name && x.T > t-0.2 && x.T < t+6 {
 			return true
 		}
 	}
--- a/lab/soak/node.go
+++ b/lab/soak/node.go
@@ -106,7 +106,7 @@
 		return err
 	}
 	n.proc, n.term, n.killed = p, time.Time{}, time.Time{}
-	n.fleet.log.Add(record.Record{Kind: record.NodeUp, Node: n.name})
+	n.fleet.log.Add(record.Record{Kind: record.NodeStarted, Node: n.name})
 	go func() {
 		err := p.cmd.Wait()
 		n.mu.Lock()
@@ -168,10 +168,10 @@
 		n.killed = time.Now()
 	}
 	n.mu.Unlock()
-	n.fleet.log.Add(record.Record{Kind: record.NodeKill, Node: n.name})
+	n.fleet.log.Add(record.Record{Kind: record.NodeKilled, Node: n.name})
 	p.cmd.Process.Signal(syscall.SIGKILL)
 	<-p.ended
-	n.fleet.log.Add(record.Record{Kind: record.NodeKill, Node: n.name})
+	n.fleet.log.Add(record.Record{Kind: record.NodeKilled, Node: n.name})
 	n.mu.Lock()
 	n.in = false
 	n.mu.Unlock()
--- a/lab/soak/registry.go
+++ b/lab/soak/registry.go
@@ -219,7 +219,7 @@
 	}
 	a.counted[s.ID] = version
 	state := map[string]string{"up": "ready", "draining": "draining", "removed": "gone"}[s.State]
-	a.reg.log.Add(record.Record{Kind: record.Told, Node: a.node, Engine: s.ID, State: state})
+	a.reg.log.Add(record.Record{Kind: record.ListDelivered, Node: a.node, Engine: s.ID, State: state})
 }
 
 // List is the whole list as the agent has it, in discovery's form.
--- a/lab/soak/scenario_test.go
+++ b/lab/soak/scenario_test.go
@@ -121,7 +121,7 @@
 			}
 			s.stopAsking()
 			s.lawful()
-			if refused, served := s.f.outcomes[record.Refused], s.f.outcomes[record.Served]; served < 9*refused {
+			if refused, served := s.f.outcomes[record.Rejected], s.f.outcomes[record.Served]; served < 9*refused {
 				t.Errorf("outcomes %v", s.f.outcomes)
 			}
 		})
@@ -265,7 +265,7 @@
 		time.Sleep(2 * time.Second)
 		s.stopAsking()
 		t.Logf("%v: outcomes %v", errno, s.f.outcomes)
-		if refused := s.f.outcomes[record.Refused] + s.f.outcomes[record.Failed]; refused*20 > s.f.outcomes[record.Served] {
+		if refused := s.f.outcomes[record.Rejected] + s.f.outcomes[record.Failed]; refused*20 > s.f.outcomes[record.Served] {
 			t.Errorf("%v: outcomes %v, want nearly all served", errno, s.f.outcomes)
 		}
 		s.lawful()
