--- a/lab/faultyrouter/faultyrouter.go
+++ b/lab/faultyrouter/faultyrouter.go
@@ -35,8 +35,8 @@
 
 // Engine is an engine as a wrong node is told of it.
 type Engine struct {
-	ID, Address, Role string
-	Draining, Cold    bool
+	ID, Address, Role   string
+	Draining, WarmingUp bool
 }
 
 // Router is a wrong node.
@@ -84,7 +84,7 @@
 		if e.Role != role && e.Role != "mixed" {
 			continue
 		}
-		if n.defect == FloodsColdEngine && e.Cold {
+		if n.defect == FloodsColdEngine && e.WarmingUp {
 			return &e
 		}
 		if !e.Draining || n.defect == SendsToDraining {
--- a/lab/record/record.go
+++ b/lab/record/record.go
@@ -1,5 +1,5 @@
-// Package record keeps what passed on the sockets of a run, as clients, engines and list sources saw it. The rule
-// checker judges by nothing else.
+// Package record keeps what passed on the sockets of a run, as clients, engines and discovery sources saw it. The rule checker
+// (lab/rules) has no other evidence.
 package record
 
 import (
@@ -9,75 +9,96 @@
 	"time"
 )
 
-// Kind names what was seen.
+// Kind says what was seen.
 type Kind string
 
 // What clients see.
 const (
-	RequestSent        Kind = "ask"    // a request was sent whole
-	FirstToken         Kind = "first"  // the first piece of an answer came
-	FinalResponse      Kind = "answer" // the answer ended; Outcome says how
-	ClientDisconnected Kind = "hangup" // the client left by its own choice
-	// ExtraResponse is a second final answer, or anything after the final one.
+	// RequestSent is a complete request of a client.
+	RequestSent Kind = "ask"
+	// FirstToken is the first part of a response.
+	FirstToken Kind = "first"
+	// FinalResponse is the end of a response; Outcome classifies it.
+	FinalResponse Kind = "answer"
+	// ClientDisconnected is a disconnect by the client's own choice.
+	ClientDisconnected Kind = "hangup"
+	// ExtraResponse is a second final response, or anything else after the final one.
 	ExtraResponse Kind = "more"
 )
 
 // What engines see.
 const (
-	Arrive          Kind = "arrive"    // a whole request came in
-	AttemptRejected Kind = "turned"    // it was turned away
-	Run             Kind = "run"       // its effect began: the answer is being made
-	AttemptEnded    Kind = "end"       // the attempt ended at the engine
-	StateReserved   Kind = "parsed"    // a state waits from now on
-	StateEnded      Kind = "state_end" // it was fetched, released, or lost
-	EngineStarted   Kind = "boot"      // the engine started, cold if Tokens is 1
-	EngineStopped   Kind = "died"
+	// Arrive is a complete attempt that an engine received.
+	Arrive Kind = "arrive"
+	// AttemptRejected is an attempt that the engine rejected.
+	AttemptRejected Kind = "turned"
+	// Run is the start of an attempt's effect: the engine makes the response.
+	Run Kind = "run"
+	// AttemptEnded is the end of an attempt at its engine.
+	AttemptEnded Kind = "end"
+	// StateReserved is a state that waits at its engine from now on.
+	StateReserved Kind = "parsed"
+	// StateEnded is a state that was fetched, released or lost.
+	StateEnded Kind = "state_end"
+	// EngineStarted is the start of an engine, cold if Tokens is 1.
+	EngineStarted Kind = "boot"
+	// EngineStopped is the stop of an engine.
+	EngineStopped Kind = "died"
 )
 
-// What the source of the list and the keeper of the nodes see.
+// What the source of the endpoint list and the launcher of the nodes see.
 const (
-	ListDelivered Kind = "told" // a node was given a list that says State of Engine
-	NodeStarted   Kind = "node_up"
-	NodeKilled    Kind = "node_kill"
-	// RecordEnded ends the record: until then things were watched.
+	// ListDelivered is the delivery of an endpoint list to a node; it gives State for Engine.
+	ListDelivered Kind = "told"
+	// NodeStarted is a node that is ready.
+	NodeStarted Kind = "node_up"
+	// NodeKilled is a node that was killed.
+	NodeKilled Kind = "node_kill"
+	// RecordEnded is the end of the record: events were watched until then.
 	RecordEnded Kind = "close"
 )
 
-// Outcome says how an answer ended for the client.
+// Outcome classifies how a request ended for its client.
 type Outcome string
 
-// Outcomes.
+// Outcomes of a request.
 const (
-	Served      Outcome = "served"
-	Rejected    Outcome = "refused" // with the word that a retry is harmless
-	Failed      Outcome = "failed"
-	Cut         Outcome = "cut"     // the connection broke without a final answer
-	Unreachable Outcome = "unmet"   // the node could not be reached
-	TimedOut    Outcome = "overdue" // nothing came in time
+	// Served is a complete response.
+	Served Outcome = "served"
+	// Rejected is a rejection that says that a retry is harmless.
+	Rejected Outcome = "refused"
+	// Failed is an error response.
+	Failed Outcome = "failed"
+	// Cut is a connection that broke without a final response.
+	Cut Outcome = "cut"
+	// Unreachable is a node that accepted no connection.
+	Unreachable Outcome = "unmet"
+	// TimedOut is a request without a first token in time.
+	TimedOut Outcome = "overdue"
 )
 
-// Record is one thing seen. Which fields are set depends on Kind.
+// Record is one event. Which fields are set depends on Kind.
 type Record struct {
 	T          float64 // Unix seconds
 	Kind       Kind
-	Op         string // what the user wants done; its tries share it
-	Try        int
+	Op         string // operation: what the user wants done; its attempts share it
+	Try        int    // number of the client's attempt, from 0
 	Class      string
 	Tenant     string
 	Node       string
 	Engine     string
-	State      string // id of a state, or the state of an engine in a list
+	State      string // id of a state, or the state of an engine in an endpoint list
 	Outcome    Outcome
-	Tokens     float64 // of the prompt, or of the answer made
-	Work       float64 // Arrive: tokens to be read, or to be made
-	StatedTime float64 // Arrive: for how long its client waits, as the engine was told (s); 0 = it was not
+	Tokens     float64 // of the prompt or of the response; RequestSent: the client's patience (s)
+	Work       float64 // Arrive: tokens of the prompt to process, or of the response to make
+	StatedTime float64 // Arrive: for how long its client waits, as stated to the engine (s); 0 = not stated
 	Note       string
-	OK         bool // Answer: the text is what it should be
+	OK         bool // FinalResponse: the text is correct
 }
 
-// Log keeps records, or hands them on as they come. It is safe for concurrent use.
+// Log collects records. It is safe for concurrent use. A nil Log drops them.
 type Log struct {
-	// Sink gets each record in place of its being kept, one at a time. It must not call the log.
+	// Sink receives each record, one at a time, and the log keeps none. It must not call the log.
 	Sink func(Record)
 
 	mu      sync.Mutex
@@ -85,10 +106,10 @@
 	count   int
 }
 
-// Now is the time as records have it.
+// Now returns the present time in the unit of records.
 func Now() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 
-// Add files a record, at the present time if it has none.
+// Add takes a record, at the present time if it has none.
 func (l *Log) Add(r Record) {
 	if l == nil {
 		return
@@ -106,25 +127,25 @@
 	l.records = append(l.records, r)
 }
 
-// Hold runs f while no record is taken, so that it may look at what the Sink has made.
+// Hold runs f while no record is taken, so that f may read what the Sink has made.
 func (l *Log) Hold(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
 }
 
-// Len returns how many records came.
+// Len returns the number of records taken.
 func (l *Log) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.count
 }
 
-// All returns the records that are kept, in order of time.
+// All returns the records that were kept, in order of time.
 func (l *Log) All() []Record {
 	l.mu.Lock()
-	rs := slices.Clone(l.records)
+	records := slices.Clone(l.records)
 	l.mu.Unlock()
-	slices.SortStableFunc(rs, func(a, b Record) int { return cmp.Compare(a.T, b.T) })
-	return rs
+	slices.SortStableFunc(records, func(a, b Record) int { return cmp.Compare(a.T, b.T) })
+	return records
 }
--- /dev/null
+++ b/lab/rules/operations.go
@@ -0,0 +1,106 @@
+package rules
+
+import (
+	"maps"
+	"slices"
+
+	"dillroute/lab/record"
+)
+
+// operation is what a user wants done; its attempts share it.
+type operation struct {
+	attempts   map[int]*attempt
+	effects    []record.Record // each start of its effect at an engine
+	lastRecord float64         // time
+}
+
+// attempt is one request of a client to a node.
+type attempt struct {
+	request           record.Record // zero until it was sent
+	finalResponses    []record.Record
+	firstTokenAt      float64 // 0 = none has come
+	effectAt          string  // engine at which its effect began; "" = none
+	reportedAsMissing bool    // that it has no final response
+}
+
+// operationRules checks rule 1 (one final response in time, and nothing after it) and rule 2 (no second effect) on the operations
+// that clients and engines saw.
+type operationRules struct {
+	config     Config
+	found      *findings
+	kills      *nodeKills
+	operations map[string]*operation
+}
+
+func (o *operationRules) observe(r record.Record) {
+	switch r.Kind {
+	case record.RequestSent:
+		o.attemptOf(r).request = r
+	case record.FirstToken:
+		o.attemptOf(r).firstTokenAt = r.T
+	case record.Run:
+		o.effectBegan(r)
+	case record.FinalResponse, record.ClientDisconnected, record.ExtraResponse:
+		o.responded(r)
+	case record.Arrive:
+		if r.Op != "" {
+			o.arrivedAtEngine(r)
+		}
+	}
+}
+
+// operationOf returns the operation of a record and notes the record's time.
+func (o *operationRules) operationOf(r record.Record) *operation {
+	op := o.operations[r.Op]
+	if op == nil {
+		op = &operation{attempts: map[int]*attempt{}}
+		o.operations[r.Op] = op
+	}
+	op.lastRecord = max(op.lastRecord, r.T)
+	return op
+}
+
+func (o *operationRules) attemptOf(r record.Record) *attempt {
+	return o.operationOf(r).attempt(r.Try)
+}
+
+func (op *operation) attempt(number int) *attempt {
+	a := op.attempts[number]
+	if a == nil {
+		a = &attempt{}
+		op.attempts[number] = a
+	}
+	return a
+}
+
+// sweep forgets operations that have ended and had no record within the horizon.
+func (o *operationRules) sweep(now float64) {
+	for _, id := range slices.Sorted(maps.Keys(o.operations)) {
+		op := o.operations[id]
+		if now > op.lastRecord+horizon && !op.awaitsResponse(now) {
+			o.reportMissing(id, op)
+			delete(o.operations, id)
+		}
+	}
+}
+
+// awaitsResponse reports whether the client of an attempt may still wait for its first token.
+func (op *operation) awaitsResponse(now float64) bool {
+	for _, a := range op.attempts {
+		if len(a.finalResponses) == 0 && a.firstTokenAt == 0 && now < a.request.T+patienceOf(a.request)+horizon {
+			return true
+		}
+	}
+	return false
+}
+
+// close reports what is missing at the end of the run.
+func (o *operationRules) close() {
+	for _, id := range slices.Sorted(maps.Keys(o.operations)) {
+		o.reportMissing(id, o.operations[id])
+	}
+}
+
+// patienceOf returns how long the client of a request waits for the first token (s); 0 = without limit. The record of a request
+// holds it in Tokens.
+func patienceOf(request record.Record) float64 { return request.Tokens }
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -15,134 +15,160 @@
 	"dillroute/lab/rules"
 )
 
-// scene is a fleet with a wrong node before it.
+// scene is a fleet behind a router with a defect.
 type scene struct {
-	sin   faultyrouter.Defect
-	rule  int // that must be found broken; -1 = none may be
-	ask   func(*client.Request)
-	fault func(f *fleet.Fleet)
+	defect        faultyrouter.Defect
+	brokenRule    int // that the checker must report; -1 = none
+	changeRequest func(*client.Request)
+	injectFault   func(f *fleet.Fleet)
 }
 
+// play sends requests through the router and returns what the checker reports.
 func play(t *testing.T, s scene) []rules.Violation {
 	t.Helper()
 	log := &record.Log{}
-	var ms []fleet.Member
+	var members []fleet.Member
 	for _, id := range []string{"prefill-1", "decode-1", "decode-2"} {
 		role := id[:len(id)-2]
-		ms = append(ms, fleet.Member{Kind: role, Settings: emulator.Settings{ID: id, Role: role, StepMS: 2, ReadPerS: 1e5, LocalRead: true, ColdS: 30,
-			ColdShare: 0.3, Slots: 4, Queue: 200}})
+		members = append(members, fleet.Member{Kind: role, Settings: emulator.Settings{ID: id, Role: role, StepMS: 2, ReadPerS: 1e5,
+			LocalRead: true, ColdS: 30, ColdShare: 0.3, Slots: 4, Queue: 200}})
 	}
-	f := fleet.New(ms, log)
-	if err := f.Start(); err != nil {
+	engineFleet := fleet.New(members, log)
+	if err := engineFleet.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer f.Stop()
-	drained, cold := map[string]bool{}, map[string]bool{}
-	n, err := faultyrouter.Start(s.sin, "node-0", func() []faultyrouter.Engine {
-		var es []faultyrouter.Engine
-		for _, m := range ms {
-			es = append(es, faultyrouter.Engine{ID: m.ID, Address: f.Engine(m.ID).Address(), Role: m.Role, Draining: drained[m.ID], Cold: cold[m.ID]})
+	defer engineFleet.Stop()
+	draining := map[string]bool{}
+	warmingUp := map[string]bool{}
+	router, err := faultyrouter.Start(s.defect, "node-0", func() []faultyrouter.Engine {
+		var views []faultyrouter.Engine
+		for _, m := range members {
+			views = append(views, faultyrouter.Engine{ID: m.ID, Address: engineFleet.Engine(m.ID).Address(), Role: m.Role,
+				Draining: draining[m.ID], WarmingUp: warmingUp[m.ID]})
 		}
-		return es
+		return views
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	tell := func(id, state string) {
+	deliverList := func(id, state string) {
 		log.Add(record.Record{Kind: record.ListDelivered, Node: "node-0", Engine: id, State: state})
 	}
-	for _, m := range ms {
-		tell(m.ID, "ready")
+	for _, m := range members {
+		deliverList(m.ID, "ready")
 	}
-	switch s.sin {
+	switch s.defect {
 	case faultyrouter.SendsToDraining:
-		drained["decode-1"] = true
-		tell("decode-1", "draining")
+		draining["decode-1"] = true
+		deliverList("decode-1", "draining")
 		time.Sleep(1100 * time.Millisecond) // the grace must have passed
 	case faultyrouter.FloodsColdEngine:
-		f.Engine("decode-1").Kill()
-		if err := f.Engine("decode-1").Start(true); err != nil {
+		engineFleet.Engine("decode-1").Kill()
+		if err := engineFleet.Engine("decode-1").Start(true); err != nil {
 			t.Fatal(err)
 		}
-		cold["decode-1"] = true
-		tell("decode-1", "ready")
+		warmingUp["decode-1"] = true
+		deliverList("decode-1", "ready")
 	}
-	if s.fault != nil {
-		s.fault(f)
+	if s.injectFault != nil {
+		s.injectFault(engineFleet)
 	}
 	c := client.New("k", log)
 	defer c.Close()
-	asks := 4
-	if s.sin == faultyrouter.FloodsColdEngine {
-		asks = 60
+	requests := 4
+	if s.defect == faultyrouter.FloodsColdEngine {
+		requests = 60
 	}
 	var wg sync.WaitGroup
-	for i := range asks {
-		a := client.Request{Model: "m", Patience: 1500 * time.Millisecond, MaxTokens: 100, Messages: []emulator.Message{{Role: "user", Content: fmt.Sprint("q", i)}},
-			Mark: emulator.Mark{Op: fmt.Sprint("op", i), Class: "commit", Answer: 12}}
-		if s.sin == faultyrouter.FloodsColdEngine {
-			a.Mark.Answer = 40
-			a.Patience = 10 * time.Second
+	for i := range requests {
+		request := client.Request{Model: "m", Patience: 1500 * time.Millisecond, MaxTokens: 100,
+			Messages: []emulator.Message{{Role: "user", Content: fmt.Sprint("q", i)}},
+			Mark:     emulator.Mark{Op: fmt.Sprint("op", i), Class: "commit", Answer: 12}}
+		if s.defect == faultyrouter.FloodsColdEngine {
+			request.Mark.Answer = 40
+			request.Patience = 10 * time.Second
 		}
-		if s.ask != nil {
-			s.ask(&a)
+		if s.changeRequest != nil {
+			s.changeRequest(&request)
 		}
 		wg.Add(1)
-		go func() { defer wg.Done(); c.Do(context.Background(), "node-0", n.Addr().String(), a) }()
+		go func() {
+			defer wg.Done()
+			c.Do(context.Background(), "node-0", router.Addr().String(), request)
+		}()
 	}
 	wg.Wait()
-	if s.sin == faultyrouter.SendsAfterAnswer || s.sin == faultyrouter.LeavesState {
-		time.Sleep(1800 * time.Millisecond) // what comes after the answer, or does not, has to be seen
+	if s.defect == faultyrouter.SendsAfterAnswer || s.defect == faultyrouter.LeavesState {
+		time.Sleep(1800 * time.Millisecond) // what comes after the response, or is missing, has to be recorded
 	}
-	n.Stop()
+	router.Stop()
 	log.Add(record.Record{Kind: record.RecordEnded})
-	if s.rule < 0 && s.fault == nil { // an honest node that serves nobody proves nothing
-		for _, x := range log.All() {
-			if x.Kind == record.FinalResponse && x.Outcome != record.Served {
-				t.Errorf("%s: %s", x.Outcome, x.Note)
+	if s.brokenRule < 0 && s.injectFault == nil { // a router without a defect that serves nobody proves nothing
+		for _, r := range log.All() {
+			if r.Kind == record.FinalResponse && r.Outcome != record.Served {
+				t.Errorf("%s: %s", r.Outcome, r.Note)
 			}
 		}
 	}
-	return rules.Check(log.All(), rules.Config{Classes: map[string]rules.Class{"commit": {Effect: "once", Group: "all"}},
-		Engines:     map[string]rules.Engine{"decode-1": {PrefillTokensPerSecond: 1e5, DecodeTokensPerSecond: 4 / 0.0024, SlowStartShare: 0.3, SlowStartSeconds: 30}},
-		AnswerSlack: 0.02, DrainGrace: 0.25, ListLag: 0.1, OverloadMultiple: 2, SlowStartWindow: 1, StateReleaseLimit: 1, Skew: 0.1})
+	return rules.Check(log.All(), rules.Config{
+		Classes: map[string]rules.Class{"commit": {Effect: "once", Group: "all"}},
+		Engines: map[string]rules.Engine{"decode-1": {PrefillTokensPerSecond: 1e5, DecodeTokensPerSecond: 4 / 0.0024,
+			SlowStartShare: 0.3, SlowStartSeconds: 30}},
+		AnswerSlack:       0.02,
+		DrainGrace:        0.25,
+		ListLag:           0.1,
+		OverloadMultiple:  2,
+		SlowStartWindow:   1,
+		StateReleaseLimit: 1,
+		Skew:              0.1,
+	})
 }
 
-// Every wrong node must be caught by the rule that it breaks, and the honest one by none.
-func TestWrongNodesAreCaught(t *testing.T) {
-	cut := func(k int) func(f *fleet.Fleet) {
+// Every defective router is caught by the rule that it breaks, and the router without a defect by none.
+func TestDefectiveRoutersAreCaught(t *testing.T) {
+	cutStreamsAfter := func(k int) func(f *fleet.Fleet) {
 		return func(f *fleet.Fleet) {
 			for _, id := range []string{"decode-1", "decode-2"} {
 				f.Engine(id).SetFaults(emulator.Faults{CutAfter: &k})
 			}
 		}
 	}
-	errors := func(f *fleet.Fleet) {
+	cutBodies := func(f *fleet.Fleet) {
 		f.Engine("decode-1").SetFaults(emulator.Faults{CutBody: true})
 		f.Engine("decode-2").SetFaults(emulator.Faults{CutBody: true})
 	}
-	rejects := func(f *fleet.Fleet) {
+	rejectWithError := func(f *fleet.Fleet) {
 		f.Engine("decode-1").SetFaults(emulator.Faults{Reject: 500})
 		f.Engine("decode-2").SetFaults(emulator.Faults{Reject: 500})
 	}
 	for _, s := range []scene{
-		{sin: faultyrouter.None, rule: -1}, {sin: faultyrouter.None, rule: -1, fault: cut(3)}, {sin: faultyrouter.None, rule: -1, fault: rejects},
-		{sin: faultyrouter.NeverAnswers, rule: 1}, {sin: faultyrouter.AnswersLate, rule: 1}, {sin: faultyrouter.DropsConnection, rule: 1}, {sin: faultyrouter.AnswersTwice, rule: 1},
-		{sin: faultyrouter.SendsAfterAnswer, rule: 1}, {sin: faultyrouter.SkipsEvent, rule: 0}, {sin: faultyrouter.RepeatsOnce, rule: 2, fault: cut(0)},
-		{sin: faultyrouter.CallsRetryHarmless, rule: 2, fault: errors}, {sin: faultyrouter.SendsToDraining, rule: 3}, {sin: faultyrouter.FloodsColdEngine, rule: 4},
-		{sin: faultyrouter.DelaysDecode, rule: 5, ask: func(a *client.Request) { a.Patience = 6 * time.Second }}, {sin: faultyrouter.LeavesState, rule: 5, fault: rejects},
+		{defect: faultyrouter.None, brokenRule: -1},
+		{defect: faultyrouter.None, brokenRule: -1, injectFault: cutStreamsAfter(3)},
+		{defect: faultyrouter.None, brokenRule: -1, injectFault: rejectWithError},
+		{defect: faultyrouter.NeverAnswers, brokenRule: 1},
+		{defect: faultyrouter.AnswersLate, brokenRule: 1},
+		{defect: faultyrouter.DropsConnection, brokenRule: 1},
+		{defect: faultyrouter.AnswersTwice, brokenRule: 1},
+		{defect: faultyrouter.SendsAfterAnswer, brokenRule: 1},
+		{defect: faultyrouter.SkipsEvent, brokenRule: 0},
+		{defect: faultyrouter.RepeatsOnce, brokenRule: 2, injectFault: cutStreamsAfter(0)},
+		{defect: faultyrouter.CallsRetryHarmless, brokenRule: 2, injectFault: cutBodies},
+		{defect: faultyrouter.SendsToDraining, brokenRule: 3},
+		{defect: faultyrouter.FloodsColdEngine, brokenRule: 4},
+		{defect: faultyrouter.DelaysDecode, brokenRule: 5, changeRequest: func(a *client.Request) { a.Patience = 6 * time.Second }},
+		{defect: faultyrouter.LeavesState, brokenRule: 5, injectFault: rejectWithError},
 	} {
-		t.Run(fmt.Sprintf("%s rule %d", s.sin, s.rule), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s rule %d", s.defect, s.brokenRule), func(t *testing.T) {
 			t.Parallel()
 			found := play(t, s)
-			if s.rule < 0 {
+			if s.brokenRule < 0 {
 				for _, v := range found {
 					t.Error(v)
 				}
 				return
 			}
 			for _, v := range found {
-				if v.Rule == s.rule {
+				if v.Rule == s.brokenRule {
 					return
 				}
 			}
--- a/lab/rules/told_test.go
+++ b/lab/rules/statedtime_test.go
@@ -7,19 +7,19 @@
 	"dillroute/lab/rules"
 )
 
-// An engine that is told more time than its client has left breaks rule 1.
-func TestTimeToldToEngines(t *testing.T) {
+// A node that states more time to an engine than its client still waits breaks rule 1.
+func TestTimeStatedToEnginesIsChecked(t *testing.T) {
 	for _, c := range []struct {
-		told float64
-		want int
+		stated float64
+		want   int
 	}{{1.9, 0}, {2.1, 0}, {2.3, 1}} {
 		got := rules.Check([]record.Record{
 			{T: 100, Kind: record.RequestSent, Op: "a", Class: "chat", Node: "n", Tokens: 3},
-			{T: 101, Kind: record.Arrive, Op: "a", Class: "chat", Node: "n", Engine: "e", Note: "decode", StatedTime: c.told},
+			{T: 101, Kind: record.Arrive, Op: "a", Class: "chat", Node: "n", Engine: "e", Note: "decode", StatedTime: c.stated},
 			{T: 102, Kind: record.FinalResponse, Op: "a", Class: "chat", Node: "n", Outcome: record.Rejected},
 		}, rules.Config{Classes: map[string]rules.Class{"chat": {Effect: "repeatable"}}, StatedTimeSlack: 0.15})
 		if len(got) != c.want {
-			t.Errorf("told %g s with 2 s left: got %v, want %d breaches", c.told, got, c.want)
+			t.Errorf("stated %g s with 2 s left: got %v, want %d violations", c.stated, got, c.want)
 		}
 	}
 }
--- /dev/null
+++ b/lab/rules/staterelease.go
@@ -0,0 +1,85 @@
+package rules
+
+import (
+	"maps"
+	"slices"
+
+	"dillroute/lab/record"
+)
+
+// stateReleaseRule checks rule 5: a state that an engine has reserved for a decode attempt waits no longer than the limit while no
+// attempt is in flight to fetch it.
+type stateReleaseRule struct {
+	config   Config
+	found    *findings
+	kills    *nodeKills
+	reserved map[string]*reservedState // by id of the state
+}
+
+// reservedState is a state that waits at an engine.
+type reservedState struct {
+	reservation record.Record
+	idleSince   float64 // since when no attempt is in flight to fetch it
+	inFlight    int     // attempts to fetch it
+	reported    bool
+}
+
+func (s *stateReleaseRule) observe(r record.Record) {
+	if r.Kind == record.StateReserved {
+		s.reserved[r.State] = &reservedState{reservation: r, idleSince: r.T}
+		return
+	}
+	state := s.reserved[r.State]
+	if state == nil || r.State == "" {
+		return
+	}
+	switch r.Kind {
+	case record.StateEnded:
+		if r.Engine == state.reservation.Engine {
+			s.check(state, r.T)
+			delete(s.reserved, r.State)
+		}
+	case record.Arrive:
+		if stageOf(r) == stageDecode {
+			s.check(state, r.T)
+			state.inFlight++
+		}
+	case record.AttemptEnded, record.AttemptRejected:
+		if stageOf(r) == stageDecode && state.inFlight > 0 {
+			state.inFlight--
+			state.idleSince = r.T
+		}
+	}
+}
+
+// check reports a state that has waited too long by a time.
+func (s *stateReleaseRule) check(state *reservedState, now float64) {
+	if state.inFlight > 0 || state.reported {
+		return
+	}
+	idle := now - state.idleSince
+	reservation := state.reservation
+	if idle <= s.config.StateReleaseLimit+s.config.Skew || s.kills.within(reservation.Node, reservation.T, now) {
+		return
+	}
+	state.reported = true
+	s.found.report(5, now, "the state of %s try %d waited at %s for %.3f s with no attempt out",
+		reservation.Op, reservation.Try, reservation.Engine, idle)
+}
+
+// sweep checks and forgets states that have waited for longer than the horizon.
+func (s *stateReleaseRule) sweep(now float64) {
+	for id, state := range s.reserved {
+		if state.inFlight == 0 && now > state.idleSince+horizon {
+			s.check(state, now)
+			delete(s.reserved, id)
+		}
+	}
+}
+
+// close checks the states that still wait at the end of the run.
+func (s *stateReleaseRule) close(now float64) {
+	for _, id := range slices.Sorted(maps.Keys(s.reserved)) {
+		s.check(s.reserved[id], now)
+	}
+}
