--- a/lab/scenario/convert.go
+++ b/lab/scenario/convert.go
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// benchDay is the part of a bench's day file that a script can hold. Times are in microseconds.
+// benchDay is the part of a bench's day file that a script can hold. Its fields have the names of the file; times are in
+// microseconds, but where a name says otherwise.
 type benchDay struct {
 	Site     string
 	Family   string
@@ -41,28 +42,28 @@
 	}
 	Tiers []struct {
 		Kinds []struct {
-			Name         string
-			Slots, Queue int
-			ColdFrom     float64 `json:"cold_from"`
-			Cold         float64
+			Name           string
+			Slots, Queue   int
+			SlowStartShare float64 `json:"cold_from"`
+			SlowStart      float64 `json:"cold"`
 		}
-		Report   float64 `json:"report_period"`
-		ColdFrom float64 `json:"stated_cold_from"`
-		ColdFor  float64 `json:"stated_cold"`
+		Report         float64 `json:"report_period"`
+		SlowStartShare float64 `json:"stated_cold_from"`
+		SlowStart      float64 `json:"stated_cold"`
 	}
 	Servers []struct {
 		Zone, Kind, Cell int
 		Speed            float64
 	}
 	Balancers []struct{ Zone int }
-	Troubles  []struct {
+	Faults    []struct {
 		Kind        string
 		At, Len     float64
 		Size, Extra float64
 		On          []int
 		Which       int
 		Part        float64
-	}
+	} `json:"troubles"`
 	Fam struct {
 		Engines []struct {
 			Memory, Queue, Slots int
@@ -91,144 +92,240 @@
 	}
 }
 
-// Convert turns a bench's day file into a script of so many sessions a second; length 0 keeps the day's own, in
-// seconds. What has no counterpart on sockets (prices, tenants' shares) is left out.
+const (
+	// microseconds is how many units of a day file make a second.
+	microseconds = 1e6
+	// answerSlackSeconds is the slack of rule 1, which day files do not give.
+	answerSlackSeconds = 0.05
+	// shapePoints is about how many points the curve of the load is reduced to.
+	shapePoints = 20
+)
+
+// Convert turns a bench's day file into a script of so many sessions a second; length 0 keeps the length of the day (s). What has
+// no counterpart on sockets (prices, shares of tenants) is left out.
 func Convert(text []byte, rate, length float64) (*Script, error) {
-	var b benchDay
-	if err := json.Unmarshal(text, &b); err != nil {
+	var day benchDay
+	if err := json.Unmarshal(text, &day); err != nil {
 		return nil, fmt.Errorf("not a day file: %w", err)
 	}
-	if b.Family != "twostage" || len(b.Fam.Engines) == 0 || len(b.Tiers) == 0 || b.Length <= 0 {
-		return nil, fmt.Errorf("not a day of readers and writers: family %q, %d kinds of engine", b.Family, len(b.Fam.Engines))
+	if day.Family != "twostage" || len(day.Fam.Engines) == 0 || len(day.Tiers) == 0 || day.Length <= 0 {
+		return nil, fmt.Errorf("not a day of readers and writers: family %q, %d kinds of engine", day.Family, len(day.Fam.Engines))
 	}
-	full := b.Length / 1e6
+	dayLength := day.Length / microseconds
 	if length <= 0 {
-		length = full
-	}
-	squeeze := length / full
-	tier := b.Tiers[0]
-	s := &Script{Name: b.Site, Seed: b.Noise % 1_000_000, LengthSeconds: length, Nodes: max(1, len(b.Balancers)), Zones: zones(&b),
-		Load:    Load{SessionsPerSecond: rate, Shape: shape(b.Traffic.Shape)},
-		Clients: Clients{Retries: b.Clients.Retries, Backoff: b.Clients.BackoffUS / 1e6, FailureDetectionDelay: b.Front / 1e6, AttemptShare: b.Clients.TryShare},
-		List:    List{Delay: b.Discovery.Notice / 1e6 * squeeze},
-		Rules: Rules{AnswerSlack: 0.05, DrainGrace: b.Grace / 1e6, OverloadMultiple: b.Multiple, SlowStartWindow: b.FallFor / 1e6,
-			StateReleaseLimit: b.Fam.Release / 1e6, SlowStartShare: tier.ColdFrom, SlowStartSeconds: tier.ColdFor / 1e6},
-		Limits: Limits{MaxAttempts: b.Allow.MaxAttempts, LocalRead: b.Fam.Reads}}
+		length = dayLength
+	}
+	timeFactor := length / dayLength
+	s := newScript(&day, rate, length, timeFactor)
+	s.addKinds(&day)
+	ids, err := s.addEngines(&day)
+	if err != nil {
+		return nil, err
+	}
+	s.addClasses(&day)
+	s.addFaults(&day, ids, timeFactor)
+	s.defaults()
+	return s, s.Check()
+}
+
+// newScript returns the script of a day without what the day lists.
+func newScript(day *benchDay, rate, length, timeFactor float64) *Script {
+	tier := day.Tiers[0]
+	return &Script{
+		Name:          day.Site,
+		Seed:          day.Noise % 1_000_000,
+		LengthSeconds: length,
+		Nodes:         max(1, len(day.Balancers)),
+		Zones:         zonesOf(day),
+		Load:          Load{SessionsPerSecond: rate, Shape: thinnedShape(day.Traffic.Shape)},
+		Clients: Clients{
+			Retries:               day.Clients.Retries,
+			Backoff:               day.Clients.BackoffUS / microseconds,
+			FailureDetectionDelay: day.Front / microseconds,
+			AttemptShare:          day.Clients.TryShare,
+		},
+		List: List{Delay: day.Discovery.Notice / microseconds * timeFactor},
+		Rules: Rules{
+			AnswerSlack:       answerSlackSeconds,
+			DrainGrace:        day.Grace / microseconds,
+			OverloadMultiple:  day.Multiple,
+			SlowStartWindow:   day.FallFor / microseconds,
+			StateReleaseLimit: day.Fam.Release / microseconds,
+			SlowStartShare:    tier.SlowStartShare,
+			SlowStartSeconds:  tier.SlowStart / microseconds,
+		},
+		Limits: Limits{MaxAttempts: day.Allow.MaxAttempts, LocalPrefill: day.Fam.Reads},
+	}
+}
+
+func (s *Script) addKinds(day *benchDay) {
+	tier := day.Tiers[0]
 	for i, k := range tier.Kinds {
-		e := b.Fam.Engines[min(i, len(b.Fam.Engines)-1)]
-		s.Kinds = append(s.Kinds, Kind{Name: k.Name, Role: map[string]string{"read": "prefill", "write": "decode"}[role(&b, i)],
-			Slots: e.Slots, Queue: e.Queue, MemoryTokens: e.Memory, PrefillTokensPerSecond: e.ReadPerS, StepMS: e.StepMS, PerSeqMS: e.PerSeq,
-			TransferTokensPerSecond: b.Fam.Near, SlowStartShare: k.ColdFrom, SlowStartSeconds: k.Cold / 1e6, ReportMS: tier.Report / 1e3})
-		if s.Kinds[i].Role == "" {
-			s.Kinds[i].Role = "mixed"
-		}
+		engine := day.Fam.Engines[min(i, len(day.Fam.Engines)-1)]
+		s.Kinds = append(s.Kinds, Kind{
+			Name:                    k.Name,
+			Role:                    roleOf(day, i),
+			Slots:                   engine.Slots,
+			Queue:                   engine.Queue,
+			MemoryTokens:            engine.Memory,
+			PrefillTokensPerSecond:  engine.ReadPerS,
+			StepMS:                  engine.StepMS,
+			PerSeqMS:                engine.PerSeq,
+			TransferTokensPerSecond: day.Fam.Near,
+			SlowStartShare:          k.SlowStartShare,
+			SlowStartSeconds:        k.SlowStart / microseconds,
+			ReportMS:                tier.Report / 1e3,
+		})
 	}
+}
+
+// addEngines adds the engines of a day and returns their ids, in the order of the day.
+func (s *Script) addEngines(day *benchDay) ([]string, error) {
 	var ids []string
 	counts := map[string]int{}
-	for _, v := range b.Servers {
-		if v.Kind < 0 || v.Kind >= len(s.Kinds) {
-			return nil, fmt.Errorf("a server is of kind %d of %d", v.Kind, len(s.Kinds))
+	for _, server := range day.Servers {
+		if server.Kind < 0 || server.Kind >= len(s.Kinds) {
+			return nil, fmt.Errorf("a server is of kind %d of %d", server.Kind, len(s.Kinds))
 		}
-		g := Group{Kind: s.Kinds[v.Kind].Name, Count: 1, Cell: fmt.Sprint("c", v.Cell), Speed: v.Speed}
-		if v.Zone < len(s.Zones) {
-			g.Zone = s.Zones[v.Zone]
+		g := Group{Kind: s.Kinds[server.Kind].Name, Count: 1, Cell: fmt.Sprint("c", server.Cell), Speed: server.Speed}
+		if server.Zone < len(s.Zones) {
+			g.Zone = s.Zones[server.Zone]
 		}
 		s.Engines = append(s.Engines, g)
 		base := g.Kind + "-" + g.Cell
 		counts[base]++
 		ids = append(ids, fmt.Sprintf("%s-%d", base, counts[base]))
 	}
-	s.classes(&b)
-	for _, t := range b.Troubles {
-		x := Fault{Kind: t.Kind, At: t.At / 1e6 * squeeze, Len: t.Len / 1e6 * squeeze, Size: t.Size, Extra: t.Extra, Part: t.Part}
-		for _, i := range t.On {
-			if i >= 0 && i < len(ids) {
-				x.Engines = append(x.Engines, ids[i])
-			}
-		}
-		x.fit(&b, t.Which, s)
-		s.Faults = append(s.Faults, x)
-	}
-	s.defaults()
-	return s, s.Check()
+	return ids, nil
 }
 
-func role(b *benchDay, i int) string {
-	if i < len(b.Fam.Roles) {
-		return b.Fam.Roles[i]
+// roleOf returns the role of the engines of a kind.
+func roleOf(day *benchDay, kind int) string {
+	if kind < len(day.Fam.Roles) {
+		switch day.Fam.Roles[kind] {
+		case "read":
+			return "prefill"
+		case "write":
+			return "decode"
+		}
 	}
-	return "both"
+	return "mixed"
 }
 
-func zones(b *benchDay) []string {
-	if len(b.Zones) < 2 {
+// zonesOf returns the zones of a day; a single zone is none.
+func zonesOf(day *benchDay) []string {
+	if len(day.Zones) < 2 {
 		return nil
 	}
-	return b.Zones
+	return day.Zones
 }
 
-// shape thins the bench's curve of load to a score of points, and holds it to shares of the day.
-func shape(xs [][2]float64) [][2]float64 {
-	if len(xs) == 0 {
+// thinnedShape reduces the day's curve of the load to a few points, whose times are shares of the day.
+func thinnedShape(points [][2]float64) [][2]float64 {
+	if len(points) == 0 {
 		return nil
 	}
-	end, sum := xs[len(xs)-1][0], 0.0
-	for _, x := range xs {
-		sum += x[1]
+	end := points[len(points)-1][0]
+	sum := 0.0
+	for _, p := range points {
+		sum += p[1]
 	}
 	if end <= 0 || sum <= 0 {
 		return nil
 	}
-	step := max(1, len(xs)/20)
-	var out [][2]float64
-	for i := 0; i < len(xs); i += step {
-		out = append(out, [2]float64{xs[i][0] / end, xs[i][1] / (sum / float64(len(xs)))})
+	mean := sum / float64(len(points))
+	step := max(1, len(points)/shapePoints)
+	var thinned [][2]float64
+	for i := 0; i < len(points); i += step {
+		thinned = append(thinned, [2]float64{points[i][0] / end, points[i][1] / mean})
 	}
-	return out
+	return thinned
 }
 
-func (s *Script) classes(b *benchDay) {
+func (s *Script) addClasses(day *benchDay) {
 	effects := map[string]string{"safe": "repeatable", "keyed": "by_key", "unsafe": "once"}
-	for i, c := range b.Classes {
-		t := b.Fam.Talks[min(i, len(b.Fam.Talks)-1)]
-		s.Classes = append(s.Classes, Class{Name: c.Name, Effect: effects[c.Effect], Group: c.Group, KeyTTL: c.Window / 1e6,
-			Share: c.Share, LatencyObjective: c.Aim / 1e6, LatencyObjectivePerK: t.AimPerK / 1e3, Patience: c.Deadline / 1e6, PatiencePerK: 2 * t.AimPerK / 1e3,
-			TokenLatencyObjective: t.TokenMS / 1e3, MaxTokens: t.MaxOut, NewTokens: t.NewTokens, NewSigma: t.NewSigma,
-			AnswerTokens: t.OutTokens, AnswerSigma: t.OutSigma, Prefixes: t.Prefixes, PrefixShare: t.PrefixShare,
-			PrefixTokens: int(t.PrefixTokens), Turns: t.Turns, Think: t.Think})
+	for i, c := range day.Classes {
+		talk := day.Fam.Talks[min(i, len(day.Fam.Talks)-1)]
+		s.Classes = append(s.Classes, Class{
+			Name:                  c.Name,
+			Effect:                effects[c.Effect],
+			Group:                 c.Group,
+			KeyTTL:                c.Window / microseconds,
+			Share:                 c.Share,
+			LatencyObjective:      c.Aim / microseconds,
+			LatencyObjectivePerK:  talk.AimPerK / 1e3,
+			Patience:              c.Deadline / microseconds,
+			PatiencePerK:          2 * talk.AimPerK / 1e3,
+			TokenLatencyObjective: talk.TokenMS / 1e3,
+			MaxTokens:             talk.MaxOut,
+			NewTokens:             talk.NewTokens,
+			NewSigma:              talk.NewSigma,
+			AnswerTokens:          talk.OutTokens,
+			AnswerSigma:           talk.OutSigma,
+			Prefixes:              talk.Prefixes,
+			PrefixShare:           talk.PrefixShare,
+			PrefixTokens:          int(talk.PrefixTokens),
+			Turns:                 talk.Turns,
+			Think:                 talk.Think,
+		})
 	}
 }
 
-// fit turns the figures of a trouble into those of its counterpart.
-func (t *Fault) fit(b *benchDay, which int, s *Script) {
-	if t.Part == 0 && len(t.Engines) == 0 {
-		t.Part = 0.2
+// addFaults adds the faults of a day; ids are those of its engines.
+func (s *Script) addFaults(day *benchDay, ids []string, timeFactor float64) {
+	for _, b := range day.Faults {
+		f := Fault{
+			Kind:  b.Kind,
+			At:    b.At / microseconds * timeFactor,
+			Len:   b.Len / microseconds * timeFactor,
+			Size:  b.Size,
+			Extra: b.Extra,
+			Part:  b.Part,
+		}
+		for _, i := range b.On {
+			if i >= 0 && i < len(ids) {
+				f.Engines = append(f.Engines, ids[i])
+			}
+		}
+		f.adapt(day, b.Which, s)
+		s.Faults = append(s.Faults, f)
 	}
-	switch t.Kind {
+}
+
+// adapt turns the figures of a bench's fault into those of its counterpart.
+func (f *Fault) adapt(day *benchDay, which int, s *Script) {
+	if f.Part == 0 && len(f.Engines) == 0 {
+		f.Part = defaultPart
+	}
+	switch f.Kind {
 	case "heavy_tail":
-		if which >= 0 && which < len(b.Classes) {
-			t.Class = b.Classes[which].Name
+		if which >= 0 && which < len(day.Classes) {
+			f.Class = day.Classes[which].Name
 		}
 	case "zone_cut", "zone_loss":
 		if which >= 0 && which < len(s.Zones) {
-			t.Zone = s.Zones[which]
+			f.Zone = s.Zones[which]
 		}
 	case "discovery_stale":
-		if t.Size > 1000 {
-			t.Size /= 1e6
-		}
+		f.Size = inUnit(f.Size, microseconds)
 	case "balancer_roll":
-		t.Part, t.Size = 1, math.Max(0.05, math.Min(1, t.Size))
-		if t.Extra > 1000 {
-			t.Extra /= 1e6
-		}
+		f.Part = 1
+		f.Size = math.Max(0.05, math.Min(1, f.Size))
+		f.Extra = inUnit(f.Extra, microseconds)
 	case "handshake_slow", "pauses":
-		if t.Size > 1000 {
-			t.Size /= 1e3
-		}
+		f.Size = inUnit(f.Size, 1e3) // from microseconds to milliseconds
+	}
+	if !slices.Contains(FaultKinds(), f.Kind) {
+		return // Check reports a kind that is the bench's alone
 	}
-	if !slices.Contains(FaultKinds(), t.Kind) { // named by the bench alone: it is left to check, which says so
-		return
+	f.Len = math.Min(f.Len, s.LengthSeconds-f.At)
+}
+
+// inUnit divides a time of a day file by a unit, unless the file gives the time in that unit already.
+func inUnit(figure, unit float64) float64 {
+	const leastMicroseconds = 1000 // no time in microseconds is as short
+	if figure > leastMicroseconds {
+		return figure / unit
 	}
-	t.Len = math.Min(t.Len, s.LengthSeconds-t.At)
+	return figure
 }
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -23,7 +23,7 @@
 	return node.StartChat(cfg, node.WithLogger(slog.New(slog.NewTextHandler(io.Discard, nil))))
 }
 
-func TestShortBadDayKeepsTheRules(t *testing.T) {
+func TestShortScenarioKeepsTheRules(t *testing.T) {
 	text, err := os.ReadFile("../../examples/scenario/short.json")
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 	}
 }
 
-// A day as the bench writes it, made up here: times in microseconds, engines by their place.
+// A day file as the bench writes it, made up here: times in microseconds, engines by their place.
 const benchDay = `{"site":"made-up","family":"twostage","length":10000000,"noise":5,"zones":["z"],"front_notice":1000000,
 "drain_grace":250000,"fall_multiple":4,"fall_for":1500000,"traffic":{"shape":[[0,1],[10000000,2]]},
 "clients":{"retries":1,"try_share":0.8,"backoff_us":200000},"discovery":{"notice":500000},"allow":{"max_attempts":4},
@@ -131,14 +131,17 @@
 	return r
 }
 
-// Half the nodes go by a list that is three seconds older, on which an engine that drained, one that died and one that
+// Half the nodes have a list that is three seconds older: on it, an engine that drains, one that has stopped and one that has
 // changed its role are as they were.
-func TestHalfTheNodesHoldAnOlderList(t *testing.T) {
+func TestHalfTheNodesHaveAnOlderList(t *testing.T) {
 	r := play(t, func(s *scenario.Script) {
 		s.Nodes, s.LengthSeconds = 6, 7
-		s.Faults = []scenario.Fault{{Kind: "stale_half", At: 0.5, Len: 6, Size: 3}, {Kind: "drain", At: 1, Len: 5, Engines: []string{"decode-a-2"}},
+		s.Faults = []scenario.Fault{
+			{Kind: "stale_half", At: 0.5, Len: 6, Size: 3},
+			{Kind: "drain", At: 1, Len: 5, Engines: []string{"decode-a-2"}},
 			{Kind: "crash", At: 1.5, Len: 4, Engines: []string{"prefill-a-2"}},
-			{Kind: "role_change", At: 2, Len: 1, Engines: []string{"decode-a-1"}, To: "prefill"}}
+			{Kind: "role_change", At: 2, Len: 1, Engines: []string{"decode-a-1"}, To: "prefill"},
+		}
 	})
 	for _, row := range r.Rows {
 		if row.Fault == "all" && float64(row.ServedInTime+row.ServedLate+row.Disconnected) < 0.7*float64(row.Asked) {
@@ -147,7 +150,7 @@
 	}
 }
 
-// An engine that all nodes had learned to do without comes back cold before all of them at once.
+// An engine that all nodes had removed starts again, cold, for all of them at once.
 func TestColdEngineBeforeAllNodesAtOnce(t *testing.T) {
 	r := play(t, func(s *scenario.Script) {
 		s.Nodes, s.LengthSeconds, s.Load.SessionsPerSecond, s.Rules.SlowStartSeconds = 20, 8, 60, 3
@@ -171,28 +174,29 @@
 	}
 }
 
-// A release restarts each reader once, and the load of a fleet follows from what its engines can do.
-func TestReleaseRestartsEveryReaderOnceAndLoadFollowsCapacity(t *testing.T) {
+// A release restarts each prefill engine once, and the load of a fleet follows from what its engines can do.
+func TestReleaseRestartsEveryPrefillEngineOnceAndLoadFollowsCapacity(t *testing.T) {
 	p := scenario.FleetPlan{Nodes: 2, Engines: 24, Length: 60, Load: 0.5}
-	readers := p.Script().PrefillEngines()
-	p.Faults = scenario.RestartFaults(readers, 3, 15, 9, 2)
+	prefillEngines := p.Script().PrefillEngines()
+	p.Faults = scenario.RestartFaults(prefillEngines, 3, 15, 9, 2)
 	s := p.Script()
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
 	}
-	struck := map[string]int{}
+	restarts := map[string]int{}
 	for _, x := range s.Faults {
 		for _, id := range x.Engines {
-			struck[id]++
+			restarts[id]++
 		}
 	}
-	for _, id := range readers {
-		if struck[id] != 1 {
-			t.Errorf("%s is restarted %d times", id, struck[id])
+	for _, id := range prefillEngines {
+		if restarts[id] != 1 {
+			t.Errorf("%s is restarted %d times", id, restarts[id])
 		}
 	}
 	p.Engines = 48
-	if more := p.Script().Load.SessionsPerSecond; len(readers) != 8 || more < 1.9*s.Load.SessionsPerSecond || more > 2.1*s.Load.SessionsPerSecond {
-		t.Fatalf("%d readers, %g/s; twice the engines: %g/s", len(readers), s.Load.SessionsPerSecond, more)
+	load, doubled := s.Load.SessionsPerSecond, p.Script().Load.SessionsPerSecond
+	if len(prefillEngines) != 8 || doubled < 1.9*load || doubled > 2.1*load {
+		t.Fatalf("%d prefill engines, %g/s; twice the engines: %g/s", len(prefillEngines), load, doubled)
 	}
 }
--- a/lab/scenario/script.go
+++ b/lab/scenario/script.go
@@ -1,19 +1,18 @@
-// Package scenario plays a scripted fault scenario through real nodes on loopback: clients, stand-in engines, a list that
-// comes late, and troubles by the names that the bench gives its kinds. The rules are judged from what passed on
-// the sockets.
+// Package scenario plays a scripted fault scenario through real nodes on loopback: clients, emulated engines, an endpoint list
+// that is delivered late, and faults by the names that the bench gives its kinds. The rules are checked against what passed on
+// the sockets (lab/rules). It starts nodes through a Launch alone.
 package scenario
 
 import (
 	"cmp"
 	"fmt"
-	"path"
 	"slices"
 
 	"dillroute/api"
 	"dillroute/internal/config"
 )
 
-// Script is a bad day. api/scenario.schema.json describes each field; times are in seconds from the start.
+// Script is a fault scenario. api/scenario.schema.json describes each field; times are in seconds from the start.
 type Script struct {
 	Name          string   `json:"name"`
 	Seed          uint64   `json:"seed"`
@@ -32,14 +31,14 @@
 	Faults        []Fault  `json:"troubles"`
 }
 
-// Load is how much is asked. Shape holds pairs of a time (share of the day) and a factor, joined by lines.
+// Load says how many sessions start. Shape holds pairs of a time (share of the run) and a factor, joined by lines.
 type Load struct {
 	SessionsPerSecond float64      `json:"per_s"`
 	MaxRequests       int          `json:"max_asks"`
 	Shape             [][2]float64 `json:"shape,omitempty"`
 }
 
-// Kind is a kind of stand-in engine.
+// Kind is a kind of emulated engine.
 type Kind struct {
 	Name                    string  `json:"name"`
 	Role                    string  `json:"role"`
@@ -55,7 +54,7 @@
 	ReportMS                float64 `json:"report_ms"`
 }
 
-// Group is some engines of a kind in a cell.
+// Group is a number of engines of a kind in a cell.
 type Group struct {
 	Kind  string  `json:"kind"`
 	Count int     `json:"count"`
@@ -64,7 +63,7 @@
 	Speed float64 `json:"speed"`
 }
 
-// Class is a class of requests and how they look.
+// Class is a class of requests and the distributions of their sizes.
 type Class struct {
 	Name                  string  `json:"name"`
 	Effect                string  `json:"effect"`
@@ -81,37 +80,37 @@
 	NewSigma              float64 `json:"new_sigma"`     // its sigma
 	AnswerTokens          float64 `json:"answer_tokens"` // mean
 	AnswerSigma           float64 `json:"answer_sigma"`
-	Prefixes              int     `json:"prefixes"` // shared beginnings
+	Prefixes              int     `json:"prefixes"` // number of shared prefixes
 	PrefixTokens          int     `json:"prefix_tokens"`
-	PrefixShare           float64 `json:"prefix_share"` // part of sessions that begin with one
+	PrefixShare           float64 `json:"prefix_share"` // share of the sessions that begin with one
 	Turns                 float64 `json:"turns"`        // mean number in a session
-	Think                 float64 `json:"think_s"`      // between them
-	NoStreamShare         float64 `json:"whole"`        // part asked for without a stream
+	Think                 float64 `json:"think_s"`      // mean time between them (s)
+	NoStreamShare         float64 `json:"whole"`        // share of the requests that ask for a response without a stream
 }
 
-// Tenant is an account, its part of the requests, and what it is allotted over all nodes.
+// Tenant is an account, its share of the sessions, and its quota over all nodes.
 type Tenant struct {
 	Name  string  `json:"name"`
 	Share float64 `json:"share"`
 	Quota float64 `json:"quota_per_s"`
 }
 
-// Clients say how clients behave.
+// Clients describes how clients behave.
 type Clients struct {
 	Retries               int     `json:"retries"`
 	Backoff               float64 `json:"backoff_s"`
-	DisconnectShare       float64 `json:"hangups"`        // part that leaves in mid-stream
-	FailureDetectionDelay float64 `json:"front_notice_s"` // a dead node is still tried for this long
-	AttemptShare          float64 `json:"try_share"`      // part of the patience that a try is given
+	DisconnectShare       float64 `json:"hangups"`        // share of the requests whose client disconnects during the stream
+	FailureDetectionDelay float64 `json:"front_notice_s"` // for how long a dead node is still sent requests
+	AttemptShare          float64 `json:"try_share"`      // share of the patience that one attempt is given
 }
 
-// List says how late the engine list is.
+// List says how late the endpoint list is delivered.
 type List struct {
 	Delay  float64 `json:"notice_s"`
-	Server bool    `json:"server"` // nodes ask one list server, in place of a file each
+	Server bool    `json:"server"` // nodes poll one list server, instead of a file each
 }
 
-// Rules are the figures of the rules for the nodes and for the checker.
+// Rules holds the figures of the rules, for the nodes and for the checker.
 type Rules struct {
 	AnswerSlack       float64 `json:"answer_slack_s"`
 	DrainGrace        float64 `json:"drain_grace_s"`
@@ -122,18 +121,18 @@
 	SlowStartSeconds  float64 `json:"cold_s"`
 }
 
-// Limits are the allowances that the nodes are given.
+// Limits holds limits of the nodes.
 type Limits struct {
-	MaxAttempts int  `json:"max_attempts"`
-	LocalRead   bool `json:"local_read"`
+	MaxAttempts  int  `json:"max_attempts"`
+	LocalPrefill bool `json:"local_read"`
 }
 
-// Fault is something that goes wrong. The meaning of Size, Part and Extra depends on Kind; see docs/operate/scenario.md.
+// Fault is a fault that the run injects. The meaning of Size, Part and Extra depends on Kind; see docs/operate/scenario.md.
 type Fault struct {
 	Kind    string   `json:"kind"`
 	At      float64  `json:"at_s"`
 	Len     float64  `json:"len_s"`
-	Engines []string `json:"engines,omitempty"` // ids or shell patterns; else Part of them, drawn
+	Engines []string `json:"engines,omitempty"` // ids or shell patterns; none = Part of all, drawn
 	Part    float64  `json:"part,omitempty"`
 	Size    float64  `json:"size,omitempty"`
 	Extra   float64  `json:"extra,omitempty"`
@@ -144,7 +143,7 @@
 
 var schema = config.MustSchema(api.ScenarioSchema)
 
-// Parse reads a script, fills defaults and checks names.
+// Parse reads a script, fills in defaults and checks names.
 func Parse(text []byte) (*Script, error) {
 	s := &Script{}
 	if err := schema.Decode(text, s); err != nil {
@@ -154,111 +153,15 @@
 	return s, s.Check()
 }
 
-func (s *Script) defaults() {
-	set := func(v *float64, d float64) { *v = cmp.Or(*v, d) }
-	s.Nodes = cmp.Or(s.Nodes, 2)
-	if len(s.Tenants) == 0 {
-		s.Tenants = []Tenant{{Name: "day"}}
-	}
-	for i := range s.Tenants {
-		set(&s.Tenants[i].Share, 1)
-	}
-	s.Load.MaxRequests = cmp.Or(s.Load.MaxRequests, 20000)
-	set(&s.Clients.Backoff, 0.3)
-	set(&s.Clients.FailureDetectionDelay, 1)
-	set(&s.Clients.AttemptShare, 1)
-	set(&s.List.Delay, 0.5)
-	set(&s.Rules.AnswerSlack, 0.05)
-	set(&s.Rules.DrainGrace, 0.25)
-	set(&s.Rules.OverloadMultiple, 4)
-	set(&s.Rules.SlowStartWindow, 1.5)
-	set(&s.Rules.StateReleaseLimit, 1)
-	set(&s.Rules.SlowStartShare, 0.25)
-	set(&s.Rules.SlowStartSeconds, 5)
-	s.Limits.MaxAttempts = cmp.Or(s.Limits.MaxAttempts, 4)
-	for i := range s.Kinds {
-		k := &s.Kinds[i]
-		k.Slots, k.Queue = cmp.Or(k.Slots, 32), cmp.Or(k.Queue, 32)
-		k.MemoryTokens = cmp.Or(k.MemoryTokens, 200_000)
-		set(&k.PrefillTokensPerSecond, 20_000)
-		set(&k.StepMS, 10)
-		set(&k.PerSeqMS, 0.2)
-		set(&k.TransferTokensPerSecond, 200_000)
-		set(&k.SlowStartShare, s.Rules.SlowStartShare)
-		set(&k.SlowStartSeconds, s.Rules.SlowStartSeconds)
-		set(&k.ReportMS, 200)
-	}
-	for i := range s.Engines {
-		s.Engines[i].Count = cmp.Or(s.Engines[i].Count, 1)
-		set(&s.Engines[i].Speed, 1)
-	}
-	for i := range s.Classes {
-		c := &s.Classes[i]
-		c.Group = cmp.Or(c.Group, "all")
-		c.MaxTokens = cmp.Or(c.MaxTokens, 200)
-		set(&c.Share, 1)
-		set(&c.NewTokens, 300)
-		set(&c.NewSigma, 0.6)
-		set(&c.AnswerTokens, 20)
-		set(&c.AnswerSigma, 0.5)
-		set(&c.Turns, 1)
-		set(&c.Think, 0.5)
-	}
-}
-
-// Check looks at what refers to names.
-func (s *Script) Check() error {
-	var ps config.Problems
-	add := func(pointer, format string, args ...any) {
-		ps = append(ps, config.Problem{Pointer: pointer, Text: fmt.Sprintf(format, args...)})
-	}
-	for i, g := range s.Engines {
-		if !slices.ContainsFunc(s.Kinds, func(k Kind) bool { return k.Name == g.Kind }) {
-			add(fmt.Sprintf("/engines/%d/kind", i), "no kind is named %q", g.Kind)
-		}
-		if g.Zone != "" && !slices.Contains(s.Zones, g.Zone) {
-			add(fmt.Sprintf("/engines/%d/zone", i), "%q is not one of zones", g.Zone)
-		}
-	}
-	for i, t := range s.Faults {
-		at := fmt.Sprintf("/troubles/%d", i)
-		if _, ok := troubles[t.Kind]; !ok {
-			add(at+"/kind", "%q is not known", t.Kind)
-		}
-		if t.At+t.Len > s.LengthSeconds {
-			add(at+"/len_s", "it ends at %g, after the day's length, %g", t.At+t.Len, s.LengthSeconds)
-		}
-		if t.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == t.Class }) {
-			add(at+"/class", "no class is named %q", t.Class)
-		}
-		if isKind := slices.ContainsFunc(s.Kinds, func(k Kind) bool { return k.Name == t.To }); (t.Kind == "role_change" || t.To != "") && !isKind {
-			add(at+"/to", "no kind is named %q", t.To)
-		}
-		if t.Zone != "" && !slices.Contains(s.Zones, t.Zone) {
-			add(at+"/zone", "%q is not one of zones", t.Zone)
-		}
-		for j, pattern := range t.Engines {
-			if _, err := path.Match(pattern, ""); err != nil {
-				add(fmt.Sprintf("%s/engines/%d", at, j), "the pattern %q is malformed", pattern)
-			} else if !slices.ContainsFunc(s.members(), func(m string) bool { ok, _ := path.Match(pattern, m); return ok }) {
-				add(fmt.Sprintf("%s/engines/%d", at, j), "no engine is named %q", pattern)
-			}
-		}
-	}
-	if len(ps) > 0 {
-		return ps
-	}
-	return nil
-}
-
-// members lists the ids of all engines: kind-cell-number.
-func (s *Script) members() []string {
+// engineIDs returns the ids of all engines: kind-cell-number.
+func (s *Script) engineIDs() []string {
 	var ids []string
-	s.each(func(id string, _ Kind, _ Group) { ids = append(ids, id) })
+	s.eachEngine(func(id string, _ Kind, _ Group) { ids = append(ids, id) })
 	return ids
 }
 
-func (s *Script) each(f func(id string, k Kind, g Group)) {
+// eachEngine calls f for each engine, in the order of the script.
+func (s *Script) eachEngine(f func(id string, k Kind, g Group)) {
 	counts := map[string]int{}
 	for _, g := range s.Engines {
 		i := slices.IndexFunc(s.Kinds, func(k Kind) bool { return k.Name == g.Kind })
