--- a/lab/chart/chart.go
+++ b/lab/chart/chart.go
@@ -1,9 +1,10 @@
-// Package chart draws how a fleet fared over time, as a PNG.
+// Package chart draws the time series of a report (lab/scenario) as a PNG.
 package chart
 
 import (
 	"fmt"
 	"image/color"
+	"maps"
 	"os"
 	"slices"
 
@@ -16,85 +17,124 @@
 	"gonum.org/v1/plot/vg/vgimg"
 )
 
-var colors = []color.Color{color.RGBA{R: 0x1b, G: 0x6c, B: 0xa8, A: 0xff}, color.RGBA{R: 0xd1, G: 0x49, B: 0x3f, A: 0xff},
-	color.RGBA{R: 0x3f, G: 0x8f, B: 0x4f, A: 0xff}, color.RGBA{R: 0x7a, G: 0x5a, B: 0x9c, A: 0xff}}
+// colors are the colors of the lines of a panel, in turn.
+var colors = []color.Color{
+	color.RGBA{R: 0x1b, G: 0x6c, B: 0xa8, A: 0xff},
+	color.RGBA{R: 0xd1, G: 0x49, B: 0x3f, A: 0xff},
+	color.RGBA{R: 0x3f, G: 0x8f, B: 0x4f, A: 0xff},
+	color.RGBA{R: 0x7a, G: 0x5a, B: 0x9c, A: 0xff},
+}
+
+// Sizes of the picture.
+const (
+	width       = 24 * vg.Centimeter
+	height      = 26 * vg.Centimeter
+	padding     = vg.Length(4)  // points
+	rightMargin = vg.Length(10) // points; the last label of an axis overhangs
+	gap         = vg.Length(8)  // points, between panels
+	lineWidth   = vg.Length(1.5)
+)
+
+// panel is one plot of the picture.
+type panel struct {
+	title, axis string
+	lines       []line
+}
 
 // line is one curve of a panel.
 type line struct {
-	name string
-	of   func(scenario.Point) float64
+	name  string
+	value func(scenario.Point) float64
 }
 
-// Draw writes service, nodes up, fairness and the use of cold budgets over time to a file.
-func Draw(r *scenario.Report, path string) error {
-	if len(r.Series) < 2 {
-		return fmt.Errorf("chart: a run of %d points is too short to draw", len(r.Series))
+// Draw writes service, running nodes, fairness and the use of slow-start budgets over time to a file.
+func Draw(report *scenario.Report, path string) error {
+	if len(report.Series) < 2 {
+		return fmt.Errorf("chart: a run of %d points is too short to draw", len(report.Series))
 	}
-	kinds := []string{}
-	for kind := range r.Series[0].Fairness {
-		kinds = append(kinds, kind)
+	picture, err := drawPanels(report)
+	if err != nil {
+		return err
 	}
-	slices.Sort(kinds)
-	var fair []line
-	for _, kind := range kinds {
-		fair = append(fair, line{kind, func(p scenario.Point) float64 { return p.Fairness[kind] }})
+	return write(picture, path)
+}
+
+// panelsOf returns the panels of a report, from top to bottom.
+func panelsOf(report *scenario.Report) []panel {
+	var fairness []line
+	for _, kind := range slices.Sorted(maps.Keys(report.Series[0].Fairness)) {
+		fairness = append(fairness, line{kind, func(p scenario.Point) float64 { return p.Fairness[kind] }})
 	}
-	panels := []struct {
-		title, axis string
-		lines       []line
-	}{
-		{r.Name, "requests", []line{{"asked", func(p scenario.Point) float64 { return float64(p.Asked) }},
-			{"served", func(p scenario.Point) float64 { return float64(p.Served) }}}},
-		{"", "nodes up", []line{{"up", func(p scenario.Point) float64 { return float64(p.Up) }}}},
-		{"", "Jain's index over engines", fair},
-		{"", "cold budget used, at most so far", []line{{"share", func(p scenario.Point) float64 { return p.SlowStartUse }}}},
+	return []panel{
+		{title: report.Name, axis: "requests", lines: []line{
+			{"asked", func(p scenario.Point) float64 { return float64(p.Asked) }},
+			{"served", func(p scenario.Point) float64 { return float64(p.Served) }},
+		}},
+		{axis: "nodes up", lines: []line{{"up", func(p scenario.Point) float64 { return float64(p.Up) }}}},
+		{axis: "Jain's index over engines", lines: fairness},
+		{axis: "cold budget used, at most so far", lines: []line{
+			{"share", func(p scenario.Point) float64 { return p.SlowStartUse }},
+		}},
 	}
-	img := vgimg.New(24*vg.Centimeter, 26*vg.Centimeter)
-	tiles := draw.Tiles{Rows: len(panels), Cols: 1, PadTop: vg.Points(4), PadBottom: vg.Points(4), PadLeft: vg.Points(4),
-		PadRight: vg.Points(10), PadY: vg.Points(8)}
+}
+
+// drawPanels draws the panels below each other.
+func drawPanels(report *scenario.Report) (*vgimg.Canvas, error) {
+	panels := panelsOf(report)
 	plots := make([][]*plot.Plot, len(panels))
 	for i, panel := range panels {
-		p, err := panelPlot(r, panel.title, panel.axis, panel.lines)
+		p, err := panel.plot(report.Series)
 		if err != nil {
-			return err
+			return nil, err
 		}
 		plots[i] = []*plot.Plot{p}
 	}
-	for i, row := range plot.Align(plots, tiles, draw.New(img)) {
+	picture := vgimg.New(width, height)
+	tiles := draw.Tiles{Rows: len(panels), Cols: 1, PadTop: padding, PadBottom: padding, PadLeft: padding, PadRight: rightMargin, PadY: gap}
+	for i, row := range plot.Align(plots, tiles, draw.New(picture)) {
 		plots[i][0].Draw(row[0])
 	}
-	f, err := os.Create(path)
+	return picture, nil
+}
+
+// write writes a picture to a file.
+func write(picture *vgimg.Canvas, path string) error {
+	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	if _, err := (vgimg.PngCanvas{Canvas: img}).WriteTo(f); err != nil {
-		f.Close()
+	if _, err := (vgimg.PngCanvas{Canvas: picture}).WriteTo(file); err != nil {
+		file.Close()
 		return err
 	}
-	return f.Close()
+	return file.Close()
 }
 
-func panelPlot(r *scenario.Report, title, axis string, lines []line) (*plot.Plot, error) {
-	p := plot.New()
-	p.Title.Text, p.Y.Label.Text, p.X.Label.Text = title, axis, "s"
-	p.Y.Min = 0
-	p.Legend.Top = false
-	p.Add(plotter.NewGrid())
-	for i, l := range lines {
-		xy := make(plotter.XYs, 0, len(r.Series))
-		for _, point := range r.Series[:len(r.Series)-1] { // the last one is not whole
-			xy = append(xy, plotter.XY{X: point.T, Y: l.of(point)})
+// plot returns the plot of a panel. The last point of the series is incomplete and left out.
+func (p panel) plot(series []scenario.Point) (*plot.Plot, error) {
+	result := plot.New()
+	result.Title.Text = p.title
+	result.Y.Label.Text = p.axis
+	result.X.Label.Text = "s"
+	result.Y.Min = 0
+	result.Legend.Top = false
+	result.Add(plotter.NewGrid())
+	for i, l := range p.lines {
+		points := make(plotter.XYs, 0, len(series))
+		for _, point := range series[:len(series)-1] {
+			points = append(points, plotter.XY{X: point.T, Y: l.value(point)})
 		}
-		curve, err := plotter.NewLine(xy)
+		curve, err := plotter.NewLine(points)
 		if err != nil {
 			return nil, fmt.Errorf("chart: %s: %w", l.name, err)
 		}
-		curve.Color, curve.Width = colors[i%len(colors)], vg.Points(1.5)
-		p.Add(curve)
-		if len(lines) > 1 {
-			p.Legend.Add(l.name, curve)
+		curve.Color = colors[i%len(colors)]
+		curve.Width = lineWidth
+		result.Add(curve)
+		if len(p.lines) > 1 {
+			result.Legend.Add(l.name, curve)
 		}
 	}
-	p.Y.Max = max(p.Y.Max*1.05, 0.01)
-	return p, nil
+	result.Y.Max = max(result.Y.Max*1.05, 0.01)
+	return result, nil
 }
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -1,20 +1,17 @@
-// Package client plays clients of an OpenAI-style chat API: they send, read the stream, keep a record of what came
-// when, hang up, and come again as the published clients do.
+// Package client emulates clients of an OpenAI-style chat API: they send requests, read the response or its stream, check the text,
+// record what came and when, and disconnect when they are told to. Retries are the caller's. It meets the product on sockets alone.
 package client
 
 import (
-	"bufio"
 	"bytes"
 	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"strconv"
-	"strings"
 	"sync"
 	"time"
 
@@ -22,258 +19,188 @@
 	"dillroute/lab/record"
 )
 
+const (
+	// lateResponseGrace is how long beyond its patience a client still listens, so that a late response is recorded as late.
+	lateResponseGrace = 300 * time.Millisecond
+	// dialTimeout is how long a client waits for a connection.
+	dialTimeout = time.Second
+	// idleTimeout is how long an idle connection is open.
+	idleTimeout = 5 * time.Second
+	// maxIdleConnections is how many idle connections to a node stay open.
+	maxIdleConnections = 8
+)
+
 // Request is one request of a client.
 type Request struct {
 	Model           string
 	Messages        []emulator.Message
 	Mark            emulator.Mark
-	MaxTokens       int
-	NoStream        bool          // no stream
-	Session         string        // prompt_cache_key
-	Patience        time.Duration // without a first token
-	DisconnectAfter int           // leave after this many events; 0 = never
-	Key             string        // in place of the client's; "" = that
-	Tenant          string        // in the record
+	MaxTokens       int           // of the response; 0 = not sent
+	NoStream        bool          // the response comes as one body
+	Session         string        // prompt_cache_key; "" = none
+	Patience        time.Duration // until the first token; 0 = without limit
+	DisconnectAfter int           // events of the stream; 0 = never
+	Key             string        // "" = the client's
+	Tenant          string        // for the record
 }
 
-// Result is what the client saw of one try.
+// Result is what the client saw of one attempt.
 type Result struct {
 	Outcome    record.Outcome
-	Status     int
-	Code       string
-	Retry      bool          // the node said that a further try is harmless
-	RetryAfter time.Duration // and when to come
+	Status     int    // of HTTP; 0 = no response came
+	Code       string // of the error
+	Retry      bool   // the node says that a retry is harmless
+	RetryAfter time.Duration
 	Text       string
-	OK         bool // the text is whole and as it should be
-	FirstToken time.Duration
-	Duration   time.Duration
-	Events     int
+	OK         bool // the text is correct as far as it came, and complete if the outcome is record.Served
+	Events     int  // of the stream
 	Err        error
 }
 
-// Client asks one node. It is safe for concurrent use.
+// errDisconnected is the error of a request whose client disconnected by its own choice.
+var errDisconnected = errors.New("client: left")
+
+// Client sends requests to nodes. It is safe for concurrent use.
 type Client struct {
-	Key  string
+	Key  string // API key
 	Log  *record.Log
 	HTTP *http.Client
 }
 
 // New returns a client; Close ends its connections.
-func New(key string, l *record.Log) *Client {
-	return &Client{Key: key, Log: l, HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8,
-		IdleConnTimeout: 5 * time.Second, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}}
+func New(key string, log *record.Log) *Client {
+	transport := &http.Transport{
+		MaxIdleConnsPerHost: maxIdleConnections,
+		IdleConnTimeout:     idleTimeout,
+		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
+	}
+	return &Client{Key: key, Log: log, HTTP: &http.Client{Transport: transport}}
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.HTTP.CloseIdleConnections() }
 
-// Body writes the request.
-func (a *Request) Body() []byte {
-	m := map[string]any{"model": a.Model, "messages": a.Messages, "stream": !a.NoStream, "x_lab": a.Mark,
-		"temperature": 0}
-	if a.MaxTokens > 0 {
-		m["max_completion_tokens"] = a.MaxTokens
+// Body returns the body of the request.
+func (r *Request) Body() []byte {
+	members := map[string]any{
+		"model":       r.Model,
+		"messages":    r.Messages,
+		"stream":      !r.NoStream,
+		"x_lab":       r.Mark,
+		"temperature": 0,
+	}
+	if r.MaxTokens > 0 {
+		members["max_completion_tokens"] = r.MaxTokens
 	}
-	if a.Session != "" {
-		m["prompt_cache_key"] = a.Session
+	if r.Session != "" {
+		members["prompt_cache_key"] = r.Session
 	}
-	b, _ := json.Marshal(m) // strings and numbers encode
-	return b
+	body, _ := json.Marshal(members) // strings and numbers encode
+	return body
 }
 
-// Do sends one try to a node and reads its answer. node names it in the record.
-func (c *Client) Do(ctx context.Context, node, address string, a Request) Result {
-	parent := ctx
-	ctx, cancel := context.WithCancel(ctx)
+// Do sends one attempt to the node at an address and reads the response. node is the name that records give the node.
+func (c *Client) Do(ctx context.Context, node, address string, r Request) Result {
+	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	start := time.Now()
-	base := record.Record{Op: a.Mark.Op, Try: a.Mark.Try, Class: a.Mark.Class, Node: node, Tenant: a.Tenant}
-	q, err := http.NewRequestWithContext(ctx, "POST", "http://"+address+"/v1/chat/completions", bytes.NewReader(a.Body()))
+	httpRequest, err := c.httpRequest(attemptCtx, address, &r)
 	if err != nil {
 		return Result{Err: err}
 	}
-	q.Header.Set("Content-Type", "application/json")
-	q.Header.Set("Authorization", "Bearer "+cmp.Or(a.Key, c.Key))
-	q.Header.Set("X-Stainless-Retry-Count", strconv.Itoa(a.Mark.Try))
-	if a.Patience > 0 {
-		q.Header.Set("X-Request-Timeout-Ms", strconv.FormatInt(a.Patience.Milliseconds(), 10))
-	}
-	note := func(k record.Kind, change func(*record.Record)) {
-		r := base
-		r.Kind = k
-		if change != nil {
-			change(&r)
-		}
-		c.Log.Add(r)
-	}
-	var once sync.Once
-	late := false
-	var watch *time.Timer
-	if a.Patience > 0 {
-		watch = time.AfterFunc(a.Patience+graceOnAnswer, func() { once.Do(func() { late = true; cancel() }) })
-	}
-	met := func() { // the first token ends the client's patience
-		once.Do(func() {})
-		if watch != nil {
-			watch.Stop()
-		}
-	}
-	note(record.RequestSent, func(r *record.Record) { r.Tokens = a.Patience.Seconds() })
-	res := c.read(q, &a, start, func() {
-		met()
-		note(record.FirstToken, nil)
+	log := attemptLog{log: c.Log, request: &r, node: node}
+	patience := startPatience(r.Patience, cancel)
+	log.requestSent()
+	result := c.exchange(httpRequest, &r, func() {
+		patience.stop()
+		log.add(record.FirstToken)
 	})
-	met()
-	res.Duration = time.Since(start)
-	if res.Outcome == record.Cut && late {
-		res.Outcome = record.TimedOut
+	patience.stop()
+	if result.Outcome == record.Cut && patience.expired {
+		result.Outcome = record.TimedOut
 	}
-	told := parent.Err() != nil && res.Outcome == record.Cut && !late // the run is over: it left, nobody cut it off
-	if told || a.DisconnectAfter > 0 && errors.Is(res.Err, errLeft) {
-		note(record.ClientDisconnected, nil)
-		return res
+	runEnded := ctx.Err() != nil && result.Outcome == record.Cut && !patience.expired
+	if runEnded || r.DisconnectAfter > 0 && errors.Is(result.Err, errDisconnected) {
+		log.add(record.ClientDisconnected)
+		return result
 	}
-	note(record.FinalResponse, func(r *record.Record) {
-		r.Outcome, r.OK, r.State = res.Outcome, res.OK, strconv.FormatBool(res.Retry)
-		r.Tokens = float64(res.Events)
-		r.Note = fmt.Sprintf("%d %s", res.Status, res.Code)
-		if res.Err != nil {
-			r.Note += " " + res.Err.Error()
-		}
-	})
-	return res
+	log.finalResponse(&result)
+	return result
 }
 
-// graceOnAnswer is how long beyond its patience a client still listens, so that a late answer is seen as late.
-const graceOnAnswer = 300 * time.Millisecond
-
-var errLeft = errors.New("client: left")
-
-// read does the exchange.
-func (c *Client) read(q *http.Request, a *Request, start time.Time, first func()) Result {
-	res := Result{Outcome: record.Cut}
-	resp, err := c.HTTP.Do(q)
+// httpRequest returns the request as it is sent.
+func (c *Client) httpRequest(ctx context.Context, address string, r *Request) (*http.Request, error) {
+	url := "http://" + address + "/v1/chat/completions"
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(r.Body()))
 	if err != nil {
-		res.Err = err
-		var op *net.OpError
-		if errors.As(err, &op) && op.Op == "dial" {
-			res.Outcome = record.Unreachable
-		}
-		return res
+		return nil, err
 	}
-	defer resp.Body.Close()
-	res.Status = resp.StatusCode
-	res.Retry = resp.Header.Get("X-Should-Retry") == "true"
-	if ms, err := strconv.Atoi(resp.Header.Get("Retry-After-Ms")); err == nil {
-		res.RetryAfter = time.Duration(ms) * time.Millisecond
+	request.Header.Set("Content-Type", "application/json")
+	request.Header.Set("Authorization", "Bearer "+cmp.Or(r.Key, c.Key))
+	request.Header.Set("X-Stainless-Retry-Count", strconv.Itoa(r.Mark.Try))
+	if r.Patience > 0 {
+		request.Header.Set("X-Request-Timeout-Ms", strconv.FormatInt(r.Patience.Milliseconds(), 10))
 	}
-	want, _ := emulator.Expected(a.Messages, a.Mark, a.MaxTokens)
-	switch {
-	case resp.StatusCode != 200:
-		body, err := io.ReadAll(resp.Body)
-		if err != nil {
-			res.Err = err
-			return res
-		}
-		res.Code = errorCode(body)
-		res.Outcome = record.Failed
-		if res.Retry {
-			res.Outcome = record.Rejected
-		}
-	case a.NoStream:
-		body, err := io.ReadAll(resp.Body)
-		if err != nil {
-			res.Err = err
-			return res
-		}
-		first()
-		res.FirstToken = time.Since(start)
-		var reply struct {
-			Choices []struct {
-				Message struct {
-					Content string `json:"content"`
-				} `json:"message"`
-			} `json:"choices"`
-		}
-		if err := json.Unmarshal(body, &reply); err != nil || len(reply.Choices) != 1 {
-			res.Err = fmt.Errorf("not a chat completion: %v", err)
-			return res
-		}
-		res.Text = reply.Choices[0].Message.Content
-		res.OK = res.Text == want
-		res.Outcome = record.Served
-	default:
-		c.stream(resp.Body, a, start, first, want, &res)
-	}
-	return res
+	return request, nil
+}
+
+// patience cancels a request that has had no token when the patience of its client and a grace have passed.
+type patience struct {
+	once    sync.Once // decides between the timer and stop
+	timer   *time.Timer
+	expired bool // may be read after stop
 }
 
-func errorCode(body []byte) string {
-	var e struct {
-		Error struct {
-			Code string `json:"code"`
-		} `json:"error"`
+// startPatience starts the timer; a limit of 0 sets none.
+func startPatience(limit time.Duration, cancel func()) *patience {
+	p := &patience{}
+	if limit > 0 {
+		p.timer = time.AfterFunc(limit+lateResponseGrace, func() {
+			p.once.Do(func() {
+				p.expired = true
+				cancel()
+			})
+		})
 	}
-	json.Unmarshal(body, &e) // a body of another shape has no code
-	return e.Error.Code
+	return p
 }
 
-// stream reads server-sent events to the end.
-func (c *Client) stream(body io.Reader, a *Request, start time.Time, first func(), want string, res *Result) {
-	sc := bufio.NewScanner(body)
-	sc.Buffer(make([]byte, 0, 4096), 1<<20)
-	var text strings.Builder
-	ended := false
-	for sc.Scan() {
-		data, ok := strings.CutPrefix(sc.Text(), "data: ")
-		if !ok {
-			continue
-		}
-		if ended {
-			res.Err = errors.New("something came after the end")
-			res.Outcome = record.Cut
-			return
-		}
-		if res.Events++; res.Events == 1 {
-			res.FirstToken = time.Since(start)
-			first()
-		}
-		if data == "[DONE]" {
-			ended = true
-			continue
-		}
-		var chunk struct {
-			Error   json.RawMessage `json:"error"`
-			Choices []struct {
-				Delta struct {
-					Content string `json:"content"`
-				} `json:"delta"`
-			} `json:"choices"`
-		}
-		if err := json.Unmarshal([]byte(data), &chunk); err != nil {
-			res.Err = err
-			return
-		}
-		if len(chunk.Error) > 0 {
-			res.Code = errorCode([]byte(data))
-			res.Outcome = record.Failed
-			res.Text = text.String()
-			res.OK = strings.HasPrefix(want, res.Text) // what came before is right
-			return
-		}
-		for _, choice := range chunk.Choices {
-			text.WriteString(choice.Delta.Content)
-		}
-		if a.DisconnectAfter > 0 && res.Events >= a.DisconnectAfter {
-			res.Err = errLeft
-			return
-		}
+// stop ends the limit: a token or the end of the response has come. It may be called again.
+func (p *patience) stop() {
+	p.once.Do(func() {})
+	if p.timer != nil {
+		p.timer.Stop()
 	}
-	res.Text = text.String()
-	res.Err = sc.Err()
-	if !ended {
-		res.OK = strings.HasPrefix(want, res.Text)
-		return
+}
+
+// attemptLog records one attempt of a client.
+type attemptLog struct {
+	log     *record.Log
+	request *Request
+	node    string
+}
+
+func (l attemptLog) record(kind record.Kind) record.Record {
+	mark := l.request.Mark
+	return record.Record{Kind: kind, Op: mark.Op, Try: mark.Try, Class: mark.Class, Node: l.node, Tenant: l.request.Tenant}
+}
+
+func (l attemptLog) add(kind record.Kind) { l.log.Add(l.record(kind)) }
+
+func (l attemptLog) requestSent() {
+	r := l.record(record.RequestSent)
+	r.Tokens = l.request.Patience.Seconds()
+	l.log.Add(r)
+}
+
+func (l attemptLog) finalResponse(result *Result) {
+	r := l.record(record.FinalResponse)
+	r.Outcome = result.Outcome
+	r.OK = result.OK
+	r.State = strconv.FormatBool(result.Retry)
+	r.Tokens = float64(result.Events)
+	r.Note = fmt.Sprintf("%d %s", result.Status, result.Code)
+	if result.Err != nil {
+		r.Note += " " + result.Err.Error()
 	}
-	res.Outcome, res.OK = record.Served, res.Text == want
+	l.log.Add(r)
 }
--- /dev/null
+++ b/lab/client/response.go
@@ -0,0 +1,180 @@
+package client
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"dillroute/lab/emulator"
+	"dillroute/lab/record"
+)
+
+// maxEventBytes is the longest line of a stream that a client reads.
+const maxEventBytes = 1 << 20
+
+// exchange sends a request and reads the response. It calls firstToken when the first part of the text has come.
+func (c *Client) exchange(httpRequest *http.Request, r *Request, firstToken func()) Result {
+	result := Result{Outcome: record.Cut}
+	response, err := c.HTTP.Do(httpRequest)
+	if err != nil {
+		result.Err = err
+		var op *net.OpError
+		if errors.As(err, &op) && op.Op == "dial" {
+			result.Outcome = record.Unreachable
+		}
+		return result
+	}
+	defer response.Body.Close()
+	result.Status = response.StatusCode
+	result.Retry = response.Header.Get("X-Should-Retry") == "true"
+	if ms, err := strconv.Atoi(response.Header.Get("Retry-After-Ms")); err == nil {
+		result.RetryAfter = time.Duration(ms) * time.Millisecond
+	}
+	want, _ := emulator.Expected(r.Messages, r.Mark, r.MaxTokens)
+	switch {
+	case response.StatusCode != http.StatusOK:
+		result.readError(response.Body)
+	case r.NoStream:
+		result.readCompletion(response.Body, want, firstToken)
+	default:
+		result.readStream(response.Body, want, r.DisconnectAfter, firstToken)
+	}
+	return result
+}
+
+// readError reads the body of an error response.
+func (r *Result) readError(body io.Reader) {
+	text, err := io.ReadAll(body)
+	if err != nil {
+		r.Err = err
+		return
+	}
+	r.Code = errorCode(text)
+	r.Outcome = record.Failed
+	if r.Retry {
+		r.Outcome = record.Rejected
+	}
+}
+
+// errorCode returns the code of an error; "" where the body has another shape.
+func errorCode(body []byte) string {
+	var e struct {
+		Error struct {
+			Code string `json:"code"`
+		} `json:"error"`
+	}
+	_ = json.Unmarshal(body, &e) // a body of another shape has no code
+	return e.Error.Code
+}
+
+// readCompletion reads a response that comes as one body.
+func (r *Result) readCompletion(body io.Reader, want string, firstToken func()) {
+	text, err := io.ReadAll(body)
+	if err != nil {
+		r.Err = err
+		return
+	}
+	firstToken()
+	var completion struct {
+		Choices []struct {
+			Message struct {
+				Content string `json:"content"`
+			} `json:"message"`
+		} `json:"choices"`
+	}
+	if err := json.Unmarshal(text, &completion); err != nil || len(completion.Choices) != 1 {
+		r.Err = fmt.Errorf("not a chat completion: %v", err)
+		return
+	}
+	r.Text = completion.Choices[0].Message.Content
+	r.OK = r.Text == want
+	r.Outcome = record.Served
+}
+
+// chunk is an event of a stream.
+type chunk struct {
+	Error   json.RawMessage `json:"error"`
+	Choices []struct {
+		Delta struct {
+			Content string `json:"content"`
+		} `json:"delta"`
+	} `json:"choices"`
+}
+
+// text returns the part of the response that the chunk carries.
+func (c *chunk) text() string {
+	var text strings.Builder
+	for _, choice := range c.Choices {
+		text.WriteString(choice.Delta.Content)
+	}
+	return text.String()
+}
+
+// readStream reads server-sent events to the end, or until the client disconnects after a number of them (0 = never).
+func (r *Result) readStream(body io.Reader, want string, disconnectAfter int, firstToken func()) {
+	scanner := bufio.NewScanner(body)
+	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
+	var text strings.Builder
+	ended := false
+	for scanner.Scan() {
+		data, isData := strings.CutPrefix(scanner.Text(), "data: ")
+		if !isData {
+			continue
+		}
+		if ended {
+			r.Err = errors.New("something came after the end")
+			r.Outcome = record.Cut
+			return
+		}
+		r.Events++
+		if r.Events == 1 {
+			firstToken()
+		}
+		if data == "[DONE]" {
+			ended = true
+			continue
+		}
+		var event chunk
+		if err := json.Unmarshal([]byte(data), &event); err != nil {
+			r.Err = err
+			return
+		}
+		if len(event.Error) > 0 {
+			r.failStream(data, text.String(), want)
+			return
+		}
+		text.WriteString(event.text())
+		if disconnectAfter > 0 && r.Events >= disconnectAfter {
+			r.Err = errDisconnected
+			return
+		}
+	}
+	r.endStream(text.String(), want, ended, scanner.Err())
+}
+
+// failStream takes an error event: the text before it must be the beginning of the right one.
+func (r *Result) failStream(data, text, want string) {
+	r.Code = errorCode([]byte(data))
+	r.Outcome = record.Failed
+	r.Text = text
+	r.OK = strings.HasPrefix(want, text)
+}
+
+// endStream takes the end of the connection, which is a complete response only after the last event.
+func (r *Result) endStream(text, want string, ended bool, err error) {
+	r.Text = text
+	r.Err = err
+	if !ended {
+		r.OK = strings.HasPrefix(want, text)
+		return
+	}
+	r.Outcome = record.Served
+	r.OK = text == want
+}
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,4 +1,5 @@
-// Package fleet keeps a set of stand-in engines, the list that names them, and what each node has been told of it.
+// Package fleet runs a set of emulated engines, keeps the endpoint list that names them, and records what each node has been
+// given of it.
 package fleet
 
 import (
@@ -20,22 +21,34 @@
 	Kind, Cell, Zone string
 }
 
-// Fleet is a set of engines.
+// States of an engine in the endpoint list.
+const (
+	stateReady = "ready"
+	stateGone  = "gone"
+)
+
+// Fleet is a set of engines. It is safe for concurrent use.
 type Fleet struct {
 	log     *record.Log
 	members []Member
 	engines map[string]*emulator.Engine
 
 	mu     sync.Mutex
-	states map[string]string // by engine: "", draining, gone
-	kinds  map[string]string // of engines that have become another kind
+	states map[string]string // by engine: "" (ready), draining or gone
+	kinds  map[string]string // of engines whose kind has changed
 }
 
-// New makes a fleet that does not run yet. The log may be nil.
-func New(members []Member, l *record.Log) *Fleet {
-	f := &Fleet{log: l, members: members, engines: map[string]*emulator.Engine{}, states: map[string]string{}, kinds: map[string]string{}}
+// New returns a fleet that does not run yet. The log may be nil.
+func New(members []Member, log *record.Log) *Fleet {
+	f := &Fleet{
+		log:     log,
+		members: members,
+		engines: map[string]*emulator.Engine{},
+		states:  map[string]string{},
+		kinds:   map[string]string{},
+	}
 	for _, m := range members {
-		f.engines[m.ID] = emulator.New(m.Settings, l)
+		f.engines[m.ID] = emulator.New(m.Settings, log)
 	}
 	return f
 }
@@ -49,12 +62,15 @@
 	return errors.Join(errs...)
 }
 
-// Stop kills all engines.
+// Stop kills all engines and waits for their end.
 func (f *Fleet) Stop() {
 	var wg sync.WaitGroup
 	for _, e := range f.engines {
 		wg.Add(1)
-		go func() { defer wg.Done(); e.Kill() }()
+		go func() {
+			defer wg.Done()
+			e.Kill()
+		}()
 	}
 	wg.Wait()
 	emulator.CloseIdle()
@@ -66,107 +82,114 @@
 // Members returns the members, in their order.
 func (f *Fleet) Members() []Member { return f.members }
 
-// SetState says what the list is to tell of an engine: "" (ready), "draining" or "gone".
+// SetState sets what the list says of an engine: "" (ready), "draining" or "gone".
 func (f *Fleet) SetState(id, state string) {
 	f.mu.Lock()
+	defer f.mu.Unlock()
 	f.states[id] = state
-	f.mu.Unlock()
 }
 
-// SetKind lists an engine as another kind.
+// SetKind sets the kind under which the list names an engine.
 func (f *Fleet) SetKind(id, kind string) {
 	f.mu.Lock()
+	defer f.mu.Unlock()
 	f.kinds[id] = kind
-	f.mu.Unlock()
 }
 
-// listEntry is an engine in a list file, by its published shape.
+// listEntry is an engine in a list file; its shape is that of api/list.schema.json.
 type listEntry struct {
-	ID      string  `json:"id"`
-	Address string  `json:"address"`
-	Kind    string  `json:"kind"`
-	Cell    string  `json:"cell,omitempty"`
-	Zone    string  `json:"zone,omitempty"`
-	State   string  `json:"state,omitempty"`
-	Boot    float64 `json:"boot_time,omitempty"`
+	ID       string  `json:"id"`
+	Address  string  `json:"address"`
+	Kind     string  `json:"kind"`
+	Cell     string  `json:"cell,omitempty"`
+	Zone     string  `json:"zone,omitempty"`
+	State    string  `json:"state,omitempty"`
+	BootTime float64 `json:"boot_time,omitempty"` // Unix seconds
 }
 
-// Snapshot is a list as it stood at a moment.
+// Snapshot is the endpoint list at a moment.
 type Snapshot struct {
-	Text    []byte
+	Text    []byte            // of the list file
 	States  map[string]string // of each engine: ready, draining or gone
 	entries []listEntry
 }
 
-// List writes the list as it stands. An engine that was never restarted has no start time.
+// List returns the endpoint list as it stands. An engine that has not started cold has no boot time.
 func (f *Fleet) List() Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := Snapshot{States: map[string]string{}}
+	states := map[string]string{}
 	entries := []listEntry{}
 	for _, m := range f.members {
-		e := f.engines[m.ID]
 		state := f.states[m.ID]
-		s.States[m.ID] = state
-		if state == "" {
-			s.States[m.ID] = "ready"
-		}
-		if state == "gone" {
-			continue
+		states[m.ID] = cmp.Or(state, stateReady)
+		if state != stateGone {
+			entries = append(entries, f.entry(m, state))
 		}
-		n := listEntry{ID: m.ID, Address: e.Address(), Kind: cmp.Or(f.kinds[m.ID], m.Kind), Cell: m.Cell, Zone: m.Zone, State: state}
-		if at, cold := e.ColdBoot(); cold {
-			n.Boot = at
-		}
-		entries = append(entries, n)
 	}
-	s.entries = entries
-	s.Text, _ = json.MarshalIndent(map[string]any{"engines": entries}, "", " ") // plain strings and numbers encode
-	return s
+	text, _ := json.MarshalIndent(map[string]any{"engines": entries}, "", " ") // strings and numbers encode
+	return Snapshot{Text: text, States: states, entries: entries}
+}
+
+// entry returns the entry of an engine; the caller has the lock.
+func (f *Fleet) entry(m Member, state string) listEntry {
+	engine := f.engines[m.ID]
+	entry := listEntry{
+		ID:      m.ID,
+		Address: engine.Address(),
+		Kind:    cmp.Or(f.kinds[m.ID], m.Kind),
+		Cell:    m.Cell,
+		Zone:    m.Zone,
+		State:   state,
+	}
+	if at, restarted := engine.ColdBoot(); restarted {
+		entry.BootTime = at
+	}
+	return entry
 }
 
-// WriteListFile gives a snapshot to a node: its list file is replaced in one step, and what it was told is recorded.
+// WriteListFile replaces the list file of a node in one step, and records the delivery.
 func (f *Fleet) WriteListFile(s Snapshot, node, path string) error {
-	tmp, err := os.CreateTemp(filepath.Dir(path), ".list-*")
+	temporary, err := os.CreateTemp(filepath.Dir(path), ".list-*")
 	if err != nil {
 		return err
 	}
 	before := record.Now()
-	_, err = tmp.Write(s.Text)
-	if err = errors.Join(err, tmp.Close()); err == nil {
-		err = os.Rename(tmp.Name(), path)
+	_, err = temporary.Write(s.Text)
+	if err = errors.Join(err, temporary.Close()); err == nil {
+		err = os.Rename(temporary.Name(), path)
 	}
 	if err != nil {
-		os.Remove(tmp.Name())
+		_ = os.Remove(temporary.Name()) // the first error says what went wrong
 		return err
 	}
 	f.recordDelivery(s, before, node)
 	return nil
 }
 
-// UpdateListServer gives a snapshot to a list server, which tells all nodes at once; what each was told is recorded.
+// UpdateListServer gives the list to a list server, which answers all nodes at once, and records the delivery to each node.
 func (f *Fleet) UpdateListServer(s Snapshot, server *emulator.ListServer, nodes []string) {
-	var list []emulator.Instance
+	var instances []emulator.Instance
 	for _, e := range s.entries {
 		meta := map[string]string{"kind": e.Kind, "cell": e.Cell, "zone": e.Zone, "state": e.State}
-		if e.Boot > 0 {
-			meta["boot_time"] = strconv.FormatFloat(e.Boot, 'f', 6, 64)
+		if e.BootTime > 0 {
+			meta["boot_time"] = strconv.FormatFloat(e.BootTime, 'f', 6, 64)
 		}
-		list = append(list, emulator.Instance{ID: e.ID, Address: e.Address, Meta: meta})
+		instances = append(instances, emulator.Instance{ID: e.ID, Address: e.Address, Meta: meta})
 	}
 	before := record.Now()
-	server.Set(list)
+	server.Set(instances)
 	f.recordDelivery(s, before, nodes...)
 }
 
-// recordDelivery records what nodes were told, from a moment on until now: that an engine may be used counts from before, as a node
-// may read it before we come here; that it may not, from now.
+// recordDelivery records that nodes were given a list between a time and now. That an engine is ready counts from the earlier time,
+// as a node may read the list before this is called; that it is not counts from now.
 func (f *Fleet) recordDelivery(s Snapshot, before float64, nodes ...string) {
 	now := record.Now()
 	for _, node := range nodes {
 		for id, state := range s.States {
 			at := now
-			if state == "ready" {
+			if state == stateReady {
 				at = before
 			}
 			f.log.Add(record.Record{T: at, Kind: record.ListDelivered, Node: node, Engine: id, State: state})
