--- a/internal/node/collapse_test.go
+++ b/internal/node/collapse_test.go
@@ -51,7 +51,7 @@
 func playBoth(t *testing.T, d simulation.Day) (got, plain *simulation.Report) {
 	t.Helper()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // what happens in one instant happens in one order
-	synctest.Test(t, func(t *testing.T) { plain = d.PlayPlain(simulation.Policy{}) })
+	synctest.Test(t, func(t *testing.T) { plain = d.PlayBaseline(simulation.Policy{}) })
 	synctest.Test(t, func(t *testing.T) { got = d.Play(startRelayNode) })
 	return got, plain
 }
@@ -60,7 +60,7 @@
 func judge(t *testing.T, d simulation.Day) {
 	t.Helper()
 	got, plain := playBoth(t, d)
-	red := append(got.Breaches[:min(maxBreaches, len(got.Breaches))], simulation.Red(got, plain)...)
+	red := append(got.Violations[:min(maxBreaches, len(got.Violations))], simulation.Shortfalls(got, plain)...)
 	if len(red) > 0 || testing.Verbose() {
 		t.Log("\n" + got.Summary(plain))
 	}
--- /dev/null
+++ b/lab/simulation/attempt.go
@@ -0,0 +1,216 @@
+package simulation
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+
+	"dillroute/lab/record"
+)
+
+const (
+	// lateResponseGrace is how long after its patience a client still waits for a response (s).
+	lateResponseGrace = 0.5
+	// maxStreamTime is how long a client waits for the end of a stream.
+	maxStreamTime = time.Minute
+	// slowSendPause is the time between the two parts of a request of SlowClients.
+	slowSendPause = 300 * time.Millisecond
+)
+
+// Codes of attempts without a response.
+const (
+	codeClosed  = "closed"
+	codeOverdue = "overdue"
+)
+
+// clientResponse is the response to an attempt, as its client sees it.
+type clientResponse struct {
+	outcome      Outcome
+	code         string
+	firstTokenAt time.Time
+	retryAfter   float64 // s
+	mayReuse     bool    // the connection may carry another request
+}
+
+// recordedOutcomes are the outcomes as records have them.
+var recordedOutcomes = map[Outcome]record.Outcome{
+	ServedInTime: record.Served,
+	ServedLate:   record.Served,
+	Rejected:     record.Rejected,
+	Failed:       record.Failed,
+	Broken:       record.Failed,
+	NoResponse:   record.Cut,
+}
+
+// attemptAt makes one attempt at a node.
+func (p *productRun) attemptAt(h *host, a *clientAttempt) clientResponse {
+	p.addAttempt(a)
+	conn := h.takeIdle()
+	reused := conn != nil
+	if !reused {
+		var err error
+		conn, err = p.network.Dialer("client")(context.Background(), "mem", h.name)
+		if err != nil {
+			return clientResponse{outcome: Unreachable}
+		}
+	}
+	a.sentAt = time.Now()
+	if err := p.sendRequest(conn, a); err != nil {
+		conn.Close()
+		return clientResponse{outcome: Unreachable}
+	}
+	p.recordAttempt(h, a, record.Record{Kind: record.RequestSent, Tokens: a.budget})
+	reader := bufio.NewReader(conn)
+	disconnect := p.disconnectLater(conn, a)
+	response := p.readResponse(conn, reader, h, a)
+	if disconnect.happened() {
+		p.recordAttempt(h, a, record.Record{Kind: record.ClientDisconnected})
+		return clientResponse{outcome: Disconnected}
+	}
+	if response.outcome == NoResponse && reused && response.code == codeClosed {
+		// The request and the end of an idle connection crossed each other: the client sends it again on a new one.
+		conn.Close()
+		p.recordAttempt(h, a, record.Record{Kind: record.FinalResponse, Outcome: record.Unreachable})
+		return clientResponse{outcome: Unreachable}
+	}
+	p.recordResponse(h, a, response)
+	p.clientClosed(a)
+	if !response.mayReuse {
+		conn.Close()
+		return response
+	}
+	conn.SetDeadline(time.Time{})
+	if reader.Buffered() > 0 {
+		conn.Close()
+		return response
+	}
+	h.putIdle(conn)
+	return response
+}
+
+// recordAttempt records an event of an attempt.
+func (p *productRun) recordAttempt(h *host, a *clientAttempt, r record.Record) {
+	r.Op = a.id
+	r.Try = a.number
+	r.Class = className(a.class)
+	r.Tenant = tenantName(a.tenant)
+	r.Node = h.name
+	p.log.Add(r)
+}
+
+func (p *productRun) recordResponse(h *host, a *clientAttempt, response clientResponse) {
+	outcome := recordedOutcomes[response.outcome]
+	if response.outcome == NoResponse && response.code == codeOverdue {
+		outcome = record.TimedOut
+	}
+	p.recordAttempt(h, a, record.Record{Kind: record.FinalResponse, Outcome: outcome, Note: response.code, OK: true})
+}
+
+// sendRequest writes a request, in two parts where the client is slow.
+func (p *productRun) sendRequest(conn net.Conn, a *clientAttempt) error {
+	text := a.text()
+	if f, ok := p.day.active(SlowClients, a.at); ok && a.draws.backoff < f.Part {
+		half := len(text) / 2
+		io.WriteString(conn, text[:half]) // the second part finds a broken connection too
+		time.Sleep(slowSendPause)
+		text = text[half:]
+	}
+	_, err := io.WriteString(conn, text)
+	return err
+}
+
+// text returns the request as it is sent.
+func (a *clientAttempt) text() string {
+	body := `{"model":"chat","stream":true,"max_tokens":` + strconv.Itoa(a.maxResponseTokens) +
+		`,"messages":[{"role":"user","content":"x"}]}`
+	info := fmt.Sprintf("prompt_len=%d,max_out=%d", int(a.promptTokens), a.maxResponseTokens)
+	if a.prefix != "" {
+		info += fmt.Sprintf(",prefix=%s,prefix_len=%d", a.prefix, int(a.prefixTokens))
+	}
+	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Caller: %s\r\n"+
+		"X-Route-Hash: %s\r\nX-Budget: %.3f\r\nX-Call-Info: %s\r\nContent-Length: %d\r\n\r\n%s",
+		a.id, className(a.class), tenantName(a.tenant), a.session, a.budget, info, len(body), body)
+}
+
+// disconnection is the disconnect of a client by its own choice; nil = there is none.
+type disconnection struct {
+	timer *time.Timer
+	done  chan struct{}
+}
+
+// disconnectLater closes the connection of a client's first attempt at the time that the client chose, if it chose one.
+func (p *productRun) disconnectLater(conn net.Conn, a *clientAttempt) *disconnection {
+	if a.disconnectAfter <= 0 || a.number > 0 {
+		return nil
+	}
+	d := &disconnection{done: make(chan struct{})}
+	d.timer = time.AfterFunc(duration(a.disconnectAfter), func() {
+		close(d.done)
+		p.clientClosed(a)
+		conn.Close()
+	})
+	return d
+}
+
+// happened prevents the disconnect, and reports whether it came before.
+func (d *disconnection) happened() bool {
+	if d == nil || d.timer.Stop() {
+		return false
+	}
+	<-d.done
+	return true
+}
+
+// readResponse reads the response to an attempt.
+func (p *productRun) readResponse(conn net.Conn, reader *bufio.Reader, h *host, a *clientAttempt) clientResponse {
+	conn.SetReadDeadline(a.sentAt.Add(duration(a.budget + lateResponseGrace)))
+	r, err := http.ReadResponse(reader, nil)
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		return clientResponse{outcome: NoResponse, code: codeOverdue}
+	}
+	if err != nil {
+		return clientResponse{outcome: NoResponse, code: codeClosed}
+	}
+	if r.StatusCode != http.StatusOK {
+		return readRejection(r)
+	}
+	p.recordAttempt(h, a, record.Record{Kind: record.FirstToken})
+	firstTokenAt := time.Now()
+	conn.SetReadDeadline(firstTokenAt.Add(maxStreamTime))
+	body, err := io.ReadAll(r.Body)
+	if err != nil || !strings.Contains(string(body), "data: [DONE]") {
+		return clientResponse{outcome: Broken, code: "broken stream", firstTokenAt: firstTokenAt}
+	}
+	response := clientResponse{
+		outcome:      p.site.streamOutcome(a.request, firstTokenAt, time.Now()),
+		firstTokenAt: firstTokenAt,
+		mayReuse:     !r.Close,
+	}
+	if response.outcome == ServedLate {
+		response.code = "slow stream"
+	}
+	return response
+}
+
+// readRejection reads a response that is not 200.
+func readRejection(r *http.Response) clientResponse {
+	body, _ := io.ReadAll(r.Body) // what came of the text is reported
+	response := clientResponse{
+		outcome:  Failed,
+		code:     fmt.Sprintf("%d %s", r.StatusCode, strings.TrimSpace(string(body))),
+		mayReuse: !r.Close,
+	}
+	if r.StatusCode == http.StatusTooManyRequests || r.StatusCode == http.StatusServiceUnavailable {
+		response.outcome = Rejected
+	}
+	response.retryAfter, _ = strconv.ParseFloat(r.Header.Get("Retry-After"), 64) // 0 without the header
+	return response
+}
--- a/lab/simulation/baseline.go
+++ b/lab/simulation/baseline.go
@@ -1,277 +1,325 @@
 package simulation
 
 import (
-	"math"
 	"math/rand/v2"
 	"sync"
 	"time"
 )
 
-// Policy changes the plain policy, so that the oracle itself can be tested.
+// Policy changes the baseline policy for the worse, so that the oracle itself can be tested.
 type Policy struct {
-	RefuseAll  bool
-	LoseThird  bool
-	NeverCold  bool // engines that are warming up get nothing
-	RefuseFrom float64
-	RefuseTo   float64 // s between which all is refused
+	RejectAll      bool
+	LoseThird      bool
+	AvoidWarmingUp bool    // engines in slow start get nothing
+	RejectFrom     float64 // s; all requests are rejected from here
+	RejectUntil    float64 // s; until here
 }
 
-// plain serves the day by a plain policy, with no sockets between: the nearest engines, of them the one at which this node has
-// least under way, another one after a failure, within the limits that hold for the nodes.
-type plain struct {
+// rejects reports whether the policy rejects a request out of hand.
+func (p *Policy) rejects(q *request) bool {
+	return p.RejectAll || p.LoseThird && q.draws.node < 1.0/3 || q.at >= p.RejectFrom && q.at < p.RejectUntil
+}
+
+// baseline serves a day by a simple policy, with no sockets between: the engines nearest to the node, of them the one at which this
+// node has least in flight, another one after a failure, within the limits that hold for the nodes.
+type baseline struct {
 	*fleet
 	day    *Day
 	policy Policy
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards all that follows
 	rng      *rand.Rand
-	inflight map[string]int // by node and engine
-	down     map[int]bool   // nodes that have been told to end and are not back
+	inFlight map[nodeEngine]int
+	down     map[int]bool // nodes that are shut down or killed and have not restarted
 }
 
-// PlayPlain plays the day by the plain policy, inside a synctest bubble.
-func (d *Day) PlayPlain(policy Policy) *Report {
-	p := &plain{fleet: newFleet(d.Site, nil), day: d, policy: policy, rng: rand.New(rand.NewPCG(d.Site.Seed, 0x91a1)), inflight: map[string]int{}, down: map[int]bool{}}
+// nodeEngine is a pair of a node and an engine.
+type nodeEngine struct {
+	node   int
+	engine string
+}
+
+const (
+	// noEngineWait is the time after which a node looks again where it found no engine (s).
+	noEngineWait = 0.05
+	// retryMargin is by how much a client waits longer than its backoff (s).
+	retryMargin = 0.05
+	// otherZoneCost is what an engine of another zone costs, in requests in flight.
+	otherZoneCost = 2
+	// maxRandomCost is the random part of an engine's cost, in requests in flight.
+	maxRandomCost = 0.5
+	// maxStall is how long a stream may go on after its attempt's time.
+	maxStall = time.Minute
+)
+
+// PlayBaseline plays the day by the baseline policy, inside a synctest bubble.
+func (d *Day) PlayBaseline(policy Policy) *Report {
+	b := &baseline{
+		fleet:    newFleet(d.Site, nil),
+		day:      d,
+		policy:   policy,
+		rng:      rand.New(rand.NewPCG(d.Site.Seed, 0x91a1)),
+		inFlight: map[nodeEngine]int{},
+		down:     map[int]bool{},
+	}
 	over := make(chan struct{})
-	p.fleet.strike(d, over, func(f Fault) { p.lose(f, over) })
-	var clients sync.WaitGroup
-	var mu sync.Mutex
+	b.fleet.playFaults(d, over, func(f Fault) { b.playNodeFault(f, over) })
+	var resultsMu sync.Mutex
 	var results []Result
-	for _, q := range d.requests() {
-		if wait := q.at - p.now(); wait > 0 {
-			time.Sleep(duration(wait))
-		}
-		clients.Add(1)
-		go func() {
-			defer clients.Done()
-			r := p.ask(q)
-			mu.Lock()
-			results = append(results, r)
-			mu.Unlock()
-		}()
-	}
-	clients.Wait()
+	b.runClients(d.requests(), func(q *request) {
+		r := b.runOperation(q)
+		resultsMu.Lock()
+		defer resultsMu.Unlock()
+		results = append(results, r)
+	})
 	close(over)
-	p.list.silence(false)
-	for _, e := range p.engines {
+	b.discovery.setSilent(false)
+	for _, e := range b.engines {
 		e.kill()
 	}
-	p.wg.Wait()
+	b.tasks.Wait()
 	return &Report{Day: d, Results: results}
 }
 
-// lose has nodes end and come back, with nobody in their place: told to end, they take nothing more for as long as they may run
-// on, which is as long as the product may take.
-func (p *plain) lose(f Fault, over <-chan struct{}) {
-	rng := rand.New(rand.NewPCG(p.site.Seed, 0xb007))
-	order := rng.Perm(p.site.Nodes)
-	order = order[:int(math.Ceil(f.Part*float64(len(order))))]
-	for k, i := range order {
-		step, away := 0.0, startsWithin
-		switch f.Kind {
-		case Restarts:
-			step, away = f.For/float64(len(order)), killAfter+min(killCounts, p.patience())+startsWithin
-		case Kills:
-		default:
-			return
-		}
-		p.run(func() {
-			if !sleep(step*float64(k), over) {
+// playNodeFault takes nodes down with nobody in their place. A node that shuts down takes nothing more for as long as the product's
+// may run on.
+func (b *baseline) playNodeFault(f Fault, over <-chan struct{}) {
+	nodes := b.site.affectedNodes(f)
+	step := 0.0 // s between two nodes
+	downtime := startDelay
+	switch f.Kind {
+	case Restarts:
+		step = f.For / float64(len(nodes))
+		downtime = b.site.killDelay() + startDelay
+	case Kills:
+	default:
+		return
+	}
+	for i, node := range nodes {
+		b.run(func() {
+			if !sleep(step*float64(i), over) {
 				return
 			}
-			p.setDown(i, true)
-			sleep(away, over)
-			p.setDown(i, false)
+			b.setDown(node, true)
+			sleep(downtime, over)
+			b.setDown(node, false)
 		})
 	}
 }
 
-func (p *plain) setDown(node int, on bool) {
-	p.mu.Lock()
-	p.down[node] = on
-	p.mu.Unlock()
+func (b *baseline) setDown(node int, isDown bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.down[node] = isDown
 }
 
-// node is the one that takes a request: by chance, of those that run; -1 = none does.
-func (p *plain) node(chance float64) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	first := int(chance * float64(p.site.Nodes))
-	for i := range p.site.Nodes {
-		if n := (first + i) % p.site.Nodes; !p.down[n] {
-			return n
+// pickNode picks the node for a request by a random number, among those that run; false = none runs.
+func (b *baseline) pickNode(chance float64) (node int, ok bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	first := int(chance * float64(b.site.Nodes))
+	for i := range b.site.Nodes {
+		node = (first + i) % b.site.Nodes
+		if !b.down[node] {
+			return node, true
 		}
 	}
-	return -1
+	return 0, false
 }
 
-// ask makes a request, and comes again as clients do.
-func (p *plain) ask(q *request) Result {
-	c := p.site.Classes[q.class]
-	res := Result{At: q.at, Class: q.class, Tenant: q.tenant, Asked: c.Worth, Ending: Refused}
+// runOperation sends a request and retries it as clients do.
+func (b *baseline) runOperation(q *request) Result {
+	class := b.site.Classes[q.class]
+	result := Result{At: q.at, Class: q.class, Tenant: q.tenant, RequestedWeight: class.PriorityWeight, Outcome: Rejected}
 	began := time.Now()
-	if p.policy.RefuseAll || p.policy.LoseThird && q.draw[0] < 1.0/3 || q.at >= p.policy.RefuseFrom && q.at < p.policy.RefuseTo {
-		return res
+	if b.policy.rejects(q) {
+		return result
 	}
-	if q.leaves > 0 {
-		res.Ending = Left
-		return res
+	if q.disconnectAfter > 0 {
+		result.Outcome = Disconnected
+		return result
 	}
-	node := p.node(q.draw[0])
-	for i := 0; node < 0; i++ {
-		if res.Ending = Unmet; i == 4 {
-			return res
+	node, ok := b.pickNode(q.draws.node)
+	for tries := 0; !ok; tries++ {
+		result.Outcome = Unreachable
+		if tries == maxUnreachable {
+			return result
 		}
-		time.Sleep(duration(0.2))
-		node = p.node(q.draw[0])
+		time.Sleep(duration(noNodeWait))
+		node, ok = b.pickNode(q.draws.node)
 	}
-	for range p.site.ClientRetries + 1 {
-		first, end, safe := p.serve(node, q, time.Now().Add(duration(c.Patience*(0.6+0.4*q.draw[1]))))
-		if !first.IsZero() {
-			res.Ending, res.Served = p.site.paced(q, first, end), c.Worth
-			if res.Ending == Late || first.Sub(began).Seconds() > c.Aim+c.AimPerK*q.prompt/1000 {
-				res.Ending, res.Served = Late, c.Worth*c.Late
+	patience := duration(class.Patience * (minPatience + (1-minPatience)*q.draws.patience))
+	for range b.site.ClientRetries + 1 {
+		served := b.serve(node, q, time.Now().Add(patience))
+		if !served.firstTokenAt.IsZero() {
+			result.Outcome = b.site.streamOutcome(q, served.firstTokenAt, served.end)
+			if served.firstTokenAt.Sub(began).Seconds() > class.firstTokenObjective(q) {
+				result.Outcome = ServedLate
 			}
-			return res
+			result.ServedWeight = class.served(result.Outcome)
+			return result
 		}
-		if !safe && c.Effect == "once" || time.Since(began).Seconds() > c.Patience {
-			res.Ending = Failed
-			return res
+		if served.mayHaveRun && class.Effect == "once" || time.Since(began).Seconds() > class.Patience {
+			result.Outcome = Failed
+			return result
 		}
-		time.Sleep(duration(p.site.Backoff + 0.05))
+		time.Sleep(duration(b.site.Backoff + retryMargin))
 	}
-	return res
+	return result
 }
 
-// serve makes attempts until one streams to its end; safe = none of them can have run.
-func (p *plain) serve(node int, q *request, deadline time.Time) (first, end time.Time, safe bool) {
-	var state, last *engine
-	for left := p.site.MaxAttempts; left > 0 && time.Now().Before(deadline); left-- {
-		reads := state == nil && left > 1
-		e := p.pick(node, q, func(e *engine) bool {
-			switch {
-			case e == last:
-				return false
-			case reads:
-				return e.kind.Role != RoleWrite
-			case state == nil:
-				return e.kind.Role == RoleMixed || e.kind.Role == RoleWrite && p.site.LocalRead
-			}
-			return e.kind.Role != RoleRead
-		})
+// served is what a node made of a request.
+type served struct {
+	firstTokenAt, end time.Time // zero = the response is not complete
+	mayHaveRun        bool      // an attempt without a complete response may have had its effect
+}
+
+// serve makes attempts until one streams to its end.
+func (b *baseline) serve(node int, q *request, deadline time.Time) served {
+	var owner, avoid *engine // owner has the state; avoid is the engine of the last attempt
+	for remaining := b.site.MaxAttempts; remaining > 0 && time.Now().Before(deadline); remaining-- {
+		e := b.pickEngine(node, b.suits(owner, avoid, remaining > 1))
 		if e == nil {
-			last = nil
-			time.Sleep(duration(0.05))
+			avoid = nil
+			time.Sleep(duration(noEngineWait))
 			continue
 		}
 		timeout := time.Until(deadline)
-		if left > 1 {
+		if remaining > 1 {
 			timeout /= 2
 		}
-		got, at := p.attempt(node, e, q, state, timeout)
+		outcome, firstTokenAt := b.attempt(node, e, q, owner, timeout)
 		switch {
-		case got == done && e.kind.Role == RoleRead:
-			state, last = e, nil
-		case !at.IsZero() && got == done:
-			return at, time.Now(), true
-		case !at.IsZero():
-			return time.Time{}, time.Time{}, false
-		case got == noState:
-			state = nil
-		case got == turned:
-			last = e
+		case outcome == completed && e.kind.Role == RolePrefill:
+			owner = e
+			avoid = nil
+		case !firstTokenAt.IsZero() && outcome == completed:
+			return served{firstTokenAt: firstTokenAt, end: time.Now()}
+		case !firstTokenAt.IsZero():
+			return served{mayHaveRun: true}
+		case outcome == stateNotFound:
+			owner = nil
+		case outcome == rejectedByEngine:
+			avoid = e
 		default:
-			last = e
-			if e.kind.Role != RoleRead && p.site.Classes[q.class].Effect != "repeatable" {
-				if _, up, _, _ := e.state(); up { // else its connection was refused
-					return time.Time{}, time.Time{}, false
-				}
+			avoid = e
+			isRepeatable := b.site.Classes[q.class].Effect == "repeatable"
+			if e.kind.Role != RolePrefill && !isRepeatable && e.state().up { // one that is down has refused the connection
+				return served{mayHaveRun: true}
 			}
 		}
 	}
-	return time.Time{}, time.Time{}, true
+	return served{}
+}
+
+// suits returns which engines may be sent the next attempt: for the prompt, where attempts remain after it, or for the response.
+func (b *baseline) suits(owner, avoid *engine, canPrefillApart bool) func(*engine) bool {
+	return func(e *engine) bool {
+		switch {
+		case e == avoid:
+			return false
+		case owner != nil:
+			return e.kind.Role != RolePrefill
+		case canPrefillApart:
+			return e.kind.Role != RoleDecode
+		}
+		return e.kind.Role == RoleMixed || e.kind.Role == RoleDecode && b.site.LocalPrefill
+	}
 }
 
-// pick returns the engine of the node's zone, else of any, at which the node has least under way.
-func (p *plain) pick(node int, q *request, fit func(*engine) bool) *engine {
+// pickEngine returns the suitable engine at which the node has least in flight; those of its own zone come first.
+func (b *baseline) pickEngine(node int, suits func(*engine) bool) *engine {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	var best *engine
 	least := 1e9
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, e := range p.list.ready() {
-		if !fit(e) {
-			continue
-		}
-		if e.cold() && (p.policy.NeverCold || !e.bears()) {
+	for _, e := range b.discovery.ready() {
+		if !suits(e) || e.warmingUp() && (b.policy.AvoidWarmingUp || !e.hasSlowStartCapacity()) {
 			continue
 		}
-		cost := float64(p.inflight[key(node, e)]) + 0.5*p.rng.Float64()
-		if e.Zone != node%len(p.site.Zones) {
-			cost += 2
+		cost := float64(b.inFlight[nodeEngine{node, e.ID}]) + maxRandomCost*b.rng.Float64()
+		if e.Zone != node%len(b.site.Zones) {
+			cost += otherZoneCost
 		}
 		if cost < least {
-			best, least = e, cost
+			best = e
+			least = cost
 		}
 	}
 	return best
 }
 
-func key(node int, e *engine) string { return nodeName(node) + e.ID }
+func (b *baseline) addInFlight(node int, e *engine, change int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.inFlight[nodeEngine{node, e.ID}] += change
+}
 
-// attempt makes one attempt, and gives it up when its time is over before the first token.
-func (p *plain) attempt(node int, e *engine, q *request, state *engine, timeout time.Duration) (got outcome, first time.Time) {
-	p.mu.Lock()
-	p.inflight[key(node, e)]++
-	p.mu.Unlock()
-	e.arrived(q)
-	defer func() {
-		p.mu.Lock()
-		p.inflight[key(node, e)]--
-		p.mu.Unlock()
-	}()
-	gone := make(chan struct{})
-	type ended struct{ outcome }
-	over := make(chan ended, 1)
-	var mu sync.Mutex
-	p.run(func() {
-		if e.kind.Role == RoleRead {
-			over <- ended{e.read(q, gone)}
-			return
-		}
-		started := func() bool {
-			mu.Lock()
-			defer mu.Unlock()
-			select {
-			case <-gone:
-				return false
-			default:
-			}
-			first = time.Now()
-			return true
+// firstToken is the stream of a baseline attempt: it notes when the first token came, unless the attempt was canceled before.
+type firstToken struct {
+	canceled <-chan struct{}
+
+	mu sync.Mutex
+	at time.Time
+}
+
+func (s *firstToken) start() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	select {
+	case <-s.canceled:
+		return false
+	default:
+	}
+	s.at = time.Now()
+	return true
+}
+
+func (s *firstToken) event(int) bool { return true }
+
+// cancel cancels an attempt by closing canceled, unless its first token has come.
+func (s *firstToken) cancel(canceled chan struct{}) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.at.IsZero() {
+		return false
+	}
+	close(canceled)
+	return true
+}
+
+// attempt makes one attempt, and cancels it when its time is over before the first token. owner is the engine that has the state.
+func (b *baseline) attempt(node int, e *engine, q *request, owner *engine, timeout time.Duration) (attemptOutcome, time.Time) {
+	b.addInFlight(node, e, 1)
+	defer b.addInFlight(node, e, -1)
+	e.requestArrived(q)
+	canceled := make(chan struct{})
+	first := &firstToken{canceled: canceled}
+	ended := make(chan attemptOutcome, 1)
+	b.run(func() {
+		if e.kind.Role == RolePrefill {
+			ended <- e.prefill(q, canceled)
+		} else {
+			ended <- e.decode(q, owner, canceled, first)
 		}
-		over <- ended{e.write(q, state, gone, started, func(int) bool { return true })}
 	})
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case x := <-over:
-		return x.outcome, first
+	case outcome := <-ended:
+		return outcome, first.at
 	case <-timer.C:
 	}
-	mu.Lock()
-	if first.IsZero() {
-		close(gone)
-		mu.Unlock()
-		return broken, first
+	if first.cancel(canceled) {
+		return connectionBroken, time.Time{}
 	}
-	mu.Unlock()
-	stall := time.NewTimer(time.Minute)
+	stall := time.NewTimer(maxStall)
 	defer stall.Stop()
 	select {
-	case x := <-over:
-		return x.outcome, first
+	case outcome := <-ended:
+		return outcome, first.at
 	case <-stall.C:
-		close(gone)
-		return broken, first
+		close(canceled)
+		return connectionBroken, first.at
 	}
 }
--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -1,66 +1,71 @@
 package simulation
 
 import (
-	"bufio"
-	"context"
-	"errors"
 	"fmt"
-	"io"
 	"net"
-	"net/http"
-	"os"
-	"strconv"
-	"strings"
 	"time"
-
-	"dillroute/lab/record"
 )
 
-// Ending says what became of a request, for its client.
-type Ending string
+// Outcome is how a request ended for its client.
+type Outcome string
 
-// Endings of a request.
+// Outcomes of a request.
 const (
-	InTime  Ending = "in time"
-	Late    Ending = "late"    // its first token, or the rest, came after the time wanted
-	Refused Ending = "refused" // a retry is harmless
-	Failed  Ending = "failed"
-	Broken  Ending = "broken" // the stream ended before its end
-	NoReply Ending = "no reply"
-	Unmet   Ending = "unmet" // no node could be reached
-	Left    Ending = "left"  // the client gave up by itself
+	// ServedInTime is a response that met its latency objectives.
+	ServedInTime Outcome = "in time"
+	// ServedLate is a complete response that did not.
+	ServedLate Outcome = "late"
+	// Rejected is a rejection that says that a retry is harmless.
+	Rejected Outcome = "refused"
+	// Failed is an error response.
+	Failed Outcome = "failed"
+	// Broken is a stream that ended before its end.
+	Broken Outcome = "broken"
+	// NoResponse is an attempt without a response.
+	NoResponse Outcome = "no reply"
+	// Unreachable is a request for which no node could be reached.
+	Unreachable Outcome = "unmet"
+	// Disconnected is a client that disconnected by its own choice.
+	Disconnected Outcome = "left"
 )
 
-// Result is what became of a request, its client's further tries included.
+// Result is how a request ended, the retries of its client included.
 type Result struct {
-	At            float64 // s from the start of the day
-	Class, Tenant int
-	Node          string // of the first try
-	Ending        Ending
-	Code          string // of the last refusal or failure
-	Asked, Served float64
-	Tries         int
-	Attempts      int // that reached engines
+	At              float64 // s from the start of the run
+	Class, Tenant   int
+	Node            string // of the first attempt
+	Outcome         Outcome
+	Code            string // of the last rejection or failure
+	RequestedWeight float64
+	ServedWeight    float64
+	ClientAttempts  int
+	Attempts        int // of nodes, that reached engines
 }
 
-func (p *play) finish(r Result) {
-	p.resMu.Lock()
-	p.results = append(p.results, r)
-	p.resMu.Unlock()
-}
+const (
+	// detectionDelay is how long the load balancer goes on sending to a node that has ended (s).
+	detectionDelay = 2.0
+	// maxUnreachable is how often a client may reach no node.
+	maxUnreachable = 4
+	// noNodeWait is how long a client waits where no node runs (s).
+	noNodeWait = 0.2
+	// stormRetries is how often clients retry in a RetryStorm.
+	stormRetries = 4
+	// minPatience is the part of its patience that the least patient client waits.
+	minPatience = 0.6
+)
 
-// reach picks the node for a try: any of the client's zone that the front takes for alive, else any.
-func (p *play) reach(zone int, chance float64) *host {
+// pickNode picks the node for an attempt by a random number, among those that the load balancer takes for alive: one of the client's
+// zone if there is one. It returns nil if there is none at all.
+func (p *productRun) pickNode(zone int, chance float64) *host {
 	var near, all []*host
 	for _, h := range p.hosts {
-		h.mu.Lock()
-		alive := h.node != nil && !h.since.IsZero() || !h.ended.IsZero() && time.Since(h.ended).Seconds() < frontNotices
-		h.mu.Unlock()
-		if alive {
-			all = append(all, h)
-			if h.zone == zone {
-				near = append(near, h)
-			}
+		if !h.looksAlive() {
+			continue
+		}
+		all = append(all, h)
+		if h.zone == zone {
+			near = append(near, h)
 		}
 	}
 	if len(near) > 0 {
@@ -72,219 +77,161 @@
 	return all[int(chance*float64(len(all)))]
 }
 
-// ask makes a request, and comes again as clients do.
-func (p *play) ask(q *request) Result {
-	c := p.site.Classes[q.class]
-	res := Result{At: q.at, Class: q.class, Tenant: q.tenant, Asked: c.Worth, Ending: Unmet}
-	began := time.Now()
-	retries := p.site.ClientRetries
-	backoff := p.site.Backoff
-	if _, ok := p.day.has(RetryStorm, q.at); ok {
-		retries, backoff = 4, 0
-	}
-	chance := q.draw[0]
-	for n, unmet := 0, 0; n <= retries && unmet < 4; {
-		h := p.reach(q.zone, chance)
-		chance = fraction(chance*7.31 + 0.137)
-		if h == nil {
-			unmet++
-			time.Sleep(duration(0.2))
-			continue
-		}
-		if res.Node == "" {
-			res.Node = h.name
-		}
-		t := &try{request: q, id: fmt.Sprintf("%s-%d-%d", q.op, n, unmet), n: n, budget: c.Patience * (0.6 + 0.4*q.draw[1])}
-		a := p.once(h, t)
-		res.Ending, res.Code = a.ending, a.code
-		p.mu.Lock()
-		res.Attempts += t.begun
-		delete(p.tries, t.id)
-		p.mu.Unlock()
-		if a.ending == Unmet {
-			unmet++
-			time.Sleep(duration(0.1 + 0.2*q.draw[3]))
-			continue
-		}
-		n++
-		res.Tries = n
-		switch a.ending {
-		case InTime:
-			res.Served = c.Worth
-			if a.first.Sub(began).Seconds() > c.Aim+c.AimPerK*q.prompt/1000 {
-				res.Ending, res.Served = Late, c.Worth*c.Late
-			}
-			return res
-		case Late:
-			res.Served = c.Worth * c.Late
-			return res
-		case Refused:
-		case NoReply, Failed, Broken:
-			if c.Effect == "once" {
-				return res
-			}
-		default:
-			return res
-		}
-		time.Sleep(duration(max(backoff*(0.5+q.draw[3]), a.after)))
-		if time.Since(began).Seconds() > c.Patience {
-			return res
-		}
-	}
-	return res
+// looksAlive reports whether the load balancer sends to a host.
+func (h *host) looksAlive() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	isRunning := h.node != nil && !h.readyAt.IsZero()
+	return isRunning || !h.endedAt.IsZero() && time.Since(h.endedAt).Seconds() < detectionDelay
 }
 
-func fraction(x float64) float64 { return x - float64(int(x)) }
-
-// reply to a try.
-type answered struct {
-	ending Ending
-	code   string
-	first  time.Time
-	after  float64 // s after which to come again
+// operation is a request under way, with the retries of its client.
+type operation struct {
+	run         *productRun
+	request     *request
+	class       Class
+	began       time.Time
+	retries     int
+	backoff     float64 // s
+	chance      float64 // for the choice of the next node
+	unreachable int     // attempts that reached no node
+	result      Result
 }
 
-// dial takes a connection to a node that rests, or makes one.
-func (h *host) dial(p *play) (c net.Conn, kept bool, err error) {
-	h.mu.Lock()
-	for len(h.idle) > 0 {
-		c = h.idle[len(h.idle)-1]
-		h.idle = h.idle[:len(h.idle)-1]
-		if u, ok := c.(interface{ Unread() bool }); ok && !u.Unread() {
-			h.mu.Unlock()
-			return c, true, nil
+// runOperation sends a request and retries it as clients do.
+func (p *productRun) runOperation(q *request) Result {
+	class := p.site.Classes[q.class]
+	o := &operation{
+		run:     p,
+		request: q,
+		class:   class,
+		began:   time.Now(),
+		retries: p.site.ClientRetries,
+		backoff: p.site.Backoff,
+		chance:  q.draws.node,
+		result:  Result{At: q.at, Class: q.class, Tenant: q.tenant, RequestedWeight: class.PriorityWeight, Outcome: Unreachable},
+	}
+	if _, ok := p.day.active(RetryStorm, q.at); ok {
+		o.retries = stormRetries
+		o.backoff = 0
+	}
+	for o.result.ClientAttempts <= o.retries && o.unreachable < maxUnreachable {
+		if ended := o.attempt(); ended {
+			break
 		}
-		c.Close()
 	}
-	h.mu.Unlock()
-	c, err = p.network.Dialer("client")(context.Background(), "mem", h.name)
-	return c, false, err
+	return o.result
 }
 
-// once makes one try.
-func (p *play) once(h *host, t *try) answered {
-	p.add(t)
-	c, kept, err := h.dial(p)
-	if err != nil {
-		return answered{ending: Unmet}
-	}
-	rec := record.Record{Op: t.name(), Try: t.n, Class: className(t.class), Tenant: tenantName(t.tenant), Node: h.name}
-	t.sent = time.Now()
-	text := t.text(p)
-	if f, ok := p.day.has(SlowClients, t.at); ok && t.draw[3] < f.Part {
-		half := len(text) / 2
-		io.WriteString(c, text[:half])
-		time.Sleep(300 * time.Millisecond)
-		text = text[half:]
-	}
-	if _, err = io.WriteString(c, text); err != nil {
-		c.Close()
-		return answered{ending: Unmet}
-	}
-	ask := rec
-	ask.Kind, ask.Tokens = record.RequestSent, t.budget
-	p.log.Add(ask)
-	br := bufio.NewReader(c)
-	var leaving *time.Timer
-	left := make(chan struct{})
-	if t.leaves > 0 && t.n == 0 {
-		leaving = time.AfterFunc(duration(t.leaves), func() {
-			close(left)
-			p.closed(t)
-			c.Close()
-		})
-	}
-	a, reuse := p.hear(c, br, t, rec)
-	if leaving != nil && !leaving.Stop() {
-		<-left
-		rec.Kind = record.ClientDisconnected
-		p.log.Add(rec)
-		return answered{ending: Left}
-	}
-	if a.ending == NoReply && kept && a.code == "closed" { // it crossed the end of a kept connection: sent again on a new one
-		c.Close()
-		rec.Kind, rec.Outcome = record.FinalResponse, record.Unreachable
-		p.log.Add(rec)
-		return answered{ending: Unmet}
-	}
-	rec.Kind, rec.OK = record.FinalResponse, true
-	rec.Outcome = map[Ending]record.Outcome{InTime: record.Served, Late: record.Served, Refused: record.Rejected, Failed: record.Failed,
-		Broken: record.Failed, NoReply: record.Cut}[a.ending]
-	if a.ending == NoReply && a.code == "overdue" {
-		rec.Outcome = record.TimedOut
-	}
-	rec.Note = a.code
-	p.log.Add(rec)
-	p.closed(t)
-	if !reuse {
-		c.Close()
-		return a
+// attempt makes one attempt, and waits before the next; true = there is none.
+func (o *operation) attempt() (ended bool) {
+	h := o.run.pickNode(o.request.zone, o.chance)
+	o.chance = fraction(o.chance*7.31 + 0.137)
+	if h == nil {
+		o.unreachable++
+		time.Sleep(duration(noNodeWait))
+		return false
+	}
+	if o.result.Node == "" {
+		o.result.Node = h.name
+	}
+	patience := o.class.Patience * (minPatience + (1-minPatience)*o.request.draws.patience)
+	number := o.result.ClientAttempts
+	a := &clientAttempt{
+		request: o.request,
+		id:      fmt.Sprintf("%s-%d-%d", o.request.op, number, o.unreachable),
+		number:  number,
+		budget:  patience,
+	}
+	response := o.run.attemptAt(h, a)
+	o.result.Outcome = response.outcome
+	o.result.Code = response.code
+	o.result.Attempts += o.run.removeAttempt(a)
+	if response.outcome == Unreachable {
+		o.unreachable++
+		time.Sleep(duration(0.1 + 0.2*o.request.draws.backoff))
+		return false
+	}
+	o.result.ClientAttempts++
+	if !o.mayRetry(response) {
+		o.countServed(response)
+		return true
+	}
+	time.Sleep(duration(max(o.backoff*(0.5+o.request.draws.backoff), response.retryAfter)))
+	return time.Since(o.began).Seconds() > o.class.Patience
+}
+
+// mayRetry reports whether the client retries after a response.
+func (o *operation) mayRetry(r clientResponse) bool {
+	switch r.outcome {
+	case Rejected:
+		return true
+	case NoResponse, Failed, Broken:
+		return o.class.Effect != "once"
 	}
-	c.SetDeadline(time.Time{})
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if len(h.idle) > 4 || br.Buffered() > 0 || h.node == nil {
-		c.Close()
-	} else {
-		h.idle = append(h.idle, c)
+	return false
+}
+
+// countServed counts what a response is worth. The objective holds from the first attempt.
+func (o *operation) countServed(r clientResponse) {
+	if r.outcome == ServedInTime && r.firstTokenAt.Sub(o.began).Seconds() > o.class.firstTokenObjective(o.request) {
+		o.result.Outcome = ServedLate
 	}
-	return a
+	o.result.ServedWeight = o.class.served(o.result.Outcome)
+}
+
+// firstTokenObjective returns the latency objective of a request (s).
+func (c Class) firstTokenObjective(q *request) float64 {
+	return c.LatencyObjective + c.LatencyObjectivePerK*q.promptTokens/1000
 }
 
-// text is the request as it is sent.
-func (t *try) text(p *play) string {
-	body := `{"model":"chat","stream":true,"max_tokens":` + strconv.Itoa(t.maxOut) + `,"messages":[{"role":"user","content":"x"}]}`
-	info := fmt.Sprintf("prompt_len=%d,max_out=%d", int(t.prompt), t.maxOut)
-	if t.prefix != "" {
-		info += fmt.Sprintf(",prefix=%s,prefix_len=%d", t.prefix, int(t.prefixLen))
+// served returns what part of its weight a request of the class has by its outcome.
+func (c Class) served(outcome Outcome) float64 {
+	switch outcome {
+	case ServedInTime:
+		return c.PriorityWeight
+	case ServedLate:
+		return c.PriorityWeight * c.LateValue
 	}
-	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Caller: %s\r\n"+
-		"X-Route-Hash: %s\r\nX-Budget: %.3f\r\nX-Call-Info: %s\r\nContent-Length: %d\r\n\r\n%s",
-		t.id, className(t.class), tenantName(t.tenant), t.session, t.budget, info, len(body), body)
+	return 0
 }
 
-// overdueBy is how long after its time an answer is still waited for (s).
-const overdueBy = 0.5
+func fraction(x float64) float64 { return x - float64(int(x)) }
 
-// hear reads the answer; reuse = the connection may carry another request.
-func (p *play) hear(c net.Conn, br *bufio.Reader, t *try, rec record.Record) (a answered, reuse bool) {
-	c.SetReadDeadline(t.sent.Add(duration(t.budget + overdueBy)))
-	resp, err := http.ReadResponse(br, nil)
-	if err != nil {
-		code := "closed"
-		if errors.Is(err, os.ErrDeadlineExceeded) {
-			code = "overdue"
-		}
-		return answered{ending: NoReply, code: code}, false
+// streamOutcome returns whether a stream met the objective for output tokens.
+func (s *Site) streamOutcome(q *request, firstTokenAt, end time.Time) Outcome {
+	if end.Sub(firstTokenAt).Seconds() > float64(q.responseTokens)*s.Classes[q.class].TokenLatencyObjective {
+		return ServedLate
 	}
-	if resp.StatusCode != 200 {
-		body, _ := io.ReadAll(resp.Body)
-		a = answered{ending: Failed, code: fmt.Sprintf("%d %s", resp.StatusCode, strings.TrimSpace(string(body)))}
-		if resp.StatusCode == 429 || resp.StatusCode == 503 {
-			a.ending = Refused
+	return ServedInTime
+}
+
+// takeIdle returns an idle connection to the host on which nothing has come, or nil.
+func (h *host) takeIdle() net.Conn {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for len(h.idle) > 0 {
+		last := len(h.idle) - 1
+		conn := h.idle[last]
+		h.idle = h.idle[:last]
+		if u, ok := conn.(interface{ Unread() bool }); ok && !u.Unread() {
+			return conn
 		}
-		a.after, _ = strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-		return a, !resp.Close
-	}
-	rec.Kind = record.FirstToken
-	p.log.Add(rec)
-	a.first = time.Now()
-	c.SetReadDeadline(a.first.Add(time.Minute))
-	body, err := io.ReadAll(resp.Body)
-	if err != nil || !strings.Contains(string(body), "data: [DONE]") {
-		a.ending, a.code = Broken, "broken stream"
-		return a, false
-	}
-	if a.ending = p.site.paced(t.request, a.first, time.Now()); a.ending == Late {
-		a.code = "slow stream"
+		conn.Close()
 	}
-	return a, !resp.Close
+	return nil
 }
 
-// paced tells whether a stream kept the pace that its class wants.
-func (s *Site) paced(q *request, first, end time.Time) Ending {
-	if end.Sub(first).Seconds() > float64(q.out)*s.Classes[q.class].TokenAim {
-		return Late
+// maxIdle is the number of idle connections to a host above which no more are added.
+const maxIdle = 4
+
+// putIdle keeps a connection for another request, or closes it.
+func (h *host) putIdle(conn net.Conn) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.idle) > maxIdle || h.node == nil {
+		conn.Close()
+		return
 	}
-	return InTime
+	h.idle = append(h.idle, conn)
 }
--- /dev/null
+++ b/lab/simulation/discovery.go
@@ -0,0 +1,297 @@
+package simulation
+
+import (
+	"encoding/json"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
+	"dillroute/lab/memnet"
+	"dillroute/lab/record"
+)
+
+// States of an engine in the endpoint list, in discovery's words.
+const (
+	stateUp       = "up"
+	stateDraining = "draining"
+	stateRemoved  = "removed"
+)
+
+// recordedStates are the states as records have them.
+var recordedStates = map[string]string{stateUp: "ready", stateDraining: "draining", stateRemoved: "gone"}
+
+// listEntry is one entry of the endpoint list, in discovery's form.
+type listEntry struct {
+	ID      string  `json:"id"`
+	Addr    string  `json:"addr"`
+	Zone    string  `json:"zone"`
+	Kind    string  `json:"kind"`
+	Cell    int     `json:"cell"`
+	State   string  `json:"state"`
+	Weight  float64 `json:"weight"`
+	Started int64   `json:"started_ms"`
+	version int
+}
+
+// discovery is the endpoint list, and the service that answers nodes.
+type discovery struct {
+	fleet *fleet
+
+	mu            sync.Mutex // guards all that follows
+	version       int
+	entries       map[string]listEntry
+	changed       chan struct{} // closed at the next change
+	silent        chan struct{} // closed when discovery answers again; nil = it answers
+	extraDelay    float64       // s by which changes are known later than usual
+	capacityShare float64       // part of its capacity that a shared discovery has; 0 = all
+	freeAt        time.Time     // when a shared discovery has answered all polls that wait
+}
+
+func newDiscovery(f *fleet) *discovery {
+	return &discovery{fleet: f, entries: map[string]listEntry{}, changed: make(chan struct{})}
+}
+
+// set lists an engine in a state, from now on; the engine need not be in it.
+func (d *discovery) set(e *engine, state string) {
+	started := e.startMillis()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.version++
+	d.entries[e.ID] = listEntry{
+		ID:      e.ID,
+		Addr:    e.address(),
+		Zone:    zoneName(e.Zone),
+		Kind:    kindName(e.Kind),
+		Cell:    e.Cell,
+		State:   state,
+		Weight:  1,
+		Started: started,
+		version: d.version,
+	}
+	close(d.changed)
+	d.changed = make(chan struct{})
+}
+
+// startMillis returns the time of the engine's cold start (Unix milliseconds); 0 = long ago.
+func (e *engine) startMillis() int64 {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.startedAt.IsZero() {
+		return 0
+	}
+	return e.startedAt.UnixMilli()
+}
+
+// setLater lists a change after a delay (s), unless a later change has overtaken it.
+func (d *discovery) setLater(e *engine, state string, delay float64) {
+	d.mu.Lock()
+	delay += d.extraDelay
+	d.mu.Unlock()
+	time.AfterFunc(duration(delay), func() {
+		isRemoved := state == stateRemoved
+		if e.state().up == isRemoved {
+			return
+		}
+		d.set(e, state)
+		d.recordDeliveryLater(e.ID, state)
+	})
+}
+
+// recordDeliveryLater records that a change has been delivered to all nodes some time after discovery had it and could be reached.
+func (d *discovery) recordDeliveryLater(id, state string) {
+	if state == stateUp {
+		return
+	}
+	d.mu.Lock()
+	silent := d.silent
+	d.mu.Unlock()
+	d.fleet.run(func() {
+		if silent != nil {
+			<-silent
+		}
+		time.Sleep(duration(changeDeliveredAfter))
+		d.mu.Lock()
+		unchanged := d.entries[id].State == state
+		d.mu.Unlock()
+		if unchanged {
+			for i := range d.fleet.site.Nodes {
+				d.recordDelivery(nodeName(i), id, state)
+			}
+		}
+	})
+}
+
+func (d *discovery) recordDelivery(node, engine, state string) {
+	d.fleet.log.Add(record.Record{Kind: record.ListDelivered, Node: node, Engine: engine, State: recordedStates[state]})
+}
+
+// setSilent sets whether discovery answers nothing.
+func (d *discovery) setSilent(on bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if on && d.silent == nil {
+		d.silent = make(chan struct{})
+	} else if !on && d.silent != nil {
+		close(d.silent)
+		d.silent = nil
+	}
+}
+
+func (d *discovery) setExtraDelay(seconds float64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.extraDelay = seconds
+}
+
+func (d *discovery) setCapacityShare(share float64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.capacityShare = share
+}
+
+// ready returns the engines that may be sent requests.
+func (d *discovery) ready() []*engine {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	var engines []*engine
+	for _, e := range d.fleet.engines {
+		if d.entries[e.ID].State == stateUp {
+			engines = append(engines, e)
+		}
+	}
+	return engines
+}
+
+// wholeList asks changesSince for the whole list.
+const wholeList = -1
+
+// changesSince returns what changed after a version, or the whole list, and its text.
+func (d *discovery) changesSince(version int) (entries []listEntry, text []byte) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	entries = []listEntry{}
+	for _, e := range d.fleet.engines {
+		entry := d.entries[e.ID]
+		if version < 0 && entry.State != stateRemoved || version >= 0 && entry.version > version {
+			entries = append(entries, entry)
+		}
+	}
+	text, err := json.Marshal(object{"version": d.version, "full": version < 0, "servers": entries})
+	if err != nil {
+		panic(err) // strings and numbers always encode
+	}
+	return entries, text
+}
+
+// serveOn answers the polls of a listener: those of one node (its agent's), or of all.
+func (d *discovery) serveOn(l *memnet.Listener) {
+	d.fleet.run(func() {
+		for {
+			conn, err := l.Accept()
+			if err != nil {
+				return
+			}
+			d.fleet.run(func() {
+				serveConnection(d.fleet, conn, func(r *http.Request, gone <-chan struct{}) bool { return d.servePoll(conn, r, gone) })
+			})
+		}
+	})
+}
+
+// servePoll answers one poll; false = the connection ends.
+func (d *discovery) servePoll(conn net.Conn, r *http.Request, gone <-chan struct{}) bool {
+	version := wholeList
+	holdMillis := 0
+	if from := r.URL.Query().Get("from"); from != "" {
+		version, _ = strconv.Atoi(from) // nodes send numbers
+		holdMillis, _ = strconv.Atoi(r.URL.Query().Get("hold_ms"))
+	}
+	if d.fleet.site.SharedDiscovery && !d.awaitCapacity() {
+		return respond(conn, http.StatusServiceUnavailable, "", "overloaded")
+	}
+	select {
+	case <-gone: // no change is delivered to a node that has gone
+		return false
+	default:
+	}
+	if !d.awaitChange(version, time.Duration(holdMillis)*time.Millisecond, gone) {
+		return false
+	}
+	entries, text := d.changesSince(version)
+	node := conn.RemoteAddr().String()
+	for _, entry := range entries {
+		d.recordDelivery(node, entry.ID, entry.State)
+	}
+	return respond(conn, http.StatusOK, "Content-Type: application/json\r\n", string(text))
+}
+
+// awaitChange waits for a change after a version, or for the end of the hold, and in both cases while discovery is silent; false = the
+// node has gone.
+func (d *discovery) awaitChange(version int, hold time.Duration, gone <-chan struct{}) bool {
+	end := time.NewTimer(hold)
+	defer end.Stop()
+	for {
+		d.mu.Lock()
+		silent := d.silent
+		changed := d.changed
+		hasChange := version < d.version
+		d.mu.Unlock()
+		if silent != nil {
+			select {
+			case <-silent:
+				continue
+			case <-gone:
+				return false
+			}
+		}
+		if hasChange {
+			return true
+		}
+		select {
+		case <-changed:
+		case <-gone:
+			return false
+		case <-end.C:
+			return true
+		}
+	}
+}
+
+const (
+	// discoveryTimeout is the longest wait for a shared discovery; it rejects polls that would wait longer (s).
+	discoveryTimeout = 2.0
+	// rejectionCost is what a rejection costs a shared discovery, in answers.
+	rejectionCost = 0.3
+)
+
+// awaitCapacity waits for a poll's turn at a shared discovery; false = the poll was rejected.
+func (d *discovery) awaitCapacity() bool {
+	wait, ok := d.reserveTurn()
+	if ok {
+		time.Sleep(wait)
+	}
+	return ok
+}
+
+// reserveTurn returns how long a poll waits for its turn; false = it would be too long.
+func (d *discovery) reserveTurn() (wait time.Duration, ok bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	capacity := d.fleet.site.DiscoveryCapacity
+	if d.capacityShare > 0 {
+		capacity *= d.capacityShare
+	}
+	now := time.Now()
+	if d.freeAt.Before(now) {
+		d.freeAt = now
+	}
+	wait = d.freeAt.Sub(now)
+	if wait.Seconds() > discoveryTimeout {
+		d.freeAt = d.freeAt.Add(duration(rejectionCost / capacity))
+		return 0, false
+	}
+	d.freeAt = d.freeAt.Add(duration(1 / capacity))
+	return wait, true
+}
--- a/lab/simulation/oracle.go
+++ b/lab/simulation/oracle.go
@@ -4,181 +4,170 @@
 	"fmt"
 	"maps"
 	"slices"
-	"strings"
 
 	"dillroute/lab/record"
 )
 
-// Report is what became of a day.
+// Report is the result of a run.
 type Report struct {
-	Day      *Day
-	Results  []Result
-	Breaches []string // of rules and terms
-	Records  []record.Record
-	ColdUse  float64 // the most of a cold engine's allowance that was used
+	Day          *Day
+	Results      []Result
+	Violations   []string // of rules and of the platform's terms
+	Records      []record.Record
+	SlowStartUse float64 // greatest part of a slow-start budget that was used
 }
 
-// Share is the part of the worth asked for that was served, of the results that fit.
-func (r *Report) Share(fit func(Result) bool) (share float64, n int) {
-	var asked, served float64
+// Share returns which part of the weight of the requests that fit was served, and how many fit.
+func (r *Report) Share(fits func(Result) bool) (share float64, count int) {
+	var requested, served float64
 	for _, x := range r.Results {
-		if fit(x) {
-			asked, served, n = asked+x.Asked, served+x.Served, n+1
+		if fits(x) {
+			requested += x.RequestedWeight
+			served += x.ServedWeight
+			count++
 		}
 	}
-	if asked == 0 {
+	if requested == 0 {
 		return 0, 0
 	}
-	return served / asked, n
+	return served / requested, count
 }
 
-// Bounds of the oracle: what is less than these parts of the plain policy's service is red, where so many requests tell.
+// Bounds of the oracle: service below these parts of the baseline's is a shortfall, where there are enough requests to tell.
 const (
-	partOfPlain  = 0.5       // in all, and by class, effect, tenant and third
-	partOfWindow = 1.0 / 3   // over any windowFor
-	partAfter    = 0.9       // from recoverBy after the last fault on
-	windowFor    = 5.0       // s
-	recoverBy    = 10.0      // s
-	deafFor      = 4.0       // s in which a node turns away all that it gets
-	enough       = 30        // requests
-	enoughNode   = 10        // requests of one node
-	leastPlain   = 0.1       // share of the plain policy under which nothing is asked
-	everything   = 1000000.0 // s
+	minPart         = 0.5     // of all, and by class, effect, tenant and third
+	minWindowPart   = 1.0 / 3 // over any window
+	minRecovered    = 0.9     // from recoveryTime after the last fault
+	windowLength    = 5.0     // s
+	recoveryTime    = 10.0    // s
+	minRequests     = 30      // requests that are enough to tell
+	minBaseline     = 0.1     // share of the baseline under which nothing is required
+	rejectingTime   = 4.0     // s in which a node rejects all that it receives
+	minNodeRequests = 10      // requests of one node that are enough to tell
+	minOthers       = 0.3     // share that is served in all while a node rejects all
+	forever         = 1e6     // s
 )
 
-// Red says in what the service of a day falls short of the plain policy's, a line each.
-func Red(got, plain *Report) []string {
-	var red []string
-	check := func(name string, part float64, fit func(Result) bool) {
-		share, n := got.Share(fit)
-		want, m := plain.Share(fit)
-		if min(n, m) >= enough && want >= leastPlain && share < part*want {
-			red = append(red, fmt.Sprintf("%s: %.3f of the worth served, the plain policy %.3f (%d requests)", name, share, want, n))
-		}
-	}
-	check("in all", partOfPlain, func(Result) bool { return true })
+// everything fits all results.
+func everything(Result) bool { return true }
+
+// within returns what fits the results of requests within a time.
+func within(from, to float64) func(Result) bool {
+	return func(x Result) bool { return x.At >= from && x.At < to }
+}
+
+// Shortfalls says in what the service of a run falls short of the baseline's, one line each.
+func Shortfalls(got, baseline *Report) []string {
+	c := &comparison{got: got, baseline: baseline}
+	site := &got.Day.Site
+	c.check("in all", minPart, everything)
 	effects := map[string]bool{}
-	for i, c := range got.Day.Site.Classes {
-		check(className(i), partOfPlain, func(x Result) bool { return x.Class == i })
-		effects[c.Effect] = true
+	for i, class := range site.Classes {
+		c.check(className(i), minPart, func(x Result) bool { return x.Class == i })
+		effects[class.Effect] = true
 	}
 	for _, effect := range slices.Sorted(maps.Keys(effects)) {
-		check("effect "+effect, partOfPlain, func(x Result) bool { return got.Day.Site.Classes[x.Class].Effect == effect })
+		c.check("effect "+effect, minPart, func(x Result) bool { return site.Classes[x.Class].Effect == effect })
 	}
-	for i := range got.Day.Site.Tenants {
-		check(tenantName(i), partOfPlain, func(x Result) bool { return x.Tenant == i })
+	for i := range site.Tenants {
+		c.check(tenantName(i), minPart, func(x Result) bool { return x.Tenant == i })
 	}
 	length := got.Day.Length
 	for i := range 3 {
-		from, to := length*float64(i)/3, length*float64(i+1)/3
-		check(fmt.Sprintf("third %d", i+1), partOfPlain, within(from, to))
+		from := length * float64(i) / 3
+		to := length * float64(i+1) / 3
+		c.check(fmt.Sprintf("third %d", i+1), minPart, within(from, to))
+	}
+	c.checkWindows()
+	if from := got.Day.lastEnd() + recoveryTime; from < length-windowLength {
+		c.check(fmt.Sprintf("%.0f s after the last fault", recoveryTime), minRecovered, within(from, forever))
 	}
-	red = append(red, windows(got, plain)...)
-	if from := got.Day.lastEnd() + recoverBy; from < length-windowFor {
-		check(fmt.Sprintf("%.0f s after the last fault", recoverBy), partAfter, within(from, everything))
+	return append(c.shortfalls, rejectingNodes(got)...)
+}
+
+// comparison collects in what a run falls short of the baseline.
+type comparison struct {
+	got, baseline *Report
+	shortfalls    []string
+}
+
+// shares returns the served shares of both runs; false = there are too few requests, or the baseline serves too little, to tell.
+func (c *comparison) shares(fits func(Result) bool) (got, want float64, count int, ok bool) {
+	got, count = c.got.Share(fits)
+	want, baselineCount := c.baseline.Share(fits)
+	return got, want, count, min(count, baselineCount) >= minRequests && want >= minBaseline
+}
+
+func (c *comparison) check(name string, part float64, fits func(Result) bool) {
+	got, want, count, ok := c.shares(fits)
+	if ok && got < part*want {
+		c.shortfalls = append(c.shortfalls, shortfall(name, got, want, count))
 	}
-	return append(red, deaf(got)...)
 }
 
-// windows finds the times over which little is served; of those that overlap it tells the worst.
-func windows(got, plain *Report) (red []string) {
-	last, worst := -windowFor, 0.0
-	for at := 0.0; at+windowFor <= got.Day.Length; at++ {
-		share, n := got.Share(within(at, at+windowFor))
-		want, m := plain.Share(within(at, at+windowFor))
-		if min(n, m) < enough || want < leastPlain || share >= partOfWindow*want {
+func shortfall(name string, got, want float64, count int) string {
+	return fmt.Sprintf("%s: %.3f of the worth served, the plain policy %.3f (%d requests)", name, got, want, count)
+}
+
+// checkWindows finds the windows over which little is served; of those that overlap it reports the worst.
+func (c *comparison) checkWindows() {
+	last := -windowLength // begin of the last window reported
+	worst := 0.0
+	for at := 0.0; at+windowLength <= c.got.Day.Length; at++ {
+		got, want, count, ok := c.shares(within(at, at+windowLength))
+		if !ok || got >= minWindowPart*want {
 			continue
 		}
-		text := fmt.Sprintf("from %.0f s to %.0f s: %.3f of the worth served, the plain policy %.3f (%d requests)", at, at+windowFor, share, want, n)
-		switch short := want - share; {
-		case at >= last+windowFor:
-			red, last, worst = append(red, text), at, short
-		case short > worst:
-			red[len(red)-1], last, worst = text, at, short
+		text := shortfall(fmt.Sprintf("from %.0f s to %.0f s", at, at+windowLength), got, want, count)
+		missing := want - got
+		switch {
+		case at >= last+windowLength:
+			c.shortfalls = append(c.shortfalls, text)
+		case missing > worst:
+			c.shortfalls[len(c.shortfalls)-1] = text
+		default:
+			continue
 		}
+		last = at
+		worst = missing
 	}
-	return red
-}
-
-func within(from, to float64) func(Result) bool {
-	return func(x Result) bool { return x.At >= from && x.At < to }
 }
 
-// deaf finds nodes that turn away all that they get for a while, with no attempt at an engine, while others serve.
-func deaf(r *Report) (red []string) {
+// rejectingNodes finds nodes that reject all that they receive for a while, with no attempt at an engine, while others serve.
+func rejectingNodes(r *Report) []string {
 	byNode := map[string][]Result{}
 	for _, x := range r.Results {
 		byNode[x.Node] = append(byNode[x.Node], x)
 	}
+	var found []string
 	for _, node := range slices.Sorted(maps.Keys(byNode)) {
-		xs := byNode[node]
-		slices.SortFunc(xs, func(a, b Result) int { return int((a.At - b.At) * 1e6) })
-		from := 0
-		for i, x := range xs {
-			if x.Served > 0 || x.Attempts > 0 || x.Ending == Left {
-				from = i + 1
-				continue
-			}
-			if span := x.At - xs[from].At; span >= deafFor && i-from+1 >= enoughNode {
-				if share, n := r.Share(within(xs[from].At, x.At)); n >= enough && share >= 0.3 {
-					red = append(red, fmt.Sprintf("%s turned away all %d requests from %.1f s to %.1f s, others served %.2f", node, i-from+1, xs[from].At, x.At, share))
-				}
-				break
-			}
+		results := byNode[node]
+		slices.SortFunc(results, func(a, b Result) int { return int((a.At - b.At) * 1e6) })
+		if text := r.rejectsAll(node, results); text != "" {
+			found = append(found, text)
 		}
 	}
-	return red
+	return found
 }
 
-// Summary tells of a day for a person.
-func (r *Report) Summary(plain *Report) string {
-	var b strings.Builder
-	s := &r.Day.Site
-	share, n := r.Share(func(Result) bool { return true })
-	want, _ := plain.Share(func(Result) bool { return true })
-	fmt.Fprintf(&b, "seed %d: %d nodes, %d engines, %.0f requests/s, %d requests: served %.3f, plain %.3f; cold use %.2f; breaches %d\n",
-		s.Seed, s.Nodes, len(s.Engines), s.Rate, n, share, want, r.ColdUse, len(r.Breaches))
-	for _, f := range r.Day.Faults {
-		fmt.Fprintf(&b, "  fault: %s\n", f)
-	}
-	fmt.Fprintf(&b, "  attempts %d, cancel %v, local read %v, asked %v, retry-after %v, client retries %d, cold %.2f for %.1f s, kinds", s.MaxAttempts, s.Cancel,
-		s.LocalRead, s.Asked, s.RetryAfter, s.ClientRetries, s.ColdShare, s.ColdFor)
-	for i, k := range s.Kinds {
-		count := 0
-		for _, e := range s.Engines {
-			if e.Kind == i {
-				count++
-			}
+// rejectsAll says when a node rejected all its requests for too long; "" = it did not. The results are in order of time.
+func (r *Report) rejectsAll(node string, results []Result) string {
+	first := 0 // of the rejected requests in a row
+	for i, x := range results {
+		if x.ServedWeight > 0 || x.Attempts > 0 || x.Outcome == Disconnected {
+			first = i + 1
+			continue
 		}
-		fmt.Fprintf(&b, " %s %d", k.Role, count)
-	}
-	fmt.Fprintf(&b, ", zones %d\n", len(s.Zones))
-	for i, c := range s.Classes {
-		mine := func(x Result) bool { return x.Class == i }
-		got, n := r.Share(mine)
-		want, _ := plain.Share(mine)
-		fmt.Fprintf(&b, "  %s: %s %s, aim %.2f, patience %.1f, prompt %.0f, out %.0f, worth %.0f: served %.3f, plain %.3f, %v (%d)\n", className(i), c.Effect, c.Group, c.Aim, c.Patience,
-			c.Prompt, c.Out, c.Worth, got, want, r.endings(mine), n)
-	}
-	for at := 0.0; at < r.Day.Length; at += windowFor {
-		got, n := r.Share(within(at, at+windowFor))
-		want, _ := plain.Share(within(at, at+windowFor))
-		fmt.Fprintf(&b, "  %2.0f s: served %.3f, plain %.3f (%d) %v\n", at, got, want, n, r.endings(within(at, at+windowFor)))
-	}
-	return b.String()
-}
-
-// endings counts what became of requests.
-func (r *Report) endings(fit func(Result) bool) map[string]int {
-	out := map[string]int{}
-	for _, x := range r.Results {
-		if fit(x) {
-			name := string(x.Ending)
-			if x.Code != "" && x.Ending != InTime {
-				name += " " + x.Code
-			}
-			out[name]++
+		from := results[first].At
+		count := i - first + 1
+		if x.At-from < rejectingTime || count < minNodeRequests {
+			continue
+		}
+		share, n := r.Share(within(from, x.At))
+		if n < minRequests || share < minOthers {
+			return ""
 		}
+		return fmt.Sprintf("%s turned away all %d requests from %.1f s to %.1f s, others served %.2f", node, count, from, x.At, share)
 	}
-	return out
+	return ""
 }
--- a/lab/simulation/oracle_test.go
+++ b/lab/simulation/oracle_test.go
@@ -6,43 +6,43 @@
 	"testing/synctest"
 )
 
-// coldDay is a day on which all engines of a site die together and come back cold, with work enough for them.
-func coldDay() Day {
+// slowStartDay is a day on which all engines of a site stop together and start again, cold, with requests enough for them.
+func slowStartDay() Day {
 	d := DrawDay(186, 1, 150)
-	d.Site.ColdFor = 14
+	d.Site.SlowStartSeconds = 14
 	return d
 }
 
-func playPlain(t *testing.T, d Day, p Policy) (r *Report) {
+func playBaseline(t *testing.T, d Day, p Policy) (r *Report) {
 	t.Helper()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	synctest.Test(t, func(t *testing.T) { r = d.PlayPlain(p) })
+	synctest.Test(t, func(t *testing.T) { r = d.PlayBaseline(p) })
 	return r
 }
 
-// The oracle is worth nothing if it passes a policy that refuses all, one that loses a third of the requests and all of a while, or one
-// that never opens cold engines; and nothing either if it fails the plain policy itself.
-func TestOracleTellsBadPolicies(t *testing.T) {
-	d := coldDay()
-	plain := playPlain(t, d, Policy{})
-	if red := Red(playPlain(t, d, Policy{}), plain); len(red) > 0 {
-		t.Errorf("the plain policy is red against itself: %v", red)
+// The oracle reports a policy that rejects all requests, one that loses a third of them or all of a while, and one that sends nothing
+// to engines in slow start; it reports nothing of the baseline policy itself.
+func TestOracleReportsBadPolicies(t *testing.T) {
+	d := slowStartDay()
+	baseline := playBaseline(t, d, Policy{})
+	if shortfalls := Shortfalls(playBaseline(t, d, Policy{}), baseline); len(shortfalls) > 0 {
+		t.Errorf("the baseline policy falls short of itself: %v", shortfalls)
 	}
 	for name, p := range map[string]Policy{
-		"refuses all":                  {RefuseAll: true},
+		"rejects all":                  {RejectAll: true},
 		"loses a third":                {LoseThird: true},
-		"refuses all for 5 s":          {RefuseFrom: 30, RefuseTo: 35},
-		"never opens a cold engine":    {NeverCold: true},
-		"refuses from 35 s to the end": {RefuseFrom: 35, RefuseTo: 45},
+		"rejects all for 5 s":          {RejectFrom: 30, RejectUntil: 35},
+		"avoids engines in slow start": {AvoidWarmingUp: true},
+		"rejects from 35 s to the end": {RejectFrom: 35, RejectUntil: 45},
 	} {
-		if red := Red(playPlain(t, d, p), plain); len(red) == 0 {
-			t.Errorf("a policy that %s is not red", name)
+		if shortfalls := Shortfalls(playBaseline(t, d, p), baseline); len(shortfalls) == 0 {
+			t.Errorf("a policy that %s has no shortfall", name)
 		}
 	}
 }
 
-// Settings are drawn from all of the space: each form of fleet, effect and discovery comes up, and all are sound.
-func TestDrawnSitesCoverTheirSpace(t *testing.T) {
+// Each form of fleet, effect and discovery is drawn, and all sites are sound.
+func TestDrawnSitesCoverAllForms(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(200) {
 		s := Draw(seed, []int{1, 3, 24, 300}[seed%4], 150)
@@ -57,14 +57,18 @@
 		for _, c := range s.Classes {
 			seen["effect "+c.Effect] = true
 		}
-		if s.Asked {
-			seen["asked"] = true
+		if s.SharedDiscovery {
+			seen["shared discovery"] = true
 		}
 		if s.MaxAttempts == 1 {
 			seen["one attempt"] = true
 		}
 	}
-	for _, want := range []string{"kinds both ", "kinds read write ", "kinds read write both ", "effect once", "effect by_key", "effect repeatable", "asked", "one attempt"} {
+	for _, want := range []string{
+		"kinds both ", "kinds read write ", "kinds read write both ",
+		"effect once", "effect by_key", "effect repeatable",
+		"shared discovery", "one attempt",
+	} {
 		if !seen[want] {
 			t.Errorf("no site of 200 has: %s", want)
 		}
--- /dev/null
+++ b/lab/simulation/traffic.go
@@ -0,0 +1,132 @@
+package simulation
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+)
+
+const (
+	// maxPromptTokens is the size of the longest prompt.
+	maxPromptTokens = 60000
+	// heavyFactor is by how much HeavyPrompts makes prompts longer.
+	heavyFactor = 6
+	// overrunFactor is by how much the tenant of TenantOverrun exceeds its share.
+	overrunFactor = 3
+	// disconnectShare is the part of the clients that disconnect without a fault.
+	disconnectShare = 0.01
+	// maxResponseFactor bounds a response, in means of its class.
+	maxResponseFactor = 4
+	// maxTokensFactor is the limit that a client sets for its response, in means of its class.
+	maxTokensFactor = 3
+	// maxPrefixShare is the greatest part of a prompt that is its prefix.
+	maxPrefixShare = 0.9
+)
+
+// request is one thing that a client wants done.
+type request struct {
+	op                string
+	at                float64 // s from the start of the run
+	class, tenant     int
+	zone              int
+	session           string
+	prefix            string // "" = none
+	prefixTokens      float64
+	promptTokens      float64
+	responseTokens    int
+	maxResponseTokens int
+	draws             draws
+	disconnectAfter   float64 // s; 0 = never
+}
+
+// draws are a request's own random numbers, from 0 to 1, so that what its client does is the same on both policies.
+type draws struct{ node, patience, disconnect, backoff float64 }
+
+// requests draws the requests of the day.
+func (d *Day) requests() []*request {
+	rng := rand.New(rand.NewPCG(d.Site.Seed, 0xc11e))
+	classShares := make([]float64, len(d.Site.Classes))
+	for i, c := range d.Site.Classes {
+		classShares[i] = c.Share
+	}
+	var requests []*request
+	for at := 0.0; ; {
+		rate, tenantShares := d.traffic(at)
+		at += rng.ExpFloat64() / rate
+		if at >= d.Length {
+			return requests
+		}
+		q := &request{ // the order of the fields is that of the draws
+			op:     fmt.Sprintf("op%d", len(requests)),
+			at:     at,
+			class:  drawIndex(rng, classShares),
+			tenant: drawIndex(rng, tenantShares),
+			zone:   drawIndex(rng, d.Site.Zones),
+		}
+		d.drawSizes(rng, q)
+		d.drawClient(rng, q)
+		requests = append(requests, q)
+	}
+}
+
+// traffic returns the rate of requests at a time, and the shares of the tenants.
+func (d *Day) traffic(at float64) (rate float64, tenantShares []float64) {
+	rate = d.Site.Rate
+	if f, ok := d.active(Burst, at); ok {
+		rate *= 1 + f.Part
+	}
+	for _, t := range d.Site.Tenants {
+		tenantShares = append(tenantShares, t.Share)
+	}
+	if _, ok := d.active(TenantOverrun, at); ok {
+		rate += (overrunFactor - 1) * tenantShares[0] * d.Site.Rate
+		tenantShares[0] *= overrunFactor
+	}
+	return rate, tenantShares
+}
+
+// drawSizes draws the prompt, the response, the session and the prefix of a request.
+func (d *Day) drawSizes(rng *rand.Rand, q *request) {
+	c := d.Site.Classes[q.class]
+	prompt := c.PromptTokens * math.Exp(c.Spread*rng.NormFloat64())
+	if f, ok := d.active(HeavyPrompts, q.at); ok && rng.Float64() < f.Part {
+		prompt *= heavyFactor
+	}
+	q.promptTokens = min(prompt, maxPromptTokens)
+	factor := min(maxResponseFactor, math.Exp(c.Spread*rng.NormFloat64()))
+	q.responseTokens = max(4, int(factor*c.ResponseTokens))
+	q.maxResponseTokens = max(q.responseTokens, int(maxTokensFactor*c.ResponseTokens))
+	q.session = fmt.Sprintf("s%x", rng.Uint64())
+	if c.PrefixTokens > 0 {
+		q.prefixTokens = min(c.PrefixTokens, maxPrefixShare*q.promptTokens)
+		q.prefix = fmt.Sprintf("%x-%x", q.class, rng.IntN(c.Prefixes))
+	}
+}
+
+// drawClient draws what the client of a request does.
+func (d *Day) drawClient(rng *rand.Rand, q *request) {
+	q.draws = draws{node: rng.Float64(), patience: rng.Float64(), disconnect: rng.Float64(), backoff: rng.Float64()}
+	share := disconnectShare
+	if f, ok := d.active(ClientsLeave, q.at); ok {
+		share = f.Part
+	}
+	if q.draws.disconnect < share {
+		q.disconnectAfter = d.Site.Classes[q.class].LatencyObjective * (0.05 + 1.2*rng.Float64())
+	}
+}
+
+// drawIndex draws an index by weights.
+func drawIndex(rng *rand.Rand, weights []float64) int {
+	sum := 0.0
+	for _, w := range weights {
+		sum += w
+	}
+	x := rng.Float64() * sum
+	for i, w := range weights {
+		x -= w
+		if x < 0 {
+			return i
+		}
+	}
+	return len(weights) - 1
+}
