--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -53,7 +53,7 @@
 	for i, e := range []struct{ role, cell string }{
 		{"prefill", "a"}, {"decode", "a"}, {"mixed", "a"}, {"prefill", "b"}, {"decode", "b"}} {
 		ms = append(ms, fleet.Member{Kind: e.role, Cell: e.cell, Settings: emulator.Settings{
-			ID: e.role + "-" + e.cell, Role: e.role, LocalRead: true, StepMS: 30, Seed: uint64(i)}})
+			ID: e.role + "-" + e.cell, Role: e.role, LocalPrefill: true, DecodeStepMS: 30, Seed: uint64(i)}})
 	}
 	return ms
 }
--- a/internal/cli/engine.go
+++ b/internal/cli/engine.go
@@ -35,7 +35,7 @@
 			signals := make(chan os.Signal, 2)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 			defer signal.Stop(signals)
-			if err := e.Start(s.ColdS > 0); err != nil {
+			if err := e.Start(s.SlowStartSeconds > 0); err != nil {
 				return withExitCode(ExitRun, err)
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s engine %s on %s\n", s.Role, s.ID, e.Address())
--- a/internal/cli/relay_test.go
+++ b/internal/cli/relay_test.go
@@ -27,9 +27,9 @@
 	p := platform.New("n0", log)
 	var engines []*platform.Engine
 	for i, role := range []string{"read", "read", "write", "write", "both"} {
-		engines = append(engines, p.Add(fmt.Sprintf("%s%d", role, i), role))
+		engines = append(engines, p.StartEngine(fmt.Sprintf("%s%d", role, i), role))
 	}
-	d := p.Discover(engines...)
+	d := p.StartDiscovery(engines...)
 	defer func() { d.Close(); p.Stop() }()
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,7 +45,7 @@
 			t.Fatal(err)
 		}
 	}
-	write(platform.Config(platform.Settings, addr, d.Addr(), d.List(), 96, 256))
+	write(platform.ConfigText(platform.SettingsJSON, addr, d.Address(), d.Snapshot(), 96, 256))
 	prog := startRelay(t, addr, file)
 	cmd, ended, logs := prog.cmd, prog.ended, &prog.logs
 	prog.awaitReady(t)
@@ -64,9 +64,9 @@
 					return
 				default:
 				}
-				a := platform.Ask{Op: fmt.Sprintf("k%d-%d", k, i), Class: []string{"chat", "commit"}[k%2], Tenant: "branch",
-					Session: fmt.Sprint("s", k), Tokens: 6, Patience: 3 * time.Second}
-				r := p.Do(addr, a)
+				a := platform.Request{Operation: fmt.Sprintf("k%d-%d", k, i), Class: []string{"chat", "commit"}[k%2], Tenant: "branch",
+					Session: fmt.Sprint("s", k), ResponseTokens: 6, Timeout: 3 * time.Second}
+				r := p.Send(addr, a)
 				mu.Lock()
 				seen[r.Outcome]++
 				mu.Unlock()
@@ -75,33 +75,35 @@
 	}
 	pause := func() { time.Sleep(250 * time.Millisecond) }
 	pause()
-	for _, f := range []platform.Fault{platform.Noise, platform.BadChunk, platform.EndlessHead, platform.HugeChunk, platform.CutStream,
-		platform.SecondAnswer} {
+	for _, f := range []platform.Fault{platform.NoiseForHead, platform.MalformedChunkSize, platform.EndlessHead, platform.HugeChunk,
+		platform.CloseMidStream,
+		platform.SecondResponse} {
 		showFault(t, f, engines[2:]...)
 		showFault(t, f, engines[2:]...)
 	}
-	showFault(t, platform.CutBefore, engines[0])
-	d.State("write2", "draining")
+	showFault(t, platform.CloseBeforeResponse, engines[0])
+	d.SetState("write2", "draining")
 	pause()
 	write([]byte("{"))
 	cmd.Process.Signal(syscall.SIGHUP)
 	pause()
-	old := d.Server()
-	d.Open()
-	write(platform.Config(platform.Settings, addr, d.Addr(), d.List(), 96, 256))
+	old := d.HTTPServer()
+	d.Listen()
+	write(platform.ConfigText(platform.SettingsJSON, addr, d.Address(), d.Snapshot(), 96, 256))
 	cmd.Process.Signal(syscall.SIGHUP)
 	cmd.Process.Signal(syscall.SIGHUP)
 	time.Sleep(500 * time.Millisecond)
 	old.Close()
-	d.State("read1", "draining")
+	d.SetState("read1", "draining")
 	time.Sleep(600 * time.Millisecond)
 	close(stop)
 	wg.Wait()
 
-	stream := make(chan platform.Answer, 1)
-	engines[3].Step = 100 * time.Millisecond
+	stream := make(chan platform.Response, 1)
+	engines[3].TokenInterval = 100 * time.Millisecond
 	go func() {
-		stream <- p.Do(addr, platform.Ask{Op: "last", Class: "chat", Tenant: "branch", Tokens: 8, Patience: 3 * time.Second})
+		stream <- p.Send(addr, platform.Request{Operation: "last", Class: "chat",
+			Tenant: "branch", ResponseTokens: 8, Timeout: 3 * time.Second})
 	}()
 	time.Sleep(300 * time.Millisecond)
 	stopped := time.Now()
@@ -140,15 +142,15 @@
 func showFault(t *testing.T, f platform.Fault, engines ...*platform.Engine) {
 	t.Helper()
 	for _, e := range engines {
-		e.Next(f)
+		e.QueueFaults(f)
 	}
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		for _, e := range engines {
-			if e.Planned() > 0 {
+			if e.PendingFaults() > 0 {
 				continue
 			}
 			for _, other := range engines {
-				other.Recover()
+				other.ClearFaults()
 			}
 			return
 		}
@@ -211,14 +213,14 @@
 			t.Run(fmt.Sprintf("%s, listed %v", name, listed), func(t *testing.T) {
 				t.Parallel()
 				p := platform.New("n0", &record.Log{})
-				r, w := p.Add("r0", "read"), p.Add("w0", "write")
-				w.Step = 60 * time.Millisecond
-				d := p.Discover(r, w)
+				r, w := p.StartEngine("r0", "read"), p.StartEngine("w0", "write")
+				w.TokenInterval = 60 * time.Millisecond
+				d := p.StartDiscovery(r, w)
 				defer func() { d.Close(); p.Stop() }()
-				known := d.List()
+				known := d.Snapshot()
 				if !listed {
 					known = nil
-					d.Bad("", true) // it says nothing
+					d.SetFault("", true) // it says nothing
 				}
 				l, err := net.Listen("tcp", "127.0.0.1:0")
 				if err != nil {
@@ -227,17 +229,19 @@
 				addr := l.Addr().String()
 				l.Close()
 				file := filepath.Join(t.TempDir(), "config.json")
-				if err := platform.WriteConfig(file, platform.Config(platform.Settings, addr, d.Addr(), known, 96, 256)); err != nil {
+				text := platform.ConfigText(platform.SettingsJSON, addr, d.Address(), known, 96, 256)
+				if err := platform.WriteConfig(file, text); err != nil {
 					t.Fatal(err)
 				}
 				prog := startRelay(t, addr, file)
 				prog.await(t, map[bool]int{true: 200, false: 503}[listed])
-				stream := make(chan platform.Answer, 1)
+				stream := make(chan platform.Response, 1)
 				if listed {
 					go func() {
-						stream <- p.Do(addr, platform.Ask{Op: "a", Class: "chat", Tenant: "branch", Tokens: 12, Patience: 3 * time.Second})
+						stream <- p.Send(addr, platform.Request{Operation: "a", Class: "chat",
+							Tenant: "branch", ResponseTokens: 12, Timeout: 3 * time.Second})
 					}()
-					for w.Writing() == 0 {
+					for w.StreamsStarted() == 0 {
 						time.Sleep(time.Millisecond)
 					}
 				}
@@ -286,9 +290,9 @@
 // though it was told of it so often that signals wait.
 func TestServeRelayStopsWhileReloadHangs(t *testing.T) {
 	p := platform.New("n0", &record.Log{})
-	r, w := p.Add("r0", "read"), p.Add("w0", "write")
-	w.Step = 60 * time.Millisecond
-	d := p.Discover(r, w)
+	r, w := p.StartEngine("r0", "read"), p.StartEngine("w0", "write")
+	w.TokenInterval = 60 * time.Millisecond
+	d := p.StartDiscovery(r, w)
 	defer func() { d.Close(); p.Stop() }()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -297,7 +301,7 @@
 	addr := l.Addr().String()
 	l.Close()
 	file := filepath.Join(t.TempDir(), "config.json")
-	if err := platform.WriteConfig(file, platform.Config(platform.Settings, addr, d.Addr(), d.List(), 96, 256)); err != nil {
+	if err := platform.WriteConfig(file, platform.ConfigText(platform.SettingsJSON, addr, d.Address(), d.Snapshot(), 96, 256)); err != nil {
 		t.Fatal(err)
 	}
 	prog := startRelay(t, addr, file)
@@ -308,11 +312,12 @@
 	if err := syscall.Mkfifo(file, 0o600); err != nil { // whoever opens it waits for a writer, and there is none
 		t.Fatal(err)
 	}
-	stream := make(chan platform.Answer, 1)
+	stream := make(chan platform.Response, 1)
 	go func() {
-		stream <- p.Do(addr, platform.Ask{Op: "a", Class: "chat", Tenant: "branch", Tokens: 12, Patience: 3 * time.Second})
+		stream <- p.Send(addr, platform.Request{Operation: "a", Class: "chat",
+			Tenant: "branch", ResponseTokens: 12, Timeout: 3 * time.Second})
 	}()
-	for w.Writing() == 0 {
+	for w.StreamsStarted() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	for range 40 {
--- a/internal/discovery/consul_test.go
+++ b/internal/discovery/consul_test.go
@@ -19,14 +19,14 @@
 }
 
 // followListServer starts a list server and follows it.
-func followListServer(t *testing.T, ids ...string) (*emulator.ListServer, chan protocol.EndpointList, chan string) {
+func followListServer(t *testing.T, ids ...string) (*emulator.ConsulServer, chan protocol.EndpointList, chan string) {
 	t.Helper()
-	s := emulator.NewListServer(100)
+	s := emulator.NewConsulServer(100)
 	if err := s.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { s.Stop() })
-	s.Set(instances(ids...))
+	s.SetInstances(instances(ids...))
 	c := testParser(t).Config
 	c.Engines = config.Engines{Consul: s.Address(), Service: "engines", Wait: 0.2}
 	lists, problems, err := follow(t, c, "")
@@ -61,19 +61,19 @@
 
 func TestBlockingQueryDeliversChangesAtOnce(t *testing.T) {
 	s, lists, _ := followListServer(t, "a", "b")
-	s.Set(instances("a", "b", "c"))
+	s.SetInstances(instances("a", "b", "c"))
 	l := awaitEngines(t, lists, "a b c")
 	if e := l.Engines[2]; e.Zone != 1 || e.Kind != 0 || l.Addresses["c"] != "127.0.0.1:9" {
 		t.Fatalf("%+v", l)
 	}
 	xs := instances("a", "b", "c")
 	xs[1].Critical = true
-	s.Set(xs)
+	s.SetInstances(xs)
 	awaitEngines(t, lists, "a b* c")
 }
 
 func TestFaultyListServerKeepsPreviousList(t *testing.T) {
-	for name, f := range map[string]emulator.ListFaults{"truncated": {Truncate: true}, "errors": {Errors: true},
+	for name, f := range map[string]emulator.ConsulFaults{"truncated": {Truncate: true}, "errors": {Errors: true},
 		"no index": {NoIndex: true}, "malformed": {Malformed: true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -87,8 +87,8 @@
 				t.Fatalf("a faulty response led to the list %+v", l)
 			default:
 			}
-			s.SetFaults(emulator.ListFaults{})
-			s.Set(instances("a", "b", "d"))
+			s.SetFaults(emulator.ConsulFaults{})
+			s.SetInstances(instances("a", "b", "d"))
 			awaitEngines(t, lists, "a b d")
 		})
 	}
@@ -96,32 +96,32 @@
 
 func TestHangingListServerTimesOut(t *testing.T) {
 	s, lists, problems := followListServer(t, "a")
-	s.SetFaults(emulator.ListFaults{Hang: true})
+	s.SetFaults(emulator.ConsulFaults{Hang: true})
 	if text := receive(t, problems); !strings.Contains(text, "timeout") {
 		t.Fatal(text)
 	}
-	s.SetFaults(emulator.ListFaults{})
-	s.Set(instances("a", "b"))
+	s.SetFaults(emulator.ConsulFaults{})
+	s.SetInstances(instances("a", "b"))
 	awaitEngines(t, lists, "a b")
 }
 
 func TestListServerIndexResetIsPolledFromStart(t *testing.T) {
 	s, lists, problems := followListServer(t, "a", "b")
-	s.Reset(3)
+	s.ResetIndex(3)
 	if text := receive(t, problems); !strings.Contains(text, "fell") {
 		t.Fatal(text)
 	}
-	s.Set(instances("a", "b", "c"))
+	s.SetInstances(instances("a", "b", "c"))
 	awaitEngines(t, lists, "a b c")
 }
 
 func TestEmptyListNeedsConfirmation(t *testing.T) {
 	s, lists, _ := followListServer(t, "a", "b", "c", "d")
-	s.SetFaults(emulator.ListFaults{Empty: true})
+	s.SetFaults(emulator.ConsulFaults{Empty: true})
 	start := time.Now()
-	s.Set(instances("a", "b", "c", "d", "e"))
+	s.SetInstances(instances("a", "b", "c", "d", "e"))
 	// The empty answer stands until its confirmation is due; the full one before that wins.
-	s.SetFaults(emulator.ListFaults{})
+	s.SetFaults(emulator.ConsulFaults{})
 	if l := awaitEngines(t, lists, "a b c d e"); len(l.Engines) == 0 || time.Since(start) > 15*time.Second {
 		t.Fatal("the list came late, or empty")
 	}
@@ -134,6 +134,6 @@
 	if err := s.Start(); err != nil {
 		t.Fatal(err)
 	}
-	s.Set(instances("a", "z"))
+	s.SetInstances(instances("a", "z"))
 	awaitEngines(t, lists, "a z")
 }
--- a/internal/node/chat_test.go
+++ b/internal/node/chat_test.go
@@ -40,7 +40,7 @@
 			t.Run(fmt.Sprintf("after %d, whole %v", after, whole), func(t *testing.T) {
 				r := newRig(t, engines(1, 2, 0, nil), nil)
 				for i := range 2 {
-					r.fleet.Engine(fmt.Sprint("decode-", i+1)).SetFaults(emulator.Faults{DieAfter: &after})
+					r.fleet.Engine(fmt.Sprint("decode-", i+1)).SetFaults(emulator.Faults{CrashAfter: &after})
 				}
 				a := r.ask("commit", tokens)
 				a.Whole = whole
@@ -48,7 +48,7 @@
 				if res.Outcome != record.Failed || res.Retry || !res.OK && res.Events > 0 {
 					t.Fatalf("want a clear failure without the word that a retry is harmless: %+v", res)
 				}
-				if n := r.count(record.Run, a.Mark.Op); n != 1 {
+				if n := r.count(record.Run, a.Mark.Operation); n != 1 {
 					t.Fatalf("ran %d times", n)
 				}
 				r.lawful()
@@ -60,7 +60,7 @@
 func TestWriterCutsStreamOfRepeatable(t *testing.T) {
 	r := newRig(t, engines(1, 2, 0, nil), limits(map[string]any{"max_attempts": 8}))
 	cut := 0
-	r.fleet.Engine("decode-1").SetFaults(emulator.Faults{CutAfter: &cut})
+	r.fleet.Engine("decode-1").SetFaults(emulator.Faults{CloseAfter: &cut})
 	for range 8 { // before the first token another engine serves it
 		if res := r.do(r.ask("chat", 5)); res.Outcome != record.Served || !res.OK {
 			t.Fatalf("%+v", res)
@@ -102,7 +102,7 @@
 }
 
 func TestClientHalfCloses(t *testing.T) {
-	r := newRig(t, engines(1, 1, 0, func(s *emulator.Settings) { s.StepMS = 300 }), nil)
+	r := newRig(t, engines(1, 1, 0, func(s *emulator.Settings) { s.DecodeStepMS = 300 }), nil)
 	a := r.ask("commit", 5)
 	c := r.raw()
 	io.WriteString(c, post(a, ""))
@@ -117,7 +117,7 @@
 
 func TestReaderDiesBetweenReadAndFetch(t *testing.T) {
 	r := newRig(t, engines(2, 1, 0, nil), limits(map[string]any{"max_attempts": 8}))
-	r.fleet.Engine("prefill-1").SetFaults(emulator.Faults{DropAfter: true})
+	r.fleet.Engine("prefill-1").SetFaults(emulator.Faults{LoseStates: true})
 	for range 4 {
 		if res := r.do(r.ask("commit", 4)); res.Outcome != record.Served || !res.OK {
 			t.Fatalf("a lost state is read anew, elsewhere in the end: %+v", res)
@@ -127,8 +127,8 @@
 }
 
 func TestStreamStalls(t *testing.T) {
-	short := emulator.Faults{StallAfter: 3, StallS: 0.4}
-	long := emulator.Faults{StallAfter: 3, StallS: 30}
+	short := emulator.Faults{StallAfter: 3, StallSeconds: 0.4}
+	long := emulator.Faults{StallAfter: 3, StallSeconds: 30}
 	r := newRig(t, engines(1, 1, 0, nil), limits(map[string]any{"stall_s": 1.5}))
 	r.fleet.Engine("decode-1").SetFaults(short) // longer than the aim, shorter than the bound
 	if res := r.do(r.ask("chat", 6)); res.Outcome != record.Served || !res.OK {
@@ -142,8 +142,8 @@
 }
 
 func TestEngineTalksNonsense(t *testing.T) {
-	for name, f := range map[string]emulator.Faults{"garbage": {Garbage: true}, "lying chunk": {LyingChunk: true},
-		"cut body": {CutBody: true}, "half close": {HalfClose: 2}} {
+	for name, f := range map[string]emulator.Faults{"garbage": {MalformedEvent: true}, "lying chunk": {ChunkSizeMismatch: true},
+		"cut body": {TruncatedBody: true}, "half close": {HalfCloseAfter: 2}} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, engines(1, 2, 0, nil), nil)
 			r.fleet.Engine("decode-1").SetFaults(f)
@@ -164,13 +164,13 @@
 
 func TestEngineJudgesTheRequest(t *testing.T) {
 	r := newRig(t, engines(1, 2, 0, nil), nil)
-	r.fleet.Engine("decode-1").SetFaults(emulator.Faults{Reject: 422})
+	r.fleet.Engine("decode-1").SetFaults(emulator.Faults{RejectStatus: 422})
 	for range 4 { // one engine that dislikes everything is not believed
 		if res := r.do(r.ask("commit", 4)); res.Outcome != record.Served {
 			t.Fatalf("%+v", res)
 		}
 	}
-	r.fleet.Engine("decode-2").SetFaults(emulator.Faults{Reject: 422})
+	r.fleet.Engine("decode-2").SetFaults(emulator.Faults{RejectStatus: 422})
 	if res := r.do(r.ask("commit", 4)); res.Status != 422 || res.Retry {
 		t.Fatalf("two that agree are: %+v", res)
 	}
@@ -202,7 +202,7 @@
 }
 
 func TestClientReadsNothing(t *testing.T) {
-	r := newRig(t, engines(1, 1, 0, func(s *emulator.Settings) { s.StepMS = 0.01; s.PerSeqMS = 0.001 }),
+	r := newRig(t, engines(1, 1, 0, func(s *emulator.Settings) { s.DecodeStepMS = 0.01; s.DecodeStepPerSequenceMS = 0.001 }),
 		limits(map[string]any{"write_s": 0.3}))
 	a := r.ask("chat", 60000)
 	a.MaxTokens = 60000
@@ -226,7 +226,7 @@
 }
 
 func TestShutdownUnderLoad(t *testing.T) {
-	r := newRig(t, engines(2, 2, 0, func(s *emulator.Settings) { s.StepMS = 20 }), nil)
+	r := newRig(t, engines(2, 2, 0, func(s *emulator.Settings) { s.DecodeStepMS = 20 }), nil)
 	var wg sync.WaitGroup
 	for i := range 60 {
 		a := r.ask([]string{"chat", "commit"}[i%2], 10+i)
@@ -260,7 +260,7 @@
 }
 
 func TestTwoRequestsWithOneClientID(t *testing.T) {
-	r := newRig(t, engines(1, 1, 0, func(s *emulator.Settings) { s.StepMS = 10 }), nil)
+	r := newRig(t, engines(1, 1, 0, func(s *emulator.Settings) { s.DecodeStepMS = 10 }), nil)
 	var wg sync.WaitGroup
 	for range 2 {
 		a := r.ask("commit", 10)
@@ -270,7 +270,7 @@
 			c := r.raw()
 			io.WriteString(c, post(a, "X-Request-Id: same\r\nConnection: close\r\n"))
 			text, _ := io.ReadAll(c)
-			if !strings.Contains(string(text), "data: [DONE]") || !strings.Contains(string(text), emulator.Token(emulator.Digest(a.Messages), 9)) {
+			if !strings.Contains(string(text), "data: [DONE]") || !strings.Contains(string(text), emulator.TokenText(emulator.Digest(a.Messages), 9)) {
 				t.Errorf("got %q", text)
 			}
 		}()
@@ -302,7 +302,7 @@
 	params := openai.ChatCompletionNewParams{Model: "chat", MaxCompletionTokens: openai.Int(7),
 		Messages:      []openai.ChatCompletionMessageParamUnion{openai.SystemMessage("You help with rosters."), openai.UserMessage("Who?")},
 		StreamOptions: openai.ChatCompletionStreamOptionsParam{IncludeUsage: openai.Bool(true)}}
-	want := emulator.Answer(emulator.Digest([]emulator.Message{{Role: "system", Content: "You help with rosters."}, {Role: "user", Content: "Who?"}}), 7)
+	want := emulator.ResponseText(emulator.Digest([]emulator.Message{{Role: "system", Content: "You help with rosters."}, {Role: "user", Content: "Who?"}}), 7)
 	stream := c.Chat.Completions.NewStreaming(ctx, params)
 	acc := openai.ChatCompletionAccumulator{}
 	for stream.Next() {
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -18,12 +18,12 @@
 // sent behind it; and what was held for it is released.
 func TestRelayNothingBeginsForAClientThatLeft(t *testing.T) {
 	for name, where := range map[string]func(s *stage, e map[string]*platform.Engine){
-		"its read is out":      func(s *stage, e map[string]*platform.Engine) { e["r0"].Slow(150 * time.Millisecond) },
+		"its read is out":      func(s *stage, e map[string]*platform.Engine) { e["r0"].SetStartDelay(150 * time.Millisecond) },
 		"between its attempts": func(s *stage, e map[string]*platform.Engine) { rejectMany(e, "r0") },
 		"its state waits":      func(s *stage, e map[string]*platform.Engine) { rejectMany(e, "w0") },
 		"no engine is up for it": func(s *stage, e map[string]*platform.Engine) {
-			s.d.State("w0", "draining")
-			s.d.State("r0", "draining")
+			s.d.SetState("w0", "draining")
+			s.d.SetState("r0", "draining")
 		},
 	} {
 		for behind, text := range map[string]string{"": "", " with much behind it": strings.Repeat("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n", 500)} {
@@ -33,18 +33,18 @@
 				time.Sleep(30 * time.Millisecond) // a change of the list is heard
 				a := s.ask("chat")
 				a.ID = "1eff"
-				s.p.Call(a.ID, platform.Op{Name: a.Op, Class: a.Class, Try: 1, Tokens: a.Tokens})
+				s.p.RegisterCall(a.ID, platform.Operation{Name: a.Operation, Class: a.Class, Attempt: 1, ResponseTokens: a.ResponseTokens})
 				c, err := net.Dial("tcp", s.node.Addr().String())
 				if err != nil {
 					t.Fatal(err)
 				}
-				io.WriteString(c, a.Request()+text)
+				io.WriteString(c, a.Encode()+text)
 				time.Sleep(60 * time.Millisecond)
 				c.Close()
 				gone := float64(time.Now().UnixNano()) / 1e9
 				time.Sleep(500 * time.Millisecond)
 				for _, x := range s.log.All() {
-					if x.Kind == record.Arrive && x.Op == a.Op && x.T > gone+0.1 {
+					if x.Kind == record.Arrive && x.Op == a.Operation && x.T > gone+0.1 {
 						t.Errorf("an attempt reached %s %.3f s after its client had gone", x.Engine, x.T-gone)
 					}
 				}
@@ -58,7 +58,7 @@
 // rejectMany has an engine reject whatever comes for a while.
 func rejectMany(e map[string]*platform.Engine, id string) {
 	for range 60 {
-		e[id].Next(platform.Rejects)
+		e[id].QueueFaults(platform.Rejection)
 	}
 }
 
@@ -70,14 +70,14 @@
 	for i := range 5 {
 		rejectMany(e, "r0")
 		a := s.ask([]string{"chat", "commit"}[i%2])
-		a.Patience = time.Second
+		a.Timeout = time.Second
 		a.ID = fmt.Sprintf("%016x", 0x4a1f00+i)
-		s.p.Call(a.ID, platform.Op{Name: a.Op, Class: a.Class, Tokens: a.Tokens})
+		s.p.RegisterCall(a.ID, platform.Operation{Name: a.Operation, Class: a.Class, ResponseTokens: a.ResponseTokens})
 		c, err := net.Dial("tcp", s.node.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, a.Request()+behind)
+		io.WriteString(c, a.Encode()+behind)
 		c.(*net.TCPConn).CloseWrite()
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
@@ -93,20 +93,20 @@
 	rejectMany(e, "w0")
 	a := s.ask("chat")
 	a.ID = "1eff"
-	s.p.Call(a.ID, platform.Op{Name: a.Op, Class: a.Class, Try: 1, Tokens: a.Tokens})
+	s.p.RegisterCall(a.ID, platform.Operation{Name: a.Operation, Class: a.Class, Attempt: 1, ResponseTokens: a.ResponseTokens})
 	c, err := net.Dial("tcp", s.node.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(c, a.Request())
-	s.eventually("a state is held", func() bool { return s.p.Held() == 1 })
+	io.WriteString(c, a.Encode())
+	s.eventually("a state is held", func() bool { return s.p.CallsWithState() == 1 })
 	for _, x := range e {
-		x.Hang(true)
+		x.SetHung(true)
 	}
 	c.Close()
 	time.Sleep(2500 * time.Millisecond)
 	for _, x := range e {
-		x.Hang(false)
+		x.SetHung(false)
 	}
-	s.eventually("the state is released", func() bool { return s.p.Held() == 0 })
+	s.eventually("the state is released", func() bool { return s.p.CallsWithState() == 0 })
 }
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -50,16 +50,16 @@
 }
 
 // start makes a request on a connection of its own, whose answer nobody reads.
-func (s *stage) start(a *platform.Ask, id string) *net.TCPConn {
+func (s *stage) start(a *platform.Request, id string) *net.TCPConn {
 	s.t.Helper()
 	a.ID = id
-	s.p.Call(a.ID, platform.Op{Name: a.Op, Class: a.Class, Tokens: a.Tokens})
+	s.p.RegisterCall(a.ID, platform.Operation{Name: a.Operation, Class: a.Class, ResponseTokens: a.ResponseTokens})
 	c, err := net.Dial("tcp", s.node.Addr().String())
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { c.Close() })
-	io.WriteString(c, a.Request())
+	io.WriteString(c, a.Encode())
 	return c.(*net.TCPConn)
 }
 
@@ -80,10 +80,10 @@
 func TestRelayClientLeavesWhileItsEngineConnects(t *testing.T) {
 	for how, leave := range departures {
 		t.Run(how, func(t *testing.T) {
-			settings := strings.Replace(platform.Settings, `"connect_timeout_s":0.25`, `"connect_timeout_s":30`, 1)
+			settings := strings.Replace(platform.SettingsJSON, `"connect_timeout_s":0.25`, `"connect_timeout_s":30`, 1)
 			s, _ := newStageWith(t, settings, 64, 256, "r0 read", "w0 write")
 			deaf := deafAddress(t)
-			s.d.Set("r0", func(x *platform.Server) { x.Addr = deaf })
+			s.d.Update("r0", func(x *platform.Endpoint) { x.Address = deaf })
 			time.Sleep(50 * time.Millisecond) // the change is heard
 			a := s.ask("commit")
 			c := s.start(&a, "de01")
@@ -91,7 +91,7 @@
 			time.Sleep(20 * time.Millisecond)
 			leave(c)
 			s.eventually("the node holds nothing", func() bool { return s.node.Held() == 0 })
-			if at := s.last(a.Op); at > 0 {
+			if at := s.last(a.Operation); at > 0 {
 				t.Errorf("an attempt arrived at an engine that was never reached")
 			}
 			s.lawful()
@@ -105,10 +105,10 @@
 	for how, leave := range departures {
 		t.Run(how, func(t *testing.T) {
 			g := newGate(t, "HTTP/1.1 200")
-			s, e := newStageOn(t, g, platform.Settings, 64, 256, "r0 read", "w0 write")
-			e["w0"].Step = 20 * time.Millisecond
+			s, e := newStageOn(t, g, platform.SettingsJSON, 64, 256, "r0 read", "w0 write")
+			e["w0"].TokenInterval = 20 * time.Millisecond
 			a := s.ask("commit")
-			a.Tokens = 400 // 8 s
+			a.ResponseTokens = 400 // 8 s
 			c := s.start(&a, "de02")
 			<-g.reached
 			leave(c)
@@ -116,10 +116,10 @@
 			time.Sleep(20 * time.Millisecond)
 			close(g.opened)
 			s.eventually("the node holds nothing", func() bool { return s.node.Held() == 0 })
-			if at := s.last(a.Op); at > left+0.1 {
+			if at := s.last(a.Operation); at > left+0.1 {
 				t.Errorf("an attempt arrived %.3f s after the client had left", at-left)
 			}
-			if n := s.count(record.Run, a.Op); n != 1 {
+			if n := s.count(record.Run, a.Operation); n != 1 {
 				t.Errorf("ran %d times, want once", n)
 			}
 			if took := unixNow() - left; took > 4 {
@@ -135,11 +135,11 @@
 	for how, leave := range departures {
 		t.Run(how, func(t *testing.T) {
 			s, e := newStage(t, 64, 256, "r0 read", "w0 write")
-			e["w0"].Step = 20 * time.Millisecond
+			e["w0"].TokenInterval = 20 * time.Millisecond
 			a := s.ask("chat")
-			a.Tokens = 400 // 8 s
+			a.ResponseTokens = 400 // 8 s
 			c := s.start(&a, "de03")
-			s.eventually("the stream runs", func() bool { return e["w0"].Writing() == 1 })
+			s.eventually("the stream runs", func() bool { return e["w0"].StreamsStarted() == 1 })
 			time.Sleep(50 * time.Millisecond)
 			left := time.Now()
 			leave(c)
@@ -160,8 +160,8 @@
 				s, _ := newStage(t, 64, 256, "r0 read", "w0 write")
 				a := s.ask("commit")
 				a.ID = "de04"
-				text := a.Request()
-				s.p.Call(a.ID, platform.Op{Name: a.Op, Class: a.Class, Tokens: a.Tokens})
+				text := a.Encode()
+				s.p.RegisterCall(a.ID, platform.Operation{Name: a.Operation, Class: a.Class, ResponseTokens: a.ResponseTokens})
 				c, err := net.Dial("tcp", s.node.Addr().String())
 				if err != nil {
 					t.Fatal(err)
@@ -170,7 +170,7 @@
 				leave(c.(*net.TCPConn))
 				s.eventually("its connection is given back", func() bool { return s.node.Connections() == 0 })
 				c.Close()
-				if s.last(a.Op) > 0 {
+				if s.last(a.Operation) > 0 {
 					t.Error("half a request was sent on")
 				}
 				s.lawful()
--- a/internal/node/forward_test.go
+++ b/internal/node/forward_test.go
@@ -11,14 +11,14 @@
 // of a keyed request by its key alone.
 func TestRelayPassesTheClientsFieldsOn(t *testing.T) {
 	s, e := newStage(t, 64, 256, "r0 read", "w0 write", "w1 write")
-	e["w0"].Next(platform.Rejects)
-	e["w1"].Next(platform.Rejects)
+	e["w0"].QueueFaults(platform.Rejection)
+	e["w1"].QueueFaults(platform.Rejection)
 	a := s.ask("chat")
-	a.Head = "Idempotency-Key: 5f3a 77\r\nX-Route-Hint: a\r\nX-Route-Hint: b\r\nConnection: X-Hop\r\nX-Hop: 1\r\n"
+	a.ExtraHeader = "Idempotency-Key: 5f3a 77\r\nX-Route-Hint: a\r\nX-Route-Hint: b\r\nConnection: X-Hop\r\nX-Hop: 1\r\n"
 	if r := s.do(a); r.Outcome != record.Served {
 		t.Fatalf("got %+v, want it served", r)
 	}
-	headers := s.p.Headers(a.Op)
+	headers := s.p.Headers(a.Operation)
 	if len(headers) < 3 {
 		t.Fatalf("got %d attempts, want a read and two at writers at least", len(headers))
 	}
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -55,20 +55,20 @@
 func TestRelayStopPassesOnWhatHasCome(t *testing.T) {
 	for range 10 {
 		g := newGate(t, "op1.3 ")
-		s, e := newStageOn(t, g, platform.Settings, 64, 256, "r0 read", "w0 write")
+		s, e := newStageOn(t, g, platform.SettingsJSON, 64, 256, "r0 read", "w0 write")
 		a := s.ask("chat")
-		a.Tokens = 60
-		got := make(chan platform.Answer, 1)
+		a.ResponseTokens = 60
+		got := make(chan platform.Response, 1)
 		go func() { got <- s.do(a) }()
 		<-g.reached
-		s.eventually("the engine has finished", func() bool { return e["w0"].Whole() == 1 })
+		s.eventually("the engine has finished", func() bool { return e["w0"].StreamsCompleted() == 1 })
 		s.stopped = true
 		done := make(chan struct{})
 		go func() { defer close(done); s.node.Shutdown(0) }()
 		s.eventually("the stream was called off", func() bool { return s.node.Live() == 0 })
 		time.Sleep(50 * time.Millisecond) // the moment that is left to bytes under way is over as well
 		close(g.opened)
-		if r := <-got; !r.Done || r.Text != platform.Whole(a.Op, a.Tokens) {
+		if r := <-got; !r.Complete || r.Text != platform.ResponseText(a.Operation, a.ResponseTokens) {
 			t.Fatalf("got %+v, want the whole stream", r)
 		}
 		<-done
--- a/internal/node/golden_chat_test.go
+++ b/internal/node/golden_chat_test.go
@@ -143,17 +143,17 @@
 		name, class, stream string
 		faults              emulator.Faults
 	}{
-		{"error", "commit", "true", emulator.Faults{Errors: 1}},
-		{"judged 400", "commit", "true", emulator.Faults{Reject: 400}},
-		{"judged 400, not streamed", "chat", "false", emulator.Faults{Reject: 400}},
-		{"garbage", "commit", "true", emulator.Faults{Garbage: true}},
-		{"lying chunk", "commit", "true", emulator.Faults{LyingChunk: true}},
-		{"cut body, not streamed", "commit", "false", emulator.Faults{CutBody: true}},
-		{"cut before the first event", "commit", "true", emulator.Faults{CutAfter: &none}},
-		{"cut after an event", "commit", "true", emulator.Faults{CutAfter: &one}},
-		{"cut after an event", "chat", "true", emulator.Faults{CutAfter: &one}},
-		{"cut after an event, not streamed", "commit", "false", emulator.Faults{CutAfter: &one}},
-		{"sending side closes after an event", "commit", "true", emulator.Faults{HalfClose: 1}},
+		{"error", "commit", "true", emulator.Faults{ErrorShare: 1}},
+		{"judged 400", "commit", "true", emulator.Faults{RejectStatus: 400}},
+		{"judged 400, not streamed", "chat", "false", emulator.Faults{RejectStatus: 400}},
+		{"garbage", "commit", "true", emulator.Faults{MalformedEvent: true}},
+		{"lying chunk", "commit", "true", emulator.Faults{ChunkSizeMismatch: true}},
+		{"cut body, not streamed", "commit", "false", emulator.Faults{TruncatedBody: true}},
+		{"cut before the first event", "commit", "true", emulator.Faults{CloseAfter: &none}},
+		{"cut after an event", "commit", "true", emulator.Faults{CloseAfter: &one}},
+		{"cut after an event", "chat", "true", emulator.Faults{CloseAfter: &one}},
+		{"cut after an event, not streamed", "commit", "false", emulator.Faults{CloseAfter: &one}},
+		{"sending side closes after an event", "commit", "true", emulator.Faults{HalfCloseAfter: 1}},
 	} {
 		t.Run(c.class+" "+c.name, func(t *testing.T) {
 			r, taps := newGoldenRig(t, engines(1, 1, 0, nil))
--- a/internal/node/golden_relay_test.go
+++ b/internal/node/golden_relay_test.go
@@ -20,16 +20,16 @@
 // newGoldenStage is newStage with a tap before each engine.
 func newGoldenStage(t *testing.T, memoryMB int, engines ...string) (*stage, map[string]*platform.Engine, goldenTaps) {
 	t.Helper()
-	s := &stage{t: t, log: &record.Log{}, settings: platform.Settings, file: filepath.Join(t.TempDir(), "config.json")}
+	s := &stage{t: t, log: &record.Log{}, settings: platform.SettingsJSON, file: filepath.Join(t.TempDir(), "config.json")}
 	s.p = platform.New("n0", s.log)
 	byID, taps := map[string]*platform.Engine{}, goldenTaps{}
-	s.d = s.p.Discover()
+	s.d = s.p.StartDiscovery()
 	for _, e := range engines {
 		id, role, _ := strings.Cut(e, " ")
-		byID[id] = s.p.Add(id, role)
-		taps[id] = newGoldenTap(t, byID[id].Addr())
-		s.d.Set(id, func(x *platform.Server) {
-			*x = platform.Server{ID: id, Addr: taps[id].addr(), Zone: "z", Kind: role, State: "up", Weight: 1}
+		byID[id] = s.p.StartEngine(id, role)
+		taps[id] = newGoldenTap(t, byID[id].Address())
+		s.d.Update(id, func(x *platform.Endpoint) {
+			*x = platform.Endpoint{ID: id, Address: taps[id].addr(), Zone: "z", Kind: role, State: "up", Weight: 1}
 		})
 	}
 	s.write(memoryMB, 256)
@@ -63,9 +63,9 @@
 
 // goldenRelayRequest is a request in good order, whose id the platform knows.
 func (s *stage) goldenRelayRequest(id, class string) string {
-	a := platform.Ask{Op: "op" + id, Class: class, Tenant: "branch", Session: "abc", Tokens: 3, Patience: 4 * time.Second, ID: id}
-	s.p.Call(id, platform.Op{Name: a.Op, Class: class, Tokens: a.Tokens})
-	return a.Request()
+	a := platform.Request{Operation: "op" + id, Class: class, Tenant: "branch", Session: "abc", ResponseTokens: 3, Timeout: 4 * time.Second, ID: id}
+	s.p.RegisterCall(id, platform.Operation{Name: a.Operation, Class: class, ResponseTokens: a.ResponseTokens})
+	return a.Encode()
 }
 
 // Requests that engines answer in good order.
@@ -89,8 +89,8 @@
 		{name: "stream is not asked for", request: whole},
 		{name: "chunked request", request: goldenChunked(s.goldenRelayRequest("b1", "chat"))},
 		{name: "no session and no information", request: goldenWithout(s.goldenRelayRequest("b2", "chat"), "X-Route-Hash", "X-Call-Info")},
-		{name: "interim answers of the engine", request: s.goldenRelayRequest("b3", "chat"), before: func() { e["w0"].Next(platform.Interim) }},
-		{name: "load report that cannot be read", request: s.goldenRelayRequest("b4", "chat"), before: func() { e["w0"].Next(platform.BadReport) }},
+		{name: "interim answers of the engine", request: s.goldenRelayRequest("b3", "chat"), before: func() { e["w0"].QueueFaults(platform.InterimResponses) }},
+		{name: "load report that cannot be read", request: s.goldenRelayRequest("b4", "chat"), before: func() { e["w0"].QueueFaults(platform.MalformedLoadReport) }},
 		{name: "readiness", request: "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"},
 		{name: "readiness, head alone", request: "HEAD /healthz HTTP/1.1\r\nHost: h\r\n\r\n"},
 	})
@@ -192,14 +192,14 @@
 		class string
 		fault platform.Fault
 	}{
-		{"commit", platform.Error500}, {"commit", platform.Plain503}, {"commit", platform.CutBefore}, {"commit", platform.BadHead},
-		{"commit", platform.Noise}, {"commit", platform.CutStream}, {"commit", platform.BadChunk}, {"commit", platform.MisfitChunk},
-		{"commit", platform.NoFinal}, {"commit", platform.CutLast}, {"chat", platform.CutStream}, {"chat", platform.BadChunk},
-		{"chat", platform.NoFinal}, {"chat", platform.SecondAnswer},
+		{"commit", platform.InternalError}, {"commit", platform.Unavailable}, {"commit", platform.CloseBeforeResponse}, {"commit", platform.MalformedHead},
+		{"commit", platform.NoiseForHead}, {"commit", platform.CloseMidStream}, {"commit", platform.MalformedChunkSize}, {"commit", platform.ChunkSizeMismatch},
+		{"commit", platform.NoFinalEvent}, {"commit", platform.CloseInLastChunk}, {"chat", platform.CloseMidStream}, {"chat", platform.MalformedChunkSize},
+		{"chat", platform.NoFinalEvent}, {"chat", platform.SecondResponse},
 	} {
 		t.Run(c.class+" "+string(c.fault), func(t *testing.T) {
 			s, e, taps := newGoldenStage(t, 64, "r0 read", "w0 write")
-			e["w0"].Next(c.fault)
+			e["w0"].QueueFaults(c.fault)
 			goldenRun(t, &b, s.node.Addr().String(), taps, []goldenCase{
 				{name: "engine fails, " + c.class + ": " + string(c.fault), request: s.goldenRelayRequest("f1", c.class)}})
 		})
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -42,8 +42,8 @@
 		n    int
 	}{{"prefill", prefill}, {"decode", decode}, {"mixed", mixed}} {
 		for i := range g.n {
-			s := emulator.Settings{ID: fmt.Sprintf("%s-%d", g.role, i+1), Role: g.role, StepMS: 1, ReadPerS: 200_000,
-				MovePerS: 1e7, LocalRead: true, Seed: uint64(i)}
+			s := emulator.Settings{ID: fmt.Sprintf("%s-%d", g.role, i+1), Role: g.role, DecodeStepMS: 1, PrefillTokensPerSecond: 200_000,
+				TransferTokensPerSecond: 1e7, LocalPrefill: true, Seed: uint64(i)}
 			if change != nil {
 				change(&s)
 			}
@@ -121,7 +121,7 @@
 	return client.Ask{Model: class, Patience: 4 * time.Second, MaxTokens: 200,
 		Messages: []emulator.Message{{Role: "system", Content: "You help with rosters."},
 			{Role: "user", Content: fmt.Sprintf("Question %d: who can cover a sick call?", r.ops)}},
-		Mark: emulator.Mark{Op: fmt.Sprintf("op%d", r.ops), Class: class, Answer: tokens}}
+		Mark: emulator.Mark{Operation: fmt.Sprintf("op%d", r.ops), Class: class, ResponseTokens: tokens}}
 }
 
 func (r *rig) do(a client.Ask) client.Result {
--- a/internal/node/isolation_test.go
+++ b/internal/node/isolation_test.go
@@ -16,17 +16,17 @@
 // A client that does not take its stream holds up no other: its socket is held at a gate while others are served whole.
 func TestRelayStreamsDoNotWaitForASlowNeighbour(t *testing.T) {
 	g := newGate(t, "op1.2 ")
-	s, e := newStageOn(t, g, platform.Settings, 64, 256, "r0 read", "w0 write")
-	e["w0"].Step = 5 * time.Millisecond
+	s, e := newStageOn(t, g, platform.SettingsJSON, 64, 256, "r0 read", "w0 write")
+	e["w0"].TokenInterval = 5 * time.Millisecond
 	slow := s.ask("chat")
-	slow.Tokens = 20
-	held := make(chan platform.Answer, 1)
+	slow.ResponseTokens = 20
+	held := make(chan platform.Response, 1)
 	go func() { held <- s.do(slow) }()
 	<-g.reached
 	for range 4 {
 		a := s.ask("chat")
-		a.Tokens = 20
-		if r := s.do(a); r.Outcome != record.Served || !r.Done {
+		a.ResponseTokens = 20
+		if r := s.do(a); r.Outcome != record.Served || !r.Complete {
 			t.Errorf("got %+v, want it served beside a slow client", r)
 		}
 	}
@@ -36,7 +36,7 @@
 	default:
 	}
 	close(g.opened)
-	if r := <-held; r.Outcome != record.Served || r.Text != platform.Whole(slow.Op, slow.Tokens) {
+	if r := <-held; r.Outcome != record.Served || r.Text != platform.ResponseText(slow.Operation, slow.ResponseTokens) {
 		t.Errorf("got %+v, want its stream once it is taken", r)
 	}
 	s.lawful()
@@ -46,12 +46,12 @@
 func TestRelayNodesAreReadyWhileDiscoveryIsSilent(t *testing.T) {
 	const nodes = 300
 	p := platform.New("n0", &record.Log{})
-	d := p.Discover(p.Add("r0", "read"), p.Add("w0", "write"))
+	d := p.StartDiscovery(p.StartEngine("r0", "read"), p.StartEngine("w0", "write"))
 	defer func() { d.Close(); p.Stop() }()
-	known := d.List()
-	d.Bad("", true)
+	known := d.Snapshot()
+	d.SetFault("", true)
 	file := t.TempDir() + "/config.json"
-	if err := platform.WriteConfig(file, platform.Config(platform.Settings, "127.0.0.1:0", d.Addr(), known, 32, 256)); err != nil {
+	if err := platform.WriteConfig(file, platform.ConfigText(platform.SettingsJSON, "127.0.0.1:0", d.Address(), known, 32, 256)); err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -38,7 +38,7 @@
 // newStage starts engines by id and role ("r0 read") and a node with the limits given.
 func newStage(t *testing.T, memoryMB, sockets int, engines ...string) (*stage, map[string]*platform.Engine) {
 	t.Helper()
-	return newStageWith(t, platform.Settings, memoryMB, sockets, engines...)
+	return newStageWith(t, platform.SettingsJSON, memoryMB, sockets, engines...)
 }
 
 // newStageWith is newStage with a settings object of the test's own.
@@ -56,10 +56,10 @@
 	var all []*platform.Engine
 	for _, e := range engines {
 		id, role, _ := strings.Cut(e, " ")
-		byID[id] = s.p.Add(id, role)
+		byID[id] = s.p.StartEngine(id, role)
 		all = append(all, byID[id])
 	}
-	s.d = s.p.Discover(all...)
+	s.d = s.p.StartDiscovery(all...)
 	s.write(memoryMB, sockets)
 	cfg, err := relay.Load(func(name string) string {
 		if name == "RELAY_CONFIG" {
@@ -87,7 +87,7 @@
 
 func (s *stage) write(memoryMB, sockets int) {
 	s.t.Helper()
-	if err := platform.WriteConfig(s.file, platform.Config(s.settings, "127.0.0.1:0", s.d.Addr(), s.d.List(), memoryMB, sockets)); err != nil {
+	if err := platform.WriteConfig(s.file, platform.ConfigText(s.settings, "127.0.0.1:0", s.d.Address(), s.d.Snapshot(), memoryMB, sockets)); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -102,12 +102,12 @@
 	s.t.Fatalf("not seen in time: %s", what)
 }
 
-func (s *stage) ask(class string) platform.Ask {
+func (s *stage) ask(class string) platform.Request {
 	s.ops++
-	return platform.Ask{Op: fmt.Sprintf("op%d", s.ops), Class: class, Tenant: "branch", Session: "abc", Tokens: 8, Patience: 4 * time.Second}
+	return platform.Request{Operation: fmt.Sprintf("op%d", s.ops), Class: class, Tenant: "branch", Session: "abc", ResponseTokens: 8, Timeout: 4 * time.Second}
 }
 
-func (s *stage) do(a platform.Ask) platform.Answer { return s.p.Do(s.node.Addr().String(), a) }
+func (s *stage) do(a platform.Request) platform.Response { return s.p.Send(s.node.Addr().String(), a) }
 
 func (s *stage) count(kind record.Kind, op string) (n int) {
 	for _, x := range s.log.All() {
@@ -121,7 +121,7 @@
 // lawful judges the rules from what passed on the sockets.
 func (s *stage) lawful() {
 	s.t.Helper()
-	s.eventually("nothing is held", func() bool { return s.p.Held() == 0 })
+	s.eventually("nothing is held", func() bool { return s.p.CallsWithState() == 0 })
 	c := rules.Config{Classes: map[string]rules.Class{"chat": {Effect: "repeatable", Group: "all"}, "commit": {Effect: "once", Group: "all"}},
 		AnswerSlack: 0.058, DrainGrace: 0.25, OverloadMultiple: 4, SlowStartWindow: 1.5, StateReleaseLimit: 1.3, Skew: 0.3}
 	for _, v := range rules.Check(s.log.All(), c) {
@@ -142,7 +142,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if r := s.do(a); r.Outcome != record.Served || r.Text != platform.Whole(a.Op, a.Tokens) {
+			if r := s.do(a); r.Outcome != record.Served || r.Text != platform.ResponseText(a.Operation, a.ResponseTokens) {
 				t.Errorf("%+v", r)
 			}
 		}()
@@ -158,16 +158,16 @@
 		fault platform.Fault
 		ran   bool
 	}{
-		{platform.Rejects, false}, {platform.NoState, false}, {platform.Error500, true}, {platform.Plain503, true},
-		{platform.CutBefore, true}, {platform.Noise, true}, {platform.BadHead, true}, {platform.EndlessHead, true},
+		{platform.Rejection, false}, {platform.StateMissing, false}, {platform.InternalError, true}, {platform.Unavailable, true},
+		{platform.CloseBeforeResponse, true}, {platform.NoiseForHead, true}, {platform.MalformedHead, true}, {platform.EndlessHead, true},
 	} {
 		t.Run(string(c.fault), func(t *testing.T) {
 			s, e := newStage(t, 64, 256, "r0 read", "w0 write", "w1 write")
 			for _, class := range []string{"chat", "commit"} {
-				e["w0"].Next(c.fault)
-				e["w1"].Next(c.fault)
+				e["w0"].QueueFaults(c.fault)
+				e["w1"].QueueFaults(c.fault)
 				a := s.ask(class)
-				a.Patience = 3 * time.Second
+				a.Timeout = 3 * time.Second
 				r := s.do(a)
 				want := record.Served
 				if class == "commit" && c.ran {
@@ -176,8 +176,8 @@
 				if r.Outcome != want && !(class == "chat" && r.Outcome == record.Refused) {
 					t.Errorf("%s: %+v", class, r)
 				}
-				if runs := s.count(record.Run, a.Op); class == "commit" && runs > 1 {
-					t.Errorf("%s ran %d times", a.Op, runs)
+				if runs := s.count(record.Run, a.Operation); class == "commit" && runs > 1 {
+					t.Errorf("%s ran %d times", a.Operation, runs)
 				}
 				s.do(s.ask("chat")) // takes what faults are left
 				s.do(s.ask("chat"))
@@ -189,19 +189,19 @@
 
 // A stream that is spoilt once its events passed ends the client's connection without the last chunk, soon.
 func TestRelayStreamsSpoiltLater(t *testing.T) {
-	for _, f := range []platform.Fault{platform.BadChunk, platform.MisfitChunk, platform.HugeChunk, platform.CutStream, platform.Silent} {
+	for _, f := range []platform.Fault{platform.MalformedChunkSize, platform.ChunkSizeMismatch, platform.HugeChunk, platform.CloseMidStream, platform.StallMidStream} {
 		t.Run(string(f), func(t *testing.T) {
 			s, e := newStage(t, 64, 256, "r0 read", "w0 write")
-			e["w0"].Next(f)
+			e["w0"].QueueFaults(f)
 			a := s.ask("chat")
 			r := s.do(a)
-			if r.Outcome != record.Failed || r.Done || r.Text == "" || !strings.HasPrefix(platform.Whole(a.Op, a.Tokens), r.Text) {
+			if r.Outcome != record.Failed || r.Complete || r.Text == "" || !strings.HasPrefix(platform.ResponseText(a.Operation, a.ResponseTokens), r.Text) {
 				t.Errorf("%+v", r)
 			}
-			if limit := map[bool]time.Duration{true: 5 * time.Second, false: 2 * time.Second}[f == platform.Silent]; r.Took > limit {
-				t.Errorf("the end was passed on after %v", r.Took)
+			if limit := map[bool]time.Duration{true: 5 * time.Second, false: 2 * time.Second}[f == platform.StallMidStream]; r.Duration > limit {
+				t.Errorf("the end was passed on after %v", r.Duration)
 			}
-			if n := s.count(record.Run, a.Op); n != 1 {
+			if n := s.count(record.Run, a.Operation); n != 1 {
 				t.Errorf("ran %d times", n)
 			}
 			s.lawful()
@@ -212,11 +212,11 @@
 // What an answer brings beside what belongs to it spoils neither it nor the next on that connection.
 func TestRelayGoodAnswersWithMoreThanBelongsToThem(t *testing.T) {
 	s, e := newStage(t, 64, 256, "r0 read", "w0 write")
-	e["r0"].Next(platform.BadReport)
-	e["w0"].Next(platform.Interim, platform.BadReport, platform.SecondAnswer, platform.None)
+	e["r0"].QueueFaults(platform.MalformedLoadReport)
+	e["w0"].QueueFaults(platform.InterimResponses, platform.MalformedLoadReport, platform.SecondResponse, platform.NoFault)
 	for range 5 {
 		a := s.ask("commit")
-		if r := s.do(a); r.Outcome != record.Served || r.Text != platform.Whole(a.Op, a.Tokens) {
+		if r := s.do(a); r.Outcome != record.Served || r.Text != platform.ResponseText(a.Operation, a.ResponseTokens) {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -228,10 +228,10 @@
 func TestRelayReadsThatWereCutAreReleased(t *testing.T) {
 	s, e := newStage(t, 64, 256, "r0 read", "r1 read", "w0 write")
 	for range 6 {
-		e["r0"].Next(platform.CutBefore)
-		e["r1"].Next(platform.CutBefore)
+		e["r0"].QueueFaults(platform.CloseBeforeResponse)
+		e["r1"].QueueFaults(platform.CloseBeforeResponse)
 		a := s.ask("chat")
-		a.Patience = 2 * time.Second
+		a.Timeout = 2 * time.Second
 		s.do(a)
 	}
 	s.lawful()
@@ -245,7 +245,7 @@
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
 	for i := range 8 {
-		asks := make([]platform.Ask, 200)
+		asks := make([]platform.Request, 200)
 		for k := range asks {
 			asks[k] = s.ask([]string{"chat", "commit"}[i%2])
 		}
@@ -263,15 +263,15 @@
 		}()
 	}
 	time.Sleep(200 * time.Millisecond)
-	s.d.State("w0", "draining")
-	s.d.State("r0", "draining")
+	s.d.SetState("w0", "draining")
+	s.d.SetState("r0", "draining")
 	time.Sleep(500 * time.Millisecond)
-	s.d.State("w0", "removed")
+	s.d.SetState("w0", "removed")
 	e["w0"].Stop()
 	// A new engine under a new id, at a place that may have been another's.
-	n := s.p.Add("w2", "write")
-	s.d.Set("w2", func(x *platform.Server) {
-		*x = platform.Server{ID: "w2", Addr: n.Addr(), Zone: "z", Kind: "write", State: "up", Weight: 1, Started: time.Now().UnixMilli()}
+	n := s.p.StartEngine("w2", "write")
+	s.d.Update("w2", func(x *platform.Endpoint) {
+		*x = platform.Endpoint{ID: "w2", Address: n.Address(), Zone: "z", Kind: "write", State: "up", Weight: 1, Started: time.Now().UnixMilli()}
 	})
 	time.Sleep(300 * time.Millisecond)
 	close(stop)
@@ -282,22 +282,22 @@
 // The id of a request that is open is another's error, and leaves the first one as it is.
 func TestRelayIDInUse(t *testing.T) {
 	s, e := newStage(t, 64, 256, "r0 read", "w0 write")
-	e["r0"].Slow(300 * time.Millisecond)
+	e["r0"].SetStartDelay(300 * time.Millisecond)
 	a := s.ask("chat")
 	a.ID = "00ff"
-	got := make(chan platform.Answer, 1)
+	got := make(chan platform.Response, 1)
 	go func() { got <- s.do(a) }()
-	s.eventually("the first one is out", func() bool { return s.count(record.Arrive, a.Op) == 1 })
-	if status := s.raw(a.Request()); status != 409 {
+	s.eventually("the first one is out", func() bool { return s.count(record.Arrive, a.Operation) == 1 })
+	if status := s.raw(a.Encode()); status != 409 {
 		t.Errorf("status %d", status)
 	}
-	if r := <-got; r.Outcome != record.Served || r.Text != platform.Whole(a.Op, a.Tokens) {
+	if r := <-got; r.Outcome != record.Served || r.Text != platform.ResponseText(a.Operation, a.ResponseTokens) {
 		t.Errorf("%+v", r)
 	}
-	if status := s.raw(a.Request()); status != 409 {
+	if status := s.raw(a.Encode()); status != 409 {
 		t.Errorf("after the first has ended: status %d", status)
 	}
-	if n := s.count(record.Arrive, a.Op); n != 2 {
+	if n := s.count(record.Arrive, a.Operation); n != 2 {
 		t.Errorf("%d attempts arrived", n)
 	}
 	s.lawful()
@@ -324,12 +324,12 @@
 // Requests that are not in order get an error and reach no engine.
 func TestRelayRequestsThatAreNotInOrder(t *testing.T) {
 	s, _ := newStage(t, 64, 256, "r0 read", "w0 write")
-	good := func() platform.Ask {
+	good := func() platform.Request {
 		a := s.ask("chat")
 		a.ID = fmt.Sprintf("ab%d", s.ops)
 		return a
 	}
-	edit := func(old, new string) string { return strings.Replace(good().Request(), old, new, 1) }
+	edit := func(old, new string) string { return strings.Replace(good().Encode(), old, new, 1) }
 	for name, text := range map[string]string{
 		"no id":               edit("X-Call-Id:", "X-Other:"),
 		"two ids":             edit("X-Caller", "X-Call-Id: 77\r\nX-Caller"),
@@ -356,7 +356,7 @@
 		"negative length":     edit("Content-Length: ", "Content-Length: -"),
 		"huge length":         edit("Content-Length: ", "Content-Length: 99999999999999999999"),
 		"60 MB":               "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 62914560\r\n\r\n",
-		"bare LF":             strings.ReplaceAll(good().Request(), "\r\n", "\n"),
+		"bare LF":             strings.ReplaceAll(good().Encode(), "\r\n", "\n"),
 		"other path":          "GET /v1/servers HTTP/1.1\r\nHost: h\r\n\r\n",
 		"other method":        edit("POST", "PUT"),
 		"noise":               "\x16\x03\x01\x02\x00\x01\x00\r\n\r\n",
@@ -397,7 +397,7 @@
 		open("POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\n{")
 	}
 	for range 5 {
-		if r := s.do(s.ask("chat")); r.Outcome != record.Served || r.Took > time.Second {
+		if r := s.do(s.ask("chat")); r.Outcome != record.Served || r.Duration > time.Second {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -425,23 +425,23 @@
 	served("at first")
 	for _, bad := range []string{"{", `{"version":"x"}`, `{"version":-1,"full":true,"servers":[]}`,
 		`{"version":9,"full":true,"servers":[{"id":"","state":"up"}]}`, `{"version":9,"full":true,"servers":[{"id":"w0","state":"sideways"}]}`} {
-		s.d.Bad(bad, false)
+		s.d.SetFault(bad, false)
 		time.Sleep(20 * time.Millisecond)
 		served(bad)
 	}
-	s.d.Bad("", true)
+	s.d.SetFault("", true)
 	served("silent")
 	s.d.Close()
 	served("gone")
-	s.d.Bad("", false)
-	s.d.Open()
+	s.d.SetFault("", false)
+	s.d.Listen()
 	s.write(64, 256)
 	cfg, err := relay.Load(func(name string) string { return map[string]string{"RELAY_CONFIG": s.file}[name] })
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.node.Reload(cfg)
-	s.d.State("w0", "draining")
+	s.d.SetState("w0", "draining")
 	at := time.Now()
 	s.eventually("w0 is drained", func() bool {
 		s.do(s.ask("chat"))
@@ -460,12 +460,12 @@
 // another node for the rest.
 func TestRelayStop(t *testing.T) {
 	s, e := newStage(t, 64, 256, "r0 read", "w0 write")
-	e["w0"].Step = 200 * time.Millisecond
+	e["w0"].TokenInterval = 200 * time.Millisecond
 	var wg sync.WaitGroup
-	results := make(chan platform.Answer, 20)
+	results := make(chan platform.Response, 20)
 	for range 10 {
 		a := s.ask("chat")
-		a.Tokens = 100 // 20 s
+		a.ResponseTokens = 100 // 20 s
 		wg.Add(1)
 		go func() { defer wg.Done(); results <- s.do(a) }()
 	}
@@ -488,10 +488,10 @@
 	close(results)
 	spread := map[int64]bool{}
 	for r := range results {
-		if r.Outcome != record.Failed || r.Done {
+		if r.Outcome != record.Failed || r.Complete {
 			t.Errorf("%+v", r)
 		}
-		spread[r.Took.Milliseconds()/100] = true
+		spread[r.Duration.Milliseconds()/100] = true
 	}
 	if len(spread) < 5 {
 		t.Errorf("the ends are not spread: %v", spread)
@@ -503,7 +503,7 @@
 // takes then has ended before it could be killed.
 func TestRelayStopServesKeptConnections(t *testing.T) {
 	s, e := newStage(t, 64, 256, "r0 read", "w0 write")
-	e["w0"].Step = 30 * time.Millisecond
+	e["w0"].TokenInterval = 30 * time.Millisecond
 	c, err := net.Dial("tcp", s.node.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -512,9 +512,9 @@
 	br := bufio.NewReader(c)
 	ask := func(id string, tokens int) (status int, whole bool) {
 		a := s.ask("chat")
-		a.ID, a.Tokens = id, tokens
-		s.p.Call(id, platform.Op{Name: a.Op, Class: "chat", Tokens: tokens})
-		io.WriteString(c, a.Request())
+		a.ID, a.ResponseTokens = id, tokens
+		s.p.RegisterCall(id, platform.Operation{Name: a.Operation, Class: "chat", ResponseTokens: tokens})
+		io.WriteString(c, a.Encode())
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil {
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -43,15 +43,15 @@
 		"no memory told":        {`"tokens_by_kind":[200000,150000,200000]`, `"tokens_by_kind":[]`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			settings := strings.Replace(platform.Settings, edit[0], edit[1], 1)
-			if settings == platform.Settings {
+			settings := strings.Replace(platform.SettingsJSON, edit[0], edit[1], 1)
+			if settings == platform.SettingsJSON {
 				t.Fatalf("%q is not in the settings", edit[0])
 			}
 			p := platform.New("n0", &record.Log{})
-			d := p.Discover(p.Add("r0", "read"), p.Add("w0", "write"), p.Add("m0", "both"))
+			d := p.StartDiscovery(p.StartEngine("r0", "read"), p.StartEngine("w0", "write"), p.StartEngine("m0", "both"))
 			defer func() { d.Close(); p.Stop() }()
 			file := t.TempDir() + "/config.json"
-			if err := platform.WriteConfig(file, platform.Config(settings, "127.0.0.1:0", d.Addr(), d.List(), 32, 256)); err != nil {
+			if err := platform.WriteConfig(file, platform.ConfigText(settings, "127.0.0.1:0", d.Address(), d.Snapshot(), 32, 256)); err != nil {
 				t.Fatal(err)
 			}
 			cfg, err := relay.Load(func(string) string { return file })
@@ -60,8 +60,8 @@
 				n, err = node.StartRelay(cfg, node.WithLogger(slog.New(slog.NewTextHandler(io.Discard, nil))))
 				if err == nil {
 					defer n.Stop()
-					a := platform.Ask{Op: "a", Class: "chat", Tenant: "branch", Tokens: 4, Patience: time.Second}
-					if r := p.Do(n.Addr().String(), a); r.Outcome == record.Cut || r.Took > 2*time.Second {
+					a := platform.Request{Operation: "a", Class: "chat", Tenant: "branch", ResponseTokens: 4, Timeout: time.Second}
+					if r := p.Send(n.Addr().String(), a); r.Outcome == record.Cut || r.Duration > 2*time.Second {
 						t.Errorf("got %+v, want an answer in time", r)
 					}
 					return
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -35,9 +35,9 @@
 func (k *kept) ask(id string, tokens int) (status int, whole bool) {
 	k.s.t.Helper()
 	a := k.s.ask("chat")
-	a.ID, a.Tokens = id, tokens
-	k.s.p.Call(id, platform.Op{Name: a.Op, Class: a.Class, Tokens: tokens})
-	io.WriteString(k.c, a.Request())
+	a.ID, a.ResponseTokens = id, tokens
+	k.s.p.RegisterCall(id, platform.Operation{Name: a.Operation, Class: a.Class, ResponseTokens: tokens})
+	io.WriteString(k.c, a.Encode())
 	k.c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	resp, err := http.ReadResponse(k.br, nil)
 	if err != nil {
@@ -50,9 +50,9 @@
 // Where clients do not come again for the rest of a stream, a node that is told to stop ends none that runs, and takes none
 // that SIGKILL could cut: what comes on a kept connection later than 0.7 s is refused.
 func TestRelayStopWithoutResume(t *testing.T) {
-	settings := strings.Replace(platform.Settings, `"resume":true`, `"resume":false`, 1)
+	settings := strings.Replace(platform.SettingsJSON, `"resume":true`, `"resume":false`, 1)
 	s, e := newStageWith(t, settings, 64, 256, "r0 read", "w0 write")
-	e["w0"].Step = 40 * time.Millisecond
+	e["w0"].TokenInterval = 40 * time.Millisecond
 	early, late := s.connect(), s.connect()
 	for i, k := range []*kept{early, late} {
 		if status, whole := k.ask("a"+string(rune('0'+i)), 1); status != 200 || !whole {
--- a/internal/node/staterelease_test.go
+++ b/internal/node/staterelease_test.go
@@ -19,15 +19,15 @@
 	for _, leaves := range []bool{true, false} {
 		s, e := newStage(t, 64, 256, "r0 read", "r1 read", "w0 write", "w1 write", "w2 write")
 		for _, id := range []string{"w0", "w1", "w2"} {
-			e[id].Hang(true)
+			e[id].SetHung(true)
 		}
 		a := s.ask("chat")
-		a.Patience = 1500 * time.Millisecond
+		a.Timeout = 1500 * time.Millisecond
 		c := s.start(&a, "1ea5e0")
-		s.eventually("a state waits", func() bool { return s.p.Held() == 1 })
+		s.eventually("a state waits", func() bool { return s.p.CallsWithState() == 1 })
 		for _, id := range []string{"r0", "r1"} {
-			if s.count(record.Parsed, a.Op) > 0 && s.holder(a.Op) == id {
-				e[id].Hang(true)
+			if s.count(record.Parsed, a.Operation) > 0 && s.holder(a.Operation) == id {
+				e[id].SetHung(true)
 			}
 		}
 		if leaves {
@@ -36,7 +36,7 @@
 		}
 		s.lawful()
 		for _, x := range e {
-			x.Hang(false)
+			x.SetHung(false)
 		}
 		s.eventually("the node holds nothing", func() bool { return s.node.Held() == 0 })
 	}
@@ -55,18 +55,18 @@
 // Releases that are owed when a node is told to stop are made before it ends, though the engine asked first says nothing.
 func TestRelayStopMakesTheReleasesOwed(t *testing.T) {
 	s, e := newStage(t, 64, 256, "r0 read", "r1 read", "w0 write")
-	e["w0"].Hang(true)
+	e["w0"].SetHung(true)
 	a := s.ask("chat")
 	s.start(&a, "1ea5e1")
-	s.eventually("a state waits", func() bool { return s.p.Held() == 1 })
-	e[s.holder(a.Op)].Hang(true)
+	s.eventually("a state waits", func() bool { return s.p.CallsWithState() == 1 })
+	e[s.holder(a.Operation)].SetHung(true)
 	s.stopped = true
 	s.node.Shutdown(0)
-	if n := s.p.Held(); n > 0 {
+	if n := s.p.CallsWithState(); n > 0 {
 		t.Errorf("the node ended with %d states held", n)
 	}
 	for _, x := range e {
-		x.Hang(false)
+		x.SetHung(false)
 	}
 	s.lawful()
 }
@@ -76,10 +76,10 @@
 func TestRelayReleasesWhereASendDoesNotArrive(t *testing.T) {
 	s, _ := newStage(t, 64, 256, "r0 read", "w0 write")
 	full := fullListener(t)
-	s.d.Set("w0", func(x *platform.Server) { x.Addr = full.Addr().String() })
+	s.d.Update("w0", func(x *platform.Endpoint) { x.Address = full.Addr().String() })
 	time.Sleep(100 * time.Millisecond) // the change is heard
 	a := s.ask("commit")
-	a.Op = strings.Repeat("x", 60<<10)
+	a.Operation = strings.Repeat("x", 60<<10)
 	s.do(a)
 	s.lawful()
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -19,7 +19,7 @@
 
 func testSettings(t testing.TB) *settings.Settings {
 	t.Helper()
-	s, err := settings.Parse([]byte(platform.Settings))
+	s, err := settings.Parse([]byte(platform.SettingsJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,20 +28,20 @@
 
 func TestConfigurationFromFileAndEnvironment(t *testing.T) {
 	env := map[string]string{"RELAY_NAME": "n7", "RELAY_LISTEN": "127.0.0.1:1", "RELAY_DISCOVERY": "127.0.0.1:2"}
-	c, err := Parse([]byte(`{"seed":"8c1f30d27a5be964","limits":{"cores":0.5,"memory_mb":32,"sockets":256},"settings":`+platform.Settings+`}`),
+	c, err := Parse([]byte(`{"seed":"8c1f30d27a5be964","limits":{"cores":0.5,"memory_mb":32,"sockets":256},"settings":`+platform.SettingsJSON+`}`),
 		func(n string) string { return env[n] })
 	if err != nil || c.Name != "n7" || c.Discovery != "127.0.0.1:2" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 256 {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	for name, text := range map[string]string{
-		"no JSON": "{", "no settings": `{}`, "bad seed": `{"seed":"x","settings":` + platform.Settings + `}`,
-		"negative limit": `{"limits":{"sockets":-1},"settings":` + platform.Settings + `}`, "bad settings": `{"settings":{"classes":[{"effect":"maybe"}]}}`,
+		"no JSON": "{", "no settings": `{}`, "bad seed": `{"seed":"x","settings":` + platform.SettingsJSON + `}`,
+		"negative limit": `{"limits":{"sockets":-1},"settings":` + platform.SettingsJSON + `}`, "bad settings": `{"settings":{"classes":[{"effect":"maybe"}]}}`,
 	} {
 		if _, err := Parse([]byte(text), func(n string) string { return env[n] }); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
-	if _, err := Parse([]byte(`{"settings":`+platform.Settings+`}`), func(string) string { return "" }); err == nil {
+	if _, err := Parse([]byte(`{"settings":`+platform.SettingsJSON+`}`), func(string) string { return "" }); err == nil {
 		t.Error("a node without a name was taken")
 	}
 	if _, err := Load(func(string) string { return "" }); err == nil {
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -87,14 +87,14 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	start := time.Now()
-	base := record.Record{Op: a.Mark.Op, Try: a.Mark.Try, Class: a.Mark.Class, Node: node, Tenant: a.Tenant}
+	base := record.Record{Op: a.Mark.Operation, Try: a.Mark.Attempt, Class: a.Mark.Class, Node: node, Tenant: a.Tenant}
 	q, err := http.NewRequestWithContext(ctx, "POST", "http://"+address+"/v1/chat/completions", bytes.NewReader(a.Body()))
 	if err != nil {
 		return Result{Err: err}
 	}
 	q.Header.Set("Content-Type", "application/json")
 	q.Header.Set("Authorization", "Bearer "+cmp.Or(a.Key, c.Key))
-	q.Header.Set("X-Stainless-Retry-Count", strconv.Itoa(a.Mark.Try))
+	q.Header.Set("X-Stainless-Retry-Count", strconv.Itoa(a.Mark.Attempt))
 	if a.Patience > 0 {
 		q.Header.Set("X-Request-Timeout-Ms", strconv.FormatInt(a.Patience.Milliseconds(), 10))
 	}
@@ -167,7 +167,7 @@
 	if ms, err := strconv.Atoi(resp.Header.Get("Retry-After-Ms")); err == nil {
 		res.After = time.Duration(ms) * time.Millisecond
 	}
-	want, _ := emulator.Expected(a.Messages, a.Mark, a.MaxTokens)
+	want, _ := emulator.ExpectedResponse(a.Messages, a.Mark, a.MaxTokens)
 	switch {
 	case resp.StatusCode != 200:
 		body, err := io.ReadAll(resp.Body)
--- a/lab/emulator/listserver.go
+++ b/lab/emulator/consul.go
@@ -20,36 +20,36 @@
 	Critical    bool
 }
 
-// ListFaults are what is wrong with a list server. The zero value is a sound one.
-type ListFaults struct {
-	Hang      bool // calls are taken and never answered
-	Truncate  bool // bodies end in the middle
-	Errors    bool // 500
-	NoIndex   bool
-	Old       int  // answers are so many versions old
-	Empty     bool // the list is empty
-	Malformed bool
+// ConsulFaults are what is wrong with a list server. The zero value is a sound one.
+type ConsulFaults struct {
+	Hang           bool // calls are taken and never answered
+	Truncate       bool // bodies end in the middle
+	Errors         bool // 500
+	NoIndex        bool
+	VersionsBehind int  // answers are so many versions old
+	Empty          bool // the list is empty
+	Malformed      bool
 }
 
-// ListServer plays Consul's health endpoint with blocking queries, on loopback.
-type ListServer struct {
+// ConsulServer plays Consul's health endpoint with blocking queries, on loopback.
+type ConsulServer struct {
 	mu       sync.Mutex
 	index    uint64
 	versions [][]Instance // the last ones, newest last
 	change   chan struct{}
-	faults   ListFaults
+	faults   ConsulFaults
 	server   *http.Server
 	address  string
 	cancel   context.CancelFunc
 }
 
-// NewListServer returns one that does not run yet, with an index to begin from.
-func NewListServer(index uint64) *ListServer {
-	return &ListServer{index: max(1, index), versions: [][]Instance{nil}, change: make(chan struct{})}
+// NewConsulServer returns one that does not run yet, with an index to begin from.
+func NewConsulServer(index uint64) *ConsulServer {
+	return &ConsulServer{index: max(1, index), versions: [][]Instance{nil}, change: make(chan struct{})}
 }
 
 // Start opens the socket, at the same address each time.
-func (s *ListServer) Start() error {
+func (s *ConsulServer) Start() error {
 	at := s.address
 	if at == "" {
 		at = "127.0.0.1:0"
@@ -77,16 +77,16 @@
 }
 
 // Stop ends the server; Start brings it back.
-func (s *ListServer) Stop() {
+func (s *ConsulServer) Stop() {
 	s.cancel()
 	s.server.Close()
 }
 
 // Address is where it listens, from its first start on.
-func (s *ListServer) Address() string { return s.address }
+func (s *ConsulServer) Address() string { return s.address }
 
-// Set replaces the list and answers the calls that wait.
-func (s *ListServer) Set(list []Instance) {
+// SetInstances replaces the list and answers the calls that wait.
+func (s *ConsulServer) SetInstances(list []Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.index++
@@ -96,8 +96,8 @@
 	s.change = make(chan struct{})
 }
 
-// Reset makes the index start again, as after a restore from a backup.
-func (s *ListServer) Reset(index uint64) {
+// ResetIndex makes the index start again, as after a restore from a backup.
+func (s *ConsulServer) ResetIndex(index uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.index = index
@@ -106,7 +106,7 @@
 }
 
 // SetFaults replaces what is wrong, and answers the calls that wait.
-func (s *ListServer) SetFaults(f ListFaults) {
+func (s *ConsulServer) SetFaults(f ConsulFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
@@ -114,7 +114,7 @@
 	s.change = make(chan struct{})
 }
 
-func (s *ListServer) health(w http.ResponseWriter, q *http.Request) {
+func (s *ConsulServer) health(w http.ResponseWriter, q *http.Request) {
 	asked, _ := strconv.ParseUint(q.URL.Query().Get("index"), 10, 64)
 	wait, err := time.ParseDuration(q.URL.Query().Get("wait"))
 	if err != nil {
@@ -125,15 +125,15 @@
 	for {
 		s.mu.Lock()
 		index, change, f := s.index, s.change, s.faults
-		at := max(0, len(s.versions)-1-f.Old)
+		at := max(0, len(s.versions)-1-f.VersionsBehind)
 		list := s.versions[at]
 		s.mu.Unlock()
 		if f.Hang {
 			<-q.Context().Done()
 			return
 		}
-		if asked == 0 || index != asked || f != (ListFaults{}) {
-			s.answer(w, index-uint64(min(f.Old, int(index)-1)), list, f)
+		if asked == 0 || index != asked || f != (ConsulFaults{}) {
+			s.answer(w, index-uint64(min(f.VersionsBehind, int(index)-1)), list, f)
 			return
 		}
 		select {
@@ -147,7 +147,7 @@
 	}
 }
 
-func (s *ListServer) answer(w http.ResponseWriter, index uint64, list []Instance, f ListFaults) {
+func (s *ConsulServer) answer(w http.ResponseWriter, index uint64, list []Instance, f ConsulFaults) {
 	if f.Errors {
 		http.Error(w, "no cluster leader", 500)
 		return
--- a/lab/emulator/engine.go
+++ b/lab/emulator/engine.go
@@ -20,23 +20,23 @@
 
 // Settings of one engine. api/engine.schema.json describes them.
 type Settings struct {
-	ID           string  `json:"id"`
-	Listen       string  `json:"listen"`
-	Role         string  `json:"role"` // prefill, decode or mixed
-	Slots        int     `json:"slots"`
-	Queue        int     `json:"queue"`
-	MemoryTokens int     `json:"memory_tokens"`
-	ReadPerS     float64 `json:"read_per_s"` // prompt tokens a second
-	StepMS       float64 `json:"step_ms"`    // time of a decode step,
-	PerSeqMS     float64 `json:"per_seq_ms"` // and more for each running answer
-	MovePerS     float64 `json:"move_per_s"` // tokens of state a second
-	ColdShare    float64 `json:"cold_share"` // of its speed, right after a cold start
-	ColdS        float64 `json:"cold_s"`
-	LocalRead    bool    `json:"local_read"` // a decode engine reads prompts itself where there is no state
-	StateTTL     float64 `json:"state_ttl_s"`
-	ReportMS     float64 `json:"report_ms"` // its load is refreshed this often
-	NoRelease    bool    `json:"no_release"`
-	Seed         uint64  `json:"seed"`
+	ID                      string  `json:"id"`
+	Listen                  string  `json:"listen"`
+	Role                    string  `json:"role"` // prefill, decode or mixed
+	Slots                   int     `json:"slots"`
+	QueueLimit              int     `json:"queue"`
+	MemoryTokens            int     `json:"memory_tokens"`
+	PrefillTokensPerSecond  float64 `json:"read_per_s"` // prompt tokens a second
+	DecodeStepMS            float64 `json:"step_ms"`    // time of a decode step,
+	DecodeStepPerSequenceMS float64 `json:"per_seq_ms"` // and more for each running answer
+	TransferTokensPerSecond float64 `json:"move_per_s"` // tokens of state a second
+	SlowStartShare          float64 `json:"cold_share"` // of its speed, right after a cold start
+	SlowStartSeconds        float64 `json:"cold_s"`
+	LocalPrefill            bool    `json:"local_read"` // a decode engine reads prompts itself where there is no state
+	StateTTLSeconds         float64 `json:"state_ttl_s"`
+	LoadReportIntervalMS    float64 `json:"report_ms"` // its load is refreshed this often
+	ReleaseUnsupported      bool    `json:"no_release"`
+	Seed                    uint64  `json:"seed"`
 }
 
 // WithDefaults fills what is not set.
@@ -49,8 +49,8 @@
 	if s.Slots == 0 {
 		s.Slots = 32
 	}
-	if s.Queue == 0 {
-		s.Queue = 32
+	if s.QueueLimit == 0 {
+		s.QueueLimit = 32
 	}
 	if s.MemoryTokens == 0 {
 		s.MemoryTokens = 200_000
@@ -58,13 +58,13 @@
 	if s.Listen == "" {
 		s.Listen = "127.0.0.1:0"
 	}
-	set(&s.ReadPerS, 20000)
-	set(&s.StepMS, 8)
-	set(&s.PerSeqMS, 0.1)
-	set(&s.MovePerS, 200_000)
-	set(&s.ColdShare, 0.3)
-	set(&s.StateTTL, 480)
-	set(&s.ReportMS, 100)
+	set(&s.PrefillTokensPerSecond, 20000)
+	set(&s.DecodeStepMS, 8)
+	set(&s.DecodeStepPerSequenceMS, 0.1)
+	set(&s.TransferTokensPerSecond, 200_000)
+	set(&s.SlowStartShare, 0.3)
+	set(&s.StateTTLSeconds, 480)
+	set(&s.LoadReportIntervalMS, 100)
 	return s
 }
 
@@ -183,7 +183,7 @@
 func (l *slowListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
-		if d := l.e.faults.Load().HandshakeMS; d > 0 {
+		if d := l.e.faults.Load().HandshakeDelayMS; d > 0 {
 			c = &slowConn{Conn: c, until: time.Now().Add(time.Duration(d * float64(time.Millisecond)))}
 		}
 	}
@@ -224,7 +224,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id, s := range r.states {
-		e.log.Add(record.Record{Kind: record.StateEnd, Engine: e.ID, State: id, Op: s.mark.Op, Try: s.mark.Try, Note: "died"})
+		e.log.Add(record.Record{Kind: record.StateEnd, Engine: e.ID, State: id, Op: s.mark.Operation, Try: s.mark.Attempt, Note: "died"})
 		delete(r.states, id)
 		r.memory -= s.tokens
 	}
@@ -237,8 +237,8 @@
 	return e.address
 }
 
-// Booted returns the Unix time of the last start, and whether the engine runs.
-func (e *Engine) Booted() (at float64, up bool) {
+// Started returns the Unix time of the last start, and whether the engine runs.
+func (e *Engine) Started() (at float64, up bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.bootedAt, e.run != nil
@@ -247,11 +247,11 @@
 // share is the engine's present part of its speed.
 func (e *Engine) share(r *life) float64 {
 	s := 1.0
-	if r.cold && e.ColdS > 0 {
-		age := time.Since(r.booted).Seconds() / e.ColdS
-		s = min(1, e.ColdShare+(1-e.ColdShare)*age)
+	if r.cold && e.SlowStartSeconds > 0 {
+		age := time.Since(r.booted).Seconds() / e.SlowStartSeconds
+		s = min(1, e.SlowStartShare+(1-e.SlowStartShare)*age)
 	}
-	if f := e.faults.Load().Slow; f > 1 {
+	if f := e.faults.Load().SlowFactor; f > 1 {
 		s /= f
 	}
 	return s
@@ -324,7 +324,7 @@
 // report adds the load by ORCA, as it was when last refreshed.
 func (e *Engine) report(r *life, w http.ResponseWriter) {
 	r.mu.Lock()
-	every := e.ReportMS * max(1, e.faults.Load().ReportLate)
+	every := e.LoadReportIntervalMS * max(1, e.faults.Load().LoadReportSlowFactor)
 	if time.Since(r.loadAt).Seconds()*1000 >= every {
 		r.load = loadReport{float64(r.memory) / float64(e.MemoryTokens), float64(r.waiting), float64(r.running)}
 		r.loadAt = time.Now()
@@ -349,7 +349,7 @@
 	var body struct {
 		ID string `json:"request_id"`
 	}
-	if e.NoRelease {
+	if e.ReleaseUnsupported {
 		fail(w, 404, "unknown_path", "no such call")
 		return
 	}
@@ -377,7 +377,7 @@
 	}
 	r.mu.Unlock()
 	if ok {
-		e.log.Add(record.Record{Kind: record.StateEnd, Engine: e.ID, State: id, Op: s.mark.Op, Try: s.mark.Try, Note: why})
+		e.log.Add(record.Record{Kind: record.StateEnd, Engine: e.ID, State: id, Op: s.mark.Operation, Try: s.mark.Attempt, Note: why})
 	}
 	return s, ok
 }
@@ -395,22 +395,22 @@
 		return
 	}
 	far, _ := strconv.ParseFloat(q.URL.Query().Get("slower"), 64)
-	if !sleep(q.Context(), seconds(float64(s.tokens)/e.MovePerS*max(1, far)*max(1, e.faults.Load().LinkSlow))) {
+	if !sleep(q.Context(), seconds(float64(s.tokens)/e.TransferTokensPerSecond*max(1, far)*max(1, e.faults.Load().TransferSlowFactor))) {
 		return
 	}
 	e.drop(r, id, "fetched")
 	json.NewEncoder(w).Encode(map[string]any{"digest": s.digest, "tokens": s.tokens})
 }
 
-// ColdBoot returns the Unix time of the last cold start, and whether there was one.
-func (e *Engine) ColdBoot() (at float64, cold bool) {
+// ColdStarted returns the Unix time of the last cold start, and whether there was one.
+func (e *Engine) ColdStarted() (at float64, cold bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.bootedAt, e.boots > 1
 }
 
-// Become makes a stopped engine one of another role; it takes effect at the next start.
-func (e *Engine) Become(role string) {
+// SetRole makes a stopped engine one of another role; it takes effect at the next start.
+func (e *Engine) SetRole(role string) {
 	e.mu.Lock()
 	e.Role = role
 	e.mu.Unlock()
--- a/lab/emulator/job.go
+++ b/lab/emulator/job.go
@@ -29,14 +29,14 @@
 }
 
 func (j *job) note(k record.Kind, note string) {
-	stage, work := "decode", float64(Length(j.digest, j.q.Mark, j.q.max()))
+	stage, work := "decode", float64(ResponseLength(j.digest, j.q.Mark, j.q.max()))
 	if j.prefill {
 		stage, work = "prefill", float64(j.tokens)
 	}
 	if note != "" {
 		stage += " " + note
 	}
-	j.e.log.Add(record.Record{Kind: k, Engine: j.e.ID, Node: j.node, Op: j.q.Mark.Op, Try: j.q.Mark.Try,
+	j.e.log.Add(record.Record{Kind: k, Engine: j.e.ID, Node: j.node, Op: j.q.Mark.Operation, Try: j.q.Mark.Attempt,
 		Class: j.q.Mark.Class, State: j.id, Tokens: float64(j.tokens), Work: work, Note: stage})
 }
 
@@ -52,7 +52,7 @@
 	defer stop()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.running+r.waiting >= e.Slots+e.Queue || memory > e.MemoryTokens {
+	if r.running+r.waiting >= e.Slots+e.QueueLimit || memory > e.MemoryTokens {
 		return false
 	}
 	r.waiting++
@@ -114,7 +114,7 @@
 // prompt spends the time of reading so many tokens, after the reads that came before.
 func (j *job) prompt(tokens int) bool {
 	r := j.r
-	d := seconds(float64(tokens+50) / (j.e.ReadPerS * j.e.share(r)))
+	d := seconds(float64(tokens+50) / (j.e.PrefillTokensPerSecond * j.e.share(r)))
 	r.mu.Lock()
 	now := time.Now()
 	if r.readAt.Before(now) {
@@ -150,13 +150,13 @@
 	r.memory += s.tokens
 	r.mu.Unlock()
 	j.note(record.Parsed, "")
-	if j.e.faults.Load().DropAfter {
+	if j.e.faults.Load().LoseStates {
 		j.e.drop(r, j.id, "lost")
 	}
 	r.work.Add(1)
 	go func() {
 		defer r.work.Done()
-		if sleep(r.ctx, seconds(j.e.StateTTL)) {
+		if sleep(r.ctx, seconds(j.e.StateTTLSeconds)) {
 			j.e.drop(r, j.id, "expired")
 		}
 	}()
@@ -167,7 +167,7 @@
 	err := json.NewEncoder(j.w).Encode(map[string]any{
 		"id": "chatcmpl-" + j.id, "object": "chat.completion", "created": time.Now().Unix(), "model": j.q.Model,
 		"choices": []any{map[string]any{"index": 0, "finish_reason": "length",
-			"message": map[string]string{"role": "assistant", "content": Token(j.digest, 0)}}},
+			"message": map[string]string{"role": "assistant", "content": TokenText(j.digest, 0)}}},
 		"usage": map[string]any{"prompt_tokens": j.tokens, "completion_tokens": 1, "total_tokens": j.tokens + 1,
 			"prompt_tokens_details": map[string]int{"cached_tokens": kept}},
 		"kv_transfer_params": map[string]any{"do_remote_prefill": true, "do_remote_decode": false,
@@ -181,11 +181,11 @@
 // write serves the decode stage.
 func (j *job) write() {
 	has := j.q.Transfer != nil && j.q.Transfer.DoPrefill
-	if !has && !j.e.LocalRead && j.e.Role != "mixed" {
+	if !has && !j.e.LocalPrefill && j.e.Role != "mixed" {
 		j.turn(409, "kv_state_required", "this engine reads no prompts")
 		return
 	}
-	n := Length(j.digest, j.q.Mark, j.q.max())
+	n := ResponseLength(j.digest, j.q.Mark, j.q.max())
 	memory := j.tokens + n
 	if !j.admit(memory) {
 		return
@@ -214,8 +214,8 @@
 
 var fetcher = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Second}}
 
-// CloseIdle ends the idle connections over which states are fetched.
-func CloseIdle() { fetcher.CloseIdleConnections() }
+// CloseIdleConnections ends the idle connections over which states are fetched.
+func CloseIdleConnections() { fetcher.CloseIdleConnections() }
 
 // fetch takes the state from the engine that read the prompt, over its socket.
 func (j *job) fetch() (uint64, error) {
@@ -262,11 +262,11 @@
 		if !sleep(j.ctx, j.step()) || j.r.ctx.Err() != nil {
 			return
 		}
-		whole.WriteString(Token(j.digest, i))
+		whole.WriteString(TokenText(j.digest, i))
 		if !j.q.Stream {
 			continue
 		}
-		delta := map[string]any{"content": Token(j.digest, i)}
+		delta := map[string]any{"content": TokenText(j.digest, i)}
 		if i == 0 {
 			delta["role"] = "assistant"
 		}
@@ -300,7 +300,7 @@
 	j.r.mu.Lock()
 	running := j.r.running
 	j.r.mu.Unlock()
-	d := (j.e.StepMS + j.e.PerSeqMS*float64(running)) / 1000 / j.e.share(j.r)
+	d := (j.e.DecodeStepMS + j.e.DecodeStepPerSequenceMS*float64(running)) / 1000 / j.e.share(j.r)
 	if f := j.e.faults.Load(); f.PauseMS > 0 {
 		j.r.mu.Lock()
 		if j.r.rng.Float64() < f.PauseShare {
--- a/lab/emulator/text.go
+++ b/lab/emulator/text.go
@@ -14,10 +14,10 @@
 // Mark travels in a request as the unknown member "x_lab", which a router must pass on untouched. Engines record
 // by it, and it fixes the length of the answer.
 type Mark struct {
-	Op     string `json:"op"`
-	Try    int    `json:"try"`
-	Class  string `json:"class"`
-	Answer int    `json:"answer,omitempty"` // tokens of the answer; 0 = a length drawn from the prompt
+	Operation      string `json:"op"`
+	Attempt        int    `json:"try"`
+	Class          string `json:"class"`
+	ResponseTokens int    `json:"answer,omitempty"` // tokens of the answer; 0 = a length drawn from the prompt
 }
 
 // Message is a message of a prompt.
@@ -38,9 +38,9 @@
 	return h.Sum64()
 }
 
-// Token returns the text of an answer at a position. It holds the position, so that any repeat, gap or mix-up of
+// TokenText returns the text of an answer at a position. It holds the position, so that any repeat, gap or mix-up of
 // answers shows.
-func Token(digest uint64, i int) string {
+func TokenText(digest uint64, i int) string {
 	x := digest ^ uint64(i)*0x9e3779b97f4a7c15
 	x ^= x >> 29
 	x *= 0xbf58476d1ce4e5b9
@@ -50,9 +50,9 @@
 
 var words = strings.Fields("roster visit carer kōrero morning evening swap cover whānau travel shift break call kai note")
 
-// Length returns how many tokens the answer to a prompt has.
-func Length(digest uint64, mark Mark, max int) int {
-	n := mark.Answer
+// ResponseLength returns how many tokens the answer to a prompt has.
+func ResponseLength(digest uint64, mark Mark, max int) int {
+	n := mark.ResponseTokens
 	if n <= 0 {
 		n = 8 + int(digest%24)
 	}
@@ -62,11 +62,11 @@
 	return n
 }
 
-// Answer returns a whole answer.
-func Answer(digest uint64, n int) string {
+// ResponseText returns a whole answer.
+func ResponseText(digest uint64, n int) string {
 	var b strings.Builder
 	for i := range n {
-		b.WriteString(Token(digest, i))
+		b.WriteString(TokenText(digest, i))
 	}
 	return b.String()
 }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -57,7 +57,7 @@
 		go func() { defer wg.Done(); e.Kill() }()
 	}
 	wg.Wait()
-	emulator.CloseIdle()
+	emulator.CloseIdleConnections()
 }
 
 // Engine returns an engine by its id, or nil.
@@ -115,7 +115,7 @@
 			continue
 		}
 		n := entry{ID: m.ID, Address: e.Address(), Kind: cmp.Or(f.kinds[m.ID], m.Kind), Cell: m.Cell, Zone: m.Zone, State: state}
-		if at, cold := e.ColdBoot(); cold {
+		if at, cold := e.ColdStarted(); cold {
 			n.Boot = at
 		}
 		entries = append(entries, n)
@@ -145,7 +145,7 @@
 }
 
 // Serve gives a snapshot to a list server, which tells all nodes at once; what each was told is recorded.
-func (f *Fleet) Serve(s Snapshot, server *emulator.ListServer, nodes []string) {
+func (f *Fleet) Serve(s Snapshot, server *emulator.ConsulServer, nodes []string) {
 	var list []emulator.Instance
 	for _, e := range s.entries {
 		meta := map[string]string{"kind": e.Kind, "cell": e.Cell, "zone": e.Zone, "state": e.State}
@@ -155,7 +155,7 @@
 		list = append(list, emulator.Instance{ID: e.ID, Address: e.Address, Meta: meta})
 	}
 	before := record.Now()
-	server.Set(list)
+	server.SetInstances(list)
 	f.told(s, before, nodes...)
 }
 
--- a/lab/platform/client.go
+++ b/lab/platform/client.go
@@ -14,63 +14,63 @@
 	"dillroute/lab/record"
 )
 
-// Ask is one request of a client in good order.
-type Ask struct {
-	Op       string
-	Class    string
-	Tenant   string
-	Session  string
-	Tokens   int // of the answer
-	Patience time.Duration
-	ID       string // "" = a new one
-	Head     string // further header lines, each with its end
+// Request is one request of a client in good order.
+type Request struct {
+	Operation      string
+	Class          string
+	Tenant         string
+	Session        string
+	ResponseTokens int // of the answer
+	Timeout        time.Duration
+	ID             string // "" = a new one
+	ExtraHeader    string // further header lines, each with its end
 }
 
-// Answer is what a client got.
-type Answer struct {
-	Status  int
-	Text    string
-	Done    bool // the stream came to its last chunk
-	After   string
-	Outcome record.Outcome
-	Err     error
-	Took    time.Duration
+// Response is what a client got.
+type Response struct {
+	Status     int
+	Text       string
+	Complete   bool // the stream came to its last chunk
+	RetryAfter string
+	Outcome    record.Outcome
+	Err        error
+	Duration   time.Duration
 }
 
 var calls atomic.Uint64
 
-// Request is the text of a request.
-func (a Ask) Request() string {
-	body := fmt.Sprintf(`{"model":"chat","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, a.Tokens, a.Op)
+// Encode is the text of a request.
+func (a Request) Encode() string {
+	body := fmt.Sprintf(`{"model":"chat","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, a.ResponseTokens, a.Operation)
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Caller: %s\r\n"+
 		"X-Route-Hash: %s\r\nX-Budget: %.3f\r\nX-Call-Info: prompt_len=20,prefix_len=0,max_out=%d\r\n%sContent-Length: %d\r\n\r\n%s",
-		a.ID, a.Class, a.Tenant, a.Session, a.Patience.Seconds(), a.Tokens, a.Head, len(body), body)
+		a.ID, a.Class, a.Tenant, a.Session, a.Timeout.Seconds(), a.ResponseTokens, a.ExtraHeader, len(body), body)
 }
 
-// Do makes a request on a connection of its own.
-func (p *Platform) Do(addr string, a Ask) Answer {
+// Send makes a request on a connection of its own.
+func (p *Platform) Send(addr string, a Request) Response {
 	if a.ID == "" {
 		a.ID = fmt.Sprintf("%016x", calls.Add(1))
 	}
-	p.Call(a.ID, Op{Name: a.Op, Class: a.Class, Tokens: a.Tokens})
+	p.RegisterCall(a.ID, Operation{Name: a.Operation, Class: a.Class, ResponseTokens: a.ResponseTokens})
 	start := time.Now()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
-		return Answer{Outcome: record.Unmet, Err: err}
+		return Response{Outcome: record.Unmet, Err: err}
 	}
 	defer c.Close()
-	base := record.Record{Op: a.Op, Class: a.Class, Node: p.Node}
+	base := record.Record{Op: a.Operation, Class: a.Class, Node: p.Node}
 	ask := base
-	ask.Kind, ask.Tokens = record.Ask, a.Patience.Seconds()
+	ask.Kind, ask.Tokens = record.Ask, a.Timeout.Seconds()
 	p.Log.Add(ask)
-	if _, err = io.WriteString(c, a.Request()); err != nil {
-		return Answer{Outcome: record.Cut, Err: err}
+	if _, err = io.WriteString(c, a.Encode()); err != nil {
+		return Response{Outcome: record.Cut, Err: err}
 	}
 	ans := p.hear(c, a, base)
-	ans.Took = time.Since(start)
+	ans.Duration = time.Since(start)
 	end := base
-	end.Kind, end.Outcome, end.OK = record.Answer, ans.Outcome, ans.Outcome == record.Served && ans.Text == Whole(a.Op, a.Tokens) ||
-		ans.Outcome == record.Failed && strings.HasPrefix(Whole(a.Op, a.Tokens), ans.Text)
+	end.Kind, end.Outcome, end.OK = record.Answer, ans.Outcome, ans.Outcome == record.Served && ans.Text == ResponseText(a.Operation, a.ResponseTokens) ||
+		ans.Outcome == record.Failed && strings.HasPrefix(ResponseText(a.Operation, a.ResponseTokens), ans.Text)
 	if ans.Err != nil {
 		end.Note = ans.Err.Error()
 	}
@@ -79,13 +79,13 @@
 }
 
 // hear reads the answer. A stream that ends without its last chunk has failed; no answer at all is one that was cut.
-func (p *Platform) hear(c net.Conn, a Ask, base record.Record) Answer {
-	c.SetReadDeadline(time.Now().Add(a.Patience + time.Second))
+func (p *Platform) hear(c net.Conn, a Request, base record.Record) Response {
+	c.SetReadDeadline(time.Now().Add(a.Timeout + time.Second))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		return Answer{Outcome: record.Cut, Err: err}
+		return Response{Outcome: record.Cut, Err: err}
 	}
-	ans := Answer{Status: resp.StatusCode, After: resp.Header.Get("Retry-After")}
+	ans := Response{Status: resp.StatusCode, RetryAfter: resp.Header.Get("Retry-After")}
 	switch {
 	case resp.StatusCode == 429 || resp.StatusCode == 503:
 		ans.Outcome = record.Refused
@@ -121,7 +121,7 @@
 		}
 	}
 	if ans.Err = lines.Err(); ans.Err == nil {
-		ans.Outcome, ans.Done = record.Served, true
+		ans.Outcome, ans.Complete = record.Served, true
 	}
 	return ans
 }
--- a/lab/platform/discovery.go
+++ b/lab/platform/discovery.go
@@ -11,10 +11,10 @@
 	"dillroute/lab/record"
 )
 
-// Server is one entry of the list.
-type Server struct {
+// Endpoint is one entry of the list.
+type Endpoint struct {
 	ID      string  `json:"id"`
-	Addr    string  `json:"addr"`
+	Address string  `json:"addr"`
 	Zone    string  `json:"zone"`
 	Kind    string  `json:"kind"`
 	Cell    int     `json:"cell"`
@@ -25,62 +25,62 @@
 
 // Discovery is the agent of one node.
 type Discovery struct {
-	p *Platform
-
-	mu      sync.Mutex
-	version int
-	servers map[string]Server
-	changed map[string]int // version at which an entry changed last
-	news    chan struct{}  // closed at a change
-	bad     string         // what it answers in place of lists
-	silent  bool
-	server  *http.Server
-	l       net.Listener
+	platform *Platform
+
+	mu       sync.Mutex
+	version  int
+	servers  map[string]Endpoint
+	changed  map[string]int // version at which an entry changed last
+	news     chan struct{}  // closed at a change
+	bad      string         // what it answers in place of lists
+	silent   bool
+	server   *http.Server
+	listener net.Listener
 }
 
-// Discover starts an agent that lists the engines given.
-func (p *Platform) Discover(engines ...*Engine) *Discovery {
-	d := &Discovery{p: p, servers: map[string]Server{}, changed: map[string]int{}, news: make(chan struct{})}
+// StartDiscovery starts an agent that lists the engines given.
+func (p *Platform) StartDiscovery(engines ...*Engine) *Discovery {
+	d := &Discovery{platform: p, servers: map[string]Endpoint{}, changed: map[string]int{}, news: make(chan struct{})}
 	for _, e := range engines {
-		d.servers[e.ID] = Server{ID: e.ID, Addr: e.Addr(), Zone: "z", Kind: e.Role, State: "up", Weight: 1}
+		d.servers[e.ID] = Endpoint{ID: e.ID, Address: e.Address(), Zone: "z", Kind: e.Role, State: "up", Weight: 1}
 	}
-	d.Open()
+	d.Listen()
 	return d
 }
 
-// Open listens at a new address; what listened before goes on.
-func (d *Discovery) Open() {
+// Listen listens at a new address; what listened before goes on.
+func (d *Discovery) Listen() {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err) // loopback without ports: no test can run
 	}
 	d.mu.Lock()
-	d.l, d.server = l, &http.Server{Handler: http.HandlerFunc(d.serve)}
+	d.listener, d.server = l, &http.Server{Handler: http.HandlerFunc(d.serve)}
 	s := d.server
 	d.mu.Unlock()
-	d.p.wg.Add(1)
-	go func() { defer d.p.wg.Done(); s.Serve(l) }()
+	d.platform.wg.Add(1)
+	go func() { defer d.platform.wg.Done(); s.Serve(l) }()
 }
 
-// Addr is the newest address; Close ends a server of it with all its connections.
-func (d *Discovery) Addr() string {
+// Address is the newest address; Close ends a server of it with all its connections.
+func (d *Discovery) Address() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.l.Addr().String()
+	return d.listener.Addr().String()
 }
 
-// Server returns what listens at the newest address.
-func (d *Discovery) Server() *http.Server {
+// HTTPServer returns what listens at the newest address.
+func (d *Discovery) HTTPServer() *http.Server {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.server
 }
 
 // Close ends the newest server.
-func (d *Discovery) Close() { d.Server().Close() }
+func (d *Discovery) Close() { d.HTTPServer().Close() }
 
-// Set changes an entry, or adds it.
-func (d *Discovery) Set(id string, change func(*Server)) {
+// Update changes an entry, or adds it.
+func (d *Discovery) Update(id string, change func(*Endpoint)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.servers[id]
@@ -92,11 +92,11 @@
 	d.news = make(chan struct{})
 }
 
-// State sets an entry's state.
-func (d *Discovery) State(id, state string) { d.Set(id, func(s *Server) { s.State = state }) }
+// SetState sets an entry's state.
+func (d *Discovery) SetState(id, state string) { d.Update(id, func(s *Endpoint) { s.State = state }) }
 
-// Bad sets what is answered in place of lists; "" = lists. Silent says nothing at all.
-func (d *Discovery) Bad(text string, silent bool) {
+// SetFault sets what is answered in place of lists; "" = lists. Silent says nothing at all.
+func (d *Discovery) SetFault(text string, silent bool) {
 	d.mu.Lock()
 	d.bad, d.silent = text, silent
 	close(d.news)
@@ -104,8 +104,8 @@
 	d.mu.Unlock()
 }
 
-// List is the whole list in discovery's form.
-func (d *Discovery) List() []byte {
+// Snapshot is the whole list in discovery's form.
+func (d *Discovery) Snapshot() []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	b, _ := json.Marshal(d.answer(-1)) // strings and numbers always encode
@@ -114,7 +114,7 @@
 
 // answer is what changed after a version, or the whole list.
 func (d *Discovery) answer(from int) map[string]any {
-	xs := []Server{}
+	xs := []Endpoint{}
 	for id, s := range d.servers {
 		if from < 0 && s.State != "removed" || from >= 0 && d.changed[id] > from {
 			xs = append(xs, s)
@@ -157,8 +157,8 @@
 	}
 	text, _ := json.Marshal(a) // strings and numbers always encode
 	w.Write(text)
-	for _, s := range a["servers"].([]Server) {
+	for _, s := range a["servers"].([]Endpoint) {
 		state := map[string]string{"up": "ready", "draining": "draining", "removed": "gone"}[s.State]
-		d.p.Log.Add(record.Record{Kind: record.Told, Node: d.p.Node, Engine: s.ID, State: state})
+		d.platform.Log.Add(record.Record{Kind: record.Told, Node: d.platform.Node, Engine: s.ID, State: state})
 	}
 }
--- a/lab/platform/engine.go
+++ b/lab/platform/engine.go
@@ -19,47 +19,47 @@
 
 // Faults.
 const (
-	None         Fault = ""
-	Noise        Fault = "noise"         // noise in place of the opening; the connection stays open
-	BadHead      Fault = "bad head"      // a head that cannot be read
-	EndlessHead  Fault = "endless head"  // a head that does not end
-	BadChunk     Fault = "bad chunk"     // later: a chunk whose size cannot be read
-	MisfitChunk  Fault = "misfit chunk"  // later: one that does not fit
-	HugeChunk    Fault = "huge chunk"    // later: one of 3 GB that keeps coming
-	CutStream    Fault = "cut"           // the connection breaks in mid-stream
-	Silent       Fault = "silent"        // nothing more comes in mid-stream
-	CutBefore    Fault = "cut before"    // the connection breaks before the answer
-	Interim      Fault = "interim"       // good: 1xx answers in front
-	BadReport    Fault = "bad report"    // good: a load report that cannot be read
-	SecondAnswer Fault = "second answer" // good: another answer right behind
-	LateAnswer   Fault = "late answer"   // good: another answer some milliseconds behind
-	NoFinal      Fault = "no final"      // the stream ends in good order without its final event
-	CutLast      Fault = "cut last"      // the connection breaks within the last chunk
-	Comments     Fault = "comments"      // in mid-stream, comments without end in place of events
-	HalfReject   Fault = "half reject"   // a rejection whose body does not end
-	HalfRead     Fault = "half read"     // a read whose answer's body does not end
-	Error500     Fault = "500"
-	Rejects      Fault = "rejects" // 503 with the word that it never ran
-	Plain503     Fault = "503"     // without it
-	NoState      Fault = "no state"
+	NoFault                   Fault = ""
+	NoiseForHead              Fault = "noise"         // noise in place of the opening; the connection stays open
+	MalformedHead             Fault = "bad head"      // a head that cannot be read
+	EndlessHead               Fault = "endless head"  // a head that does not end
+	MalformedChunkSize        Fault = "bad chunk"     // later: a chunk whose size cannot be read
+	ChunkSizeMismatch         Fault = "misfit chunk"  // later: one that does not fit
+	HugeChunk                 Fault = "huge chunk"    // later: one of 3 GB that keeps coming
+	CloseMidStream            Fault = "cut"           // the connection breaks in mid-stream
+	StallMidStream            Fault = "silent"        // nothing more comes in mid-stream
+	CloseBeforeResponse       Fault = "cut before"    // the connection breaks before the answer
+	InterimResponses          Fault = "interim"       // good: 1xx answers in front
+	MalformedLoadReport       Fault = "bad report"    // good: a load report that cannot be read
+	SecondResponse            Fault = "second answer" // good: another answer right behind
+	DelayedSecondResponse     Fault = "late answer"   // good: another answer some milliseconds behind
+	NoFinalEvent              Fault = "no final"      // the stream ends in good order without its final event
+	CloseInLastChunk          Fault = "cut last"      // the connection breaks within the last chunk
+	EndlessComments           Fault = "comments"      // in mid-stream, comments without end in place of events
+	IncompleteRejection       Fault = "half reject"   // a rejection whose body does not end
+	IncompletePrefillResponse Fault = "half read"     // a read whose answer's body does not end
+	InternalError             Fault = "500"
+	Rejection                 Fault = "rejects" // 503 with the word that it never ran
+	Unavailable               Fault = "503"     // without it
+	StateMissing              Fault = "no state"
 )
 
 // Engine is one engine.
 type Engine struct {
-	ID, Role      string
-	Step, ReadFor time.Duration
-	p             *Platform
+	ID, Role                   string
+	TokenInterval, PrefillTime time.Duration
+	platform                   *Platform
 
-	mu      sync.Mutex
-	addr    string
-	l       net.Listener
-	conns   map[net.Conn]bool
-	faults  []Fault // of the next answers of its role
-	stopped bool
-	slow    time.Duration // before a read or an answer begins
-	hung    chan struct{} // closed when the engine no longer hangs; nil = it does not
-	begun   int           // streams that were begun
-	whole   int           // streams that were written to their last chunk
+	mu       sync.Mutex
+	address  string
+	listener net.Listener
+	conns    map[net.Conn]bool
+	faults   []Fault // of the next answers of its role
+	stopped  bool
+	slow     time.Duration // before a read or an answer begins
+	hung     chan struct{} // closed when the engine no longer hangs; nil = it does not
+	begun    int           // streams that were begun
+	whole    int           // streams that were written to their last chunk
 }
 
 func (e *Engine) listen() error {
@@ -68,57 +68,57 @@
 		return err
 	}
 	e.mu.Lock()
-	e.l, e.addr, e.stopped = l, l.Addr().String(), false
+	e.listener, e.address, e.stopped = l, l.Addr().String(), false
 	e.mu.Unlock()
-	e.p.wg.Add(1)
+	e.platform.wg.Add(1)
 	go e.accept(l)
 	return nil
 }
 
-// Addr is where the engine listens.
-func (e *Engine) Addr() string {
+// Address is where the engine listens.
+func (e *Engine) Address() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.addr
+	return e.address
 }
 
-// Next sets what happens to the next answers, one each.
-func (e *Engine) Next(faults ...Fault) {
+// QueueFaults sets what happens to the next answers, one each.
+func (e *Engine) QueueFaults(faults ...Fault) {
 	e.mu.Lock()
 	e.faults = append(e.faults, faults...)
 	e.mu.Unlock()
 }
 
-// Planned returns how many of the faults that were set have not been met by a request yet.
-func (e *Engine) Planned() int {
+// PendingFaults returns how many of the faults that were set have not been met by a request yet.
+func (e *Engine) PendingFaults() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.faults)
 }
 
-// Recover drops the faults that have not been met.
-func (e *Engine) Recover() {
+// ClearFaults drops the faults that have not been met.
+func (e *Engine) ClearFaults() {
 	e.mu.Lock()
 	e.faults = nil
 	e.mu.Unlock()
 }
 
-// Writing returns how many streams were begun.
-func (e *Engine) Writing() int {
+// StreamsStarted returns how many streams were begun.
+func (e *Engine) StreamsStarted() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.begun
 }
 
-// Whole returns how many streams were written to their last chunk.
-func (e *Engine) Whole() int {
+// StreamsCompleted returns how many streams were written to their last chunk.
+func (e *Engine) StreamsCompleted() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.whole
 }
 
-// Hang has the engine take connections and requests, and do nothing with them, until it is called with false.
-func (e *Engine) Hang(on bool) {
+// SetHung has the engine take connections and requests, and do nothing with them, until it is called with false.
+func (e *Engine) SetHung(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
@@ -130,8 +130,8 @@
 	}
 }
 
-// Slow sets how long the engine waits before it begins.
-func (e *Engine) Slow(d time.Duration) {
+// SetStartDelay sets how long the engine waits before it begins.
+func (e *Engine) SetStartDelay(d time.Duration) {
 	e.mu.Lock()
 	e.slow = d
 	e.mu.Unlock()
@@ -141,7 +141,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.faults) == 0 {
-		return None, e.slow
+		return NoFault, e.slow
 	}
 	f := e.faults[0]
 	e.faults = e.faults[1:]
@@ -156,7 +156,7 @@
 		return
 	}
 	e.stopped = true
-	e.l.Close()
+	e.listener.Close()
 	for c := range e.conns {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
@@ -166,7 +166,7 @@
 }
 
 func (e *Engine) accept(l net.Listener) {
-	defer e.p.wg.Done()
+	defer e.platform.wg.Done()
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -177,7 +177,7 @@
 			c.Close()
 		} else {
 			e.conns[c] = true
-			e.p.wg.Add(1)
+			e.platform.wg.Add(1)
 			go e.serve(c)
 		}
 		e.mu.Unlock()
@@ -186,7 +186,7 @@
 
 // serve answers one connection's requests in turn.
 func (e *Engine) serve(c net.Conn) {
-	defer e.p.wg.Done()
+	defer e.platform.wg.Done()
 	defer func() {
 		e.mu.Lock()
 		delete(e.conns, c)
@@ -218,35 +218,35 @@
 		if !e.lives(gone) {
 			return false
 		}
-		e.p.release(call, "released")
+		e.platform.release(call, "released")
 		if _, err := io.WriteString(c, "HTTP/1.1 204 x\r\n\r\n"); err != nil {
 			return false
 		}
 		return another(gone, next)
 	}
 	call := r.Header.Get("X-Call-Id")
-	op, known := e.p.op(call)
+	op, known := e.platform.op(call)
 	if !known {
-		e.p.Log.Add(record.Record{Kind: record.More, Op: "void:" + call, Note: "an id that no client sent"})
+		e.platform.Log.Add(record.Record{Kind: record.More, Op: "void:" + call, Note: "an id that no client sent"})
 		return reply(c, 400, "", "no client sent this id") && another(gone, next)
 	}
 	told, _ := strconv.ParseFloat(r.Header.Get("X-Budget"), 64)
-	e.p.mu.Lock()
-	e.p.headers[op.Name] = append(e.p.headers[op.Name], r.Header)
-	e.p.budgets[op.Name] = append(e.p.budgets[op.Name], Budget{told, float64(time.Now().UnixNano()) / 1e9})
-	e.p.mu.Unlock()
+	e.platform.mu.Lock()
+	e.platform.headers[op.Name] = append(e.platform.headers[op.Name], r.Header)
+	e.platform.budgets[op.Name] = append(e.platform.budgets[op.Name], Budget{told, float64(time.Now().UnixNano()) / 1e9})
+	e.platform.mu.Unlock()
 	stage := "decode"
 	if e.Role == "read" {
 		stage = "prefill"
 	}
-	rec := record.Record{Kind: record.Arrive, Op: op.Name, Try: op.Try, Class: op.Class, Node: e.p.caller(r.Host), Engine: e.ID, Note: stage, Work: 1, Left: told}
+	rec := record.Record{Kind: record.Arrive, Op: op.Name, Try: op.Attempt, Class: op.Class, Node: e.platform.caller(r.Host), Engine: e.ID, Note: stage, Work: 1, Left: told}
 	if stage == "decode" {
-		rec.State = stateName(call, e.p.holder(call))
+		rec.State = stateName(call, e.platform.holder(call))
 	}
-	e.p.Log.Add(rec)
+	e.platform.Log.Add(rec)
 	end := rec
 	end.Kind = record.End
-	defer func() { e.p.Log.Add(end) }()
+	defer func() { e.platform.Log.Add(end) }()
 	if !e.lives(gone) {
 		return false
 	}
@@ -309,31 +309,31 @@
 
 func (e *Engine) read(c net.Conn, node, call string, fault Fault, gone <-chan struct{}) bool {
 	switch fault {
-	case Error500:
+	case InternalError:
 		reply(c, 500, "", "no")
 		return false
-	case Rejects:
+	case Rejection:
 		return reply(c, 503, "X-Rejected: 1\r\n", "")
-	case HalfReject:
+	case IncompleteRejection:
 		return halfReply(c, "503 x\r\nX-Rejected: 1", gone)
-	case CutBefore: // it ended well just then
-		e.p.hold(node, call, e.ID)
+	case CloseBeforeResponse: // it ended well just then
+		e.platform.hold(node, call, e.ID)
 		return false
 	}
 	select {
-	case <-time.After(e.ReadFor):
+	case <-time.After(e.PrefillTime):
 	case <-gone:
 		return false
 	}
-	e.p.hold(node, call, e.ID)
+	e.platform.hold(node, call, e.ID)
 	head := "X-Load-Report: util=0.2,queue=0,x0=0.1\r\n"
 	switch fault {
-	case BadReport:
+	case MalformedLoadReport:
 		head = "X-Load-Report: util=often\r\n"
-	case HalfRead:
+	case IncompletePrefillResponse:
 		return halfReply(c, "202 x", gone)
 	}
-	return reply(c, 202, head, `{"cached_tokens":12}`) && (fault != LateAnswer || second(c))
+	return reply(c, 202, head, `{"cached_tokens":12}`) && (fault != DelayedSecondResponse || second(c))
 }
 
 // halfReply gives an answer whose body does not come to its length, and says nothing more.
@@ -355,31 +355,31 @@
 }
 
 // write makes the answer; false = the connection ends.
-func (e *Engine) write(c net.Conn, call string, op Op, rec record.Record, fault Fault, gone <-chan struct{}) bool {
+func (e *Engine) write(c net.Conn, call string, op Operation, rec record.Record, fault Fault, gone <-chan struct{}) bool {
 	switch {
-	case fault == Rejects:
+	case fault == Rejection:
 		return reply(c, 503, "X-Rejected: 1\r\n", "")
-	case fault == HalfReject:
+	case fault == IncompleteRejection:
 		return halfReply(c, "503 x\r\nX-Rejected: 1", gone)
-	case fault == NoState || e.Role == "write" && e.p.holder(call) == "":
-		e.p.release(call, "lost")
+	case fault == StateMissing || e.Role == "write" && e.platform.holder(call) == "":
+		e.platform.release(call, "lost")
 		return reply(c, 410, "X-Rejected: 1\r\n", "")
 	}
 	run := rec
 	run.Kind = record.Run
-	e.p.Log.Add(run)
+	e.platform.Log.Add(run)
 	switch fault {
-	case Error500:
+	case InternalError:
 		return reply(c, 500, "", "no")
-	case Plain503:
+	case Unavailable:
 		return reply(c, 503, "", "no")
-	case CutBefore:
+	case CloseBeforeResponse:
 		return false
-	case Noise:
+	case NoiseForHead:
 		io.WriteString(c, "\x16\x03\x01 noise, and then nothing")
 		<-gone
 		return false
-	case BadHead:
+	case MalformedHead:
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding chunked\r\n")
 		<-gone
 		return false
@@ -387,10 +387,10 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nX-More: ")
 		<-gone
 		return false
-	case Interim:
+	case InterimResponses:
 		io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n")
 	}
-	e.p.release(call, "fetched")
+	e.platform.release(call, "fetched")
 	return e.stream(c, op, fault, gone)
 }
 
@@ -400,29 +400,29 @@
 }
 
 // stream writes events, two tokens each, and spoils what it is told to half way.
-func (e *Engine) stream(c net.Conn, op Op, fault Fault, gone <-chan struct{}) bool {
+func (e *Engine) stream(c net.Conn, op Operation, fault Fault, gone <-chan struct{}) bool {
 	io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 	e.mu.Lock()
 	e.begun++
 	e.mu.Unlock()
-	for i := 0; i < op.Tokens; i++ {
-		if i == op.Tokens/2 {
+	for i := 0; i < op.ResponseTokens; i++ {
+		if i == op.ResponseTokens/2 {
 			switch fault {
-			case CutStream:
+			case CloseMidStream:
 				return false
-			case Silent:
+			case StallMidStream:
 				<-gone
 				return false
-			case Comments:
+			case EndlessComments:
 				for chunk(c, ": still here\n\n") {
 					time.Sleep(late)
 				}
 				return false
-			case BadChunk:
+			case MalformedChunkSize:
 				io.WriteString(c, "zz\r\ndata: spoilt\n\n\r\n")
 				<-gone
 				return false
-			case MisfitChunk:
+			case ChunkSizeMismatch:
 				io.WriteString(c, "4\r\ndata: spoilt and longer\n\n\r\n")
 				<-gone
 				return false
@@ -437,24 +437,24 @@
 				return false
 			}
 		}
-		if !chunk(c, fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", Piece(op.Name, i))) {
+		if !chunk(c, fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", EventText(op.Name, i))) {
 			return false
 		}
 		select {
-		case <-time.After(e.Step):
+		case <-time.After(e.TokenInterval):
 		case <-gone:
 			return false
 		}
 	}
 	report := "util=0.3,queue=0,x0=0.2"
-	if fault == BadReport {
+	if fault == MalformedLoadReport {
 		report = "util=often"
 	}
 	chunk(c, "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":20,\"completion_tokens\":9,\"prompt_tokens_details\":{\"cached_tokens\":4}}}\n\n")
-	if fault != NoFinal {
+	if fault != NoFinalEvent {
 		chunk(c, "data: [DONE]\n\n: X-Load-Report: "+report+"\n\n")
 	}
-	if fault == CutLast {
+	if fault == CloseInLastChunk {
 		io.WriteString(c, "0\r\n")
 		return false
 	}
@@ -463,9 +463,9 @@
 	e.whole++
 	e.mu.Unlock()
 	switch fault {
-	case SecondAnswer:
+	case SecondResponse:
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno")
-	case LateAnswer:
+	case DelayedSecondResponse:
 		return second(c)
 	}
 	return true
--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -23,15 +23,15 @@
 	mu      sync.Mutex
 	engines map[string]*Engine
 	holds   map[string]map[string]bool // by call: engines that hold something of it
-	ops     map[string]Op              // by call
+	ops     map[string]Operation       // by call
 	budgets map[string][]Budget        // by name of an op
 	headers map[string][]http.Header   // of the attempts that arrived, by name of an op
 	callers map[string]string          // nodes by the address at which each reaches an engine
 	wg      sync.WaitGroup
 }
 
-// Reach notes that a node alone reaches an engine at an address, so that records name it.
-func (p *Platform) Reach(node, address string) {
+// RegisterRoute notes that a node alone reaches an engine at an address, so that records name it.
+func (p *Platform) RegisterRoute(node, address string) {
 	p.mu.Lock()
 	p.callers[address] = node
 	p.mu.Unlock()
@@ -47,14 +47,14 @@
 	return p.Node
 }
 
-// Op names what a call was made for.
-type Op struct {
-	Name, Class string
-	Try, Tokens int
+// Operation names what a call was made for.
+type Operation struct {
+	Name, Class             string
+	Attempt, ResponseTokens int
 }
 
 // Budget is what an attempt told its engine of the time that is left (s), and when (Unix s).
-type Budget struct{ Told, At float64 }
+type Budget struct{ RemainingSeconds, ReceivedAt float64 }
 
 // Budgets returns what the attempts for an op told, in order of arrival.
 func (p *Platform) Budgets(op string) []Budget {
@@ -72,13 +72,13 @@
 
 // New returns a platform without engines.
 func New(node string, log *record.Log) *Platform {
-	return &Platform{Log: log, Node: node, engines: map[string]*Engine{}, holds: map[string]map[string]bool{}, ops: map[string]Op{}, budgets: map[string][]Budget{},
+	return &Platform{Log: log, Node: node, engines: map[string]*Engine{}, holds: map[string]map[string]bool{}, ops: map[string]Operation{}, budgets: map[string][]Budget{},
 		headers: map[string][]http.Header{}, callers: map[string]string{}}
 }
 
-// Add starts an engine; role is read, write or both.
-func (p *Platform) Add(id, role string) *Engine {
-	e := &Engine{ID: id, Role: role, p: p, Step: 2 * time.Millisecond, ReadFor: 3 * time.Millisecond, conns: map[net.Conn]bool{}}
+// StartEngine starts an engine; role is read, write or both.
+func (p *Platform) StartEngine(id, role string) *Engine {
+	e := &Engine{ID: id, Role: role, platform: p, TokenInterval: 2 * time.Millisecond, PrefillTime: 3 * time.Millisecond, conns: map[net.Conn]bool{}}
 	if err := e.listen(); err != nil {
 		panic(err) // loopback without ports: no test can run
 	}
@@ -102,8 +102,8 @@
 	p.wg.Wait()
 }
 
-// Held tells for how many calls something is held.
-func (p *Platform) Held() int {
+// CallsWithState tells for how many calls something is held.
+func (p *Platform) CallsWithState() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.holds)
@@ -120,7 +120,7 @@
 	}
 	p.holds[call][engine] = true
 	p.mu.Unlock()
-	p.Log.Add(record.Record{Kind: record.Parsed, Op: op.Name, Try: op.Try, Class: op.Class, Node: node, Engine: engine, State: stateName(call, engine)})
+	p.Log.Add(record.Record{Kind: record.Parsed, Op: op.Name, Try: op.Attempt, Class: op.Class, Node: node, Engine: engine, State: stateName(call, engine)})
 }
 
 // release lets go of all that is held for a call, whatever engine holds it; it tells whether anything was.
@@ -146,28 +146,28 @@
 }
 
 // op returns what a call is for; ok is false for an id that no client sent.
-func (p *Platform) op(call string) (Op, bool) {
+func (p *Platform) op(call string) (Operation, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	op, ok := p.ops[call]
 	return op, ok
 }
 
-// Call makes an id known, as a client that sends it does.
-func (p *Platform) Call(call string, op Op) {
+// RegisterCall makes an id known, as a client that sends it does.
+func (p *Platform) RegisterCall(call string, op Operation) {
 	p.mu.Lock()
 	p.ops[call] = op
 	p.mu.Unlock()
 }
 
-// Piece is the text of one event of an answer, so that a client can tell what is missing.
-func Piece(op string, i int) string { return fmt.Sprintf("%s.%d ", op, i) }
+// EventText is the text of one event of an answer, so that a client can tell what is missing.
+func EventText(op string, i int) string { return fmt.Sprintf("%s.%d ", op, i) }
 
-// Whole is the text of a whole answer.
-func Whole(op string, tokens int) string {
+// ResponseText is the text of a whole answer.
+func ResponseText(op string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
-		b.WriteString(Piece(op, i))
+		b.WriteString(EventText(op, i))
 	}
 	return b.String()
 }
--- a/lab/platform/settings.go
+++ b/lab/platform/settings.go
@@ -5,8 +5,8 @@
 	"os"
 )
 
-// Settings is a settings object as the platform gives it: two classes, one tenant, three kinds named by their roles.
-const Settings = `{"accounts":[{"name":"branch","quota_per_s":100,"share":1}],"balancers":1,
+// SettingsJSON is a settings object as the platform gives it: two classes, one tenant, three kinds named by their roles.
+const SettingsJSON = `{"accounts":[{"name":"branch","quota_per_s":100,"share":1}],"balancers":1,
 "classes":[{"effect":"repeatable","group":"all","hard_limit_s":4,"key_ttl_s":5,"late_value":0.3,"name":"chat","streamed":true,"target_s":1,"worth":1},
 {"effect":"once","group":"all","hard_limit_s":4,"key_ttl_s":5,"late_value":0.3,"name":"commit","streamed":true,"target_s":2,"worth":2}],
 "family":"twostage","family_info":{"ahead":false,"aim_us_per_1000_prompt_tokens":[40000,120000],"let_go_by_s":1,"local_read":false,"resume":true,
@@ -16,8 +16,8 @@
 "retry_after":true,"max_retry_after_s":1},"localities":["z"],"machine_types":["read","write","both"],"rank":0,"registry_mode":"pushed",
 "report":{"fields":["cpu","waiting","x0"],"how":"inline"},"tariffs":{"waste":0.03},"tick_s":0.002,"zone":0}`
 
-// Config is the text of a node's configuration file, with the settings object given.
-func Config(settings, listen, discovery string, known []byte, memoryMB, sockets int) []byte {
+// ConfigText is the text of a node's configuration file, with the settings object given.
+func ConfigText(settings, listen, discovery string, known []byte, memoryMB, sockets int) []byte {
 	if known == nil {
 		known = []byte("null")
 	}
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -29,8 +29,8 @@
 	var ms []fleet.Member
 	for _, id := range []string{"prefill-1", "decode-1", "decode-2"} {
 		role := id[:len(id)-2]
-		ms = append(ms, fleet.Member{Kind: role, Settings: emulator.Settings{ID: id, Role: role, StepMS: 2, ReadPerS: 1e5, LocalRead: true, ColdS: 30,
-			ColdShare: 0.3, Slots: 4, Queue: 200}})
+		ms = append(ms, fleet.Member{Kind: role, Settings: emulator.Settings{ID: id, Role: role, DecodeStepMS: 2, PrefillTokensPerSecond: 1e5, LocalPrefill: true, SlowStartSeconds: 30,
+			SlowStartShare: 0.3, Slots: 4, QueueLimit: 200}})
 	}
 	f := fleet.New(ms, log)
 	if err := f.Start(); err != nil {
@@ -79,9 +79,9 @@
 	var wg sync.WaitGroup
 	for i := range asks {
 		a := client.Ask{Model: "m", Patience: 1500 * time.Millisecond, MaxTokens: 100, Messages: []emulator.Message{{Role: "user", Content: fmt.Sprint("q", i)}},
-			Mark: emulator.Mark{Op: fmt.Sprint("op", i), Class: "commit", Answer: 12}}
+			Mark: emulator.Mark{Operation: fmt.Sprint("op", i), Class: "commit", ResponseTokens: 12}}
 		if s.sin == faultyrouter.Flood {
-			a.Mark.Answer = 40
+			a.Mark.ResponseTokens = 40
 			a.Patience = 10 * time.Second
 		}
 		if s.ask != nil {
@@ -113,17 +113,17 @@
 	cut := func(k int) func(f *fleet.Fleet) {
 		return func(f *fleet.Fleet) {
 			for _, id := range []string{"decode-1", "decode-2"} {
-				f.Engine(id).SetFaults(emulator.Faults{CutAfter: &k})
+				f.Engine(id).SetFaults(emulator.Faults{CloseAfter: &k})
 			}
 		}
 	}
 	errors := func(f *fleet.Fleet) {
-		f.Engine("decode-1").SetFaults(emulator.Faults{CutBody: true})
-		f.Engine("decode-2").SetFaults(emulator.Faults{CutBody: true})
+		f.Engine("decode-1").SetFaults(emulator.Faults{TruncatedBody: true})
+		f.Engine("decode-2").SetFaults(emulator.Faults{TruncatedBody: true})
 	}
 	rejects := func(f *fleet.Fleet) {
-		f.Engine("decode-1").SetFaults(emulator.Faults{Reject: 500})
-		f.Engine("decode-2").SetFaults(emulator.Faults{Reject: 500})
+		f.Engine("decode-1").SetFaults(emulator.Faults{RejectStatus: 500})
+		f.Engine("decode-2").SetFaults(emulator.Faults{RejectStatus: 500})
 	}
 	for _, s := range []scene{
 		{sin: faultyrouter.None, rule: -1}, {sin: faultyrouter.None, rule: -1, fault: cut(3)}, {sin: faultyrouter.None, rule: -1, fault: rejects},
--- a/lab/scenario/fault.go
+++ b/lab/scenario/fault.go
@@ -22,12 +22,12 @@
 		"crash":          (*day).crash,
 		"mass_restart":   (*day).massRestart,
 		"zone_loss":      (*day).zoneLoss,
-		"fast_errors":    faulty(func(f *emulator.Faults, t Trouble) { f.Errors = cmp.Or(t.Size, 0.8) }),
-		"origin_slow":    faulty(func(f *emulator.Faults, t Trouble) { f.LinkSlow = cmp.Or(t.Size, 4) }),
-		"report_late":    faulty(func(f *emulator.Faults, t Trouble) { f.ReportLate = cmp.Or(t.Size, 10) }),
-		"handshake_slow": faulty(func(f *emulator.Faults, t Trouble) { f.HandshakeMS = cmp.Or(t.Size, 100) }),
+		"fast_errors":    faulty(func(f *emulator.Faults, t Trouble) { f.ErrorShare = cmp.Or(t.Size, 0.8) }),
+		"origin_slow":    faulty(func(f *emulator.Faults, t Trouble) { f.TransferSlowFactor = cmp.Or(t.Size, 4) }),
+		"report_late":    faulty(func(f *emulator.Faults, t Trouble) { f.LoadReportSlowFactor = cmp.Or(t.Size, 10) }),
+		"handshake_slow": faulty(func(f *emulator.Faults, t Trouble) { f.HandshakeDelayMS = cmp.Or(t.Size, 100) }),
 		"silent":         faulty(func(f *emulator.Faults, _ Trouble) { f.Silent = true }),
-		"cut_streams":    faulty(func(f *emulator.Faults, t Trouble) { n := int(t.Size); f.CutAfter = &n }),
+		"cut_streams":    faulty(func(f *emulator.Faults, t Trouble) { n := int(t.Size); f.CloseAfter = &n }),
 		"pauses": faulty(func(f *emulator.Faults, t Trouble) {
 			f.PauseMS, f.PauseShare = cmp.Or(t.Size, 150), cmp.Or(t.Extra, 0.05)
 		}),
@@ -142,7 +142,7 @@
 	steps := 8
 	for i := range steps {
 		for _, e := range xs {
-			e.ChangeFaults(func(f *emulator.Faults) { f.Slow = 1 + (cmp.Or(t.Size, 6)-1)*float64(i+1)/float64(steps) })
+			e.ChangeFaults(func(f *emulator.Faults) { f.SlowFactor = 1 + (cmp.Or(t.Size, 6)-1)*float64(i+1)/float64(steps) })
 		}
 		if !d.sleep(t.At + t.Len*0.7*float64(i+1)/float64(steps)) {
 			return nil
@@ -176,11 +176,11 @@
 		if m.Zone == zone {
 			cut = without
 		}
-		d.fleet.Engine(m.ID).ChangeFaults(func(f *emulator.Faults) { f.Cut = cut })
+		d.fleet.Engine(m.ID).ChangeFaults(func(f *emulator.Faults) { f.UnreachablePeers = cut })
 	}
 	return func() {
 		for _, m := range d.fleet.Members() {
-			d.fleet.Engine(m.ID).ChangeFaults(func(f *emulator.Faults) { f.Cut = nil })
+			d.fleet.Engine(m.ID).ChangeFaults(func(f *emulator.Faults) { f.UnreachablePeers = nil })
 		}
 	}
 }
@@ -206,7 +206,7 @@
 	i := slices.IndexFunc(d.s.Kinds, func(k Kind) bool { return k.Name == t.To })
 	for _, e := range d.struck(t, 0.2) {
 		e.Kill()
-		e.Become(d.s.Kinds[i].Role)
+		e.SetRole(d.s.Kinds[i].Role)
 		d.fleet.Become(e.ID, t.To)
 		if err := e.Start(true); err != nil {
 			fmt.Fprintln(d.o.Out, e.ID, "does not come back:", err)
@@ -326,7 +326,7 @@
 		if at > t.At+t.Len || !d.sleep(at) {
 			return nil
 		}
-		if _, up := e.Booted(); !up {
+		if _, up := e.Started(); !up {
 			continue
 		}
 		mend := d.down([]*emulator.Engine{e})
--- a/lab/scenario/run.go
+++ b/lab/scenario/run.go
@@ -53,7 +53,7 @@
 	log    *record.Log
 	fleet  *fleet.Fleet
 	client *client.Client
-	lists  *emulator.ListServer // nil = a file for each node
+	lists  *emulator.ConsulServer // nil = a file for each node
 	start  time.Time
 	work   sync.WaitGroup // clients, troubles and list deliveries
 
@@ -117,7 +117,7 @@
 	}
 	defer d.fleet.Stop()
 	if s.List.Server {
-		d.lists = emulator.NewListServer(1)
+		d.lists = emulator.NewConsulServer(1)
 		if err := d.lists.Start(); err != nil {
 			return nil, err
 		}
@@ -287,9 +287,9 @@
 	var ms []fleet.Member
 	d.s.each(func(id string, k Kind, g Group) {
 		ms = append(ms, fleet.Member{Kind: k.Name, Cell: g.Cell, Zone: g.Zone, Settings: emulator.Settings{ID: id, Role: k.Role,
-			Slots: k.Slots, Queue: k.Queue, MemoryTokens: k.MemoryTokens, ReadPerS: k.ReadPerS * g.Speed,
-			StepMS: k.StepMS / g.Speed, PerSeqMS: k.PerSeqMS / g.Speed, MovePerS: k.MovePerS, ColdShare: k.ColdShare,
-			ColdS: k.ColdS, ReportMS: k.ReportMS, LocalRead: d.s.Limits.LocalRead, StateTTL: 30,
+			Slots: k.Slots, QueueLimit: k.Queue, MemoryTokens: k.MemoryTokens, PrefillTokensPerSecond: k.ReadPerS * g.Speed,
+			DecodeStepMS: k.StepMS / g.Speed, DecodeStepPerSequenceMS: k.PerSeqMS / g.Speed, TransferTokensPerSecond: k.MovePerS, SlowStartShare: k.ColdShare,
+			SlowStartSeconds: k.ColdS, LoadReportIntervalMS: k.ReportMS, LocalPrefill: d.s.Limits.LocalRead, StateTTLSeconds: 30,
 			Seed: d.s.Seed*1000 + uint64(len(ms))}})
 	})
 	return ms
@@ -608,7 +608,7 @@
 			size *= heavy[0]
 		}
 		size = min(size, 20000)
-		ms = append(ms, emulator.Message{Role: "user", Content: emulator.Words(seed*31+uint64(turn), int(size)+4)})
+		ms = append(ms, emulator.Message{Role: "user", Content: emulator.PromptText(seed*31+uint64(turn), int(size)+4)})
 		answer := int(max(2, min(float64(c.MaxTokens), lognormal(rng, c.AnswerTokens, c.AnswerSigma))))
 		op := fmt.Sprintf("s%d.%d", seed, turn)
 		text, served := d.operation(rng, c, who, op, fmt.Sprintf("session-%d", seed), ms, answer)
@@ -628,13 +628,13 @@
 	hot, hotSeed := d.hot, d.hotSeed
 	d.mu.Unlock()
 	if hot > 0 && rng.Float64() < hot {
-		return emulator.Words(hotSeed, max(1500, c.PrefixTokens))
+		return emulator.PromptText(hotSeed, max(1500, c.PrefixTokens))
 	}
 	if c.Prefixes > 0 && rng.Float64() < c.PrefixShare {
 		x := rng.Float64() // a few beginnings are common
-		return emulator.Words(uint64(1000+int(x*x*float64(c.Prefixes))), c.PrefixTokens)
+		return emulator.PromptText(uint64(1000+int(x*x*float64(c.Prefixes))), c.PrefixTokens)
 	}
-	return emulator.Words(seed*7919, 16)
+	return emulator.PromptText(seed*7919, 16)
 }
 
 // operation asks once and comes again as clients do. It returns the text of a served answer.
@@ -650,13 +650,13 @@
 	}
 	d.mu.Unlock()
 	a := client.Ask{Model: c.Name, Messages: ms, MaxTokens: c.MaxTokens, Session: session, Patience: seconds(patience),
-		Whole: rng.Float64() < c.Whole, Key: keyOf(*who), Tenant: who.Name, Mark: emulator.Mark{Op: op, Class: c.Name, Answer: answer}}
+		Whole: rng.Float64() < c.Whole, Key: keyOf(*who), Tenant: who.Name, Mark: emulator.Mark{Operation: op, Class: c.Name, ResponseTokens: answer}}
 	if rng.Float64() < d.s.Clients.Hangups {
 		a.HangupAt = 1 + rng.IntN(max(1, answer))
 		a.Whole = false
 	}
 	for try := 0; ; try++ {
-		a.Mark.Try = try
+		a.Mark.Attempt = try
 		s := d.front(rng)
 		d.mu.Lock()
 		address := s.address
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -90,10 +90,10 @@
 // want has one thing done, by as many tries as it takes.
 func (c *client) want(stop <-chan struct{}) {
 	c.asked++
-	a := platform.Ask{Op: fmt.Sprintf("%s-%d", c.name, c.asked), Class: "chat", Tenant: "branch", Session: c.name + "-" + strconv.Itoa(c.asked/4),
-		Tokens: 1 + c.rng.IntN(mostTokens), Patience: time.Duration((0.8 + 3.2*c.rng.Float64()) * float64(time.Second))}
+	a := platform.Request{Operation: fmt.Sprintf("%s-%d", c.name, c.asked), Class: "chat", Tenant: "branch", Session: c.name + "-" + strconv.Itoa(c.asked/4),
+		ResponseTokens: 1 + c.rng.IntN(mostTokens), Timeout: time.Duration((0.8 + 3.2*c.rng.Float64()) * float64(time.Second))}
 	if c.rng.Float64() < hurried {
-		a.Patience = time.Duration((0.02 + 0.3*c.rng.Float64()) * float64(time.Second))
+		a.Timeout = time.Duration((0.02 + 0.3*c.rng.Float64()) * float64(time.Second))
 	}
 	a.Class = classes[c.rng.IntN(len(classes))]
 	for try := 0; try < mostTries; {
@@ -163,12 +163,12 @@
 	}
 	k := &kept{Conn: nc, br: bufio.NewReader(nc)}
 	defer k.Close()
-	asks, text := make([]platform.Ask, pipelined), ""
+	asks, text := make([]platform.Request, pipelined), ""
 	for i := range asks {
-		asks[i] = platform.Ask{Op: fmt.Sprintf("%s-%d", c.name, i), Class: classes[c.rng.IntN(len(classes))], Tenant: "branch", Session: c.name,
-			Tokens: 1 + c.rng.IntN(mostTokens/4), Patience: 3 * time.Second, ID: fmt.Sprintf("%016x", callIDs.Add(1))}
-		c.fleet.platform.Call(asks[i].ID, platform.Op{Name: asks[i].Op, Class: asks[i].Class, Tokens: asks[i].Tokens})
-		text += asks[i].Request()
+		asks[i] = platform.Request{Operation: fmt.Sprintf("%s-%d", c.name, i), Class: classes[c.rng.IntN(len(classes))], Tenant: "branch", Session: c.name,
+			ResponseTokens: 1 + c.rng.IntN(mostTokens/4), Timeout: 3 * time.Second, ID: fmt.Sprintf("%016x", callIDs.Add(1))}
+		c.fleet.platform.RegisterCall(asks[i].ID, platform.Operation{Name: asks[i].Operation, Class: asks[i].Class, ResponseTokens: asks[i].ResponseTokens})
+		text += asks[i].Encode()
 	}
 	if _, err := io.WriteString(k, text); err != nil {
 		return
@@ -178,9 +178,9 @@
 		stay = c.rng.IntN(pipelined)
 	}
 	for i, a := range asks[:stay] {
-		ask := record.Record{Kind: record.Ask, Op: a.Op, Class: a.Class, Node: n.name, Tokens: (a.Patience + time.Duration(i)*a.Patience).Seconds()}
+		ask := record.Record{Kind: record.Ask, Op: a.Operation, Class: a.Class, Node: n.name, Tokens: (a.Timeout + time.Duration(i)*a.Timeout).Seconds()}
 		c.fleet.log.Add(ask)
-		a.Patience *= time.Duration(i + 1)
+		a.Timeout *= time.Duration(i + 1)
 		ans, keep := hear(k, a, func() {
 			first := ask
 			first.Kind, first.Tokens, first.T = record.First, 0, 0
@@ -188,7 +188,7 @@
 		})
 		if ans.Outcome == record.Cut && i > 0 { // the node may close behind any answer
 			c.fleet.cross(n, a, record.Now())
-			c.fleet.log.Add(record.Record{Kind: record.Hangup, Op: a.Op, Class: a.Class, Node: n.name})
+			c.fleet.log.Add(record.Record{Kind: record.Hangup, Op: a.Operation, Class: a.Class, Node: n.name})
 			return
 		}
 		c.fleet.log.Add(end(a, ask, ans))
@@ -199,9 +199,9 @@
 }
 
 // end is the record of an answer.
-func end(a platform.Ask, base record.Record, ans platform.Answer) record.Record {
+func end(a platform.Request, base record.Record, ans platform.Response) record.Record {
 	base.Kind, base.Outcome, base.Tokens, base.T = record.Answer, ans.Outcome, 0, 0
-	whole := platform.Whole(a.Op, a.Tokens)
+	whole := platform.ResponseText(a.Operation, a.ResponseTokens)
 	base.OK = ans.Outcome == record.Served && ans.Text == whole || ans.Outcome == record.Failed && strings.HasPrefix(whole, ans.Text)
 	base.Note = fmt.Sprintf("%s status %d", a.ID, ans.Status)
 	if ans.Err != nil {
@@ -211,17 +211,17 @@
 }
 
 // try makes one request and records it.
-func (c *client) try(n *Node, a platform.Ask, try int) (record.Outcome, time.Duration) {
+func (c *client) try(n *Node, a platform.Request, try int) (record.Outcome, time.Duration) {
 	k, err := c.connect(n)
 	if err != nil {
 		return record.Unmet, 0
 	}
 	a.ID = fmt.Sprintf("%016x", callIDs.Add(1))
-	c.fleet.platform.Call(a.ID, platform.Op{Name: a.Op, Class: a.Class, Try: try, Tokens: a.Tokens})
-	base := record.Record{Op: a.Op, Try: try, Class: a.Class, Node: n.name}
+	c.fleet.platform.RegisterCall(a.ID, platform.Operation{Name: a.Operation, Class: a.Class, Attempt: try, ResponseTokens: a.ResponseTokens})
+	base := record.Record{Op: a.Operation, Try: try, Class: a.Class, Node: n.name}
 	ask := base
-	ask.Kind, ask.Tokens, ask.T = record.Ask, a.Patience.Seconds(), record.Now()
-	if _, err := io.WriteString(k, a.Request()); err != nil {
+	ask.Kind, ask.Tokens, ask.T = record.Ask, a.Timeout.Seconds(), record.Now()
+	if _, err := io.WriteString(k, a.Encode()); err != nil {
 		k.Close()
 		if k.used {
 			return crossed, 0
@@ -267,7 +267,7 @@
 	k.used = true
 	c.fleet.log.Add(end(a, base, ans))
 	c.fleet.count(n, ans.Outcome)
-	after, _ := strconv.ParseFloat(ans.After, 64)
+	after, _ := strconv.ParseFloat(ans.RetryAfter, 64)
 	return ans.Outcome, time.Duration(after * float64(time.Second))
 }
 
@@ -275,8 +275,8 @@
 const streamFor = 20 * time.Second
 
 // hear reads an answer; keep tells whether the connection can carry another request.
-func hear(k *kept, a platform.Ask, first func()) (ans platform.Answer, keep bool) {
-	k.SetReadDeadline(time.Now().Add(a.Patience + time.Second))
+func hear(k *kept, a platform.Request, first func()) (ans platform.Response, keep bool) {
+	k.SetReadDeadline(time.Now().Add(a.Timeout + time.Second))
 	if _, err := k.br.Peek(1); err != nil {
 		ans.Outcome, ans.Err = record.Cut, err
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -286,9 +286,9 @@
 	}
 	resp, err := http.ReadResponse(k.br, nil)
 	if err != nil {
-		return platform.Answer{Outcome: record.Cut, Err: err}, false
+		return platform.Response{Outcome: record.Cut, Err: err}, false
 	}
-	ans.Status, ans.After = resp.StatusCode, resp.Header.Get("Retry-After")
+	ans.Status, ans.RetryAfter = resp.StatusCode, resp.Header.Get("Retry-After")
 	switch {
 	case resp.StatusCode == 429 || resp.StatusCode == 503:
 		ans.Outcome = record.Refused
@@ -325,6 +325,6 @@
 	if ans.Err = lines.Err(); ans.Err != nil {
 		return ans, false
 	}
-	ans.Outcome, ans.Done = record.Served, true
+	ans.Outcome, ans.Complete = record.Served, true
 	return ans, !resp.Close
 }
--- a/lab/soak/fault.go
+++ b/lab/soak/fault.go
@@ -293,9 +293,9 @@
 	if id == "" || !t.f.spare(id) {
 		return
 	}
-	t.f.reg.Set(id, func(s *platform.Server) { s.State = "draining" })
+	t.f.reg.Set(id, func(s *platform.Endpoint) { s.State = "draining" })
 	t.wait(500*time.Millisecond, 3*time.Second)
-	t.f.reg.Set(id, func(s *platform.Server) { s.State = "up" })
+	t.f.reg.Set(id, func(s *platform.Endpoint) { s.State = "up" })
 }
 
 // spare tells whether others of an engine's role are up.
@@ -318,10 +318,10 @@
 		return
 	}
 	kind, _, _ := strings.Cut(id, "-")
-	t.f.reg.Set(id, func(s *platform.Server) { s.State = "draining" })
+	t.f.reg.Set(id, func(s *platform.Endpoint) { s.State = "draining" })
 	t.f.addEngine(kind)
 	t.wait(200*time.Millisecond, 2*time.Second)
-	t.f.reg.Set(id, func(s *platform.Server) { s.State = "removed" })
+	t.f.reg.Set(id, func(s *platform.Endpoint) { s.State = "removed" })
 	t.wait(0, time.Second)
 	t.f.engine(id).Stop()
 }
@@ -332,9 +332,9 @@
 	if id == "" {
 		return
 	}
-	t.f.engine(id).Hang(true)
+	t.f.engine(id).SetHung(true)
 	t.wait(300*time.Millisecond, 6*time.Second)
-	t.f.engine(id).Hang(false)
+	t.f.engine(id).SetHung(false)
 }
 
 // restartEngine resets all connections of an engine; it comes back empty behind the same address.
@@ -381,9 +381,9 @@
 	all.Wait()
 }
 
-var answerFaults = []platform.Fault{platform.Noise, platform.BadHead, platform.EndlessHead, platform.BadChunk, platform.MisfitChunk, platform.HugeChunk,
-	platform.CutStream, platform.Silent, platform.CutBefore, platform.Interim, platform.BadReport, platform.SecondAnswer, platform.LateAnswer,
-	platform.NoFinal, platform.CutLast, platform.HalfReject, platform.HalfRead, platform.Error500, platform.Rejects, platform.Plain503, platform.NoState}
+var answerFaults = []platform.Fault{platform.NoiseForHead, platform.MalformedHead, platform.EndlessHead, platform.MalformedChunkSize, platform.ChunkSizeMismatch, platform.HugeChunk,
+	platform.CloseMidStream, platform.StallMidStream, platform.CloseBeforeResponse, platform.InterimResponses, platform.MalformedLoadReport, platform.SecondResponse, platform.DelayedSecondResponse,
+	platform.NoFinalEvent, platform.CloseInLastChunk, platform.IncompleteRejection, platform.IncompletePrefillResponse, platform.InternalError, platform.Rejection, platform.Unavailable, platform.StateMissing}
 
 // spoilAnswers spoils answers of an engine.
 func spoilAnswers(t *play) {
@@ -395,7 +395,7 @@
 	for range 5 + t.rng.IntN(30) {
 		faults = append(faults, answerFaults[t.rng.IntN(len(answerFaults))])
 	}
-	t.f.engine(id).Next(faults...)
+	t.f.engine(id).QueueFaults(faults...)
 	t.wait(0, time.Second)
 }
 
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -212,12 +212,12 @@
 
 // connect makes the way from a node to an engine. The lock is held, or the day has not begun.
 func (f *Fleet) connect(n *Node, id string) {
-	p, err := NewProxy(f.engines[id].Addr())
+	p, err := NewProxy(f.engines[id].Address())
 	if err != nil {
 		panic(err) // loopback without ports: no day can be played
 	}
 	n.reach[id] = p
-	f.platform.Reach(n.name, p.Addr())
+	f.platform.RegisterRoute(n.name, p.Addr())
 }
 
 // addEngine starts an engine and has it listed.
@@ -225,7 +225,7 @@
 	f.mu.Lock()
 	f.added++
 	id := fmt.Sprintf("%s-%d", role, f.added)
-	e := f.platform.Add(id, role)
+	e := f.platform.StartEngine(id, role)
 	f.engines[id] = e
 	f.order = append(f.order, id)
 	for _, n := range f.nodes {
@@ -236,8 +236,8 @@
 		started = time.Now().UnixMilli()
 	}
 	f.mu.Unlock()
-	f.reg.Set(id, func(s *platform.Server) {
-		*s = platform.Server{ID: id, Zone: "z", Kind: role, Cell: cellOf(id), State: "up", Weight: 1, Started: started}
+	f.reg.Set(id, func(s *platform.Endpoint) {
+		*s = platform.Endpoint{ID: id, Zone: "z", Kind: role, Cell: cellOf(id), State: "up", Weight: 1, Started: started}
 	})
 	return id
 }
@@ -296,10 +296,10 @@
 	f.byNode[n.name][o]++
 }
 
-func (f *Fleet) cross(n *Node, a platform.Ask, at float64) {
+func (f *Fleet) cross(n *Node, a platform.Request, at float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.crossed = append(f.crossed, crossing{n, a.ID, a.Op, at})
+	f.crossed = append(f.crossed, crossing{n, a.ID, a.Operation, at})
 }
 
 // stopAll stops all nodes.
--- a/lab/soak/node.go
+++ b/lab/soak/node.go
@@ -63,9 +63,9 @@
 
 // write writes the configuration, with the list that the node is to know at its start.
 func (n *Node) write(known []byte) error {
-	settings := strings.Replace(platform.Settings, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, len(n.fleet.nodes)), 1)
+	settings := strings.Replace(platform.SettingsJSON, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, len(n.fleet.nodes)), 1)
 	settings = strings.Replace(settings, `"classes":[`, `"classes":[`+keyedClass+`,`, 1)
-	text := platform.Config(settings, n.addr, n.agent.Addr(), known, nodeMemoryMB, nodeSockets)
+	text := platform.ConfigText(settings, n.addr, n.agent.Addr(), known, nodeMemoryMB, nodeSockets)
 	text = bytes.Replace(text, []byte("8c1f30d27a5be964"), fmt.Appendf(nil, "%016x", n.seed+uint64(n.starts)<<32), 1)
 	return platform.WriteConfig(n.config, text)
 }
--- a/lab/soak/registry.go
+++ b/lab/soak/registry.go
@@ -27,18 +27,18 @@
 
 	mu      sync.Mutex
 	version int
-	servers map[string]platform.Server
+	servers map[string]platform.Endpoint
 	changed map[string]int // version at which an entry changed last
 	agents  []*Agent
 }
 
 // NewRegistry returns an empty list.
 func NewRegistry(log *record.Log) *Registry {
-	return &Registry{log: log, servers: map[string]platform.Server{}, changed: map[string]int{}}
+	return &Registry{log: log, servers: map[string]platform.Endpoint{}, changed: map[string]int{}}
 }
 
 // Set changes an entry, or adds it.
-func (r *Registry) Set(id string, change func(*platform.Server)) {
+func (r *Registry) Set(id string, change func(*platform.Endpoint)) {
 	r.mu.Lock()
 	s := r.servers[id]
 	s.ID = id
@@ -53,7 +53,7 @@
 }
 
 // all returns the whole list, and the versions at which its entries changed last.
-func (r *Registry) all() (servers map[string]platform.Server, changed map[string]int) {
+func (r *Registry) all() (servers map[string]platform.Endpoint, changed map[string]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.servers), maps.Clone(r.changed)
@@ -67,7 +67,7 @@
 
 	mu      sync.Mutex
 	version int // of the list as the agent has it
-	servers map[string]platform.Server
+	servers map[string]platform.Endpoint
 	changed map[string]int
 	counted map[string]int // versions of entries that count as told to the node
 	silent  int            // troubles that want it to say nothing
@@ -83,7 +83,7 @@
 // Agent starts the agent of a node.
 func (r *Registry) Agent(node string, reach func(string) string) (*Agent, error) {
 	a := &Agent{reg: r, node: node, reach: reach, open: map[int]bool{}, deaf: map[int]bool{}, news: make(chan struct{}),
-		servers: map[string]platform.Server{}, changed: map[string]int{}, counted: map[string]int{}}
+		servers: map[string]platform.Endpoint{}, changed: map[string]int{}, counted: map[string]int{}}
 	a.learn()
 	if err := a.listen(); err != nil {
 		return nil, err
@@ -189,7 +189,7 @@
 }
 
 // heard takes a change to the agent, and on to whoever waits.
-func (a *Agent) heard(s platform.Server, version int) {
+func (a *Agent) heard(s platform.Endpoint, version int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.silent > 0 || version <= a.changed[s.ID] {
@@ -206,14 +206,14 @@
 }
 
 // told records that an entry counts as told to the node.
-func (a *Agent) told(s platform.Server, version int) {
+func (a *Agent) told(s platform.Endpoint, version int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.record(s, version)
 }
 
 // record is told under the lock. What is older than what counts already is not recorded.
-func (a *Agent) record(s platform.Server, version int) {
+func (a *Agent) record(s platform.Endpoint, version int) {
 	if version <= a.counted[s.ID] {
 		return
 	}
@@ -231,17 +231,17 @@
 }
 
 type listing struct {
-	Version int               `json:"version"`
-	Full    bool              `json:"full"`
-	Servers []platform.Server `json:"servers"`
+	Version int                 `json:"version"`
+	Full    bool                `json:"full"`
+	Servers []platform.Endpoint `json:"servers"`
 }
 
 // answer is what changed after a version, or the whole list where that is below 0. The lock is held.
 func (a *Agent) answer(from int) listing {
-	x := listing{Version: a.version, Full: from < 0, Servers: []platform.Server{}}
+	x := listing{Version: a.version, Full: from < 0, Servers: []platform.Endpoint{}}
 	for id, s := range a.servers {
 		if from < 0 && s.State != "removed" || from >= 0 && a.changed[id] > from {
-			s.Addr = a.reach(id)
+			s.Address = a.reach(id)
 			x.Servers = append(x.Servers, s)
 		}
 	}
--- a/lab/soak/scenario_test.go
+++ b/lab/soak/scenario_test.go
@@ -112,11 +112,11 @@
 			time.Sleep(300 * time.Millisecond)
 			s.n.clock.Step(int64(step))
 			for i := range 300 { // a busy discovery: each change is an answer, and a call that follows it
-				s.f.reg.Set("both-9", func(x *platform.Server) { x.Weight = 1 + float64(i)/100 })
+				s.f.reg.Set("both-9", func(x *platform.Endpoint) { x.Weight = 1 + float64(i)/100 })
 				time.Sleep(40 * time.Millisecond)
 			}
 			for _, id := range []string{"read-1", "write-5", "read-2", "write-6"} {
-				s.f.reg.Set(id, func(x *platform.Server) { x.State = "draining" })
+				s.f.reg.Set(id, func(x *platform.Endpoint) { x.State = "draining" })
 				time.Sleep(500 * time.Millisecond)
 			}
 			s.stopAsking()
@@ -182,7 +182,7 @@
 	failing.Store(false)
 	s.ask(8)
 	time.Sleep(toldAfterReload)
-	s.f.reg.Set("read-1", func(x *platform.Server) { x.State = "draining" })
+	s.f.reg.Set("read-1", func(x *platform.Endpoint) { x.State = "draining" })
 	time.Sleep(1500 * time.Millisecond)
 	s.stopAsking()
 	s.lawful()
