--- a/lab/emulator/consul.go
+++ b/lab/emulator/consul.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
 	"io"
 	"log"
 	"net"
@@ -13,171 +12,191 @@
 	"time"
 )
 
-// Instance is one engine as the list server knows it.
+// Instance is one engine as the Consul server lists it.
 type Instance struct {
-	ID, Address string // host:port
-	Meta        map[string]string
-	Critical    bool
+	ID       string
+	Address  string // host:port
+	Meta     map[string]string
+	Critical bool // its health check fails
 }
 
-// ConsulFaults are what is wrong with a list server. The zero value is a sound one.
+// ConsulFaults are the faults of a Consul server. The zero value is a healthy server.
 type ConsulFaults struct {
-	Hang           bool // calls are taken and never answered
-	Truncate       bool // bodies end in the middle
-	Errors         bool // 500
-	NoIndex        bool
-	VersionsBehind int  // answers are so many versions old
+	Hang           bool // calls are accepted and never answered
+	Truncate       bool // bodies are shorter than their Content-Length
+	Errors         bool // status 500
+	NoIndex        bool // responses have no X-Consul-Index
+	VersionsBehind int  // responses are so many versions old
 	Empty          bool // the list is empty
-	Malformed      bool
+	Malformed      bool // the list lacks fields that Consul always sends
 }
 
-// ConsulServer plays Consul's health endpoint with blocking queries, on loopback.
+// ConsulServer emulates Consul's health endpoint with blocking queries, on loopback.
 type ConsulServer struct {
-	mu       sync.Mutex
+	server  *http.Server
+	address string
+	cancel  context.CancelFunc
+
+	mu       sync.Mutex // guards the fields below
 	index    uint64
-	versions [][]Instance // the last ones, newest last
-	change   chan struct{}
+	versions [][]Instance  // the last ones, newest last
+	changed  chan struct{} // closed at a change
 	faults   ConsulFaults
-	server   *http.Server
-	address  string
-	cancel   context.CancelFunc
 }
 
-// NewConsulServer returns one that does not run yet, with an index to begin from.
+const (
+	// versionsLimit is how many versions of the list a server keeps for VersionsBehind.
+	versionsLimit = 20
+	// defaultWait is how long a blocking query without a wait is held (Consul's documentation, blocking queries).
+	defaultWait = 5 * time.Minute
+)
+
+// NewConsulServer returns a server that does not run yet, with its first index.
 func NewConsulServer(index uint64) *ConsulServer {
-	return &ConsulServer{index: max(1, index), versions: [][]Instance{nil}, change: make(chan struct{})}
+	return &ConsulServer{index: max(1, index), versions: [][]Instance{nil}, changed: make(chan struct{})}
 }
 
 // Start opens the socket, at the same address each time.
 func (s *ConsulServer) Start() error {
-	at := s.address
-	if at == "" {
-		at = "127.0.0.1:0"
-	}
-	var l net.Listener
-	var err error
-	for range 50 {
-		if l, err = net.Listen("tcp", at); err == nil {
-			break
-		}
-		time.Sleep(10 * time.Millisecond)
+	address := s.address
+	if address == "" {
+		address = defaultListen
 	}
+	listener, err := listenAgain(address)
 	if err != nil {
 		return err
 	}
-	s.address = l.Addr().String()
+	s.address = listener.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/health/service/{name}", s.health)
-	s.server = &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return ctx },
-		ErrorLog: log.New(io.Discard, "", 0)}
-	go s.server.Serve(l)
+	mux.HandleFunc("GET /v1/health/service/{name}", s.handleHealth)
+	s.server = &http.Server{
+		Handler:     mux,
+		BaseContext: func(net.Listener) context.Context { return ctx },
+		ErrorLog:    log.New(io.Discard, "", 0),
+	}
+	go s.server.Serve(listener)
 	return nil
 }
 
-// Stop ends the server; Start brings it back.
+// Stop ends the server; Start starts it again.
 func (s *ConsulServer) Stop() {
 	s.cancel()
 	s.server.Close()
 }
 
-// Address is where it listens, from its first start on.
+// Address is where the server listens, from its first start on.
 func (s *ConsulServer) Address() string { return s.address }
 
-// SetInstances replaces the list and answers the calls that wait.
+// SetInstances replaces the list and answers the blocking queries.
 func (s *ConsulServer) SetInstances(list []Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.index++
 	s.versions = append(s.versions, list)
-	s.versions = s.versions[max(0, len(s.versions)-20):]
-	close(s.change)
-	s.change = make(chan struct{})
+	s.versions = s.versions[max(0, len(s.versions)-versionsLimit):]
+	s.wakeQueries()
 }
 
-// ResetIndex makes the index start again, as after a restore from a backup.
+// ResetIndex sets the index back, as a restore from a backup does, and answers the blocking queries.
 func (s *ConsulServer) ResetIndex(index uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.index = index
-	close(s.change)
-	s.change = make(chan struct{})
+	s.wakeQueries()
 }
 
-// SetFaults replaces what is wrong, and answers the calls that wait.
+// SetFaults replaces the server's faults and answers the blocking queries.
 func (s *ConsulServer) SetFaults(f ConsulFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	close(s.change)
-	s.change = make(chan struct{})
+	s.wakeQueries()
 }
 
-func (s *ConsulServer) health(w http.ResponseWriter, q *http.Request) {
-	asked, _ := strconv.ParseUint(q.URL.Query().Get("index"), 10, 64)
-	wait, err := time.ParseDuration(q.URL.Query().Get("wait"))
+// wakeQueries lets blocking queries look at the server again. The lock is held.
+func (s *ConsulServer) wakeQueries() {
+	close(s.changed)
+	s.changed = make(chan struct{})
+}
+
+// handleHealth serves a blocking query.
+func (s *ConsulServer) handleHealth(w http.ResponseWriter, r *http.Request) {
+	knownIndex, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
+	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
 	if err != nil {
-		wait = 5 * time.Minute // the documented default
+		wait = defaultWait
 	}
-	end := time.NewTimer(wait)
-	defer end.Stop()
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	for {
 		s.mu.Lock()
-		index, change, f := s.index, s.change, s.faults
-		at := max(0, len(s.versions)-1-f.VersionsBehind)
-		list := s.versions[at]
+		index, changed, faults := s.index, s.changed, s.faults
+		list := s.versions[max(0, len(s.versions)-1-faults.VersionsBehind)]
 		s.mu.Unlock()
-		if f.Hang {
-			<-q.Context().Done()
+		if faults.Hang {
+			<-r.Context().Done()
 			return
 		}
-		if asked == 0 || index != asked || f != (ConsulFaults{}) {
-			s.answer(w, index-uint64(min(f.VersionsBehind, int(index)-1)), list, f)
+		if knownIndex == 0 || index != knownIndex || faults != (ConsulFaults{}) {
+			respondList(w, index-uint64(min(faults.VersionsBehind, int(index)-1)), list, faults)
 			return
 		}
 		select {
-		case <-change:
-		case <-end.C:
-			s.answer(w, index, list, f)
+		case <-changed:
+		case <-timeout.C:
+			respondList(w, index, list, faults)
 			return
-		case <-q.Context().Done():
+		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-func (s *ConsulServer) answer(w http.ResponseWriter, index uint64, list []Instance, f ConsulFaults) {
-	if f.Errors {
-		http.Error(w, "no cluster leader", 500)
+// respondList responds with a list, or with what the faults make of it.
+func respondList(w http.ResponseWriter, index uint64, list []Instance, faults ConsulFaults) {
+	if faults.Errors {
+		http.Error(w, "no cluster leader", http.StatusInternalServerError)
 		return
 	}
-	if !f.NoIndex {
+	if !faults.NoIndex {
 		w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
 	}
 	w.Header().Set("Content-Type", "application/json")
-	out := []any{}
-	for _, x := range list {
-		if f.Empty {
-			break
-		}
-		host, port, _ := net.SplitHostPort(x.Address)
-		n, _ := strconv.Atoi(port)
-		status := "passing"
-		if x.Critical {
-			status = "critical"
+	entries := []any{}
+	if !faults.Empty {
+		for _, instance := range list {
+			entries = append(entries, instance.entry())
 		}
-		out = append(out, map[string]any{
-			"Node":    map[string]any{"Node": "n-" + x.ID, "Address": host, "Datacenter": "lab"},
-			"Service": map[string]any{"ID": x.ID, "Address": host, "Port": n, "Meta": x.Meta, "Weights": map[string]int{"Passing": 1, "Warning": 1}},
-			"Checks":  []any{map[string]string{"Status": status}}})
 	}
-	b, _ := json.Marshal(out) // plain strings and numbers encode
+	text, _ := json.Marshal(entries) // strings and numbers always encode
 	switch {
-	case f.Malformed:
-		b = []byte(`[{"Service":{"ID":"x"}}]`)
-	case f.Truncate:
-		w.Header().Set("Content-Length", strconv.Itoa(len(b)+10))
+	case faults.Malformed:
+		text = []byte(`[{"Service":{"ID":"x"}}]`)
+	case faults.Truncate:
+		w.Header().Set("Content-Length", strconv.Itoa(len(text)+10))
+	}
+	w.Write(text)
+}
+
+// entry is the instance in the form of Consul's health endpoint.
+func (i Instance) entry() map[string]any {
+	host, portText, _ := net.SplitHostPort(i.Address)
+	port, _ := strconv.Atoi(portText)
+	status := "passing"
+	if i.Critical {
+		status = "critical"
+	}
+	return map[string]any{
+		"Node": map[string]any{"Node": "n-" + i.ID, "Address": host, "Datacenter": "lab"},
+		"Service": map[string]any{
+			"ID":      i.ID,
+			"Address": host,
+			"Port":    port,
+			"Meta":    i.Meta,
+			"Weights": map[string]int{"Passing": 1, "Warning": 1},
+		},
+		"Checks": []any{map[string]string{"Status": status}},
 	}
-	fmt.Fprintf(w, "%s", b)
 }
--- a/lab/emulator/fault.go
+++ b/lab/emulator/fault.go
@@ -1,176 +1,101 @@
 package emulator
 
 import (
-	"encoding/json"
-	"fmt"
-	"net"
 	"net/http"
 	"slices"
-	"strings"
-	"time"
 
 	"dillroute/lab/record"
 )
 
-// Faults are what is wrong with an engine at a moment. The zero value is a sound one. POST /lab/fault sets them.
+// Faults are the faults of an engine at a moment. The zero value is a healthy engine. POST /lab/fault sets them.
 type Faults struct {
 	ErrorShare           float64  `json:"errors,omitempty"`       // share of requests that fail at once with 500
-	Full                 bool     `json:"refuse,omitempty"`       // everything is turned away with 503
-	RejectStatus         int      `json:"reject,omitempty"`       // everything is judged with this status
-	Silent               bool     `json:"silent,omitempty"`       // requests are taken and never answered
-	SlowFactor           float64  `json:"slow,omitempty"`         // times slower
-	TransferSlowFactor   float64  `json:"link_slow,omitempty"`    // states leave it so many times slower
-	MalformedEvent       bool     `json:"garbage,omitempty"`      // 200 and no sense
+	Full                 bool     `json:"refuse,omitempty"`       // every request is rejected with 503
+	RejectStatus         int      `json:"reject,omitempty"`       // every request is rejected with this status
+	Silent               bool     `json:"silent,omitempty"`       // requests are accepted and never answered
+	SlowFactor           float64  `json:"slow,omitempty"`         // the engine is so many times slower
+	TransferSlowFactor   float64  `json:"link_slow,omitempty"`    // KV states leave it so many times slower
+	MalformedEvent       bool     `json:"garbage,omitempty"`      // status 200 and an event that is not JSON
 	ChunkSizeMismatch    bool     `json:"lying_chunk,omitempty"`  // a chunk size beyond what follows, then the end
-	TruncatedBody        bool     `json:"cut_body,omitempty"`     // a body shorter than its length says
-	HalfCloseAfter       int      `json:"half_close,omitempty"`   // after this many events its sending side closes; the socket stays
-	CloseAfter           *int     `json:"cut_after,omitempty"`    // streams are cut after this many events
-	CrashAfter           *int     `json:"die_after,omitempty"`    // the engine dies after this many events of a stream
-	LoseStates           bool     `json:"drop_after,omitempty"`   // states are lost right after the read
-	StallAfter           int      `json:"stall_after,omitempty"`  // streams stall after this many events
-	StallSeconds         float64  `json:"stall_s,omitempty"`      // for this long
-	PauseMS              float64  `json:"pause_ms,omitempty"`     // steps pause for this long,
-	PauseShare           float64  `json:"pause_share,omitempty"`  // this share of them
+	TruncatedBody        bool     `json:"cut_body,omitempty"`     // a body shorter than its Content-Length
+	HalfCloseAfter       int      `json:"half_close,omitempty"`   // the sending side closes after so many events; the socket stays
+	CloseAfter           *int     `json:"cut_after,omitempty"`    // streams are cut after so many events
+	CrashAfter           *int     `json:"die_after,omitempty"`    // the engine is killed after so many events of a stream
+	LoseStates           bool     `json:"drop_after,omitempty"`   // KV states are lost right after the prefill
+	StallAfter           int      `json:"stall_after,omitempty"`  // streams stall after so many events
+	StallSeconds         float64  `json:"stall_s,omitempty"`      // duration of a stall
+	PauseMS              float64  `json:"pause_ms,omitempty"`     // duration of the pauses of decode steps
+	PauseShare           float64  `json:"pause_share,omitempty"`  // share of the decode steps that pause
 	HandshakeDelayMS     float64  `json:"handshake_ms,omitempty"` // new connections are served so late
-	LoadReportSlowFactor float64  `json:"report_late,omitempty"`  // load is refreshed so many times more seldom
-	UnreachablePeers     []string `json:"cut,omitempty"`          // nodes and engines that it cannot hear
+	LoadReportSlowFactor float64  `json:"report_late,omitempty"`  // the load is refreshed so many times more seldom
+	UnreachablePeers     []string `json:"cut,omitempty"`          // nodes and engines whose messages do not arrive
 }
 
-// SetFaults replaces what is wrong.
+// SetFaults replaces the engine's faults.
 func (e *Engine) SetFaults(f Faults) { e.faults.Store(&f) }
 
-// ChangeFaults changes what is wrong.
+// ChangeFaults changes the engine's faults; change may be called more than once.
 func (e *Engine) ChangeFaults(change func(*Faults)) {
 	for {
 		old := e.faults.Load()
-		f := *old
-		change(&f)
-		if e.faults.CompareAndSwap(old, &f) {
+		changed := *old
+		change(&changed)
+		if e.faults.CompareAndSwap(old, &changed) {
 			return
 		}
 	}
 }
 
-func (f *Faults) cutFrom(name string) bool { return slices.Contains(f.UnreachablePeers, name) }
+func (f *Faults) unreachable(peer string) bool { return slices.Contains(f.UnreachablePeers, peer) }
 
-func (e *Engine) setFaults(w http.ResponseWriter, q *http.Request) {
-	var f Faults
-	dec := json.NewDecoder(q.Body)
-	dec.DisallowUnknownFields()
-	if err := dec.Decode(&f); err != nil {
-		fail(w, 400, "invalid_request", err.Error())
-		return
-	}
-	e.SetFaults(f)
-	fmt.Fprintln(w, "{}")
-}
+// Responses of the faults that break the protocol.
+const (
+	malformedEventResponse = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: 22\r\n\r\n" +
+		"data: {\"not\": json!}\n\n"
+	chunkSizeMismatchResponse = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n" +
+		"ff\r\ndata: {\r\n"
+	truncatedBodyResponse = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 1000\r\n\r\n" +
+		"{\"id\":"
+)
 
-// faulty plays the faults that strike before a request is looked at.
-func (j *job) faulty() bool {
-	f := j.e.faults.Load()
-	j.r.mu.Lock()
-	unlucky := f.ErrorShare > 0 && j.r.rng.Float64() < f.ErrorShare
-	j.r.mu.Unlock()
+// playRequestFault injects the faults that strike before a request is served, and returns whether one did.
+func (j *job) playRequestFault() bool {
+	faults := j.engine.faults.Load()
+	j.process.mu.Lock()
+	fails := faults.ErrorShare > 0 && j.process.rng.Float64() < faults.ErrorShare
+	j.process.mu.Unlock()
 	switch {
-	case f.Silent || f.cutFrom(j.node):
+	case faults.Silent || faults.unreachable(j.node):
 		<-j.ctx.Done()
-		j.note(record.End, "silent")
-	case f.Full:
-		j.turn(503, "engine_full", "no")
-	case f.RejectStatus > 0:
-		j.turn(f.RejectStatus, "rejected", "not to its liking")
-	case unlucky:
-		j.note(record.End, "error")
-		fail(j.w, 500, "internal", "failed")
-	case f.MalformedEvent:
-		j.note(record.Run, "garbage")
-		j.raw("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: 22\r\n\r\ndata: {\"not\": json!}\n\n")
-	case f.ChunkSizeMismatch:
-		j.note(record.Run, "lying chunk")
-		j.raw("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\nff\r\ndata: {\r\n")
-	case f.TruncatedBody:
-		j.note(record.Run, "cut body")
-		j.raw("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 1000\r\n\r\n{\"id\":")
+		j.record(record.End, "silent")
+	case faults.Full:
+		j.reject(http.StatusServiceUnavailable, "engine_full", "no")
+	case faults.RejectStatus > 0:
+		j.reject(faults.RejectStatus, "rejected", "not to its liking")
+	case fails:
+		j.record(record.End, "error")
+		respondError(j.response, http.StatusInternalServerError, "internal", "failed")
+	case faults.MalformedEvent:
+		j.record(record.Run, "garbage")
+		j.writeRaw(malformedEventResponse)
+	case faults.ChunkSizeMismatch:
+		j.record(record.Run, "lying chunk")
+		j.writeRaw(chunkSizeMismatchResponse)
+	case faults.TruncatedBody:
+		j.record(record.Run, "cut body")
+		j.writeRaw(truncatedBodyResponse)
 	default:
 		return false
 	}
 	return true
 }
 
-// raw writes bytes past the HTTP server and closes.
-func (j *job) raw(text string) {
-	c, _, err := http.NewResponseController(j.w).Hijack()
+// writeRaw writes bytes past the HTTP server and closes the connection.
+func (j *job) writeRaw(text string) {
+	conn, _, err := http.NewResponseController(j.response).Hijack()
 	if err != nil {
 		return
 	}
-	c.Write([]byte(text))
-	c.Close()
-}
-
-// eventWriter sends events one by one and plays the faults of streams.
-type eventWriter struct {
-	j    *job
-	f    *Faults
-	sent int
-}
-
-// event sends one; false = the stream is over.
-func (w *eventWriter) event(data string) bool {
-	f, j := w.f, w.j
-	switch {
-	case f.CloseAfter != nil && w.sent >= *f.CloseAfter:
-		w.hijack(true)
-		return false
-	case f.CrashAfter != nil && w.sent >= *f.CrashAfter:
-		go j.e.Kill()
-		<-j.r.ctx.Done()
-		return false
-	case f.HalfCloseAfter > 0 && w.sent >= f.HalfCloseAfter:
-		w.hijack(false)
-		return false
-	case f.StallAfter > 0 && w.sent == f.StallAfter:
-		if !sleep(j.ctx, seconds(f.StallSeconds)) {
-			return false
-		}
-	}
-	if _, err := fmt.Fprintf(j.w, "data: %s\n\n", data); err != nil {
-		return false
-	}
-	w.sent++
-	return http.NewResponseController(j.w).Flush() == nil
-}
-
-// hijack ends the connection without the last chunk: at once, or its sending side alone.
-func (w *eventWriter) hijack(whole bool) {
-	http.NewResponseController(w.j.w).Flush()
-	c, _, err := http.NewResponseController(w.j.w).Hijack()
-	if err != nil {
-		return
-	}
-	defer c.Close()
-	if whole {
-		return
-	}
-	if t, ok := c.(*net.TCPConn); ok {
-		t.CloseWrite()
-		t.SetReadDeadline(time.Now().Add(5 * time.Second))
-		var b [1]byte
-		t.Read(b[:]) // until the node lets go
-	}
-}
-
-// ExpectedResponse returns the answer that a request should get, and how many tokens it has.
-func ExpectedResponse(ms []Message, mark Mark, max int) (string, int) {
-	d := Digest(ms)
-	n := ResponseLength(d, mark, max)
-	return ResponseText(d, n), n
-}
-
-// PromptText joins texts for prompts of about so many tokens.
-func PromptText(seed uint64, tokens int) string {
-	var b strings.Builder
-	for i := 0; b.Len() < tokens*4-8; i++ {
-		b.WriteString(TokenText(seed, i))
-	}
-	return b.String()
+	conn.Write([]byte(text))
+	conn.Close()
 }
--- /dev/null
+++ b/lab/emulator/kvstate.go
@@ -0,0 +1,158 @@
+package emulator
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"slices"
+	"strconv"
+	"time"
+
+	"dillroute/lab/record"
+)
+
+// kvState is the KV state of a prompt that waits for a decode engine to fetch it.
+type kvState struct {
+	digest uint64
+	tokens int
+	mark   Mark
+}
+
+// releasedIDs holds the ids that were last released without a state: a prefill of one of them that ends later leaves no state.
+type releasedIDs struct {
+	ids  [256]string
+	next int
+}
+
+func (r *releasedIDs) add(id string) {
+	r.ids[r.next%len(r.ids)] = id
+	r.next++
+}
+
+func (r *releasedIDs) contains(id string) bool { return slices.Contains(r.ids[:], id) }
+
+// loseStates drops all states, as the end of a process does.
+func (e *Engine) loseStates(p *process) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for id, state := range p.states {
+		e.recordStateEnd(id, state, "died")
+		delete(p.states, id)
+		p.memoryTokens -= state.tokens
+	}
+}
+
+// endState drops a state, if it is there, and returns whether it was.
+func (e *Engine) endState(p *process, id, cause string) bool {
+	p.mu.Lock()
+	state, found := p.states[id]
+	if found {
+		delete(p.states, id)
+		p.memoryTokens -= state.tokens
+		p.capacityChanged.Broadcast()
+	}
+	p.mu.Unlock()
+	if found {
+		e.recordStateEnd(id, state, cause)
+	}
+	return found
+}
+
+func (e *Engine) recordStateEnd(id string, state *kvState, cause string) {
+	e.log.Add(record.Record{Kind: record.StateEnd, Engine: e.ID, State: id, Op: state.mark.Operation, Try: state.mark.Attempt, Note: cause})
+}
+
+// maxReleaseBytes bounds the body of a release call.
+const maxReleaseBytes = 1 << 16
+
+// handleRelease releases the state that a call names.
+func (e *Engine) handleRelease(p *process, w http.ResponseWriter, r *http.Request) {
+	if e.ReleaseUnsupported {
+		respondError(w, http.StatusNotFound, "unknown_path", "no such call")
+		return
+	}
+	var body struct {
+		ID string `json:"request_id"`
+	}
+	if json.NewDecoder(io.LimitReader(r.Body, maxReleaseBytes)).Decode(&body) != nil || body.ID == "" {
+		respondError(w, http.StatusBadRequest, "invalid_request", "request_id is missing")
+		return
+	}
+	if !e.endState(p, body.ID, "released") {
+		p.mu.Lock()
+		p.released.add(body.ID)
+		p.mu.Unlock()
+	}
+	io.WriteString(w, "{}")
+}
+
+// handleFetch sends a state to the engine that fetches it. The state ends when all of it has been sent.
+func (e *Engine) handleFetch(p *process, w http.ResponseWriter, r *http.Request) {
+	p.handlers.Add(1)
+	defer p.handlers.Done()
+	id := r.PathValue("id")
+	p.mu.Lock()
+	state, found := p.states[id]
+	p.mu.Unlock()
+	if !found || e.faults.Load().Silent {
+		respondError(w, http.StatusNotFound, "kv_state_not_found", "no such state")
+		return
+	}
+	slowerBy, _ := strconv.ParseFloat(r.URL.Query().Get("slower"), 64)
+	transfer := float64(state.tokens) / e.TransferTokensPerSecond * max(1, slowerBy) * max(1, e.faults.Load().TransferSlowFactor)
+	if !sleep(r.Context(), seconds(transfer)) {
+		return
+	}
+	e.endState(p, id, "fetched")
+	json.NewEncoder(w).Encode(map[string]any{"digest": state.digest, "tokens": state.tokens})
+}
+
+// stateClient fetches states from other engines.
+var stateClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Second}}
+
+// CloseIdleConnections closes the idle connections over which engines fetch states from each other.
+func CloseIdleConnections() { stateClient.CloseIdleConnections() }
+
+// fetchTimeout bounds the transfer of a state.
+const fetchTimeout = 10 * time.Second
+
+// Errors of a fetch, whose text the router is sent.
+var (
+	errNoStateAddress = errors.New("the transfer parameters name no place")
+	errStateMissing   = errors.New("the state is not there")
+)
+
+// fetchState fetches the state from the prefill engine over its socket, and returns the digest of its prompt.
+func (j *job) fetchState() (uint64, error) {
+	transfer := j.request.Transfer
+	if transfer.Host == nil || transfer.Port == nil {
+		return 0, errNoStateAddress
+	}
+	ctx, cancel := context.WithTimeout(j.ctx, fetchTimeout)
+	defer cancel()
+	if faults := j.engine.faults.Load(); transfer.EngineID != nil && faults.unreachable(*transfer.EngineID) {
+		return 0, fmt.Errorf("%s cannot be reached", *transfer.EngineID)
+	}
+	url := fmt.Sprintf("http://%s:%d/lab/kv/%s", *transfer.Host, *transfer.Port, j.requestID)
+	call, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return 0, err
+	}
+	response, err := stateClient.Do(call)
+	if err != nil {
+		return 0, fmt.Errorf("the state cannot be fetched: %w", err)
+	}
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		io.Copy(io.Discard, response.Body)
+		return 0, errStateMissing
+	}
+	var state struct {
+		Digest uint64 `json:"digest"`
+	}
+	err = json.NewDecoder(response.Body).Decode(&state)
+	return state.Digest, err
+}
