--- a/lab/platform/client.go
+++ b/lab/platform/client.go
@@ -14,114 +14,149 @@
 	"dillroute/lab/record"
 )
 
-// Request is one request of a client in good order.
+// Request is one request of a well-behaved client.
 type Request struct {
 	Operation      string
 	Class          string
 	Tenant         string
 	Session        string
-	ResponseTokens int // of the answer
-	Timeout        time.Duration
-	ID             string // "" = a new one
-	ExtraHeader    string // further header lines, each with its end
+	ResponseTokens int
+	Timeout        time.Duration // that the client states and waits
+	ID             string        // "" = a new one
+	ExtraHeader    string        // further header lines, each with its line end
 }
 
 // Response is what a client got.
 type Response struct {
 	Status     int
 	Text       string
-	Complete   bool // the stream came to its last chunk
-	RetryAfter string
+	Complete   bool   // the stream came to its last chunk
+	RetryAfter string // of the header
 	Outcome    record.Outcome
 	Err        error
 	Duration   time.Duration
 }
 
-var calls atomic.Uint64
+// lastCallID is the last of the ids that requests without one were given.
+var lastCallID atomic.Uint64
 
-// Encode is the text of a request.
-func (a Request) Encode() string {
-	body := fmt.Sprintf(`{"model":"chat","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, a.ResponseTokens, a.Operation)
-	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Caller: %s\r\n"+
-		"X-Route-Hash: %s\r\nX-Budget: %.3f\r\nX-Call-Info: prompt_len=20,prefix_len=0,max_out=%d\r\n%sContent-Length: %d\r\n\r\n%s",
-		a.ID, a.Class, a.Tenant, a.Session, a.Timeout.Seconds(), a.ResponseTokens, a.ExtraHeader, len(body), body)
+// Encode returns the bytes of the request.
+func (r Request) Encode() string {
+	body := fmt.Sprintf(`{"model":"chat","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`,
+		r.ResponseTokens, r.Operation)
+	return "POST /v1/chat/completions HTTP/1.1\r\nHost: origin.svc\r\n" +
+		fmt.Sprintf("X-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Caller: %s\r\n", r.ID, r.Class, r.Tenant) +
+		fmt.Sprintf("X-Route-Hash: %s\r\nX-Budget: %.3f\r\n", r.Session, r.Timeout.Seconds()) +
+		fmt.Sprintf("X-Call-Info: prompt_len=20,prefix_len=0,max_out=%d\r\n", r.ResponseTokens) +
+		fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", r.ExtraHeader, len(body), body)
 }
 
-// Send makes a request on a connection of its own.
-func (p *Platform) Send(addr string, a Request) Response {
-	if a.ID == "" {
-		a.ID = fmt.Sprintf("%016x", calls.Add(1))
+// Send sends a request on a connection of its own, waits for the response, and records both.
+func (p *Platform) Send(address string, r Request) Response {
+	if r.ID == "" {
+		r.ID = fmt.Sprintf("%016x", lastCallID.Add(1))
 	}
-	p.RegisterCall(a.ID, Operation{Name: a.Operation, Class: a.Class, ResponseTokens: a.ResponseTokens})
+	p.RegisterCall(r.ID, Operation{Name: r.Operation, Class: r.Class, ResponseTokens: r.ResponseTokens})
 	start := time.Now()
-	c, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return Response{Outcome: record.Unmet, Err: err}
 	}
-	defer c.Close()
-	base := record.Record{Op: a.Operation, Class: a.Class, Node: p.Node}
-	ask := base
-	ask.Kind, ask.Tokens = record.Ask, a.Timeout.Seconds()
-	p.Log.Add(ask)
-	if _, err = io.WriteString(c, a.Encode()); err != nil {
+	defer conn.Close()
+	base := record.Record{Op: r.Operation, Class: r.Class, Node: p.Node}
+	sent := base
+	sent.Kind = record.Ask
+	sent.Tokens = r.Timeout.Seconds()
+	p.Log.Add(sent)
+	if _, err = io.WriteString(conn, r.Encode()); err != nil {
 		return Response{Outcome: record.Cut, Err: err}
 	}
-	ans := p.hear(c, a, base)
-	ans.Duration = time.Since(start)
-	end := base
-	end.Kind, end.Outcome, end.OK = record.Answer, ans.Outcome, ans.Outcome == record.Served && ans.Text == ResponseText(a.Operation, a.ResponseTokens) ||
-		ans.Outcome == record.Failed && strings.HasPrefix(ResponseText(a.Operation, a.ResponseTokens), ans.Text)
-	if ans.Err != nil {
-		end.Note = ans.Err.Error()
+	response := p.receive(conn, r, base)
+	response.Duration = time.Since(start)
+	p.Log.Add(FinalRecord(base, r, response))
+	return response
+}
+
+// FinalRecord is the record of a response: base with its outcome, its error, and whether its text is what it should be.
+func FinalRecord(base record.Record, r Request, response Response) record.Record {
+	final := base
+	final.Kind = record.Answer
+	final.Outcome = response.Outcome
+	expected := ResponseText(r.Operation, r.ResponseTokens)
+	switch response.Outcome {
+	case record.Served:
+		final.OK = response.Text == expected
+	case record.Failed:
+		final.OK = strings.HasPrefix(expected, response.Text)
 	}
-	p.Log.Add(end)
-	return ans
+	if response.Err != nil {
+		final.Note = response.Err.Error()
+	}
+	return final
 }
 
-// hear reads the answer. A stream that ends without its last chunk has failed; no answer at all is one that was cut.
-func (p *Platform) hear(c net.Conn, a Request, base record.Record) Response {
-	c.SetReadDeadline(time.Now().Add(a.Timeout + time.Second))
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+const (
+	// headGrace is how much longer than its timeout a client waits for the head of a response.
+	headGrace = time.Second
+	// streamTimeout bounds the time of a stream.
+	streamTimeout = 20 * time.Second
+)
+
+// receive reads the response. A stream that ends without its last chunk has failed; a missing head means a cut connection.
+func (p *Platform) receive(conn net.Conn, r Request, base record.Record) Response {
+	conn.SetReadDeadline(time.Now().Add(r.Timeout + headGrace))
+	head, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return Response{Outcome: record.Cut, Err: err}
 	}
-	ans := Response{Status: resp.StatusCode, RetryAfter: resp.Header.Get("Retry-After")}
-	switch {
-	case resp.StatusCode == 429 || resp.StatusCode == 503:
-		ans.Outcome = record.Refused
-	case resp.StatusCode != 200:
-		ans.Outcome = record.Failed
-	}
-	if ans.Outcome != "" {
-		io.Copy(io.Discard, resp.Body)
-		return ans
+	response := Response{Status: head.StatusCode, RetryAfter: head.Header.Get("Retry-After"), Outcome: StatusOutcome(head.StatusCode)}
+	if response.Outcome != record.Served {
+		io.Copy(io.Discard, head.Body)
+		return response
 	}
 	first := base
 	first.Kind = record.First
 	p.Log.Add(first)
-	c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	ans.Outcome = record.Failed
-	lines := bufio.NewScanner(resp.Body)
+	conn.SetReadDeadline(time.Now().Add(streamTimeout))
+	response.Text, response.Err = ReadEvents(head.Body)
+	response.Complete = response.Err == nil
+	if response.Err != nil {
+		response.Outcome = record.Failed
+	}
+	return response
+}
+
+// StatusOutcome returns the outcome of a response by its status; one that is served may still fail in its stream.
+func StatusOutcome(status int) record.Outcome {
+	switch status {
+	case http.StatusOK:
+		return record.Served
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return record.Refused
+	}
+	return record.Failed
+}
+
+// ReadEvents reads the events of a stream to its end and returns their text, also with an error.
+func ReadEvents(body io.Reader) (string, error) {
+	text := ""
+	lines := bufio.NewScanner(body)
 	for lines.Scan() {
-		data, ok := strings.CutPrefix(lines.Text(), "data: ")
-		if !ok || data == "[DONE]" {
+		data, found := strings.CutPrefix(lines.Text(), "data: ")
+		if !found || data == "[DONE]" {
 			continue
 		}
-		var e struct {
+		var event struct {
 			Choices []struct {
 				Delta struct{ Content string }
 			}
 		}
-		if err := json.Unmarshal([]byte(data), &e); err != nil {
-			ans.Err = fmt.Errorf("event %q: %w", data, err)
-			return ans
+		if err := json.Unmarshal([]byte(data), &event); err != nil {
+			return text, fmt.Errorf("event %q: %w", data, err)
 		}
-		for _, x := range e.Choices {
-			ans.Text += x.Delta.Content
+		for _, choice := range event.Choices {
+			text += choice.Delta.Content
 		}
 	}
-	if ans.Err = lines.Err(); ans.Err == nil {
-		ans.Outcome, ans.Complete = record.Served, true
-	}
-	return ans
+	return text, lines.Err()
 }
--- a/lab/platform/discovery.go
+++ b/lab/platform/discovery.go
@@ -1,6 +1,7 @@
 package platform
 
 import (
+	"context"
 	"encoding/json"
 	"net"
 	"net/http"
@@ -11,154 +12,215 @@
 	"dillroute/lab/record"
 )
 
-// Endpoint is one entry of the list.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID      string  `json:"id"`
 	Address string  `json:"addr"`
 	Zone    string  `json:"zone"`
 	Kind    string  `json:"kind"`
 	Cell    int     `json:"cell"`
-	State   string  `json:"state"`
+	State   string  `json:"state"` // up, draining or removed
 	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"`
+	Started int64   `json:"started_ms"` // Unix milliseconds
 }
 
-// Discovery is the agent of one node.
+// Discovery is the discovery agent of one node.
 type Discovery struct {
 	platform *Platform
 
-	mu       sync.Mutex
-	version  int
-	servers  map[string]Endpoint
-	changed  map[string]int // version at which an entry changed last
-	news     chan struct{}  // closed at a change
-	bad      string         // what it answers in place of lists
-	silent   bool
-	server   *http.Server
-	listener net.Listener
+	mu        sync.Mutex // guards the fields below
+	version   int
+	endpoints map[string]Endpoint
+	changed   map[string]int // version at which an entry changed last
+	update    chan struct{}  // closed at a change
+	body      string         // is sent in place of lists; "" = lists are sent
+	silent    bool           // nothing is sent
+	server    *http.Server
+	listener  net.Listener
 }
 
+// endpointList is a response of discovery. The order of its fields is that of the wire.
+type endpointList struct {
+	Full      bool       `json:"full"` // all endpoints, not only those that changed
+	Endpoints []Endpoint `json:"servers"`
+	Version   int        `json:"version"`
+}
+
+// text is the list in discovery's form.
+func (l endpointList) text() []byte {
+	text, _ := json.Marshal(l) // strings and numbers always encode
+	return text
+}
+
+// wholeList in place of a version asks for all endpoints.
+const wholeList = -1
+
 // StartDiscovery starts an agent that lists the engines given.
 func (p *Platform) StartDiscovery(engines ...*Engine) *Discovery {
-	d := &Discovery{platform: p, servers: map[string]Endpoint{}, changed: map[string]int{}, news: make(chan struct{})}
+	d := &Discovery{
+		platform:  p,
+		endpoints: map[string]Endpoint{},
+		changed:   map[string]int{},
+		update:    make(chan struct{}),
+	}
 	for _, e := range engines {
-		d.servers[e.ID] = Endpoint{ID: e.ID, Address: e.Address(), Zone: "z", Kind: e.Role, State: "up", Weight: 1}
+		d.endpoints[e.ID] = Endpoint{ID: e.ID, Address: e.Address(), Zone: "z", Kind: e.Role, State: "up", Weight: 1}
 	}
 	d.Listen()
 	return d
 }
 
-// Listen listens at a new address; what listened before goes on.
+// Listen opens a server at a new address; earlier servers go on.
 func (d *Discovery) Listen() {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err) // loopback without ports: no test can run
 	}
+	server := &http.Server{Handler: http.HandlerFunc(d.serve)}
 	d.mu.Lock()
-	d.listener, d.server = l, &http.Server{Handler: http.HandlerFunc(d.serve)}
-	s := d.server
+	d.listener = listener
+	d.server = server
 	d.mu.Unlock()
-	d.platform.wg.Add(1)
-	go func() { defer d.platform.wg.Done(); s.Serve(l) }()
+	d.platform.goroutines.Add(1)
+	go func() {
+		defer d.platform.goroutines.Done()
+		server.Serve(listener)
+	}()
 }
 
-// Address is the newest address; Close ends a server of it with all its connections.
+// Address is the newest address.
 func (d *Discovery) Address() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listener.Addr().String()
 }
 
-// HTTPServer returns what listens at the newest address.
+// HTTPServer returns the server at the newest address.
 func (d *Discovery) HTTPServer() *http.Server {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.server
 }
 
-// Close ends the newest server.
+// Close closes the newest server with all its connections.
 func (d *Discovery) Close() { d.HTTPServer().Close() }
 
 // Update changes an entry, or adds it.
 func (d *Discovery) Update(id string, change func(*Endpoint)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s := d.servers[id]
-	s.ID = id
-	change(&s)
+	endpoint := d.endpoints[id]
+	endpoint.ID = id
+	change(&endpoint)
 	d.version++
-	d.servers[id], d.changed[id] = s, d.version
-	close(d.news)
-	d.news = make(chan struct{})
+	d.endpoints[id] = endpoint
+	d.changed[id] = d.version
+	d.wakeCalls()
 }
 
-// SetState sets an entry's state.
-func (d *Discovery) SetState(id, state string) { d.Update(id, func(s *Endpoint) { s.State = state }) }
+// SetState sets the state of an entry.
+func (d *Discovery) SetState(id, state string) { d.Update(id, func(e *Endpoint) { e.State = state }) }
 
-// SetFault sets what is answered in place of lists; "" = lists. Silent says nothing at all.
-func (d *Discovery) SetFault(text string, silent bool) {
+// SetFault sets a body that is sent in place of lists, "" for none; silent makes discovery send nothing at all.
+func (d *Discovery) SetFault(body string, silent bool) {
 	d.mu.Lock()
-	d.bad, d.silent = text, silent
-	close(d.news)
-	d.news = make(chan struct{})
-	d.mu.Unlock()
+	defer d.mu.Unlock()
+	d.body = body
+	d.silent = silent
+	d.wakeCalls()
+}
+
+// wakeCalls lets held calls look at discovery again. The lock is held.
+func (d *Discovery) wakeCalls() {
+	close(d.update)
+	d.update = make(chan struct{})
 }
 
 // Snapshot is the whole list in discovery's form.
 func (d *Discovery) Snapshot() []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	b, _ := json.Marshal(d.answer(-1)) // strings and numbers always encode
-	return b
+	return d.list(wholeList).text()
 }
 
-// answer is what changed after a version, or the whole list.
-func (d *Discovery) answer(from int) map[string]any {
-	xs := []Endpoint{}
-	for id, s := range d.servers {
-		if from < 0 && s.State != "removed" || from >= 0 && d.changed[id] > from {
-			xs = append(xs, s)
+// list is what has changed after a version, or the whole list. The lock is held.
+func (d *Discovery) list(after int) endpointList {
+	list := endpointList{Full: after < 0, Endpoints: []Endpoint{}, Version: d.version}
+	for id, endpoint := range d.endpoints {
+		listed := d.changed[id] > after
+		if list.Full {
+			listed = endpoint.State != "removed"
+		}
+		if listed {
+			list.Endpoints = append(list.Endpoints, endpoint)
 		}
 	}
-	return map[string]any{"version": d.version, "full": from < 0, "servers": xs}
+	return list
 }
 
-func (d *Discovery) serve(w http.ResponseWriter, r *http.Request) {
-	from := -1
-	if f := r.URL.Query().Get("from"); f != "" {
-		from, _ = strconv.Atoi(f)
-	}
-	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	end := time.After(time.Duration(hold) * time.Millisecond)
-	d.mu.Lock()
-	for from >= d.version && d.bad == "" && !d.silent {
-		news := d.news
+// answer is what a call is answered, as it was at one moment.
+type answer struct {
+	list   endpointList
+	body   string
+	silent bool
+}
+
+// await holds a call until there is news after a version, a fault, or the end of its time; false means that the call has ended.
+func (d *Discovery) await(ctx context.Context, after int, hold time.Duration) (answer, bool) {
+	timeout := time.After(hold)
+	timedOut := false
+	for {
+		d.mu.Lock()
+		if timedOut || after < d.version || d.body != "" || d.silent {
+			defer d.mu.Unlock()
+			return answer{list: d.list(after), body: d.body, silent: d.silent}, true
+		}
+		update := d.update
 		d.mu.Unlock()
 		select {
-		case <-news:
-			d.mu.Lock()
-			continue
-		case <-end:
-		case <-r.Context().Done():
-			return
+		case <-update:
+		case <-timeout:
+			timedOut = true
+		case <-ctx.Done():
+			return answer{}, false
 		}
-		d.mu.Lock()
-		break
 	}
-	bad, silent, a := d.bad, d.silent, d.answer(from)
-	d.mu.Unlock()
+}
+
+// serve answers a call, and records which states of endpoints the node was sent.
+func (d *Discovery) serve(w http.ResponseWriter, r *http.Request) {
+	after := wholeList
+	if from := r.URL.Query().Get("from"); from != "" {
+		after, _ = strconv.Atoi(from)
+	}
+	holdMS, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
+	a, ok := d.await(r.Context(), after, time.Duration(holdMS)*time.Millisecond)
 	switch {
-	case silent:
+	case !ok:
+		return
+	case a.silent:
 		<-r.Context().Done()
 		return
-	case bad != "":
-		w.Write([]byte(bad))
+	case a.body != "":
+		w.Write([]byte(a.body))
 		return
 	}
-	text, _ := json.Marshal(a) // strings and numbers always encode
-	w.Write(text)
-	for _, s := range a["servers"].([]Endpoint) {
-		state := map[string]string{"up": "ready", "draining": "draining", "removed": "gone"}[s.State]
-		d.platform.Log.Add(record.Record{Kind: record.Told, Node: d.platform.Node, Engine: s.ID, State: state})
+	w.Write(a.list.text())
+	for _, endpoint := range a.list.Endpoints {
+		state := RecordedState(endpoint.State)
+		d.platform.Log.Add(record.Record{Kind: record.Told, Node: d.platform.Node, Engine: endpoint.ID, State: state})
+	}
+}
+
+// RecordedState returns how records name a state of discovery.
+func RecordedState(state string) string {
+	switch state {
+	case "up":
+		return "ready"
+	case "draining":
+		return "draining"
+	case "removed":
+		return "gone"
 	}
+	return ""
 }
--- /dev/null
+++ b/lab/platform/exchange.go
@@ -0,0 +1,206 @@
+package platform
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"dillroute/lab/record"
+)
+
+// exchange is one request at an engine and its response. Its methods return whether the connection can carry another request.
+type exchange struct {
+	engine       *Engine
+	conn         net.Conn
+	request      *http.Request
+	disconnected <-chan struct{} // closed when the peer has closed its side
+	nextRequest  <-chan struct{} // closed when the peer's next request begins
+
+	// Of a request for a known call.
+	call      string
+	operation Operation
+	fault     Fault
+	base      record.Record // what all records of the attempt share
+}
+
+// serve serves a release or an attempt.
+func (x *exchange) serve() bool {
+	platform := x.engine.platform
+	if call, found := strings.CutPrefix(x.request.URL.Path, "/v1/holds/"); found && x.request.Method == http.MethodDelete {
+		return x.serveRelease(call)
+	}
+	x.call = x.request.Header.Get("X-Call-Id")
+	operation, known := platform.operation(x.call)
+	if !known {
+		platform.Log.Add(record.Record{Kind: record.More, Op: "void:" + x.call, Note: "an id that no client sent"})
+		return x.respond(http.StatusBadRequest, "", "no client sent this id") && x.awaitNext()
+	}
+	x.operation = operation
+	return x.serveAttempt()
+}
+
+// serveRelease releases the states of a call.
+func (x *exchange) serveRelease(call string) bool {
+	if !x.engine.awaitRecovery(x.disconnected) {
+		return false
+	}
+	x.engine.platform.releaseStates(call, "released")
+	return x.write("HTTP/1.1 204 x\r\n\r\n") && x.awaitNext()
+}
+
+// serveAttempt serves an attempt of either stage. The attempt counts as ended when the next request begins or the connection ends.
+func (x *exchange) serveAttempt() bool {
+	e := x.engine
+	remaining, _ := strconv.ParseFloat(x.request.Header.Get("X-Budget"), 64)
+	e.platform.noteAttempt(x.operation.Name, x.request.Header, remaining)
+	x.base = record.Record{
+		Op:     x.operation.Name,
+		Try:    x.operation.Attempt,
+		Class:  x.operation.Class,
+		Node:   e.platform.callingNode(x.request.Host),
+		Engine: e.ID,
+		Note:   "decode",
+		Work:   1,
+		Left:   remaining,
+	}
+	if e.Role == rolePrefill {
+		x.base.Note = "prefill"
+	} else {
+		x.base.State = stateID(x.call, e.platform.stateHolder(x.call))
+	}
+	x.record(record.Arrive)
+	defer x.record(record.End)
+	if !e.awaitRecovery(x.disconnected) {
+		return false
+	}
+	fault, startDelay := e.nextFault()
+	x.fault = fault
+	if !x.wait(startDelay) {
+		return false
+	}
+	if e.Role == rolePrefill {
+		return x.servePrefill() && x.awaitNext()
+	}
+	return x.serveDecode() && x.awaitNext()
+}
+
+// servePrefill reads a prompt and reserves its state.
+func (x *exchange) servePrefill() bool {
+	e := x.engine
+	switch x.fault {
+	case InternalError:
+		x.respond(http.StatusInternalServerError, "", "no")
+		return false
+	case Rejection:
+		return x.reject(http.StatusServiceUnavailable)
+	case IncompleteRejection:
+		return x.respondIncomplete("503 x\r\nX-Rejected: 1")
+	case CloseBeforeResponse: // the prefill has succeeded just then
+		e.platform.reserveState(x.base.Node, x.call, e.ID)
+		return false
+	}
+	if !x.wait(e.PrefillTime) {
+		return false
+	}
+	e.platform.reserveState(x.base.Node, x.call, e.ID)
+	loadReport := "util=0.2,queue=0,x0=0.1"
+	switch x.fault {
+	case MalformedLoadReport:
+		loadReport = "util=often"
+	case IncompletePrefillResponse:
+		return x.respondIncomplete("202 x")
+	}
+	if !x.respond(http.StatusAccepted, "X-Load-Report: "+loadReport+"\r\n", `{"cached_tokens":12}`) {
+		return false
+	}
+	return x.fault != DelayedSecondResponse || x.sendSecondResponse()
+}
+
+// serveDecode generates the response of an attempt whose state is reserved, or that needs none.
+func (x *exchange) serveDecode() bool {
+	platform := x.engine.platform
+	switch {
+	case x.fault == Rejection:
+		return x.reject(http.StatusServiceUnavailable)
+	case x.fault == IncompleteRejection:
+		return x.respondIncomplete("503 x\r\nX-Rejected: 1")
+	case x.fault == StateMissing || x.engine.Role == roleDecode && platform.stateHolder(x.call) == "":
+		platform.releaseStates(x.call, "lost")
+		return x.reject(http.StatusGone)
+	}
+	x.record(record.Run)
+	switch x.fault {
+	case InternalError:
+		return x.respond(http.StatusInternalServerError, "", "no")
+	case Unavailable:
+		return x.respond(http.StatusServiceUnavailable, "", "no")
+	case CloseBeforeResponse:
+		return false
+	case NoiseForHead:
+		return x.writeAndStall("\x16\x03\x01 noise, and then nothing")
+	case MalformedHead:
+		return x.writeAndStall("HTTP/1.1 200 OK\r\nTransfer-Encoding chunked\r\n")
+	case EndlessHead:
+		return x.writeAndStall("HTTP/1.1 200 OK\r\nX-More: ")
+	case InterimResponses:
+		x.write("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n")
+	}
+	platform.releaseStates(x.call, "fetched")
+	return x.stream()
+}
+
+// record adds what happened to the attempt to the log.
+func (x *exchange) record(kind record.Kind) {
+	entry := x.base
+	entry.Kind = kind
+	x.engine.platform.Log.Add(entry)
+}
+
+// wait waits; false means that the peer has closed its side first.
+func (x *exchange) wait(d time.Duration) bool {
+	select {
+	case <-time.After(d):
+		return true
+	case <-x.disconnected:
+		return false
+	}
+}
+
+// awaitNext waits for the next request on the connection; false means that there is none.
+func (x *exchange) awaitNext() bool {
+	select {
+	case <-x.disconnected:
+		return false
+	case <-x.nextRequest:
+		return true
+	}
+}
+
+func (x *exchange) write(text string) bool {
+	_, err := io.WriteString(x.conn, text)
+	return err == nil
+}
+
+// writeAndStall writes a part of a response and nothing more, until the peer closes its side.
+func (x *exchange) writeAndStall(text string) bool {
+	x.write(text)
+	<-x.disconnected
+	return false
+}
+
+// respond writes a complete response; each line of header has its line end.
+func (x *exchange) respond(status int, header, body string) bool {
+	return x.write(fmt.Sprintf("HTTP/1.1 %d x\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body))
+}
+
+// reject responds that the attempt never ran.
+func (x *exchange) reject(status int) bool { return x.respond(status, "X-Rejected: 1\r\n", "") }
+
+// respondIncomplete writes a response whose body is shorter than its Content-Length.
+func (x *exchange) respondIncomplete(statusAndHeader string) bool {
+	return x.writeAndStall("HTTP/1.1 " + statusAndHeader + "\r\nContent-Length: 20\r\n\r\n{\"cached")
+}
--- /dev/null
+++ b/lab/platform/fault.go
@@ -0,0 +1,102 @@
+package platform
+
+import "time"
+
+// Fault is what an engine does wrong with one response.
+type Fault string
+
+// Faults of a response. Those marked valid keep the protocol: a node has to cope with them without an error.
+const (
+	NoFault                   Fault = ""
+	NoiseForHead              Fault = "noise"         // noise in place of the head; the connection stays open
+	MalformedHead             Fault = "bad head"      // a head that cannot be parsed
+	EndlessHead               Fault = "endless head"  // a head that does not end
+	MalformedChunkSize        Fault = "bad chunk"     // in mid-stream, a chunk size that cannot be parsed
+	ChunkSizeMismatch         Fault = "misfit chunk"  // in mid-stream, a chunk longer than its size
+	HugeChunk                 Fault = "huge chunk"    // in mid-stream, a chunk of 3 GB of which 4 MB are sent
+	CloseMidStream            Fault = "cut"           // the connection closes in mid-stream
+	StallMidStream            Fault = "silent"        // nothing more is sent in mid-stream
+	CloseBeforeResponse       Fault = "cut before"    // the connection closes before the response
+	InterimResponses          Fault = "interim"       // valid: 1xx responses before the final one
+	MalformedLoadReport       Fault = "bad report"    // valid: a load report that cannot be parsed
+	SecondResponse            Fault = "second answer" // valid: another response right behind the final one
+	DelayedSecondResponse     Fault = "late answer"   // valid: another response some milliseconds behind the final one
+	NoFinalEvent              Fault = "no final"      // the stream ends in good order without its final event
+	CloseInLastChunk          Fault = "cut last"      // the connection closes within the last chunk
+	EndlessComments           Fault = "comments"      // in mid-stream, comments without end in place of events
+	IncompleteRejection       Fault = "half reject"   // a rejection whose body does not end
+	IncompletePrefillResponse Fault = "half read"     // a prefill response whose body does not end
+	InternalError             Fault = "500"           // status 500
+	Rejection                 Fault = "rejects"       // status 503 that says that the request never ran
+	Unavailable               Fault = "503"           // status 503 without that
+	StateMissing              Fault = "no state"      // the state is lost: status 410
+)
+
+// QueueFaults sets the faults of the next responses, one each.
+func (e *Engine) QueueFaults(faults ...Fault) {
+	e.mu.Lock()
+	e.faults = append(e.faults, faults...)
+	e.mu.Unlock()
+}
+
+// PendingFaults returns how many of the queued faults no request has met yet.
+func (e *Engine) PendingFaults() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return len(e.faults)
+}
+
+// ClearFaults drops the faults that no request has met.
+func (e *Engine) ClearFaults() {
+	e.mu.Lock()
+	e.faults = nil
+	e.mu.Unlock()
+}
+
+// SetHung makes the engine accept connections and requests without serving them, until it is called with false.
+func (e *Engine) SetHung(hung bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	switch {
+	case hung && e.hung == nil:
+		e.hung = make(chan struct{})
+	case !hung && e.hung != nil:
+		close(e.hung)
+		e.hung = nil
+	}
+}
+
+// SetStartDelay sets how long the engine waits before it serves a request.
+func (e *Engine) SetStartDelay(d time.Duration) {
+	e.mu.Lock()
+	e.startDelay = d
+	e.mu.Unlock()
+}
+
+// nextFault takes the fault of the next response, and returns it with the present start delay.
+func (e *Engine) nextFault() (Fault, time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if len(e.faults) == 0 {
+		return NoFault, e.startDelay
+	}
+	fault := e.faults[0]
+	e.faults = e.faults[1:]
+	return fault, e.startDelay
+}
+
+// awaitRecovery waits while the engine hangs; false means that the connection ended first.
+func (e *Engine) awaitRecovery(disconnected <-chan struct{}) bool {
+	e.mu.Lock()
+	hung := e.hung
+	e.mu.Unlock()
+	if hung == nil {
+		return true
+	}
+	select {
+	case <-hung:
+		return true
+	case <-disconnected:
+		return false
+	}
+}
--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -1,6 +1,5 @@
-// Package platform is a stand-in of the users' platform, in which `dillroute serve --relay` runs: engines, discovery and
-// clients on loopback sockets, with faults on command. What passes is recorded for lab/rules. Speeds are not those of
-// real engines.
+// Package platform emulates the users' platform, on which `dillroute serve --relay` runs: engines, discovery and clients on loopback
+// sockets, with faults on command. What passes is recorded for lab/rules. Speeds are not those of real engines.
 package platform
 
 import (
@@ -18,67 +17,63 @@
 // Platform holds what its engines share.
 type Platform struct {
 	Log  *record.Log
-	Node string // whom records name
-
-	mu      sync.Mutex
-	engines map[string]*Engine
-	holds   map[string]map[string]bool // by call: engines that hold something of it
-	ops     map[string]Operation       // by call
-	budgets map[string][]Budget        // by name of an op
-	headers map[string][]http.Header   // of the attempts that arrived, by name of an op
-	callers map[string]string          // nodes by the address at which each reaches an engine
-	wg      sync.WaitGroup
-}
+	Node string // that records name where no route says otherwise
 
-// RegisterRoute notes that a node alone reaches an engine at an address, so that records name it.
-func (p *Platform) RegisterRoute(node, address string) {
-	p.mu.Lock()
-	p.callers[address] = node
-	p.mu.Unlock()
-}
+	mu         sync.Mutex // guards the fields below
+	engines    map[string]*Engine
+	states     map[string]map[string]bool // by call: the engines that reserve a state for it
+	operations map[string]Operation       // by call
+	budgets    map[string][]Budget        // by name of an operation
+	headers    map[string][]http.Header   // by name of an operation
+	routes     map[string]string          // nodes, by the address at which each alone reaches an engine
 
-// caller returns the node that made a request to the address given.
-func (p *Platform) caller(address string) string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if node, ok := p.callers[address]; ok {
-		return node
-	}
-	return p.Node
+	goroutines sync.WaitGroup // of engines and discovery
 }
 
-// Operation names what a call was made for.
+// Operation is what a call was made for.
 type Operation struct {
-	Name, Class             string
-	Attempt, ResponseTokens int
+	Name           string
+	Class          string
+	Attempt        int // of the client, from 0
+	ResponseTokens int
 }
 
-// Budget is what an attempt told its engine of the time that is left (s), and when (Unix s).
-type Budget struct{ RemainingSeconds, ReceivedAt float64 }
-
-// Budgets returns what the attempts for an op told, in order of arrival.
-func (p *Platform) Budgets(op string) []Budget {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return slices.Clone(p.budgets[op])
-}
-
-// Headers returns the header fields of the attempts for an op, in order of arrival.
-func (p *Platform) Headers(op string) []http.Header {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return slices.Clone(p.headers[op])
+// Budget is the time that an attempt said to be left, and when it did.
+type Budget struct {
+	RemainingSeconds float64
+	ReceivedAt       float64 // Unix seconds
 }
 
 // New returns a platform without engines.
 func New(node string, log *record.Log) *Platform {
-	return &Platform{Log: log, Node: node, engines: map[string]*Engine{}, holds: map[string]map[string]bool{}, ops: map[string]Operation{}, budgets: map[string][]Budget{},
-		headers: map[string][]http.Header{}, callers: map[string]string{}}
+	return &Platform{
+		Log:        log,
+		Node:       node,
+		engines:    map[string]*Engine{},
+		states:     map[string]map[string]bool{},
+		operations: map[string]Operation{},
+		budgets:    map[string][]Budget{},
+		headers:    map[string][]http.Header{},
+		routes:     map[string]string{},
+	}
 }
 
+// Speeds of an engine that has just been started.
+const (
+	defaultTokenInterval = 2 * time.Millisecond
+	defaultPrefillTime   = 3 * time.Millisecond
+)
+
 // StartEngine starts an engine; role is read, write or both.
 func (p *Platform) StartEngine(id, role string) *Engine {
-	e := &Engine{ID: id, Role: role, platform: p, TokenInterval: 2 * time.Millisecond, PrefillTime: 3 * time.Millisecond, conns: map[net.Conn]bool{}}
+	e := &Engine{
+		ID:            id,
+		Role:          role,
+		TokenInterval: defaultTokenInterval,
+		PrefillTime:   defaultPrefillTime,
+		platform:      p,
+		conns:         map[net.Conn]bool{},
+	}
 	if err := e.listen(); err != nil {
 		panic(err) // loopback without ports: no test can run
 	}
@@ -88,86 +83,85 @@
 	return e
 }
 
-// Stop ends all engines.
+// Stop stops all engines, and waits for the goroutines of engines and of discovery servers that were closed.
 func (p *Platform) Stop() {
 	p.mu.Lock()
-	var all []*Engine
+	var engines []*Engine
 	for _, e := range p.engines {
-		all = append(all, e)
+		engines = append(engines, e)
 	}
 	p.mu.Unlock()
-	for _, e := range all {
+	for _, e := range engines {
 		e.Stop()
 	}
-	p.wg.Wait()
+	p.goroutines.Wait()
 }
 
-// CallsWithState tells for how many calls something is held.
-func (p *Platform) CallsWithState() int {
+// RegisterRoute notes that a node alone reaches an engine at an address, so that records name the node.
+func (p *Platform) RegisterRoute(node, address string) {
 	p.mu.Lock()
-	defer p.mu.Unlock()
-	return len(p.holds)
+	p.routes[address] = node
+	p.mu.Unlock()
 }
 
-func stateName(call, engine string) string { return call + "@" + engine }
-
-// hold notes that an engine holds something of a call.
-func (p *Platform) hold(node, call, engine string) {
+// callingNode returns the node that made a request to the address given.
+func (p *Platform) callingNode(address string) string {
 	p.mu.Lock()
-	op := p.ops[call]
-	if p.holds[call] == nil {
-		p.holds[call] = map[string]bool{}
+	defer p.mu.Unlock()
+	if node, found := p.routes[address]; found {
+		return node
 	}
-	p.holds[call][engine] = true
-	p.mu.Unlock()
-	p.Log.Add(record.Record{Kind: record.Parsed, Op: op.Name, Try: op.Attempt, Class: op.Class, Node: node, Engine: engine, State: stateName(call, engine)})
+	return p.Node
 }
 
-// release lets go of all that is held for a call, whatever engine holds it; it tells whether anything was.
-func (p *Platform) release(call, why string) bool {
+// RegisterCall makes an id known, as the client that sends it does.
+func (p *Platform) RegisterCall(call string, operation Operation) {
 	p.mu.Lock()
-	held := p.holds[call]
-	delete(p.holds, call)
+	p.operations[call] = operation
 	p.mu.Unlock()
-	for engine := range held {
-		p.Log.Add(record.Record{Kind: record.StateEnd, Engine: engine, State: stateName(call, engine), Note: why})
-	}
-	return len(held) > 0
 }
 
-// holder returns an engine that holds a call's state.
-func (p *Platform) holder(call string) string {
+// operation returns what a call is for; found is false for an id that no client sent.
+func (p *Platform) operation(call string) (operation Operation, found bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for engine := range p.holds[call] {
-		return engine
-	}
-	return ""
+	operation, found = p.operations[call]
+	return operation, found
 }
 
-// op returns what a call is for; ok is false for an id that no client sent.
-func (p *Platform) op(call string) (Operation, bool) {
+// noteAttempt keeps the header fields and the budget of an attempt that has arrived.
+func (p *Platform) noteAttempt(operation string, header http.Header, remainingSeconds float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	op, ok := p.ops[call]
-	return op, ok
+	budget := Budget{RemainingSeconds: remainingSeconds, ReceivedAt: float64(time.Now().UnixNano()) / 1e9}
+	p.headers[operation] = append(p.headers[operation], header)
+	p.budgets[operation] = append(p.budgets[operation], budget)
 }
 
-// RegisterCall makes an id known, as a client that sends it does.
-func (p *Platform) RegisterCall(call string, op Operation) {
+// Budgets returns the budgets of the attempts for an operation, in order of arrival.
+func (p *Platform) Budgets(operation string) []Budget {
 	p.mu.Lock()
-	p.ops[call] = op
-	p.mu.Unlock()
+	defer p.mu.Unlock()
+	return slices.Clone(p.budgets[operation])
 }
 
-// EventText is the text of one event of an answer, so that a client can tell what is missing.
-func EventText(op string, i int) string { return fmt.Sprintf("%s.%d ", op, i) }
+// Headers returns the header fields of the attempts for an operation, in order of arrival.
+func (p *Platform) Headers(operation string) []http.Header {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return slices.Clone(p.headers[operation])
+}
+
+// EventText is the text of one event of a response. It holds its position, so that any gap shows.
+func EventText(operation string, position int) string {
+	return fmt.Sprintf("%s.%d ", operation, position)
+}
 
-// ResponseText is the text of a whole answer.
-func ResponseText(op string, tokens int) string {
+// ResponseText is the text of a complete response.
+func ResponseText(operation string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
-		b.WriteString(EventText(op, i))
+		b.WriteString(EventText(operation, i))
 	}
 	return b.String()
 }
--- /dev/null
+++ b/lab/platform/state.go
@@ -0,0 +1,54 @@
+package platform
+
+import "dillroute/lab/record"
+
+// stateID names the state of a call at an engine in records.
+func stateID(call, engine string) string { return call + "@" + engine }
+
+// CallsWithState returns for how many calls an engine reserves a state.
+func (p *Platform) CallsWithState() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.states)
+}
+
+// reserveState notes that an engine reserves a state for a call.
+func (p *Platform) reserveState(node, call, engine string) {
+	p.mu.Lock()
+	operation := p.operations[call]
+	if p.states[call] == nil {
+		p.states[call] = map[string]bool{}
+	}
+	p.states[call][engine] = true
+	p.mu.Unlock()
+	p.Log.Add(record.Record{
+		Kind:   record.Parsed,
+		Op:     operation.Name,
+		Try:    operation.Attempt,
+		Class:  operation.Class,
+		Node:   node,
+		Engine: engine,
+		State:  stateID(call, engine),
+	})
+}
+
+// releaseStates ends the states of a call at all engines.
+func (p *Platform) releaseStates(call, cause string) {
+	p.mu.Lock()
+	engines := p.states[call]
+	delete(p.states, call)
+	p.mu.Unlock()
+	for engine := range engines {
+		p.Log.Add(record.Record{Kind: record.StateEnd, Engine: engine, State: stateID(call, engine), Note: cause})
+	}
+}
+
+// stateHolder returns an engine that reserves a state for a call; "" = there is none.
+func (p *Platform) stateHolder(call string) string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for engine := range p.states[call] {
+		return engine
+	}
+	return ""
+}
--- /dev/null
+++ b/lab/platform/stream.go
@@ -0,0 +1,112 @@
+package platform
+
+import (
+	"fmt"
+	"time"
+)
+
+// streamHead begins the response of a stream.
+const streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+// Events of a stream, beside those with its text.
+const (
+	usageEvent = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":20,\"completion_tokens\":9," +
+		"\"prompt_tokens_details\":{\"cached_tokens\":4}}}\n\n"
+	finalEvent = "data: [DONE]\n\n"
+)
+
+// secondResponseDelay is how long after the final response a delayed second response follows.
+const secondResponseDelay = 10 * time.Millisecond
+
+// commentInterval is the time between two comments of EndlessComments.
+const commentInterval = 10 * time.Millisecond
+
+// stream writes the events of a response, and injects the fault of the exchange halfway or at its end.
+func (x *exchange) stream() bool {
+	e := x.engine
+	x.write(streamHead)
+	e.mu.Lock()
+	e.streamsStarted++
+	e.mu.Unlock()
+	for i := 0; i < x.operation.ResponseTokens; i++ {
+		if i == x.operation.ResponseTokens/2 && x.breakStream() {
+			return false
+		}
+		text := EventText(x.operation.Name, i)
+		event := fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", text)
+		if !x.writeChunk(event) || !x.wait(e.TokenInterval) {
+			return false
+		}
+	}
+	return x.endStream()
+}
+
+// breakStream injects a fault of mid-stream, if the exchange has one, and returns whether it has ended the stream.
+func (x *exchange) breakStream() bool {
+	switch x.fault {
+	case CloseMidStream:
+	case StallMidStream:
+		<-x.disconnected
+	case EndlessComments:
+		for x.writeChunk(": still here\n\n") {
+			time.Sleep(commentInterval)
+		}
+	case MalformedChunkSize:
+		x.writeAndStall("zz\r\ndata: spoilt\n\n\r\n")
+	case ChunkSizeMismatch:
+		x.writeAndStall("4\r\ndata: spoilt and longer\n\n\r\n")
+	case HugeChunk:
+		x.writeHugeChunk()
+	default:
+		return false
+	}
+	return true
+}
+
+// writeHugeChunk announces a chunk of 3 GB and writes 4 MB of it.
+func (x *exchange) writeHugeChunk() {
+	x.write("c0000000\r\n")
+	for range 64 {
+		if _, err := x.conn.Write(make([]byte, 64<<10)); err != nil {
+			return
+		}
+	}
+	<-x.disconnected
+}
+
+// endStream writes the events and the chunk that end a stream.
+func (x *exchange) endStream() bool {
+	loadReport := "util=0.3,queue=0,x0=0.2"
+	if x.fault == MalformedLoadReport {
+		loadReport = "util=often"
+	}
+	x.writeChunk(usageEvent)
+	if x.fault != NoFinalEvent {
+		x.writeChunk(finalEvent + ": X-Load-Report: " + loadReport + "\n\n")
+	}
+	if x.fault == CloseInLastChunk {
+		x.write("0\r\n")
+		return false
+	}
+	x.write("0\r\n\r\n")
+	x.engine.mu.Lock()
+	x.engine.streamsCompleted++
+	x.engine.mu.Unlock()
+	switch x.fault {
+	case SecondResponse:
+		x.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno")
+	case DelayedSecondResponse:
+		return x.sendSecondResponse()
+	}
+	return true
+}
+
+// sendSecondResponse writes a stream that no client asked for, some milliseconds behind the final response.
+func (x *exchange) sendSecondResponse() bool {
+	time.Sleep(secondResponseDelay)
+	return x.write(streamHead + "30\r\ndata: {\"choices\":[{\"delta\":{\"content\":\"no\"}}]}\n\n\r\n0\r\n\r\n")
+}
+
+func (x *exchange) writeChunk(text string) bool {
+	return x.write(fmt.Sprintf("%x\r\n%s\r\n", len(text), text))
+}
