--- /dev/null
+++ b/lab/soak/agent.go
@@ -0,0 +1,293 @@
+package soak
+
+import (
+	"context"
+	"encoding/json"
+	"maps"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
+	"dillroute/lab/platform"
+	"dillroute/lab/record"
+)
+
+// Times after which a change counts as delivered to a node at the latest (PROTOCOL and STANDING of the platform).
+const (
+	watchRecoveryTime = 6 * time.Second // after a watch has stalled
+	reloadTime        = 4 * time.Second // after a new configuration
+)
+
+const (
+	// oldAddressGrace is how long an agent that has moved keeps its old connections.
+	oldAddressGrace = 1500 * time.Millisecond
+	// silencePollInterval is how often a held call looks whether a silence has ended.
+	silencePollInterval = 20 * time.Millisecond
+)
+
+// Agent is the discovery agent of one node, on the node's own machine.
+type Agent struct {
+	registry      *Registry
+	node          string
+	engineAddress func(engine string) string // at which the node reaches an engine
+
+	mu           sync.Mutex // guards the fields below
+	version      int        // of the list as the agent has it
+	endpoints    map[string]platform.Endpoint
+	changed      map[string]int // version at which an entry changed last
+	delivered    map[string]int // versions of entries that count as delivered to the node
+	delayedUntil time.Time      // until then, a change may count as delivered later
+	silences     int            // faults under way that silence the agent
+	calls        int            // that were ever made
+	heldCalls    map[int]bool   // by number
+	stalledCalls map[int]bool   // those of them that will never be answered
+	update       chan struct{}  // closed at a change
+	server       *http.Server
+	address      string
+}
+
+// StartAgent starts the agent of a node.
+func (r *Registry) StartAgent(node string, engineAddress func(string) string) (*Agent, error) {
+	a := &Agent{
+		registry:      r,
+		node:          node,
+		engineAddress: engineAddress,
+		endpoints:     map[string]platform.Endpoint{},
+		changed:       map[string]int{},
+		delivered:     map[string]int{},
+		heldCalls:     map[int]bool{},
+		stalledCalls:  map[int]bool{},
+		update:        make(chan struct{}),
+	}
+	a.synchronize()
+	if err := a.listen("127.0.0.1:0"); err != nil {
+		return nil, err
+	}
+	r.mu.Lock()
+	r.agents = append(r.agents, a)
+	r.mu.Unlock()
+	return a, nil
+}
+
+// listen opens a server, in place of the one before.
+func (a *Agent) listen(address string) error {
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return err
+	}
+	server := &http.Server{Handler: http.HandlerFunc(a.serve)}
+	a.mu.Lock()
+	a.server = server
+	a.address = listener.Addr().String()
+	a.mu.Unlock()
+	go server.Serve(listener)
+	return nil
+}
+
+// current returns the newest server and its address.
+func (a *Agent) current() (*http.Server, string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.server, a.address
+}
+
+// Address is the newest address.
+func (a *Agent) Address() string {
+	_, address := a.current()
+	return address
+}
+
+// Move listens at a new address; the old server closes a little later. The node learns the address from its configuration.
+func (a *Agent) Move() error {
+	old, _ := a.current()
+	if err := a.listen("127.0.0.1:0"); err != nil {
+		return err
+	}
+	a.allowDelay(reloadTime)
+	time.AfterFunc(oldAddressGrace, func() { old.Close() })
+	return nil
+}
+
+// ResetWatches resets all held calls.
+func (a *Agent) ResetWatches() error {
+	old, address := a.current()
+	old.Close()
+	return a.listen(address)
+}
+
+// StallWatches makes the calls that are held now wait without end.
+func (a *Agent) StallWatches() {
+	a.mu.Lock()
+	for call := range a.heldCalls {
+		a.stalledCalls[call] = true
+	}
+	a.mu.Unlock()
+	a.allowDelay(watchRecoveryTime)
+}
+
+// Silence makes the agent answer nothing and follow no changes, or ends that: changes count as delivered at its end.
+func (a *Agent) Silence(on bool) {
+	a.mu.Lock()
+	if on {
+		a.silences++
+	} else {
+		a.silences--
+	}
+	ended := a.silences == 0
+	a.mu.Unlock()
+	if ended {
+		a.synchronize()
+	}
+}
+
+// allowDelay lets changes count as delivered later, by up to a time from now.
+func (a *Agent) allowDelay(d time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if until := time.Now().Add(d); until.After(a.delayedUntil) {
+		a.delayedUntil = until
+	}
+}
+
+// synchronize applies the whole list.
+func (a *Agent) synchronize() {
+	endpoints, changed := a.registry.snapshot()
+	for id, endpoint := range endpoints {
+		a.apply(endpoint, changed[id])
+	}
+}
+
+// apply applies a change, and answers held calls with it.
+func (a *Agent) apply(endpoint platform.Endpoint, version int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.silences > 0 || version <= a.changed[endpoint.ID] {
+		return
+	}
+	a.endpoints[endpoint.ID] = endpoint
+	a.changed[endpoint.ID] = version
+	a.version = max(a.version, version)
+	close(a.update)
+	a.update = make(chan struct{})
+	if delay := time.Until(a.delayedUntil); delay > 0 {
+		time.AfterFunc(delay, func() { a.recordDelivery(endpoint, version) })
+		return
+	}
+	a.recordDeliveryLocked(endpoint, version)
+}
+
+// recordDelivery records that an entry counts as delivered to the node.
+func (a *Agent) recordDelivery(endpoint platform.Endpoint, version int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.recordDeliveryLocked(endpoint, version)
+}
+
+// recordDeliveryLocked is recordDelivery with the lock held. A version that is older than what was delivered is not recorded.
+func (a *Agent) recordDeliveryLocked(endpoint platform.Endpoint, version int) {
+	if version <= a.delivered[endpoint.ID] {
+		return
+	}
+	a.delivered[endpoint.ID] = version
+	state := platform.RecordedState(endpoint.State)
+	a.registry.log.Add(record.Record{Kind: record.Told, Node: a.node, Engine: endpoint.ID, State: state})
+}
+
+// endpointList is a response of discovery.
+type endpointList struct {
+	Version   int                 `json:"version"`
+	Full      bool                `json:"full"` // all endpoints, not only those that changed
+	Endpoints []platform.Endpoint `json:"servers"`
+}
+
+// text is the list in discovery's form.
+func (l endpointList) text() []byte {
+	text, _ := json.Marshal(l) // strings and numbers always encode
+	return text
+}
+
+// wholeList in place of a version asks for all endpoints.
+const wholeList = -1
+
+// Snapshot is the whole list as the agent has it, in discovery's form.
+func (a *Agent) Snapshot() []byte {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.list(wholeList).text()
+}
+
+// list is what has changed after a version, or the whole list. The lock is held.
+func (a *Agent) list(after int) endpointList {
+	list := endpointList{Version: a.version, Full: after < 0, Endpoints: []platform.Endpoint{}}
+	for id, endpoint := range a.endpoints {
+		listed := a.changed[id] > after
+		if list.Full {
+			listed = endpoint.State != "removed"
+		}
+		if listed {
+			endpoint.Address = a.engineAddress(id)
+			list.Endpoints = append(list.Endpoints, endpoint)
+		}
+	}
+	return list
+}
+
+// serve answers a call, and records what was delivered.
+func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
+	after := wholeList
+	if from := r.URL.Query().Get("from"); from != "" {
+		after, _ = strconv.Atoi(from)
+	}
+	holdMS, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
+	if !a.await(r.Context(), after, time.Duration(holdMS)*time.Millisecond) {
+		return
+	}
+	a.mu.Lock()
+	list := a.list(after)
+	versions := maps.Clone(a.changed)
+	a.mu.Unlock()
+	if _, err := w.Write(list.text()); err != nil {
+		return
+	}
+	for _, endpoint := range list.Endpoints {
+		a.recordDelivery(endpoint, versions[endpoint.ID])
+	}
+}
+
+// await holds a call until the list has another version or the time is over, and as long as the agent is silent or the call is
+// stalled; false means that the call has ended.
+func (a *Agent) await(ctx context.Context, version int, hold time.Duration) bool {
+	timeout := time.After(hold)
+	timedOut := false
+	a.mu.Lock()
+	a.calls++
+	call := a.calls
+	a.heldCalls[call] = true
+	a.mu.Unlock()
+	defer func() {
+		a.mu.Lock()
+		delete(a.heldCalls, call)
+		delete(a.stalledCalls, call)
+		a.mu.Unlock()
+	}()
+	for {
+		a.mu.Lock()
+		update := a.update
+		changed := a.version != version
+		mute := a.silences > 0 || a.stalledCalls[call]
+		a.mu.Unlock()
+		if !mute && (timedOut || changed) {
+			return true
+		}
+		select {
+		case <-update:
+		case <-timeout:
+			timedOut = true
+		case <-time.After(silencePollInterval):
+		case <-ctx.Done():
+			return false
+		}
+	}
+}
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -11,7 +10,6 @@
 	"net/http"
 	"os"
 	"strconv"
-	"strings"
 	"sync/atomic"
 	"time"
 
@@ -19,63 +17,78 @@
 	"dillroute/lab/record"
 )
 
-func ready(addr string) bool {
-	c, err := net.DialTimeout("tcp", addr, time.Second)
+// connectTimeout bounds the time in which a client connects.
+const connectTimeout = time.Second
+
+// clientConn is a client's connection to a node.
+type clientConn struct {
+	net.Conn
+	reader *bufio.Reader
+	used   bool // it has carried a request, or its sending side is closed
+}
+
+// dial opens a connection to a node.
+func dial(n *Node) (*clientConn, error) {
+	conn, err := net.DialTimeout("tcp", n.address, connectTimeout)
 	if err != nil {
-		return false
-	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(time.Second))
-	if _, err := io.WriteString(c, "GET /healthz HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n"); err != nil {
-		return false
+		return nil, err
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-	return err == nil && resp.StatusCode == http.StatusOK
+	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// kept is a client's connection to a node.
-type kept struct {
-	net.Conn
-	br   *bufio.Reader
-	used bool // it has carried a request
+// idle reports whether neither bytes nor the end have come on a connection that waits for its next request.
+func (k *clientConn) idle() bool {
+	k.SetReadDeadline(time.Now().Add(time.Millisecond))
+	_, err := k.reader.Peek(1)
+	return errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// client sends one request after another, over connections that it keeps.
+// client makes one operation after another, over connections that it reuses. One goroutine uses it.
 type client struct {
-	fleet *Fleet
-	name  string
-	rng   *rand.Rand
-	conns map[*Node]*kept
-	asked int
+	fleet      *Fleet
+	name       string
+	rng        *rand.Rand
+	conns      map[*Node]*clientConn // idle ones
+	operations int                   // that were begun
+}
+
+// newClient returns a client whose choices are drawn from a seed and a stream of it.
+func (f *Fleet) newClient(name string, seed, stream uint64) *client {
+	return &client{fleet: f, name: name, rng: rand.New(rand.NewPCG(seed, stream)), conns: map[*Node]*clientConn{}}
 }
 
-var callIDs atomic.Uint64
+// lastCallID is the last id of a request that a client made.
+var lastCallID atomic.Uint64
+
+func newCallID() string { return fmt.Sprintf("%016x", lastCallID.Add(1)) }
 
-// How clients behave.
+// How clients behave. Shares are those of operations, or of attempts.
 const (
-	thinkMean   = 120 * time.Millisecond
-	restLong    = 0.03 // of pauses last seconds: their connections end meanwhile
-	leaveShare  = 0.10 // leave before the answer
-	halfShare   = 0.02 // end their sending and wait on
-	retryAtOnce = 0.3
-	mostTries   = 4
-	mostTokens  = 60
-	hurried     = 0.05 // have hardly any time left
+	meanPause           = 120 * time.Millisecond
+	longPauseShare      = 0.03                   // of pauses last seconds, in which idle connections end
+	disconnectShare     = 0.10                   // of attempts end by their client's leaving
+	maxDisconnectDelay  = 600 * time.Millisecond // after which it leaves at the latest
+	halfCloseShare      = 0.02                   // of attempts: their client closes its sending side and waits for the response
+	immediateRetryShare = 0.3                    // of rejections are retried without regard to Retry-After
+	unreachablePause    = 50 * time.Millisecond  // after an attempt that could not connect
+	maxAttempts         = 4
+	maxResponseTokens   = 60
+	shortTimeoutShare   = 0.05 // of operations have hardly any time
 )
 
 // classes are those of requests, drawn alike.
 var classes = []string{"chat", "chat", "commit", "keyed"}
 
-// run asks until the day is over.
+// run makes operations until stop is closed.
 func (c *client) run(stop <-chan struct{}) {
 	defer func() {
-		for _, k := range c.conns {
-			k.Close()
+		for _, conn := range c.conns {
+			conn.Close()
 		}
 	}()
 	for {
-		pause := time.Duration(c.rng.ExpFloat64() * float64(thinkMean))
-		if c.rng.Float64() < restLong {
+		pause := time.Duration(c.rng.ExpFloat64() * float64(meanPause))
+		if c.rng.Float64() < longPauseShare {
 			pause = time.Duration((1 + 4*c.rng.Float64()) * float64(time.Second))
 		}
 		select {
@@ -83,38 +96,49 @@
 			return
 		case <-time.After(pause):
 		}
-		c.want(stop)
+		c.perform(stop)
 	}
 }
 
-// want has one thing done, by as many tries as it takes.
-func (c *client) want(stop <-chan struct{}) {
-	c.asked++
-	a := platform.Request{Operation: fmt.Sprintf("%s-%d", c.name, c.asked), Class: "chat", Tenant: "branch", Session: c.name + "-" + strconv.Itoa(c.asked/4),
-		ResponseTokens: 1 + c.rng.IntN(mostTokens), Timeout: time.Duration((0.8 + 3.2*c.rng.Float64()) * float64(time.Second))}
-	if c.rng.Float64() < hurried {
-		a.Timeout = time.Duration((0.02 + 0.3*c.rng.Float64()) * float64(time.Second))
+// drawRequest draws the next operation.
+func (c *client) drawRequest() platform.Request {
+	c.operations++
+	request := platform.Request{
+		Operation:      fmt.Sprintf("%s-%d", c.name, c.operations),
+		Tenant:         "branch",
+		Session:        c.name + "-" + strconv.Itoa(c.operations/4),
+		ResponseTokens: 1 + c.rng.IntN(maxResponseTokens),
+		Timeout:        time.Duration((0.8 + 3.2*c.rng.Float64()) * float64(time.Second)),
 	}
-	a.Class = classes[c.rng.IntN(len(classes))]
-	for try := 0; try < mostTries; {
-		n := c.fleet.front(c.rng)
+	if c.rng.Float64() < shortTimeoutShare {
+		request.Timeout = time.Duration((0.02 + 0.3*c.rng.Float64()) * float64(time.Second))
+	}
+	request.Class = classes[c.rng.IntN(len(classes))]
+	return request
+}
+
+// perform makes one operation, with as many attempts as it takes.
+func (c *client) perform(stop <-chan struct{}) {
+	request := c.drawRequest()
+	for attempt := 0; attempt < maxAttempts; {
+		n := c.fleet.pickNode(c.rng)
 		if n == nil {
 			return
 		}
-		out, after := c.try(n, a, try)
-		switch out {
-		case crossed: // asked anew on a new connection
+		outcome, retryAfter := c.attempt(n, request, attempt)
+		switch outcome {
+		case resend:
 			continue
 		case record.Unmet:
-			time.Sleep(50 * time.Millisecond)
+			time.Sleep(unreachablePause)
 		case record.Refused:
-			if c.rng.Float64() > retryAtOnce {
-				time.Sleep(after)
+			if c.rng.Float64() > immediateRetryShare {
+				time.Sleep(retryAfter)
 			}
 		default:
 			return
 		}
-		try++
+		attempt++
 		select {
 		case <-stop:
 			return
@@ -123,208 +147,150 @@
 	}
 }
 
-// What becomes of a request beside the outcomes that are recorded.
+// Outcomes of an attempt that are not recorded.
 const (
-	crossed record.Outcome = "crossed" // it could not be written: the node had closed the connection, so it is sent again
-	over    record.Outcome = "over"    // its client wants nothing more of it
+	resend    record.Outcome = "crossed" // it could not be written, because the node had closed the idle connection: it is sent again
+	abandoned record.Outcome = "over"    // its client has left, or may not repeat it
 )
 
-// open tells whether nothing has come on a connection that rests: neither bytes nor its end.
-func (k *kept) open() bool {
-	k.SetReadDeadline(time.Now().Add(time.Millisecond))
-	_, err := k.br.Peek(1)
-	return errors.Is(err, os.ErrDeadlineExceeded)
-}
-
-// connect returns a connection to a node.
-func (c *client) connect(n *Node) (*kept, error) {
-	if k := c.conns[n]; k != nil {
+// connect returns the idle connection to a node, or a new one.
+func (c *client) connect(n *Node) (*clientConn, error) {
+	if conn := c.conns[n]; conn != nil {
 		delete(c.conns, n)
-		if k.open() {
-			return k, nil
-		}
-		k.Close()
-	}
-	nc, err := net.DialTimeout("tcp", n.addr, time.Second)
-	if err != nil {
-		return nil, err
-	}
-	return &kept{Conn: nc, br: bufio.NewReader(nc)}, nil
-}
-
-// pipelined is how many requests a client sends at once.
-const pipelined = 5
-
-// pipeline sends several requests at once on a connection of its own and reads their answers in order, or leaves after some of them.
-func (c *client) pipeline(n *Node) {
-	nc, err := net.DialTimeout("tcp", n.addr, time.Second)
-	if err != nil {
-		return
-	}
-	k := &kept{Conn: nc, br: bufio.NewReader(nc)}
-	defer k.Close()
-	asks, text := make([]platform.Request, pipelined), ""
-	for i := range asks {
-		asks[i] = platform.Request{Operation: fmt.Sprintf("%s-%d", c.name, i), Class: classes[c.rng.IntN(len(classes))], Tenant: "branch", Session: c.name,
-			ResponseTokens: 1 + c.rng.IntN(mostTokens/4), Timeout: 3 * time.Second, ID: fmt.Sprintf("%016x", callIDs.Add(1))}
-		c.fleet.platform.RegisterCall(asks[i].ID, platform.Operation{Name: asks[i].Operation, Class: asks[i].Class, ResponseTokens: asks[i].ResponseTokens})
-		text += asks[i].Encode()
-	}
-	if _, err := io.WriteString(k, text); err != nil {
-		return
-	}
-	stay := pipelined
-	if c.rng.IntN(2) == 0 {
-		stay = c.rng.IntN(pipelined)
-	}
-	for i, a := range asks[:stay] {
-		ask := record.Record{Kind: record.Ask, Op: a.Operation, Class: a.Class, Node: n.name, Tokens: (a.Timeout + time.Duration(i)*a.Timeout).Seconds()}
-		c.fleet.log.Add(ask)
-		a.Timeout *= time.Duration(i + 1)
-		ans, keep := hear(k, a, func() {
-			first := ask
-			first.Kind, first.Tokens, first.T = record.First, 0, 0
-			c.fleet.log.Add(first)
-		})
-		if ans.Outcome == record.Cut && i > 0 { // the node may close behind any answer
-			c.fleet.cross(n, a, record.Now())
-			c.fleet.log.Add(record.Record{Kind: record.Hangup, Op: a.Operation, Class: a.Class, Node: n.name})
-			return
-		}
-		c.fleet.log.Add(end(a, ask, ans))
-		if !keep {
-			return
+		if conn.idle() {
+			return conn, nil
 		}
+		conn.Close()
 	}
+	return dial(n)
 }
 
-// end is the record of an answer.
-func end(a platform.Request, base record.Record, ans platform.Response) record.Record {
-	base.Kind, base.Outcome, base.Tokens, base.T = record.Answer, ans.Outcome, 0, 0
-	whole := platform.ResponseText(a.Operation, a.ResponseTokens)
-	base.OK = ans.Outcome == record.Served && ans.Text == whole || ans.Outcome == record.Failed && strings.HasPrefix(whole, ans.Text)
-	base.Note = fmt.Sprintf("%s status %d", a.ID, ans.Status)
-	if ans.Err != nil {
-		base.Note += ": " + ans.Err.Error()
-	}
-	return base
-}
-
-// try makes one request and records it.
-func (c *client) try(n *Node, a platform.Request, try int) (record.Outcome, time.Duration) {
-	k, err := c.connect(n)
+// attempt makes one attempt and records it. It returns the wait of Retry-After with a rejection.
+func (c *client) attempt(n *Node, request platform.Request, number int) (outcome record.Outcome, retryAfter time.Duration) {
+	conn, err := c.connect(n)
 	if err != nil {
 		return record.Unmet, 0
 	}
-	a.ID = fmt.Sprintf("%016x", callIDs.Add(1))
-	c.fleet.platform.RegisterCall(a.ID, platform.Operation{Name: a.Operation, Class: a.Class, Attempt: try, ResponseTokens: a.ResponseTokens})
-	base := record.Record{Op: a.Operation, Try: try, Class: a.Class, Node: n.name}
-	ask := base
-	ask.Kind, ask.Tokens, ask.T = record.Ask, a.Timeout.Seconds(), record.Now()
-	if _, err := io.WriteString(k, a.Encode()); err != nil {
-		k.Close()
-		if k.used {
-			return crossed, 0
+	request.ID = newCallID()
+	c.fleet.platform.RegisterCall(request.ID, platform.Operation{
+		Name:           request.Operation,
+		Class:          request.Class,
+		Attempt:        number,
+		ResponseTokens: request.ResponseTokens,
+	})
+	base := record.Record{Op: request.Operation, Try: number, Class: request.Class, Node: n.name}
+	sent := base
+	sent.Kind = record.Ask
+	sent.Tokens = request.Timeout.Seconds()
+	sent.T = record.Now()
+	if _, err := io.WriteString(conn, request.Encode()); err != nil {
+		conn.Close()
+		if conn.used {
+			return resend, 0
 		}
 		return record.Unmet, 0
 	}
-	c.fleet.log.Add(ask)
-	var left atomic.Bool
-	if c.rng.Float64() < leaveShare {
-		leave := time.AfterFunc(time.Duration(c.rng.Float64()*float64(600*time.Millisecond)), func() {
-			if left.CompareAndSwap(false, true) {
-				gone := base
-				gone.Kind, gone.Note = record.Hangup, a.ID
-				c.fleet.log.Add(gone)
-				k.Close()
-			}
-		})
-		defer leave.Stop()
-	} else if c.rng.Float64() < halfShare {
-		k.Conn.(*net.TCPConn).CloseWrite()
-		k.used = true
+	c.fleet.log.Add(sent)
+	var over atomic.Bool // the attempt has ended, by its response or by its client's leaving
+	if timer := c.misbehave(conn, request.ID, base, &over); timer != nil {
+		defer timer.Stop()
 	}
-	ans, keep := hear(k, a, func() {
+	response, reusable := receive(conn, request, func() {
 		first := base
 		first.Kind = record.First
 		c.fleet.log.Add(first)
 	})
-	if !left.CompareAndSwap(false, true) {
-		return over, 0
+	if !over.CompareAndSwap(false, true) {
+		return abandoned, 0
 	}
-	if !keep {
-		k.Close()
+	if reusable {
+		c.conns[n] = conn
 	} else {
-		c.conns[n] = k
+		conn.Close()
+	}
+	if response.Outcome == record.Cut && conn.used {
+		c.fleet.noteUnanswered(n, request, sent.T)
+		c.recordDisconnect(request.ID, base)
+		return abandoned, 0 // the records of this attempt allow no other response under its number
+	}
+	conn.used = true
+	c.fleet.log.Add(finalRecord(base, request, response))
+	c.fleet.countOutcome(n, response.Outcome)
+	after, _ := strconv.ParseFloat(response.RetryAfter, 64)
+	return response.Outcome, time.Duration(after * float64(time.Second))
+}
+
+// misbehave makes some clients leave before the response, and others close their sending side. It returns the timer of a client that
+// leaves; nil = it stays.
+func (c *client) misbehave(conn *clientConn, id string, base record.Record, over *atomic.Bool) *time.Timer {
+	if c.rng.Float64() < disconnectShare {
+		delay := time.Duration(c.rng.Float64() * float64(maxDisconnectDelay))
+		return time.AfterFunc(delay, func() {
+			if over.CompareAndSwap(false, true) {
+				c.recordDisconnect(id, base)
+				conn.Close()
+			}
+		})
 	}
-	if ans.Outcome == record.Cut && k.used {
-		c.fleet.cross(n, a, ask.T)
-		gone := base
-		gone.Kind, gone.Note = record.Hangup, a.ID
-		c.fleet.log.Add(gone)
-		return over, 0 // what was recorded under a try cannot be recorded there again
+	if c.rng.Float64() < halfCloseShare {
+		conn.Conn.(*net.TCPConn).CloseWrite()
+		conn.used = true
 	}
-	k.used = true
-	c.fleet.log.Add(end(a, base, ans))
-	c.fleet.count(n, ans.Outcome)
-	after, _ := strconv.ParseFloat(ans.RetryAfter, 64)
-	return ans.Outcome, time.Duration(after * float64(time.Second))
+	return nil
 }
 
-// streamFor is how long a stream may last.
-const streamFor = 20 * time.Second
+func (c *client) recordDisconnect(id string, base record.Record) {
+	disconnect := base
+	disconnect.Kind = record.Hangup
+	disconnect.Note = id
+	c.fleet.log.Add(disconnect)
+}
+
+// finalRecord is the record of a response, with the request's id and the status in its note.
+func finalRecord(base record.Record, request platform.Request, response platform.Response) record.Record {
+	final := platform.FinalRecord(base, request, response)
+	final.Note = fmt.Sprintf("%s status %d", request.ID, response.Status)
+	if response.Err != nil {
+		final.Note += ": " + response.Err.Error()
+	}
+	return final
+}
 
-// hear reads an answer; keep tells whether the connection can carry another request.
-func hear(k *kept, a platform.Request, first func()) (ans platform.Response, keep bool) {
-	k.SetReadDeadline(time.Now().Add(a.Timeout + time.Second))
-	if _, err := k.br.Peek(1); err != nil {
-		ans.Outcome, ans.Err = record.Cut, err
+const (
+	// headGrace is how much longer than its timeout a client waits for the head of a response.
+	headGrace = time.Second
+	// streamTimeout bounds the time of a stream.
+	streamTimeout = 20 * time.Second
+)
+
+// receive reads a response, and calls first when a stream begins. reusable reports whether the connection can carry another request.
+func receive(conn *clientConn, request platform.Request, first func()) (response platform.Response, reusable bool) {
+	conn.SetReadDeadline(time.Now().Add(request.Timeout + headGrace))
+	if _, err := conn.reader.Peek(1); err != nil {
+		outcome := record.Cut
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			ans.Outcome = record.Overdue
+			outcome = record.Overdue
 		}
-		return ans, false
+		return platform.Response{Outcome: outcome, Err: err}, false
 	}
-	resp, err := http.ReadResponse(k.br, nil)
+	head, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
 		return platform.Response{Outcome: record.Cut, Err: err}, false
 	}
-	ans.Status, ans.RetryAfter = resp.StatusCode, resp.Header.Get("Retry-After")
-	switch {
-	case resp.StatusCode == 429 || resp.StatusCode == 503:
-		ans.Outcome = record.Refused
-	case resp.StatusCode != 200:
-		ans.Outcome = record.Failed
-	}
-	if ans.Outcome != "" {
-		_, err = io.Copy(io.Discard, resp.Body)
-		return ans, err == nil && !resp.Close
+	response.Status = head.StatusCode
+	response.RetryAfter = head.Header.Get("Retry-After")
+	response.Outcome = platform.StatusOutcome(head.StatusCode)
+	if response.Outcome != record.Served {
+		_, err = io.Copy(io.Discard, head.Body)
+		return response, err == nil && !head.Close
 	}
 	first()
-	k.SetReadDeadline(time.Now().Add(streamFor))
-	ans.Outcome = record.Failed
-	final := false
-	lines := bufio.NewScanner(resp.Body)
-	for lines.Scan() {
-		data, ok := strings.CutPrefix(lines.Text(), "data: ")
-		if !ok {
-			continue
-		}
-		if final = data == "[DONE]"; final {
-			continue
-		}
-		var e struct {
-			Choices []struct{ Delta struct{ Content string } }
-		}
-		if ans.Err = json.Unmarshal([]byte(data), &e); ans.Err != nil {
-			return ans, false
-		}
-		for _, x := range e.Choices {
-			ans.Text += x.Delta.Content
-		}
-	}
-	if ans.Err = lines.Err(); ans.Err != nil {
-		return ans, false
+	conn.SetReadDeadline(time.Now().Add(streamTimeout))
+	response.Text, response.Err = platform.ReadEvents(head.Body)
+	if response.Err != nil {
+		response.Outcome = record.Failed
+		return response, false
 	}
-	ans.Outcome, ans.Complete = record.Served, true
-	return ans, !resp.Close
+	response.Complete = true
+	return response, !head.Close
 }
--- /dev/null
+++ b/lab/soak/evaluate.go
@@ -0,0 +1,140 @@
+package soak
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"dillroute/lab/record"
+	"dillroute/lab/rules"
+)
+
+// Shares that must be served in the last seconds, when all faults are over.
+const (
+	minServedShare     = 0.9 // by the fleet
+	minNodeServedShare = 0.7 // by each node
+	minNodeRequests    = 12  // below which a node's share says little
+)
+
+// A request without a response counts as lost by a kill of its node in this time around it (s).
+const (
+	killedBefore = 0.2
+	killedAfter  = 6
+)
+
+// rulesConfig holds the figures of the rules, as the platform's settings and pages give them.
+func (f *Fleet) rulesConfig() rules.Config {
+	config := rules.Config{
+		Classes: map[string]rules.Class{
+			"chat":   {Effect: "repeatable", Group: "all"},
+			"commit": {Effect: "once", Group: "all"},
+			"keyed":  {Effect: "by_key", Group: "cell", KeyTTL: keyedWindow},
+		},
+		Engines:           map[string]rules.Engine{},
+		AnswerSlack:       0.058,
+		ToldSlack:         0.15 + newConnectionDelay.Seconds(),
+		DrainGrace:        0.3,
+		StateReleaseLimit: 1.3,
+		Skew:              0.25, // what a loaded machine adds
+	}
+	for _, id := range f.engineIDs {
+		config.Engines[id] = rules.Engine{Cell: strconv.Itoa(cellOf(id))}
+	}
+	return config
+}
+
+// cellOf is the cell of an engine, by the number in its id.
+func cellOf(id string) int {
+	_, text, _ := strings.Cut(id, "-")
+	number, _ := strconv.Atoi(text)
+	return number % cells
+}
+
+// evaluate collects the findings and the figures of a scenario that has ended.
+func (f *Fleet) evaluate() *Report {
+	received := map[string]string{}
+	for _, n := range f.nodes {
+		n.reviewLogs(received)
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.evaluateUnanswered(received)
+	for _, violation := range rules.Check(f.log.All(), f.rulesConfig()) {
+		f.addFinding(f.sinceStart(violation.T), fmt.Sprintf("rule %d", violation.Rule), violation.Text)
+	}
+	f.evaluateRecovery()
+	slices.SortStableFunc(f.findings, func(a, b Finding) int { return int(a.At - b.At) })
+	report := &Report{
+		Findings:         f.findings,
+		Events:           f.events,
+		Outcomes:         f.outcomes,
+		RecoveryOutcomes: f.recoveryOutcomes,
+		Unanswered:       len(f.unanswered),
+		FailedCalls:      map[string]int{},
+	}
+	for _, n := range f.nodes {
+		n.process.supervisor.addFailed(report.FailedCalls)
+	}
+	return report
+}
+
+// sinceStart converts Unix seconds into the time since the scenario began.
+func (f *Fleet) sinceStart(t float64) time.Duration {
+	return time.Duration((t - float64(f.startedAt.UnixNano())/1e9) * float64(time.Second))
+}
+
+// addFinding adds a finding. The lock is held.
+func (f *Fleet) addFinding(at time.Duration, kind, text string) {
+	f.findings = append(f.findings, Finding{At: at, Kind: kind, Text: text})
+}
+
+// evaluateUnanswered looks for requests that a node has received without responding, though it was not killed. received holds the
+// node by request id. The lock is held.
+func (f *Fleet) evaluateUnanswered(received map[string]string) {
+	for _, r := range f.unanswered {
+		node, found := received[r.id]
+		if !found || f.killedAt(r.node, r.sentAt) {
+			continue
+		}
+		text := fmt.Sprintf("%s (%s) was read by %s, and its connection closed with no answer", r.operation, r.id, node)
+		f.addFinding(f.sinceStart(r.sentAt), "rule 1", text)
+	}
+}
+
+// killedAt reports whether a node was killed within seconds of a time.
+func (f *Fleet) killedAt(n *Node, t float64) bool {
+	for _, x := range f.log.All() {
+		if x.Kind == record.NodeKill && x.Node == n.name && x.T > t-killedBefore && x.T < t+killedAfter {
+			return true
+		}
+	}
+	return false
+}
+
+// evaluateRecovery looks at the last seconds, in which nearly all must be served. The lock is held.
+func (f *Fleet) evaluateRecovery() {
+	end := time.Since(f.startedAt)
+	served, total := servedOf(f.recoveryOutcomes)
+	if total > 0 && served < minServedShare*total {
+		f.addFinding(end, "recovery", fmt.Sprintf("%v in the last %v", f.recoveryOutcomes, recoveryWatch))
+	}
+	for name, outcomes := range f.recoveryByNode {
+		served, total := servedOf(outcomes)
+		if total >= minNodeRequests && served < minNodeServedShare*total {
+			f.addFinding(end, "recovery", fmt.Sprintf("%s: %v in the last %v", name, outcomes, recoveryWatch))
+		}
+	}
+}
+
+// servedOf returns how many requests were served, and how many there were.
+func servedOf(outcomes map[record.Outcome]int) (served, total float64) {
+	for outcome, n := range outcomes {
+		if outcome == record.Served {
+			served += float64(n)
+		}
+		total += float64(n)
+	}
+	return served, total
+}
--- /dev/null
+++ b/lab/soak/fault_client.go
@@ -0,0 +1,111 @@
+package soak
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"time"
+)
+
+// pipeliningClients is how many clients pipeline requests at once.
+const pipeliningClients = 3
+
+// pipelineRequests makes clients send many requests at once on one connection; some leave between the responses.
+func pipelineRequests(t *injection) {
+	n := t.drawNode()
+	if !n.takesClients() {
+		return
+	}
+	var clients sync.WaitGroup
+	for range pipeliningClients {
+		name := fmt.Sprintf("p%d", lastCallID.Add(1))
+		c := t.fleet.newClient(name, t.rng.Uint64(), 1)
+		clients.Add(1)
+		go func() {
+			defer clients.Done()
+			c.pipeline(n)
+		}()
+	}
+	clients.Wait()
+}
+
+const (
+	// badClientLimit is the time in which a node must respond to a bad client or close its connection (DAYS of the platform, bad clients).
+	badClientLimit = 3 * time.Second
+	// badClientSlack is what a loaded machine may add.
+	badClientSlack = 300 * time.Millisecond
+	// badClientCount is how many bad clients come at once.
+	badClientCount = 10
+)
+
+// badRequests are texts that cannot be served.
+var badRequests = []string{
+	"GET / HTTP/1.1\r\n",
+	"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 40\r\n\r\n{\"half",
+	"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: -4\r\n\r\n",
+	"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+	"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Call-Id: zz\r\nX-Call-Class: none\r\nX-Caller: branch\r\nX-Budget: soon\r\n" +
+		"Content-Length: 2\r\n\r\n{}",
+	"\x16\x03\x01\x02\x00",
+	"\r\n\r\n\r\n",
+	"POST /v1/chat/completions HTTP/1.1\r\nX: " + strings.Repeat("y", 40000),
+	"",
+}
+
+// badClients sends bad requests, and reports those that get neither a response nor a close in time.
+func badClients(t *injection) {
+	n := t.drawNode()
+	if !n.takesClients() {
+		return
+	}
+	var clients sync.WaitGroup
+	for range badClientCount {
+		text := badRequests[t.rng.IntN(len(badRequests))]
+		clients.Add(1)
+		go func() {
+			defer clients.Done()
+			if ignoresBadRequest(n, text) {
+				t.fleet.report("bad client", "%s gave neither an error nor a close in %v to %.60q", n.name, badClientLimit, text)
+			}
+		}()
+	}
+	clients.Wait()
+}
+
+// ignoresBadRequest sends a text, and reports whether the node neither responds nor closes the connection in time.
+func ignoresBadRequest(n *Node, text string) bool {
+	start := time.Now()
+	conn, err := net.DialTimeout("tcp", n.address, connectTimeout)
+	if err != nil {
+		return false
+	}
+	defer conn.Close()
+	io.WriteString(conn, text)
+	conn.SetReadDeadline(start.Add(badClientLimit + badClientSlack))
+	_, err = conn.Read(make([]byte, 1))
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
+}
+
+// crowdConnectTimeout bounds the time in which one idle client of fillDescriptors connects.
+const crowdConnectTimeout = 50 * time.Millisecond
+
+// fillDescriptors makes idle clients fill a node's descriptors for a while.
+func fillDescriptors(t *injection) {
+	n := t.drawNode()
+	var conns []net.Conn
+	for range nodeSockets {
+		conn, err := net.DialTimeout("tcp", n.address, crowdConnectTimeout)
+		if err != nil {
+			break
+		}
+		conns = append(conns, conn)
+	}
+	t.pause(300*time.Millisecond, 3*time.Second)
+	for _, conn := range conns {
+		conn.Close()
+	}
+}
--- /dev/null
+++ b/lab/soak/fault_discovery.go
@@ -0,0 +1,69 @@
+package soak
+
+import (
+	"strings"
+	"time"
+
+	"dillroute/lab/platform"
+)
+
+// silenceDiscovery silences agents; an engine drains within a second of their return.
+func silenceDiscovery(t *injection) {
+	nodes := t.drawNodes(len(t.fleet.nodes))
+	for _, n := range nodes {
+		n.agent.Silence(true)
+	}
+	t.pause(500*time.Millisecond, 8*time.Second)
+	for _, n := range nodes {
+		n.agent.Silence(false)
+	}
+	t.pause(0, time.Second)
+	drainEngine(t)
+}
+
+// breakWatches stalls or resets held calls of discovery; an engine drains right after.
+func breakWatches(t *injection) {
+	nodes := t.drawNodes(len(t.fleet.nodes))
+	stall := t.rng.IntN(2) == 0
+	t.note("stall=%v", stall)
+	for _, n := range nodes {
+		if stall {
+			n.agent.StallWatches()
+		} else if err := n.agent.ResetWatches(); err != nil {
+			t.fleet.report("setup", "%v", err)
+		}
+	}
+	t.pause(0, 500*time.Millisecond)
+	drainEngine(t)
+}
+
+// setState changes the state in which an engine is listed.
+func (t *injection) setState(id, state string) {
+	t.fleet.registry.Update(id, func(e *platform.Endpoint) { e.State = state })
+}
+
+// drainEngine drains an engine for a while.
+func drainEngine(t *injection) {
+	id := t.drawReplaceableEngine()
+	if id == "" {
+		return
+	}
+	t.setState(id, "draining")
+	t.pause(500*time.Millisecond, 3*time.Second)
+	t.setState(id, "up")
+}
+
+// replaceEngine replaces an engine by a new one of its role.
+func replaceEngine(t *injection) {
+	id := t.drawReplaceableEngine()
+	if id == "" {
+		return
+	}
+	role, _, _ := strings.Cut(id, "-")
+	t.setState(id, "draining")
+	t.fleet.addEngine(role)
+	t.pause(200*time.Millisecond, 2*time.Second)
+	t.setState(id, "removed")
+	t.pause(0, time.Second)
+	t.fleet.engine(id).Stop()
+}
--- /dev/null
+++ b/lab/soak/fault_engine.go
@@ -0,0 +1,118 @@
+package soak
+
+import (
+	"time"
+
+	"dillroute/lab/platform"
+)
+
+// hangEngine makes an engine accept requests without serving them.
+func hangEngine(t *injection) {
+	id := t.drawEngine()
+	if id == "" {
+		return
+	}
+	t.fleet.engine(id).SetHung(true)
+	t.pause(300*time.Millisecond, 6*time.Second)
+	t.fleet.engine(id).SetHung(false)
+}
+
+// restartEngine resets all connections of an engine, a few times in a row, as restarts at the same address do.
+func restartEngine(t *injection) {
+	id := t.drawEngine()
+	if id == "" {
+		return
+	}
+	for range 1 + t.rng.IntN(4) {
+		for _, p := range t.fleet.proxies(id) {
+			p.Reset()
+		}
+		t.pause(0, 300*time.Millisecond)
+	}
+}
+
+// silenceConnections makes the open connections to an engine carry nothing any more, the idle ones too.
+func silenceConnections(t *injection) {
+	id := t.drawEngine()
+	if id == "" {
+		return
+	}
+	for _, p := range t.fleet.proxies(id) {
+		p.BlackholeConnections()
+	}
+	t.pause(0, time.Second)
+}
+
+// responseFaults are the faults of responses that are drawn from.
+var responseFaults = []platform.Fault{
+	platform.NoiseForHead,
+	platform.MalformedHead,
+	platform.EndlessHead,
+	platform.MalformedChunkSize,
+	platform.ChunkSizeMismatch,
+	platform.HugeChunk,
+	platform.CloseMidStream,
+	platform.StallMidStream,
+	platform.CloseBeforeResponse,
+	platform.InterimResponses,
+	platform.MalformedLoadReport,
+	platform.SecondResponse,
+	platform.DelayedSecondResponse,
+	platform.NoFinalEvent,
+	platform.CloseInLastChunk,
+	platform.IncompleteRejection,
+	platform.IncompletePrefillResponse,
+	platform.InternalError,
+	platform.Rejection,
+	platform.Unavailable,
+	platform.StateMissing,
+}
+
+// queueResponseFaults gives the next responses of an engine a fault each.
+func queueResponseFaults(t *injection) {
+	id := t.drawEngine()
+	if id == "" {
+		return
+	}
+	var faults []platform.Fault
+	for range 5 + t.rng.IntN(30) {
+		faults = append(faults, responseFaults[t.rng.IntN(len(responseFaults))])
+	}
+	t.fleet.engine(id).QueueFaults(faults...)
+	t.pause(0, time.Second)
+}
+
+// degradeNetwork degrades the connections to engines: those of all nodes to one engine, or those of one node to some engines.
+func degradeNetwork(t *injection) {
+	mode := []Mode{Blackhole, Fragment, DelayNew}[t.rng.IntN(3)]
+	t.note("mode=%v", mode)
+	proxies := t.drawProxies()
+	for _, p := range proxies {
+		p.SetMode(mode)
+	}
+	t.pause(300*time.Millisecond, 5*time.Second)
+	for _, p := range proxies {
+		p.SetMode(Forward)
+	}
+}
+
+// drawProxies draws the proxies of one engine, or some of one node.
+func (t *injection) drawProxies() []*Proxy {
+	if t.rng.IntN(2) == 0 {
+		id := t.drawEngine()
+		if id == "" {
+			return nil
+		}
+		return t.fleet.proxies(id)
+	}
+	n := t.drawNode()
+	t.fleet.mu.Lock()
+	defer t.fleet.mu.Unlock()
+	var proxies []*Proxy
+	for _, id := range t.fleet.engineIDs {
+		if t.rng.IntN(2) == 0 {
+			proxies = append(proxies, n.routes[id])
+		}
+	}
+	return proxies
+}
--- a/lab/soak/node.go
+++ b/lab/soak/node.go
@@ -1,19 +1,19 @@
 package soak
 
 import (
-	"bytes"
+	"bufio"
 	"fmt"
+	"io"
+	"net"
+	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"regexp"
 	"strings"
 	"sync"
-	"syscall"
 	"time"
 
 	"dillroute/lab/platform"
-	"dillroute/lab/record"
 )
 
 // Limits of a node.
@@ -24,214 +24,151 @@
 
 // Node is one place of the fleet, in which one process after another runs.
 type Node struct {
-	fleet  *Fleet
-	name   string
-	addr   string
-	seed   uint64
-	agent  *Agent
-	reach  map[string]*Proxy // engines, as this node reaches them; guarded by the fleet's lock
-	clock  *Clock
-	config string
-	out    *os.File // takes what its processes write in place of files; nil = files
-
-	mu      sync.Mutex
-	proc    *process
-	starts  int
-	in      bool // the front sends clients
-	busy    bool // a trouble stops or restarts it
-	term    time.Time
-	killed  time.Time
-	reports []string // paths of the logs of all its processes
+	fleet   *Fleet
+	name    string
+	address string
+	seed    uint64
+	agent   *Agent
+	routes  map[string]*Proxy // to engines; guarded by the fleet's lock
+	clock   *Clock
+	config  string   // path of the configuration
+	logFile *os.File // of all processes; nil = a file for each
+
+	mu           sync.Mutex // guards the fields below
+	process      *process   // the last that was started
+	starts       int
+	inService    bool // clients are sent to it
+	reserved     bool // a fault stops, restarts or reloads it
+	terminatedAt time.Time
+	killedAt     time.Time
+	logPaths     []string
 }
 
-// process is one process of a node.
-type process struct {
-	cmd   *exec.Cmd
-	calls Supervisor
-	ended chan struct{}
-	err   error     // how it ended
-	told  bool      // it was told to end
-	at    time.Time // when it ended
-}
+// keyedClass is a class whose repeats the engines of one cell recognize for a while.
+const keyedClass = `{"effect":"by_key","group":"cell","hard_limit_s":4,"key_ttl_s":1,"late_value":0.3,"name":"keyed","streamed":true,` +
+	`"target_s":1.5,"worth":1}`
 
-// keyedClass is a class whose repeats engines of one cell know for a while.
 const (
-	keyedClass  = `{"effect":"by_key","group":"cell","hard_limit_s":4,"key_ttl_s":1,"late_value":0.3,"name":"keyed","streamed":true,"target_s":1.5,"worth":1}`
-	keyedWindow = 1.0
+	keyedWindow = 1.0 // s, key_ttl_s of keyedClass
 	cells       = 2
 )
 
-// write writes the configuration, with the list that the node is to know at its start.
-func (n *Node) write(known []byte) error {
+// configSeed is the seed in the text of platform.ConfigText.
+const configSeed = "8c1f30d27a5be964"
+
+// writeConfig writes the configuration with the endpoint list that the node starts with.
+func (n *Node) writeConfig(known []byte) error {
 	settings := strings.Replace(platform.SettingsJSON, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, len(n.fleet.nodes)), 1)
 	settings = strings.Replace(settings, `"classes":[`, `"classes":[`+keyedClass+`,`, 1)
-	text := platform.ConfigText(settings, n.addr, n.agent.Addr(), known, nodeMemoryMB, nodeSockets)
-	text = bytes.Replace(text, []byte("8c1f30d27a5be964"), fmt.Appendf(nil, "%016x", n.seed+uint64(n.starts)<<32), 1)
-	return platform.WriteConfig(n.config, text)
+	text := string(platform.ConfigText(settings, n.address, n.agent.Address(), known, nodeMemoryMB, nodeSockets))
+	seed := fmt.Sprintf("%016x", n.seed+uint64(n.starts)<<32)
+	text = strings.Replace(text, configSeed, seed, 1)
+	return platform.WriteConfig(n.config, []byte(text))
 }
 
-// start starts a process; the front takes it in when it is ready.
-func (n *Node) start(known []byte) error { return n.startUnder(known, nil) }
+// engineAddress is where the node reaches an engine; "" = it does not.
+func (n *Node) engineAddress(engine string) string {
+	n.fleet.mu.Lock()
+	defer n.fleet.mu.Unlock()
+	if proxy := n.routes[engine]; proxy != nil {
+		return proxy.Address()
+	}
+	return ""
+}
 
-// startUnder is start where the watched system calls fail from the beginning.
-func (n *Node) startUnder(known []byte, fail func(call uint32) syscall.Errno) error {
+// takesClients reports whether clients are sent to the node.
+func (n *Node) takesClients() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.starts++
-	if err := n.write(known); err != nil {
-		return err
-	}
-	out := n.out
-	if out == nil {
-		path := filepath.Join(n.fleet.day.Dir, fmt.Sprintf("%s-%d.log", n.name, n.starts))
-		file, err := os.Create(path)
-		if err != nil {
-			return err
-		}
-		defer file.Close()
-		out = file
-		n.reports = append(n.reports, path)
-	}
-	self, err := os.Executable()
-	if err != nil {
-		return err
-	}
-	p := &process{cmd: exec.Command(self, "serve", "--relay", "--log", "debug"), ended: make(chan struct{})}
-	p.calls.only = n.config
-	p.calls.Fail(fail)
-	p.cmd.Env = append(os.Environ(), envProgram+"="+n.fleet.day.Program, fmt.Sprintf("%s=%d", envFiles, nodeSockets), envClock+"="+n.clock.path,
-		"LD_PRELOAD="+n.fleet.day.ClockLib, "RELAY_CONFIG="+n.config, "RELAY_NAME="+n.name, "RELAY_LISTEN="+n.addr, "RELAY_DISCOVERY="+n.agent.Addr())
-	p.cmd.Stdout, p.cmd.Stderr = out, out
-	if err := p.calls.start(p.cmd); err != nil {
-		return err
-	}
-	n.proc, n.term, n.killed = p, time.Time{}, time.Time{}
-	n.fleet.log.Add(record.Record{Kind: record.NodeUp, Node: n.name})
-	go func() {
-		err := p.cmd.Wait()
-		n.mu.Lock()
-		p.err, p.at = err, time.Now()
-		n.in = n.in && n.proc != p
-		told := p.told
-		n.mu.Unlock()
-		if !told {
-			n.fleet.find("crash", "%s (start %d) ended by itself: %v", n.name, n.starts, err)
-		}
-		close(p.ended)
-	}()
-	return nil
+	return n.inService
 }
 
-// Times in which a process has to be ready, and in which the front notices.
+// Times of the check that a node is ready.
 const (
-	readyBy   = 10 * time.Second
-	readyLook = 20 * time.Millisecond
+	readyTimeout      = 10 * time.Second // of a start
+	readyPollInterval = 20 * time.Millisecond
+	readyCallTimeout  = time.Second // of one call
 )
 
-// awaitReady waits until the node answers that it is ready, and has the front take it in.
+// awaitReady waits until the node says that it is ready, and has clients sent to it.
 func (n *Node) awaitReady() {
-	begun := time.Now()
+	start := time.Now()
 	n.mu.Lock()
-	p := n.proc
+	p := n.process
 	n.mu.Unlock()
-	for time.Since(begun) < readyBy {
+	for time.Since(start) < readyTimeout {
 		select {
 		case <-p.ended:
 			return
-		case <-time.After(readyLook):
+		case <-time.After(readyPollInterval):
 		}
-		if ready(n.addr) {
+		if ready(n.address) {
 			n.mu.Lock()
-			n.in = n.proc == p && !p.told
+			n.inService = n.process == p && !p.stopRequested
 			n.mu.Unlock()
 			return
 		}
 	}
-	n.fleet.find("ready", "%s was not ready in %v", n.name, readyBy)
+	n.fleet.report("ready", "%s was not ready in %v", n.name, readyTimeout)
 }
 
-// signal sends a signal to the process that runs.
-func (n *Node) signal(s syscall.Signal) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.proc != nil {
-		n.proc.cmd.Process.Signal(s)
+// ready reports whether a node's health endpoint says that it is ready.
+func ready(address string) bool {
+	conn, err := net.DialTimeout("tcp", address, readyCallTimeout)
+	if err != nil {
+		return false
 	}
-}
-
-// kill kills the process without a word, and waits for its end.
-func (n *Node) kill() {
-	n.mu.Lock()
-	p := n.proc
-	p.told = true
-	if n.killed.IsZero() {
-		n.killed = time.Now()
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(readyCallTimeout))
+	if _, err := io.WriteString(conn, "GET /healthz HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n"); err != nil {
+		return false
 	}
-	n.mu.Unlock()
-	n.fleet.log.Add(record.Record{Kind: record.NodeKill, Node: n.name})
-	p.cmd.Process.Signal(syscall.SIGKILL)
-	<-p.ended
-	n.fleet.log.Add(record.Record{Kind: record.NodeKill, Node: n.name})
-	n.mu.Lock()
-	n.in = false
-	n.mu.Unlock()
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	return err == nil && response.StatusCode == http.StatusOK
 }
 
-// Times of a planned restart (PROTOCOL, figures). The settings' longest deadline is over 3 s, so it counts as that.
-const (
-	stopLeast = 3700 * time.Millisecond
-	stopMore  = 600 * time.Millisecond
-)
-
-// stop tells the process to end, as at a planned restart, and kills it when its time is over.
-func (n *Node) stop(front, more time.Duration) {
+// close kills the node's process, and closes its proxies and its clock.
+func (n *Node) close() {
 	n.mu.Lock()
-	p := n.proc
-	p.told, n.term = true, time.Now()
+	p := n.process
+	if p != nil {
+		p.stopRequested = true
+	}
 	n.mu.Unlock()
-	p.cmd.Process.Signal(syscall.SIGTERM)
-	time.AfterFunc(front, func() {
-		n.mu.Lock()
-		n.in = n.in && n.proc != p
-		n.mu.Unlock()
-	})
-	select {
-	case <-p.ended:
-		n.mu.Lock()
-		err := p.err
-		n.mu.Unlock()
-		if err != nil {
-			n.fleet.find("crash", "%s ended after SIGTERM with %v", n.name, err)
-		}
-	case <-time.After(stopLeast + more):
-		n.kill()
+	if p != nil {
+		p.cmd.Process.Kill()
+		<-p.ended
+	}
+	for _, proxy := range n.routes {
+		proxy.Close()
 	}
+	n.clock.Close()
 }
 
-// suspect are lines of a node's log that nobody wants to see.
-var suspect = regexp.MustCompile(`level=ERROR|^panic:|^fatal error:|DATA RACE|rule violated`)
+// suspectLine matches lines of a node's log that must not appear.
+var suspectLine = regexp.MustCompile(`level=ERROR|^panic:|^fatal error:|DATA RACE|rule violated`)
 
-// expected are those of them that a trouble asks for: a configuration that cannot be read.
-var expected = regexp.MustCompile(`configuration rejected`)
+// expectedLine matches those of them that a fault asks for: a configuration that cannot be read.
+var expectedLine = regexp.MustCompile(`configuration rejected`)
 
 // requestReceived begins the log line of a request that a node has read, up to its id.
 const requestReceived = `msg="request received" request=`
 
-// reviewLogs looks through the logs of all processes of the node, and returns the requests that it has read.
-func (n *Node) reviewLogs(read map[string]string) {
-	for _, path := range n.reports {
+// reviewLogs looks through the logs of all processes of the node, and adds the requests that it has read to received.
+func (n *Node) reviewLogs(received map[string]string) {
+	for _, path := range n.logPaths {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			n.fleet.find("log", "%v", err)
+			n.fleet.report("log", "%v", err)
 			continue
 		}
 		for line := range strings.Lines(string(text)) {
-			if suspect.MatchString(line) && !expected.MatchString(line) {
-				n.fleet.find("log", "%s: %s", filepath.Base(path), strings.TrimSpace(line))
+			if suspectLine.MatchString(line) && !expectedLine.MatchString(line) {
+				n.fleet.report("log", "%s: %s", filepath.Base(path), strings.TrimSpace(line))
 			}
 			if _, rest, found := strings.Cut(line, requestReceived); found {
 				id, _, _ := strings.Cut(rest, " ")
-				read[strings.TrimSpace(id)] = n.name
+				received[strings.TrimSpace(id)] = n.name
 			}
 		}
 	}
--- /dev/null
+++ b/lab/soak/pipeline.go
@@ -0,0 +1,90 @@
+package soak
+
+import (
+	"fmt"
+	"io"
+	"time"
+
+	"dillroute/lab/platform"
+	"dillroute/lab/record"
+)
+
+const (
+	// pipelinedRequests is how many requests a client sends at once.
+	pipelinedRequests = 5
+	// pipelinedTimeout is the timeout that each of them states.
+	pipelinedTimeout = 3 * time.Second
+)
+
+// pipeline sends several requests at once on a connection of its own and reads their responses in order, or leaves after some.
+func (c *client) pipeline(n *Node) {
+	conn, err := dial(n)
+	if err != nil {
+		return
+	}
+	defer conn.Close()
+	requests := c.drawPipelined()
+	text := ""
+	for _, request := range requests {
+		text += request.Encode()
+	}
+	if _, err := io.WriteString(conn, text); err != nil {
+		return
+	}
+	awaited := pipelinedRequests
+	if c.rng.IntN(2) == 0 {
+		awaited = c.rng.IntN(pipelinedRequests)
+	}
+	for i, request := range requests[:awaited] {
+		request.Timeout *= time.Duration(i + 1) // each waits for those before it as well
+		if !c.receivePipelined(n, conn, request, i == 0) {
+			return
+		}
+	}
+}
+
+// drawPipelined draws the requests of a pipeline.
+func (c *client) drawPipelined() []platform.Request {
+	requests := make([]platform.Request, pipelinedRequests)
+	for i := range requests {
+		request := platform.Request{
+			Operation:      fmt.Sprintf("%s-%d", c.name, i),
+			Class:          classes[c.rng.IntN(len(classes))],
+			Tenant:         "branch",
+			Session:        c.name,
+			ResponseTokens: 1 + c.rng.IntN(maxResponseTokens/4),
+			Timeout:        pipelinedTimeout,
+			ID:             newCallID(),
+		}
+		c.fleet.platform.RegisterCall(request.ID, platform.Operation{
+			Name:           request.Operation,
+			Class:          request.Class,
+			ResponseTokens: request.ResponseTokens,
+		})
+		requests[i] = request
+	}
+	return requests
+}
+
+// receivePipelined reads and records one response of a pipeline; false means that no further one can be read.
+func (c *client) receivePipelined(n *Node, conn *clientConn, request platform.Request, isFirst bool) bool {
+	base := record.Record{Op: request.Operation, Class: request.Class, Node: n.name}
+	sent := base
+	sent.Kind = record.Ask
+	sent.Tokens = request.Timeout.Seconds()
+	c.fleet.log.Add(sent)
+	response, reusable := receive(conn, request, func() {
+		first := base
+		first.Kind = record.First
+		c.fleet.log.Add(first)
+	})
+	if response.Outcome == record.Cut && !isFirst { // the node may close the connection behind any response
+		c.fleet.noteUnanswered(n, request, record.Now())
+		disconnect := base
+		disconnect.Kind = record.Hangup
+		c.fleet.log.Add(disconnect)
+		return false
+	}
+	c.fleet.log.Add(finalRecord(base, request, response))
+	return reusable
+}
--- a/lab/soak/proxy.go
+++ b/lab/soak/proxy.go
@@ -1,6 +1,7 @@
 package soak
 
 import (
+	"fmt"
 	"io"
 	"net"
 	"sync"
@@ -9,73 +10,101 @@
 	"golang.org/x/sys/unix"
 )
 
-// Mode is what a proxy does with what it is sent.
+// Mode is how a proxy forwards what it is sent.
 type Mode int
 
 // Modes of a proxy.
 const (
-	Pass   Mode = iota
-	Silent      // nothing is passed on any more, in either direction, and nothing is said
-	Pieces      // what comes is passed on in pieces of a few bytes
-	Late        // new connections carry nothing for up to a second
+	Forward   Mode = iota
+	Blackhole      // nothing is forwarded in either direction, and connections stay open
+	Fragment       // what comes is forwarded in fragments of a few bytes
+	DelayNew       // new connections carry nothing for most of a second
 )
 
-// Proxy passes connections on to one address, and spoils them on command.
+func (m Mode) String() string {
+	switch m {
+	case Forward:
+		return "forward"
+	case Blackhole:
+		return "blackhole"
+	case Fragment:
+		return "fragment"
+	case DelayNew:
+		return "delay new connections"
+	}
+	return fmt.Sprintf("Mode(%d)", int(m))
+}
+
+const (
+	// newConnectionDelay is how long a new connection carries nothing under DelayNew.
+	newConnectionDelay = 700 * time.Millisecond
+	// fragmentBytes is the length of a fragment under Fragment.
+	fragmentBytes = 7
+	// fragmentInterval is the pause between two fragments.
+	fragmentInterval = 50 * time.Microsecond
+	// modePollInterval is how often a silenced connection looks at its mode again.
+	modePollInterval = 10 * time.Millisecond
+	// forwardBufferBytes is the most that one read forwards.
+	forwardBufferBytes = 16 << 10
+)
+
+// Proxy forwards connections to one address, and degrades them on command.
 type Proxy struct {
-	l      net.Listener
-	target string
+	listener net.Listener
+	target   string
 
-	mu    sync.Mutex
-	mode  Mode
-	conns map[net.Conn]bool
-	lost  map[net.Conn]bool // of them, those that were forgotten
+	mu         sync.Mutex // guards the fields below
+	mode       Mode
+	conns      map[net.Conn]bool // of both sides
+	blackholed map[net.Conn]bool // those of them that carry nothing any more
 }
 
-// NewProxy starts a proxy to an address.
+// NewProxy starts a proxy to an address; Close ends it.
 func NewProxy(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{l: l, target: target, conns: map[net.Conn]bool{}, lost: map[net.Conn]bool{}}
+	p := &Proxy{listener: l, target: target, conns: map[net.Conn]bool{}, blackholed: map[net.Conn]bool{}}
 	go p.accept()
 	return p, nil
 }
 
-// Addr is where the proxy listens.
-func (p *Proxy) Addr() string { return p.l.Addr().String() }
+// Address is where the proxy listens.
+func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the mode. Connections that fell silent are reset when the silence ends.
-func (p *Proxy) Set(m Mode) {
+// SetMode changes the mode. All connections are reset at the end of Blackhole.
+func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
-	was := p.mode
+	previous := p.mode
 	p.mode = m
 	p.mu.Unlock()
-	if was == Silent && m != Silent {
+	if previous == Blackhole && m != Blackhole {
 		p.Reset()
 	}
 }
 
-func (p *Proxy) now() Mode {
+// currentMode returns the mode as it is now.
+func (p *Proxy) currentMode() Mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
 }
 
-// Forget has all present connections carry nothing any more, and say nothing of it; new ones are passed on.
-func (p *Proxy) Forget() {
+// BlackholeConnections makes all present connections carry nothing any more, without closing them; new ones are forwarded.
+func (p *Proxy) BlackholeConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
-		p.lost[c] = true
+		p.blackholed[c] = true
 	}
 }
 
-// mute tells whether nothing is passed on from a connection now.
-func (p *Proxy) mute(c net.Conn) bool {
+// silenced reports whether nothing is forwarded from a connection now.
+func (p *Proxy) silenced(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.mode == Silent || p.lost[c]
+	return p.mode == Blackhole || p.blackholed[c]
 }
 
 // Reset resets all connections.
@@ -86,15 +115,16 @@
 		reset(c)
 	}
 	clear(p.conns)
-	clear(p.lost)
+	clear(p.blackholed)
 }
 
 // Close ends the proxy.
 func (p *Proxy) Close() {
-	p.l.Close()
+	p.listener.Close()
 	p.Reset()
 }
 
+// reset closes a connection with a reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -102,89 +132,88 @@
 	c.Close()
 }
 
+// accept accepts connections until the listener is closed.
 func (p *Proxy) accept() {
 	for {
-		c, err := p.l.Accept()
+		c, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		p.keep(c)
+		p.track(c)
 		go p.serve(c)
 	}
 }
 
-func (p *Proxy) keep(c net.Conn) {
+func (p *Proxy) track(c net.Conn) {
 	p.mu.Lock()
 	p.conns[c] = true
 	p.mu.Unlock()
 }
 
-func (p *Proxy) drop(c net.Conn) {
+func (p *Proxy) untrack(c net.Conn) {
 	p.mu.Lock()
 	delete(p.conns, c)
-	delete(p.lost, c)
+	delete(p.blackholed, c)
 	p.mu.Unlock()
 }
 
-// lateBy is how long a late connection carries nothing.
-const lateBy = 700 * time.Millisecond
-
+// serve connects to the target and forwards both directions.
 func (p *Proxy) serve(c net.Conn) {
-	if p.now() == Late {
-		time.Sleep(lateBy)
-		if givenUp(c) { // its bytes would have come to nobody
-			p.drop(c)
+	if p.currentMode() == DelayNew {
+		time.Sleep(newConnectionDelay)
+		if peerClosed(c) { // nobody would read the response
+			p.untrack(c)
 			c.Close()
 			return
 		}
 	}
-	for p.now() == Silent {
-		time.Sleep(10 * time.Millisecond)
+	for p.currentMode() == Blackhole {
+		time.Sleep(modePollInterval)
 	}
-	e, err := net.Dial("tcp", p.target)
+	upstream, err := net.Dial("tcp", p.target)
 	if err != nil {
-		p.drop(c)
+		p.untrack(c)
 		reset(c)
 		return
 	}
-	p.keep(e)
-	go p.pass(c, e)
-	p.pass(e, c)
+	p.track(upstream)
+	go p.forward(c, upstream)
+	p.forward(upstream, c)
 }
 
-// givenUp tells whether the peer has closed the connection meanwhile.
-func givenUp(c net.Conn) bool {
+// peerClosed reports whether the connection is no longer established in both directions.
+func peerClosed(c net.Conn) bool {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return true
 	}
-	up := false
+	established := false
 	raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		up = err == nil && info.State == unix.BPF_TCP_ESTABLISHED
+		established = err == nil && info.State == unix.BPF_TCP_ESTABLISHED
 	})
-	return !up
+	return !established
 }
 
-// pass copies one direction. The end of sending is passed on as such, an error as a reset.
-func (p *Proxy) pass(from, to net.Conn) {
-	buf := make([]byte, 16<<10)
+// forward copies one direction. An end of sending closes both connections, an error resets them.
+func (p *Proxy) forward(from, to net.Conn) {
+	buffer := make([]byte, forwardBufferBytes)
 	for {
-		n, err := from.Read(buf)
-		for err == nil && p.mute(from) {
-			time.Sleep(10 * time.Millisecond) // until both are reset, or given up
-			if givenUp(from) {
+		n, err := from.Read(buffer)
+		for err == nil && p.silenced(from) {
+			time.Sleep(modePollInterval)
+			if peerClosed(from) {
 				err = io.EOF
 			}
 		}
 		if err == nil {
-			err = p.write(to, buf[:n])
+			err = p.write(to, buffer[:n])
 		}
 		if err == nil {
 			continue
 		}
-		p.drop(from)
-		p.drop(to)
+		p.untrack(from)
+		p.untrack(to)
 		if err == io.EOF {
 			from.Close()
 			to.Close()
@@ -196,21 +225,19 @@
 	}
 }
 
-// piece is how many bytes a proxy passes on at a time in the mode Pieces.
-const piece = 7
-
+// write writes bytes, in fragments where the mode says so.
 func (p *Proxy) write(to net.Conn, b []byte) error {
 	for len(b) > 0 {
 		n := len(b)
-		if p.now() == Pieces && n > piece {
-			n = piece
+		if p.currentMode() == Fragment && n > fragmentBytes {
+			n = fragmentBytes
 		}
 		if _, err := to.Write(b[:n]); err != nil {
 			return err
 		}
 		b = b[n:]
 		if len(b) > 0 {
-			time.Sleep(50 * time.Microsecond)
+			time.Sleep(fragmentInterval)
 		}
 	}
 	return nil
--- a/lab/soak/scenario_test.go
+++ b/lab/soak/scenario_test.go
@@ -17,71 +17,71 @@
 	"dillroute/lab/rules"
 )
 
-// scene is one node on its platform, with clients that ask all the while.
-type scene struct {
+// fixture is one node on its platform, with clients.
+type fixture struct {
 	*testing.T
-	f    *Fleet
-	n    *Node
-	over chan struct{}
-	done chan struct{}
+	fleet    *Fleet
+	node    *Node
+	stop chan struct{}
+	stopped chan struct{}
 }
 
-// newScene makes a node that has not been started.
-func newScene(t *testing.T) *scene {
+// newFixture creates a node that has not been started.
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	program, clockLib := build(t)
-	day := Day{Seed: 1, Nodes: 1, Program: program, ClockLib: clockLib, Dir: logFolder(t, t.Name())}
-	f := newFleet(day)
+	scenario := Scenario{Seed: 1, Nodes: 1, Program: program, ClockLib: clockLib, Directory: logDirectory(t, t.Name())}
+	f := newFleet(scenario)
 	if err := f.addNodes(rand.New(rand.NewPCG(1, 1))); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(f.end)
-	return &scene{T: t, f: f, n: f.nodes[0]}
+	t.Cleanup(f.close)
+	return &fixture{T: t, fleet: f, node: f.nodes[0]}
 }
 
-func (s *scene) start() {
+func (s *fixture) startNode() {
 	s.Helper()
-	if err := s.n.start(s.n.agent.List()); err != nil {
+	if err := s.node.start(s.node.agent.Snapshot()); err != nil {
 		s.Fatal(err)
 	}
-	s.n.awaitReady()
+	s.node.awaitReady()
 }
 
-// ask has clients ask until stopAsking.
-func (s *scene) ask(clients int) {
-	s.over, s.done = make(chan struct{}), make(chan struct{}, clients)
+// startClients starts clients that make operations until stopClients.
+func (s *fixture) startClients(clients int) {
+	s.stop, s.stopped = make(chan struct{}), make(chan struct{}, clients)
 	for i := range clients {
-		c := &client{fleet: s.f, name: fmt.Sprintf("c%d", i), rng: rand.New(rand.NewPCG(1, uint64(i))), conns: map[*Node]*kept{}}
-		go func() { c.run(s.over); s.done <- struct{}{} }()
+		c := s.fleet.newClient(fmt.Sprintf("c%d", i), 1, uint64(i))
+		go func() { c.run(s.stop); s.stopped <- struct{}{} }()
 	}
 }
 
-func (s *scene) stopAsking() {
-	close(s.over)
-	for range cap(s.done) {
-		<-s.done
+func (s *fixture) stopClients() {
+	close(s.stop)
+	for range cap(s.stopped) {
+		<-s.stopped
 	}
 }
 
-// lawful judges what passed.
-func (s *scene) lawful() {
+// checkRules reports violations of the rules, and findings.
+func (s *fixture) checkRules() {
 	s.Helper()
-	for _, v := range rules.Check(s.f.log.All(), s.f.rulesConfig()) {
+	for _, v := range rules.Check(s.fleet.log.All(), s.fleet.rulesConfig()) {
 		s.Error(v)
 	}
-	s.f.mu.Lock()
-	defer s.f.mu.Unlock()
-	for _, x := range s.f.finds {
+	s.fleet.mu.Lock()
+	defer s.fleet.mu.Unlock()
+	for _, x := range s.fleet.findings {
 		s.Error(x)
 	}
 }
 
 // A node starts though the system calls by which it opens its socket and reads its configuration fail for a moment.
 func TestNodeStartsThoughSystemCallsFailForAMoment(t *testing.T) {
-	s := newScene(t)
+	s := newFixture(t)
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		until := time.Now().Add(700 * time.Millisecond)
-		if err := s.n.startUnder(s.n.agent.List(), func(call uint32) syscall.Errno {
+		if err := s.node.startUnder(s.node.agent.Snapshot(), func(call uint32) syscall.Errno {
 			if time.Now().Before(until) {
 				return errno
 			}
@@ -89,16 +89,16 @@
 		}); err != nil {
 			t.Fatal(err)
 		}
-		s.n.awaitReady()
-		s.n.mu.Lock()
-		in := s.n.in
-		s.n.mu.Unlock()
+		s.node.awaitReady()
+		s.node.mu.Lock()
+		in := s.node.inService
+		s.node.mu.Unlock()
 		if !in {
 			t.Fatalf("socket and open fail with %v for 0.7 s: the node is not ready\n%s", errno, s.logs())
 		}
-		s.n.stop(0, 0)
+		s.node.stop(0, 0)
 	}
-	s.lawful()
+	s.checkRules()
 }
 
 // Lists are followed and requests are served though the wall clock is stepped, forward or back.
@@ -106,199 +106,200 @@
 	for _, step := range []time.Duration{-time.Hour, time.Hour, -3 * time.Second, 3 * time.Second} {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
-			s := newScene(t)
-			s.start()
-			s.ask(8)
+			s := newFixture(t)
+			s.startNode()
+			s.startClients(8)
 			time.Sleep(300 * time.Millisecond)
-			s.n.clock.Step(int64(step))
+			s.node.clock.Step(int64(step))
 			for i := range 300 { // a busy discovery: each change is an answer, and a call that follows it
-				s.f.reg.Set("both-9", func(x *platform.Endpoint) { x.Weight = 1 + float64(i)/100 })
+				s.fleet.registry.Update("both-9", func(x *platform.Endpoint) { x.Weight = 1 + float64(i)/100 })
 				time.Sleep(40 * time.Millisecond)
 			}
 			for _, id := range []string{"read-1", "write-5", "read-2", "write-6"} {
-				s.f.reg.Set(id, func(x *platform.Endpoint) { x.State = "draining" })
+				s.fleet.registry.Update(id, func(x *platform.Endpoint) { x.State = "draining" })
 				time.Sleep(500 * time.Millisecond)
 			}
-			s.stopAsking()
-			s.lawful()
-			if refused, served := s.f.outcomes[record.Refused], s.f.outcomes[record.Served]; served < 9*refused {
-				t.Errorf("outcomes %v", s.f.outcomes)
+			s.stopClients()
+			s.checkRules()
+			if refused, served := s.fleet.outcomes[record.Refused], s.fleet.outcomes[record.Served]; served < 9*refused {
+				t.Errorf("outcomes %v", s.fleet.outcomes)
 			}
 		})
 	}
 }
 
-// A stop is the same though the wall clock is stepped while it lasts.
+// A stop takes its time and loses no request though the wall clock is stepped meanwhile.
 func TestWallClockStepsDuringAStop(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
-			s := newScene(t)
-			s.start()
-			s.ask(12)
+			s := newFixture(t)
+			s.startNode()
+			s.startClients(12)
 			time.Sleep(500 * time.Millisecond)
-			time.AfterFunc(300*time.Millisecond, func() { s.n.clock.Step(int64(step)) })
-			s.n.stop(300*time.Millisecond, 0)
-			s.stopAsking()
+			time.AfterFunc(300*time.Millisecond, func() { s.node.clock.Step(int64(step)) })
+			s.node.stop(300*time.Millisecond, 0)
+			s.stopClients()
 			read := map[string]string{}
-			s.n.reviewLogs(read)
-			for _, c := range s.f.crossed {
+			s.node.reviewLogs(read)
+			for _, c := range s.fleet.unanswered {
 				if _, ok := read[c.id]; ok {
-					t.Errorf("%s was read, and its connection closed with no answer", c.op)
+					t.Errorf("%s was read, and its connection closed with no answer", c.operation)
 				}
 			}
-			if took := s.n.lasted(); took > stopLeast {
+			if took := s.node.stopDuration(); took > minStopTime {
 				t.Errorf("the stop took %v", took)
 			}
-			s.lawful()
+			s.checkRules()
 		})
 	}
 }
 
-// logs is what the node's processes wrote.
-func (s *scene) logs() string {
+// logs returns what the node's processes have logged.
+func (s *fixture) logs() string {
 	text := ""
-	for _, path := range s.n.reports {
+	for _, path := range s.node.logPaths {
 		b, _ := os.ReadFile(path)
 		text += string(b)
 	}
 	return text
 }
 
-// A new configuration that cannot be read in the moment of SIGHUP is taken when it can.
+// A new configuration that cannot be read at the moment of SIGHUP takes effect when it can.
 func TestNewConfigurationIsTakenThoughItCannotBeReadAtOnce(t *testing.T) {
-	s := newScene(t)
-	s.start()
+	s := newFixture(t)
+	s.startNode()
 	var failing atomic.Bool
 	failing.Store(true)
-	s.n.proc.calls.Fail(func(call uint32) syscall.Errno {
+	s.node.process.supervisor.Fail(func(call uint32) syscall.Errno {
 		if call == syscall.SYS_OPENAT && failing.Load() {
 			return syscall.ENFILE
 		}
 		return 0
 	})
-	s.n.reload()
+	s.node.reload()
 	time.Sleep(300 * time.Millisecond)
 	failing.Store(false)
-	s.ask(8)
-	time.Sleep(toldAfterReload)
-	s.f.reg.Set("read-1", func(x *platform.Endpoint) { x.State = "draining" })
+	s.startClients(8)
+	time.Sleep(reloadTime)
+	s.fleet.registry.Update("read-1", func(x *platform.Endpoint) { x.State = "draining" })
 	time.Sleep(1500 * time.Millisecond)
-	s.stopAsking()
-	s.lawful()
+	s.stopClients()
+	s.checkRules()
 }
 
-// What connects in the first moments of a stop is answered though no connection can be accepted for a part of them.
+// Clients that connect in the first moments of a stop get a response though no connection can be accepted for a part of them.
 func TestStopAcceptsThoughAcceptFailsForAMoment(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EPROTO} {
-		s := newScene(t)
-		s.start()
+		s := newFixture(t)
+		s.startNode()
 		until := time.Now().Add(200 * time.Millisecond)
-		s.n.proc.calls.Fail(func(call uint32) syscall.Errno {
+		s.node.process.supervisor.Fail(func(call uint32) syscall.Errno {
 			if call == syscall.SYS_ACCEPT4 && time.Now().Before(until) {
 				return errno
 			}
 			return 0
 		})
 		stopped := make(chan struct{})
-		go func() { defer close(stopped); s.n.stop(400*time.Millisecond, 0) }()
+		go func() { defer close(stopped); s.node.stop(400*time.Millisecond, 0) }()
 		var all sync.WaitGroup
 		for i := range 30 {
 			time.Sleep(10 * time.Millisecond)
-			c := &client{fleet: s.f, name: fmt.Sprintf("c%d", i), rng: rand.New(rand.NewPCG(1, uint64(i))), conns: map[*Node]*kept{}}
+			c := s.fleet.newClient(fmt.Sprintf("c%d", i), 1, uint64(i))
 			all.Add(1)
-			go func() { defer all.Done(); c.want(make(chan struct{})) }()
+			go func() { defer all.Done(); c.perform(make(chan struct{})) }()
 		}
 		all.Wait()
 		<-stopped
-		if served := s.f.outcomes[record.Served]; served < 20 {
-			t.Errorf("%v: outcomes %v, want 30 requests nearly all served", errno, s.f.outcomes)
+		if served := s.fleet.outcomes[record.Served]; served < 20 {
+			t.Errorf("%v: outcomes %v, want 30 requests nearly all served", errno, s.fleet.outcomes)
 		}
-		s.lawful()
+		s.checkRules()
 	}
 }
 
-func TestNodeServesThoughTheReaderOfItsLogHasGone(t *testing.T) { servesWithLog(t, true) }
-func TestNodeServesThoughTheReaderOfItsLogIsStuck(t *testing.T) { servesWithLog(t, false) }
+func TestNodeServesThoughTheReaderOfItsLogHasGone(t *testing.T) { testServingWithLog(t, true) }
+func TestNodeServesThoughTheReaderOfItsLogIsStuck(t *testing.T) { testServingWithLog(t, false) }
 
-// servesWithLog: a node serves on, and stops in time, whatever becomes of its log.
-func servesWithLog(t *testing.T, gone bool) {
-	s := newScene(t)
+// testServingWithLog checks that a node serves on, and stops in time, whatever becomes of the reader of its log.
+func testServingWithLog(t *testing.T, gone bool) {
+	t.Helper()
+	s := newFixture(t)
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	s.n.out = w
-	s.start()
+	s.node.logFile = w
+	s.startNode()
 	w.Close()
 	if gone {
 		r.Close()
 	}
-	s.ask(12)
+	s.startClients(12)
 	time.Sleep(4 * time.Second)
-	s.stopAsking()
-	if served := s.f.outcomes[record.Served]; served < 100 {
-		t.Errorf("outcomes %v", s.f.outcomes)
+	s.stopClients()
+	if served := s.fleet.outcomes[record.Served]; served < 100 {
+		t.Errorf("outcomes %v", s.fleet.outcomes)
 	}
-	s.n.stop(0, 0)
-	if took := s.n.lasted(); took > stopLeast {
+	s.node.stop(0, 0)
+	if took := s.node.stopDuration(); took > minStopTime {
 		t.Errorf("the stop took %v", took)
 	}
-	s.lawful()
+	s.checkRules()
 }
 
-// Requests outlive a moment in which no connection to an engine can be made, and nothing of it is left behind.
+// Requests survive a moment in which no connection to an engine can be made, and nearly all are served.
 func TestRequestsOutliveAMomentWithoutConnections(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH} {
-		s := newScene(t)
-		s.start()
-		s.ask(12)
+		s := newFixture(t)
+		s.startNode()
+		s.startClients(12)
 		time.Sleep(time.Second)
 		until := time.Now().Add(400 * time.Millisecond)
-		s.n.proc.calls.Fail(func(call uint32) syscall.Errno {
+		s.node.process.supervisor.Fail(func(call uint32) syscall.Errno {
 			if (call == syscall.SYS_SOCKET || call == syscall.SYS_CONNECT) && time.Now().Before(until) {
 				return errno
 			}
 			return 0
 		})
 		time.Sleep(2 * time.Second)
-		s.stopAsking()
-		t.Logf("%v: outcomes %v", errno, s.f.outcomes)
-		if refused := s.f.outcomes[record.Refused] + s.f.outcomes[record.Failed]; refused*20 > s.f.outcomes[record.Served] {
-			t.Errorf("%v: outcomes %v, want nearly all served", errno, s.f.outcomes)
+		s.stopClients()
+		t.Logf("%v: outcomes %v", errno, s.fleet.outcomes)
+		if refused := s.fleet.outcomes[record.Refused] + s.fleet.outcomes[record.Failed]; refused*20 > s.fleet.outcomes[record.Served] {
+			t.Errorf("%v: outcomes %v, want nearly all served", errno, s.fleet.outcomes)
 		}
-		s.lawful()
+		s.checkRules()
 	}
 }
 
-// States are released in time though the sends that are to take them lie on connections that have fallen silent behind a machine that
-// has taken their bytes: what has not reached a running engine is not out.
+// States are released in time though the decode attempts that would fetch them were written to connections that carry nothing any more:
+// an attempt that has not reached a running engine is not in flight.
 func TestSilentConnectionsDoNotHoldStates(t *testing.T) {
-	s := newScene(t)
-	s.start()
-	s.ask(16)
+	s := newFixture(t)
+	s.startNode()
+	s.startClients(16)
 	time.Sleep(time.Second)
-	s.silence(Silent)
+	s.setDecodeMode(Blackhole)
 	time.Sleep(3500 * time.Millisecond)
-	s.silence(Pass)
+	s.setDecodeMode(Forward)
 	time.Sleep(time.Second)
-	s.stopAsking()
-	s.lawful()
+	s.stopClients()
+	s.checkRules()
 }
 
-// silence sets the mode of the ways to all engines that answer.
-func (s *scene) silence(m Mode) {
-	for _, id := range s.f.order {
+// setDecodeMode sets the mode of the proxies to all engines that decode.
+func (s *fixture) setDecodeMode(m Mode) {
+	for _, id := range s.fleet.engineIDs {
 		if id[0] != 'r' {
-			s.n.reach[id].Set(m)
+			s.node.routes[id].SetMode(m)
 		}
 	}
 }
 
-// lasted is how long the last stop took.
-func (n *Node) lasted() time.Duration {
+// stopDuration returns how long the last stop took.
+func (n *Node) stopDuration() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.proc.at.Sub(n.term)
+	return n.process.endedAt.Sub(n.terminatedAt)
 }
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -18,7 +18,7 @@
 	os.Exit(m.Run())
 }
 
-// build makes the node's program as it is deployed, and the library that steps clocks.
+// build builds the node's program as it is deployed, and the library that steps clocks.
 func build(t *testing.T) (program, clockLib string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -39,15 +39,16 @@
 	return program, clockLib
 }
 
-func number(name string, or int) int {
+// envNumber returns the number in an environment variable, or a default.
+func envNumber(name string, or int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
 	return or
 }
 
-// logFolder is where the logs of a day go: they stay where SOAK_LOGS names a folder.
-func logFolder(t *testing.T, name string) string {
+// logDirectory returns where the logs of a scenario go; they stay where SOAK_LOGS names a directory.
+func logDirectory(t *testing.T, name string) string {
 	t.Helper()
 	logs := os.Getenv("SOAK_LOGS")
 	if logs == "" {
@@ -60,9 +61,9 @@
 	return dir
 }
 
-// Processes under overlapping troubles keep the rules, do not crash, and serve again when the troubles are over. SOAK_SEEDS=5-14
-// plays other seeds, SOAK_NODES, SOAK_SECONDS and SOAK_PARALLEL larger days, SOAK_TROUBLES=stop,drain chosen troubles; SOAK_LOGS
-// names a folder in which the nodes' logs stay.
+// Processes under overlapping faults keep the rules, do not crash, and serve again when the faults are over. SOAK_SEEDS=5-14 plays
+// other seeds, SOAK_NODES, SOAK_SECONDS and SOAK_PARALLEL larger scenarios, SOAK_TROUBLES=stop,drain chosen faults; SOAK_LOGS names a
+// directory in which the nodes' logs stay.
 func TestSoak(t *testing.T) {
 	program, clockLib := build(t)
 	from, to := 1, 1
@@ -73,20 +74,28 @@
 	}
 	for seed := from; seed <= to; seed++ {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			day := Day{Seed: uint64(seed), Nodes: number("SOAK_NODES", 5), Clients: number("SOAK_CLIENTS", 4), For: time.Duration(number("SOAK_SECONDS", 12)) * time.Second,
-				Program: program, ClockLib: clockLib, Dir: logFolder(t, strconv.Itoa(seed)), Parallel: number("SOAK_PARALLEL", 2)}
+			scenario := Scenario{
+				Seed:           uint64(seed),
+				Nodes:          envNumber("SOAK_NODES", 5),
+				ClientsPerNode: envNumber("SOAK_CLIENTS", 4),
+				Duration:       time.Duration(envNumber("SOAK_SECONDS", 12)) * time.Second,
+				Program:        program,
+				ClockLib:       clockLib,
+				Directory:      logDirectory(t, strconv.Itoa(seed)),
+				Parallel:       envNumber("SOAK_PARALLEL", 2),
+			}
 			if text := os.Getenv("SOAK_TROUBLES"); text != "" {
-				day.Troubles = strings.Split(text, ",")
+				scenario.Faults = strings.Split(text, ",")
 			}
-			r, err := Play(day)
+			r, err := Play(scenario)
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("outcomes %v, at the end %v; %d crossed; failed calls %v", r.Outcomes, r.Last, r.Crossed, r.Syscalls)
+			t.Logf("outcomes %v, at the end %v; %d closed without a response; failed calls %v", r.Outcomes, r.RecoveryOutcomes, r.Unanswered, r.FailedCalls)
 			for _, e := range r.Events {
 				t.Log(e)
 			}
-			for _, f := range r.Finds {
+			for _, f := range r.Findings {
 				t.Error(f)
 			}
 		})
--- /dev/null
+++ b/lab/soak/supervisor.go
@@ -0,0 +1,168 @@
+package soak
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"sync"
+	"syscall"
+	"unsafe"
+
+	"golang.org/x/sys/unix"
+)
+
+// notification is struct seccomp_notif.
+type notification struct {
+	id         uint64
+	pid        uint32
+	flags      uint32
+	callNumber int32
+	arch       uint32
+	ip         uint64
+	args       [6]uint64
+}
+
+// notificationResponse is struct seccomp_notif_resp.
+type notificationResponse struct {
+	id    uint64
+	value int64
+	error int32
+	flags uint32
+}
+
+// Commands and flags of a notifier (linux/seccomp.h).
+const (
+	notifyReceive  = 0xc0502100 // SECCOMP_IOCTL_NOTIF_RECV
+	notifySend     = 0xc0182101 // SECCOMP_IOCTL_NOTIF_SEND
+	notifyContinue = 1          // SECCOMP_USER_NOTIF_FLAG_CONTINUE
+)
+
+// Supervisor decides which of the watched system calls of one process fail.
+type Supervisor struct {
+	watchedFile string // the one file whose opening is decided; others open as they do
+
+	mu     sync.Mutex                      // guards the fields below
+	decide func(call uint32) syscall.Errno // nil = no call fails
+	failed map[string]int                  // calls that were made to fail, by number and error
+}
+
+// Fail sets which watched calls fail from now on, and how; nil = none. decide is called under a lock, one call at a time.
+func (s *Supervisor) Fail(decide func(call uint32) syscall.Errno) {
+	s.mu.Lock()
+	s.decide = decide
+	s.mu.Unlock()
+}
+
+// addFailed adds how many calls were made to fail to total, by number and error.
+func (s *Supervisor) addFailed(total map[string]int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for call, n := range s.failed {
+		total[call] += n
+	}
+}
+
+// decideCall returns the error of a call; 0 = it goes on.
+func (s *Supervisor) decideCall(call uint32) syscall.Errno {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.decide == nil {
+		return 0
+	}
+	errno := s.decide(call)
+	if errno != 0 {
+		if s.failed == nil {
+			s.failed = map[string]int{}
+		}
+		s.failed[fmt.Sprintf("%d %v", call, errno)]++
+	}
+	return errno
+}
+
+// serve answers the notifications of one process until it ends.
+func (s *Supervisor) serve(notifier int) {
+	defer unix.Close(notifier)
+	for {
+		ready := []unix.PollFd{{Fd: int32(notifier), Events: unix.POLLIN}}
+		if _, err := unix.Poll(ready, -1); err != nil && !errors.Is(err, unix.EINTR) {
+			return
+		}
+		if ready[0].Revents&unix.POLLIN == 0 {
+			if ready[0].Revents&(unix.POLLHUP|unix.POLLERR) != 0 {
+				return
+			}
+			continue
+		}
+		var n notification
+		if _, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(notifier), notifyReceive, uintptr(unsafe.Pointer(&n))); errno != 0 {
+			continue // the call was interrupted, or its process has ended
+		}
+		response := s.respond(&n)
+		unix.Syscall(unix.SYS_IOCTL, uintptr(notifier), notifySend, uintptr(unsafe.Pointer(&response)))
+	}
+}
+
+// respond decides a call. Opening another file than the watched one always goes on.
+func (s *Supervisor) respond(n *notification) notificationResponse {
+	goOn := notificationResponse{id: n.id, flags: notifyContinue}
+	if n.callNumber == unix.SYS_OPENAT && s.openedPath(n) != s.watchedFile {
+		return goOn
+	}
+	errno := s.decideCall(uint32(n.callNumber))
+	if errno == 0 {
+		return goOn
+	}
+	return notificationResponse{id: n.id, error: -int32(errno)}
+}
+
+// openedPath reads the path that a call of openat names; "" = it cannot be read.
+func (s *Supervisor) openedPath(n *notification) string {
+	b := make([]byte, len(s.watchedFile)+1) // enough to tell the watched file from others
+	local := []unix.Iovec{{Base: &b[0], Len: uint64(len(b))}}
+	remote := []unix.RemoteIovec{{Base: uintptr(n.args[1]), Len: len(b)}}
+	k, err := unix.ProcessVMReadv(int(n.pid), local, remote, 0)
+	if err != nil {
+		return ""
+	}
+	text, _, _ := bytes.Cut(b[:k], []byte{0})
+	return string(text)
+}
+
+// start starts a command under a supervisor. The command is this very program, which calls Launch.
+func (s *Supervisor) start(cmd *exec.Cmd) error {
+	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return err
+	}
+	childSide := os.NewFile(uintptr(pair[1]), "notifier")
+	cmd.ExtraFiles = []*os.File{childSide}
+	err = cmd.Start()
+	childSide.Close()
+	if err != nil {
+		unix.Close(pair[0])
+		return err
+	}
+	go s.receiveNotifier(pair[0])
+	return nil
+}
+
+// receiveNotifier receives the notifier that the launched process sends on a socket, and serves it until the process ends.
+func (s *Supervisor) receiveNotifier(socket int) {
+	defer unix.Close(socket)
+	rights := make([]byte, unix.CmsgSpace(4)) // of one descriptor
+	_, n, _, _, err := unix.Recvmsg(socket, make([]byte, 1), rights, 0)
+	if err != nil || n == 0 {
+		return // the launch has failed, and the process's log has the cause
+	}
+	messages, err := unix.ParseSocketControlMessage(rights[:n])
+	if err != nil {
+		return
+	}
+	descriptors, err := unix.ParseUnixRights(&messages[0])
+	if err != nil {
+		return
+	}
+	s.serve(descriptors[0])
+}
