--- a/lab/emulator/kvstate.go
+++ b/lab/emulator/kvstate.go
@@ -62,7 +62,14 @@
 }
 
 func (e *Engine) recordStateEnd(id string, state *kvState, cause string) {
-	e.log.Add(record.Record{Kind: record.StateEnd, Engine: e.ID, State: id, Op: state.mark.Operation, Try: state.mark.Attempt, Note: cause})
+	e.log.Add(record.Record{
+		Kind:   record.StateEnd,
+		Engine: e.ID,
+		State:  id,
+		Op:     state.mark.Operation,
+		Try:    state.mark.Attempt,
+		Note:   cause,
+	})
 }
 
 // maxReleaseBytes bounds the body of a release call.
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -91,7 +91,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("outcomes %v, at the end %v; %d closed without a response; failed calls %v", r.Outcomes, r.RecoveryOutcomes, r.Unanswered, r.FailedCalls)
+			t.Logf("outcomes %v, at the end %v; %d closed without a response; failed calls %v",
+				r.Outcomes, r.RecoveryOutcomes, r.Unanswered, r.FailedCalls)
 			for _, e := range r.Events {
 				t.Log(e)
 			}
