--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -23,7 +23,8 @@
 )
 
 func fleetCommand() *cobra.Command {
-	p := scenario.FleetPlan{Nodes: 60, Engines: 24, SessionsPerSecond: 100, Length: 60, NodeRestartsPerSecond: 1, EngineRestartsPerSecond: 0.1, ListDelay: 0.5, RestartAllNodes: true, Seed: 1}
+	p := scenario.FleetPlan{Nodes: 60, Engines: 24, SessionsPerSecond: 100, Length: 60, NodeRestartsPerSecond: 1,
+		EngineRestartsPerSecond: 0.1, ListDelay: 0.5, RestartAllNodes: true, Seed: 1}
 	var processes bool
 	var report, picture, trouble string
 	var release bool
--- a/internal/cli/relay_test.go
+++ b/internal/cli/relay_test.go
@@ -75,7 +75,8 @@
 	}
 	pause := func() { time.Sleep(250 * time.Millisecond) }
 	pause()
-	for _, f := range []platform.Fault{platform.NoiseForHead, platform.MalformedChunkSize, platform.EndlessHead, platform.HugeChunk, platform.CloseMidStream,
+	for _, f := range []platform.Fault{platform.NoiseForHead, platform.MalformedChunkSize, platform.EndlessHead, platform.HugeChunk,
+		platform.CloseMidStream,
 		platform.SecondResponse} {
 		showFault(t, f, engines[2:]...)
 		showFault(t, f, engines[2:]...)
@@ -101,7 +102,8 @@
 	stream := make(chan platform.Response, 1)
 	engines[3].TokenInterval = 100 * time.Millisecond
 	go func() {
-		stream <- p.Send(addr, platform.Request{Operation: "last", Class: "chat", Tenant: "branch", ResponseTokens: 8, Timeout: 3 * time.Second})
+		stream <- p.Send(addr, platform.Request{Operation: "last", Class: "chat", Tenant: "branch", ResponseTokens: 8,
+			Timeout: 3 * time.Second})
 	}()
 	time.Sleep(300 * time.Millisecond)
 	stopped := time.Now()
@@ -227,7 +229,8 @@
 				addr := l.Addr().String()
 				l.Close()
 				file := filepath.Join(t.TempDir(), "config.json")
-				if err := platform.WriteConfig(file, platform.ConfigText(platform.SettingsJSON, addr, d.Address(), known, 96, 256)); err != nil {
+				if err := platform.WriteConfig(file, platform.ConfigText(platform.SettingsJSON, addr, d.Address(), known, 96,
+					256)); err != nil {
 					t.Fatal(err)
 				}
 				prog := startRelay(t, addr, file)
@@ -235,7 +238,8 @@
 				stream := make(chan platform.Response, 1)
 				if listed {
 					go func() {
-						stream <- p.Send(addr, platform.Request{Operation: "a", Class: "chat", Tenant: "branch", ResponseTokens: 12, Timeout: 3 * time.Second})
+						stream <- p.Send(addr, platform.Request{Operation: "a", Class: "chat", Tenant: "branch", ResponseTokens: 12,
+							Timeout: 3 * time.Second})
 					}()
 					for w.StreamsStarted() == 0 {
 						time.Sleep(time.Millisecond)
@@ -310,7 +314,8 @@
 	}
 	stream := make(chan platform.Response, 1)
 	go func() {
-		stream <- p.Send(addr, platform.Request{Operation: "a", Class: "chat", Tenant: "branch", ResponseTokens: 12, Timeout: 3 * time.Second})
+		stream <- p.Send(addr, platform.Request{Operation: "a", Class: "chat", Tenant: "branch", ResponseTokens: 12,
+			Timeout: 3 * time.Second})
 	}()
 	for w.StreamsStarted() == 0 {
 		time.Sleep(time.Millisecond)
--- a/internal/node/chat_test.go
+++ b/internal/node/chat_test.go
@@ -202,7 +202,8 @@
 }
 
 func TestChatClientThatNeverReadsIsDisconnected(t *testing.T) {
-	harness := newChatHarness(t, emulators(1, 1, 0, func(harness *emulator.Settings) { harness.DecodeStepMS = 0.01; harness.DecodeStepPerSequenceMS = 0.001 }),
+	harness := newChatHarness(t, emulators(1, 1, 0,
+		func(harness *emulator.Settings) { harness.DecodeStepMS = 0.01; harness.DecodeStepPerSequenceMS = 0.001 }),
 		withLimits(map[string]any{"write_s": 0.3}))
 	request := harness.newRequest("chat", 60000)
 	request.MaxTokens = 60000
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -46,7 +46,8 @@
 	h.t.Helper()
 	request := h.newRequest("chat")
 	request.ID = "1eff"
-	h.platform.RegisterCall(request.ID, platform.Operation{Name: request.Operation, Class: request.Class, Attempt: 1, ResponseTokens: request.ResponseTokens})
+	h.platform.RegisterCall(request.ID, platform.Operation{Name: request.Operation, Class: request.Class, Attempt: 1,
+		ResponseTokens: request.ResponseTokens})
 	c, err := net.Dial("tcp", h.node.Addr().String())
 	if err != nil {
 		h.t.Fatal(err)
@@ -83,7 +84,8 @@
 		request := harness.newRequest([]string{"chat", "commit"}[i%2])
 		request.Timeout = time.Second
 		request.ID = fmt.Sprintf("%016x", 0x4a1f00+i)
-		harness.platform.RegisterCall(request.ID, platform.Operation{Name: request.Operation, Class: request.Class, ResponseTokens: request.ResponseTokens})
+		harness.platform.RegisterCall(request.ID, platform.Operation{Name: request.Operation, Class: request.Class,
+			ResponseTokens: request.ResponseTokens})
 		c, err := net.Dial("tcp", harness.node.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -104,7 +106,8 @@
 	rejectAttempts(engines, "w0")
 	request := harness.newRequest("chat")
 	request.ID = "1eff"
-	harness.platform.RegisterCall(request.ID, platform.Operation{Name: request.Operation, Class: request.Class, Attempt: 1, ResponseTokens: request.ResponseTokens})
+	harness.platform.RegisterCall(request.ID, platform.Operation{Name: request.Operation, Class: request.Class, Attempt: 1,
+		ResponseTokens: request.ResponseTokens})
 	c, err := net.Dial("tcp", harness.node.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/disconnect_phases_test.go
+++ b/internal/node/disconnect_phases_test.go
@@ -161,7 +161,8 @@
 				request := harness.newRequest("commit")
 				request.ID = "de04"
 				text := request.Encode()
-				harness.platform.RegisterCall(request.ID, platform.Operation{Name: request.Operation, Class: request.Class, ResponseTokens: request.ResponseTokens})
+				harness.platform.RegisterCall(request.ID, platform.Operation{Name: request.Operation, Class: request.Class,
+					ResponseTokens: request.ResponseTokens})
 				c, err := net.Dial("tcp", harness.node.Addr().String())
 				if err != nil {
 					t.Fatal(err)
--- a/internal/node/engine_faults_test.go
+++ b/internal/node/engine_faults_test.go
@@ -19,7 +19,8 @@
 		}
 		engines["w0"].QueueFaults(platform.DelayedSecondResponse)
 		request := harness.newRequest("chat")
-		if result := harness.send(request); result.Outcome != record.Served || result.Text != platform.ResponseText(request.Operation, request.ResponseTokens) {
+		if result := harness.send(request); result.Outcome != record.Served || result.Text != platform.ResponseText(request.Operation,
+			request.ResponseTokens) {
 			t.Errorf("request %d: got %+v, want its own response", i, result)
 		}
 	}
@@ -35,7 +36,8 @@
 			engines["w0"].QueueFaults(f)
 			request := harness.newRequest("commit")
 			result := harness.send(request)
-			if result.Outcome != record.Failed || result.Complete || !strings.HasPrefix(platform.ResponseText(request.Operation, request.ResponseTokens),
+			if result.Outcome != record.Failed || result.Complete || !strings.HasPrefix(platform.ResponseText(request.Operation,
+				request.ResponseTokens),
 				result.Text) || result.Text == "" {
 				t.Errorf("got %+v, want a stream that ends without its last chunk", result)
 			}
--- a/internal/node/golden_relay_test.go
+++ b/internal/node/golden_relay_test.go
@@ -63,7 +63,8 @@
 
 // goldenRelayRequest is a request in good order, whose id the platform knows.
 func (h *relayHarness) goldenRelayRequest(id, class string) string {
-	a := platform.Request{Operation: "op" + id, Class: class, Tenant: "branch", Session: "abc", ResponseTokens: 3, Timeout: 4 * time.Second, ID: id}
+	a := platform.Request{Operation: "op" + id, Class: class, Tenant: "branch", Session: "abc", ResponseTokens: 3,
+		Timeout: 4 * time.Second, ID: id}
 	h.platform.RegisterCall(id, platform.Operation{Name: a.Operation, Class: class, ResponseTokens: a.ResponseTokens})
 	return a.Encode()
 }
@@ -202,9 +203,12 @@
 		class string
 		fault platform.Fault
 	}{
-		{"commit", platform.InternalError}, {"commit", platform.Unavailable}, {"commit", platform.CloseBeforeResponse}, {"commit", platform.MalformedHead},
-		{"commit", platform.NoiseForHead}, {"commit", platform.CloseMidStream}, {"commit", platform.MalformedChunkSize}, {"commit", platform.ChunkSizeMismatch},
-		{"commit", platform.NoFinalEvent}, {"commit", platform.CloseInLastChunk}, {"chat", platform.CloseMidStream}, {"chat", platform.MalformedChunkSize},
+		{"commit", platform.InternalError}, {"commit", platform.Unavailable}, {"commit", platform.CloseBeforeResponse}, {"commit",
+			platform.MalformedHead},
+		{"commit", platform.NoiseForHead}, {"commit", platform.CloseMidStream}, {"commit", platform.MalformedChunkSize}, {"commit",
+			platform.ChunkSizeMismatch},
+		{"commit", platform.NoFinalEvent}, {"commit", platform.CloseInLastChunk}, {"chat", platform.CloseMidStream}, {"chat",
+			platform.MalformedChunkSize},
 		{"chat", platform.NoFinalEvent}, {"chat", platform.SecondResponse},
 	} {
 		t.Run(c.class+" "+string(c.fault), func(t *testing.T) {
--- a/internal/node/isolation_test.go
+++ b/internal/node/isolation_test.go
@@ -33,7 +33,8 @@
 	default:
 	}
 	close(g.opened)
-	if result := <-slowResult; result.Outcome != record.Served || result.Text != platform.ResponseText(slow.Operation, slow.ResponseTokens) {
+	if result := <-slowResult; result.Outcome != record.Served || result.Text != platform.ResponseText(slow.Operation,
+		slow.ResponseTokens) {
 		t.Errorf("got %+v, want its complete stream once it is read", result)
 	}
 	harness.requireNoViolations()
@@ -48,7 +49,8 @@
 	known := d.Snapshot()
 	d.SetFault("", true)
 	file := t.TempDir() + "/config.json"
-	if err := platform.WriteConfig(file, platform.ConfigText(platform.SettingsJSON, "127.0.0.1:0", d.Address(), known, 32, 256)); err != nil {
+	if err := platform.WriteConfig(file, platform.ConfigText(platform.SettingsJSON, "127.0.0.1:0", d.Address(), known, 32,
+		256)); err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
--- a/internal/node/relay_endpoints_test.go
+++ b/internal/node/relay_endpoints_test.go
@@ -41,7 +41,8 @@
 	// A new engine under a new id, at an address that another engine may have had.
 	n := harness.platform.StartEngine("w2", "write")
 	harness.discovery.Update("w2", func(x *platform.Endpoint) {
-		*x = platform.Endpoint{ID: "w2", Address: n.Address(), Zone: "z", Kind: "write", State: "up", Weight: 1, Started: time.Now().UnixMilli()}
+		*x = platform.Endpoint{ID: "w2", Address: n.Address(), Zone: "z", Kind: "write", State: "up", Weight: 1,
+			Started: time.Now().UnixMilli()}
 	})
 	time.Sleep(300 * time.Millisecond)
 	close(stop)
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -73,17 +73,20 @@
 
 // A stream that is malformed or cut after its first events closes the client's connection soon, without the last chunk.
 func TestRelayFaultsMidStreamEndTheClientConnection(t *testing.T) {
-	for _, f := range []platform.Fault{platform.MalformedChunkSize, platform.ChunkSizeMismatch, platform.HugeChunk, platform.CloseMidStream, platform.StallMidStream} {
+	for _, f := range []platform.Fault{platform.MalformedChunkSize, platform.ChunkSizeMismatch, platform.HugeChunk,
+		platform.CloseMidStream, platform.StallMidStream} {
 		t.Run(string(f), func(t *testing.T) {
 			harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
 			engines["w0"].QueueFaults(f)
 			request := harness.newRequest("chat")
 			result := harness.send(request)
-			if result.Outcome != record.Failed || result.Complete || result.Text == "" || !strings.HasPrefix(platform.ResponseText(request.Operation,
-				request.ResponseTokens), result.Text) {
+			if result.Outcome != record.Failed || result.Complete || result.Text == "" ||
+				!strings.HasPrefix(platform.ResponseText(request.Operation,
+					request.ResponseTokens), result.Text) {
 				t.Errorf("got %+v, want an incomplete stream", result)
 			}
-			if limit := map[bool]time.Duration{true: 5 * time.Second, false: 2 * time.Second}[f == platform.StallMidStream]; result.Duration > limit {
+			if limit := map[bool]time.Duration{true: 5 * time.Second,
+				false: 2 * time.Second}[f == platform.StallMidStream]; result.Duration > limit {
 				t.Errorf("the stream ended after %v, want at most %v", result.Duration, limit)
 			}
 			if n := harness.countRecords(record.Run, request.Operation); n != 1 {
@@ -101,7 +104,8 @@
 	engines["w0"].QueueFaults(platform.InterimResponses, platform.MalformedLoadReport, platform.SecondResponse, platform.NoFault)
 	for range 5 {
 		request := harness.newRequest("commit")
-		if result := harness.send(request); result.Outcome != record.Served || result.Text != platform.ResponseText(request.Operation, request.ResponseTokens) {
+		if result := harness.send(request); result.Outcome != record.Served || result.Text != platform.ResponseText(request.Operation,
+			request.ResponseTokens) {
 			t.Errorf("got %+v, want it served unchanged", result)
 		}
 	}
--- a/internal/node/time_budget_test.go
+++ b/internal/node/time_budget_test.go
@@ -45,7 +45,8 @@
 	for i, patience := range []time.Duration{3 * time.Second, 2 * time.Second, 500 * time.Millisecond} {
 		request := harness.newRequest("chat")
 		request.ID, request.Timeout = fmt.Sprintf("a1ea%d", i), patience
-		harness.platform.RegisterCall(request.ID, platform.Operation{Name: request.Operation, Class: request.Class, ResponseTokens: request.ResponseTokens})
+		harness.platform.RegisterCall(request.ID, platform.Operation{Name: request.Operation, Class: request.Class,
+			ResponseTokens: request.ResponseTokens})
 		asks[i] = request
 		text += request.Encode()
 	}
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -136,7 +136,7 @@
 	}
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set("Authorization", "Bearer "+cmp.Or(r.Key, c.Key))
-	request.Header.Set("X-Stainless-Retry-Count", strconv.Itoa(r.Mark.Try))
+	request.Header.Set("X-Stainless-Retry-Count", strconv.Itoa(r.Mark.Attempt))
 	if r.Patience > 0 {
 		request.Header.Set("X-Request-Timeout-Ms", strconv.FormatInt(r.Patience.Milliseconds(), 10))
 	}
@@ -181,7 +181,7 @@
 
 func (l attemptLog) record(kind record.Kind) record.Record {
 	mark := l.request.Mark
-	return record.Record{Kind: kind, Op: mark.Op, Try: mark.Try, Class: mark.Class, Node: l.node, Tenant: l.request.Tenant}
+	return record.Record{Kind: kind, Op: mark.Operation, Try: mark.Attempt, Class: mark.Class, Node: l.node, Tenant: l.request.Tenant}
 }
 
 func (l attemptLog) add(kind record.Kind) { l.log.Add(l.record(kind)) }
--- a/lab/client/response.go
+++ b/lab/client/response.go
@@ -37,7 +37,7 @@
 	if ms, err := strconv.Atoi(response.Header.Get("Retry-After-Ms")); err == nil {
 		result.RetryAfter = time.Duration(ms) * time.Millisecond
 	}
-	want, _ := emulator.Expected(r.Messages, r.Mark, r.MaxTokens)
+	want, _ := emulator.ExpectedResponse(r.Messages, r.Mark, r.MaxTokens)
 	switch {
 	case response.StatusCode != http.StatusOK:
 		result.readError(response.Body)
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -73,7 +73,7 @@
 		}()
 	}
 	wg.Wait()
-	emulator.CloseIdle()
+	emulator.CloseIdleConnections()
 }
 
 // Engine returns an engine by its id, or nil.
@@ -142,7 +142,7 @@
 		Zone:    m.Zone,
 		State:   state,
 	}
-	if at, restarted := engine.ColdBoot(); restarted {
+	if at, restarted := engine.ColdStarted(); restarted {
 		entry.BootTime = at
 	}
 	return entry
@@ -168,7 +168,7 @@
 }
 
 // UpdateListServer gives the list to a list server, which answers all nodes at once, and records the delivery to each node.
-func (f *Fleet) UpdateListServer(s Snapshot, server *emulator.ListServer, nodes []string) {
+func (f *Fleet) UpdateListServer(s Snapshot, server *emulator.ConsulServer, nodes []string) {
 	var instances []emulator.Instance
 	for _, e := range s.entries {
 		meta := map[string]string{"kind": e.Kind, "cell": e.Cell, "zone": e.Zone, "state": e.State}
@@ -178,7 +178,7 @@
 		instances = append(instances, emulator.Instance{ID: e.ID, Address: e.Address, Meta: meta})
 	}
 	before := record.Now()
-	server.Set(instances)
+	server.SetInstances(instances)
 	f.recordDelivery(s, before, nodes...)
 }
 
--- a/lab/knownfailures/verdict_test.go
+++ b/lab/knownfailures/verdict_test.go
@@ -44,7 +44,8 @@
 		{"listed but not run", green, "p.TestZ; it broke; 27", "was not run"},
 		{"a test that did not end", strings.Replace(green, `{"Action":"pass","Package":"p","Test":"TestA"}`, "", 1), "", "did not end"},
 		{"a package that did not end", green + `{"Action":"start","Package":"q"}`, "", "package q"},
-		{"a package that fails without a test", green + `{"Action":"start","Package":"q"}` + "\n" + `{"Action":"fail","Package":"q"}`, "", "package q"},
+		{"a package that fails without a test", green + `{"Action":"start","Package":"q"}` + "\n" + `{"Action":"fail","Package":"q"}`, "",
+			"package q"},
 		{"a package that does not build", green + `{"Action":"build-fail","ImportPath":"q [q.test]"}`, "", "package q"},
 		{"no test at all", "", "", "no test passed"},
 		{"output of something else", green + "killed\n", "", "no results"},
@@ -78,7 +79,8 @@
 func TestInvalidListsAreRefused(t *testing.T) {
 	flaky := "p.TestB; it breaks; 27; flaky "
 	for name, text := range map[string]string{
-		"a fourth line": strings.Repeat("p.TestB; it breaks; 27\n", 4), "no cause": "p.TestB; ; 27", "no issue": "p.TestB; it breaks", "prose": "see 27",
+		"a fourth line": strings.Repeat("p.TestB; it breaks; 27\n", 4), "no cause": "p.TestB; ; 27", "no issue": "p.TestB; it breaks",
+		"prose":                "see 27",
 		"a fourth line, flaky": strings.Repeat(flaky+"2/10\n", 4), "a fifth field": flaky + "2/10; more",
 		"no cause, flaky": "p.TestB; ; 27; flaky 2/10",
 	} {
@@ -95,7 +97,8 @@
 func TestInvalidFailureRatesAreRefused(t *testing.T) {
 	for _, field := range []string{
 		"", "flaky", "flaky ", "2/10", "sometimes 2/10", "flaky2/10", "flaky 2", "flaky 2/", "flaky /10", "flaky 0/10", "flaky 10/10",
-		"flaky 11/10", "flaky 0/0", "flaky -1/10", "flaky 2/-10", "flaky +2/10", "flaky 2.5/10", "flaky 20%", "flaky 2/10/20", "flaky 2/10 or so",
+		"flaky 11/10", "flaky 0/0", "flaky -1/10", "flaky 2/-10", "flaky +2/10", "flaky 2.5/10", "flaky 20%", "flaky 2/10/20",
+		"flaky 2/10 or so",
 	} {
 		line := "p.TestB; it breaks; 27; " + field
 		_, err := parseKnownFailures("p.TestA; it breaks; 26\n\n" + line)
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -30,8 +30,9 @@
 	var members []fleet.Member
 	for _, id := range []string{"prefill-1", "decode-1", "decode-2"} {
 		role := id[:len(id)-2]
-		members = append(members, fleet.Member{Kind: role, Settings: emulator.Settings{ID: id, Role: role, StepMS: 2, ReadPerS: 1e5,
-			LocalRead: true, ColdS: 30, ColdShare: 0.3, Slots: 4, Queue: 200}})
+		members = append(members, fleet.Member{Kind: role, Settings: emulator.Settings{ID: id, Role: role, DecodeStepMS: 2,
+			PrefillTokensPerSecond: 1e5,
+			LocalPrefill:           true, SlowStartSeconds: 30, SlowStartShare: 0.3, Slots: 4, QueueLimit: 200}})
 	}
 	engineFleet := fleet.New(members, log)
 	if err := engineFleet.Start(); err != nil {
@@ -83,9 +84,9 @@
 	for i := range requests {
 		request := client.Request{Model: "m", Patience: 1500 * time.Millisecond, MaxTokens: 100,
 			Messages: []emulator.Message{{Role: "user", Content: fmt.Sprint("q", i)}},
-			Mark:     emulator.Mark{Op: fmt.Sprint("op", i), Class: "commit", Answer: 12}}
+			Mark:     emulator.Mark{Operation: fmt.Sprint("op", i), Class: "commit", ResponseTokens: 12}}
 		if s.defect == faultyrouter.FloodsColdEngine {
-			request.Mark.Answer = 40
+			request.Mark.ResponseTokens = 40
 			request.Patience = 10 * time.Second
 		}
 		if s.changeRequest != nil {
@@ -129,17 +130,17 @@
 	cutStreamsAfter := func(k int) func(f *fleet.Fleet) {
 		return func(f *fleet.Fleet) {
 			for _, id := range []string{"decode-1", "decode-2"} {
-				f.Engine(id).SetFaults(emulator.Faults{CutAfter: &k})
+				f.Engine(id).SetFaults(emulator.Faults{CloseAfter: &k})
 			}
 		}
 	}
 	cutBodies := func(f *fleet.Fleet) {
-		f.Engine("decode-1").SetFaults(emulator.Faults{CutBody: true})
-		f.Engine("decode-2").SetFaults(emulator.Faults{CutBody: true})
+		f.Engine("decode-1").SetFaults(emulator.Faults{TruncatedBody: true})
+		f.Engine("decode-2").SetFaults(emulator.Faults{TruncatedBody: true})
 	}
 	rejectWithError := func(f *fleet.Fleet) {
-		f.Engine("decode-1").SetFaults(emulator.Faults{Reject: 500})
-		f.Engine("decode-2").SetFaults(emulator.Faults{Reject: 500})
+		f.Engine("decode-1").SetFaults(emulator.Faults{RejectStatus: 500})
+		f.Engine("decode-2").SetFaults(emulator.Faults{RejectStatus: 500})
 	}
 	for _, s := range []scene{
 		{defect: faultyrouter.None, brokenRule: -1},
--- a/lab/scenario/clients.go
+++ b/lab/scenario/clients.go
@@ -125,7 +125,7 @@
 	}
 	messages := []emulator.Message{{Role: "system", Content: r.systemPrompt(s)}}
 	for turn := 0; ; turn++ {
-		words := emulator.Words(seed*31+uint64(turn), r.drawTurnTokens(s)+4)
+		words := emulator.PromptText(seed*31+uint64(turn), r.drawTurnTokens(s)+4)
 		messages = append(messages, emulator.Message{Role: "user", Content: words})
 		drawnTokens := lognormal(rng, s.class.AnswerTokens, s.class.AnswerSigma)
 		responseTokens := int(max(2, min(float64(s.class.MaxTokens), drawnTokens)))
@@ -160,14 +160,14 @@
 	hotShare, hotSeed := r.hotShare, r.hotSeed
 	r.mu.Unlock()
 	if hotShare > 0 && s.rng.Float64() < hotShare {
-		return emulator.Words(hotSeed, max(hotPrefixTokens, s.class.PrefixTokens))
+		return emulator.PromptText(hotSeed, max(hotPrefixTokens, s.class.PrefixTokens))
 	}
 	if s.class.Prefixes > 0 && s.rng.Float64() < s.class.PrefixShare {
 		x := s.rng.Float64()
 		prefix := int(x * x * float64(s.class.Prefixes)) // the square makes a few prefixes common
-		return emulator.Words(uint64(1000+prefix), s.class.PrefixTokens)
+		return emulator.PromptText(uint64(1000+prefix), s.class.PrefixTokens)
 	}
-	return emulator.Words(s.seed*7919, ownPrefixTokens)
+	return emulator.PromptText(s.seed*7919, ownPrefixTokens)
 }
 
 // newRequest draws the request of an operation.
@@ -191,7 +191,7 @@
 		NoStream:  s.rng.Float64() < s.class.NoStreamShare,
 		Key:       apiKey(*s.tenant),
 		Tenant:    s.tenant.Name,
-		Mark:      emulator.Mark{Op: op, Class: s.class.Name, Answer: responseTokens},
+		Mark:      emulator.Mark{Operation: op, Class: s.class.Name, ResponseTokens: responseTokens},
 	}
 	if s.rng.Float64() < r.script.Clients.DisconnectShare {
 		request.DisconnectAfter = 1 + s.rng.IntN(max(1, responseTokens))
@@ -204,7 +204,7 @@
 func (r *run) runOperation(s *session, op string, messages []emulator.Message, responseTokens int) (text string, correct bool) {
 	request := r.newRequest(s, op, messages, responseTokens)
 	for attempt := 0; ; attempt++ {
-		request.Mark.Try = attempt
+		request.Mark.Attempt = attempt
 		slot := r.pickNode(s.rng)
 		r.mu.Lock()
 		address := slot.address
--- a/lab/scenario/enginefaults.go
+++ b/lab/scenario/enginefaults.go
@@ -82,7 +82,7 @@
 		done := float64(step+1) / steps
 		for _, e := range engines {
 			e.ChangeFaults(func(faults *emulator.Faults) {
-				faults.Slow = 1 + (cmp.Or(f.Size, defaultSlow)-1)*done
+				faults.SlowFactor = 1 + (cmp.Or(f.Size, defaultSlow)-1)*done
 			})
 		}
 		if !r.sleepUntil(f.At + f.Len*slowPart*done) {
@@ -118,11 +118,11 @@
 		if m.Zone == zone {
 			cut = outside
 		}
-		r.fleet.Engine(m.ID).ChangeFaults(func(faults *emulator.Faults) { faults.Cut = cut })
+		r.fleet.Engine(m.ID).ChangeFaults(func(faults *emulator.Faults) { faults.UnreachablePeers = cut })
 	}
 	return func() {
 		for _, m := range members {
-			r.fleet.Engine(m.ID).ChangeFaults(func(faults *emulator.Faults) { faults.Cut = nil })
+			r.fleet.Engine(m.ID).ChangeFaults(func(faults *emulator.Faults) { faults.UnreachablePeers = nil })
 		}
 	}
 }
@@ -146,7 +146,7 @@
 	i := slices.IndexFunc(r.script.Kinds, func(k Kind) bool { return k.Name == f.To })
 	for _, e := range r.affectedEngines(f, defaultPart) {
 		e.Kill()
-		e.Become(r.script.Kinds[i].Role)
+		e.SetRole(r.script.Kinds[i].Role)
 		r.fleet.SetKind(e.ID, f.To)
 		if err := e.Start(true); err != nil {
 			fmt.Fprintln(r.options.Out, e.ID, "does not come back:", err)
@@ -174,7 +174,7 @@
 		if at > f.At+f.Len || !r.sleepUntil(at) {
 			return nil
 		}
-		if _, up := engine.Booted(); !up {
+		if _, up := engine.Started(); !up {
 			continue
 		}
 		restart := r.stopEngines([]*emulator.Engine{engine})
--- a/lab/scenario/faults.go
+++ b/lab/scenario/faults.go
@@ -23,14 +23,14 @@
 		"crash":          (*run).crash,
 		"mass_restart":   (*run).massRestart,
 		"zone_loss":      (*run).zoneLoss,
-		"fast_errors":    engineFault(func(e *emulator.Faults, f Fault) { e.Errors = cmp.Or(f.Size, 0.8) }),
-		"origin_slow":    engineFault(func(e *emulator.Faults, f Fault) { e.LinkSlow = cmp.Or(f.Size, 4) }),
-		"report_late":    engineFault(func(e *emulator.Faults, f Fault) { e.ReportLate = cmp.Or(f.Size, 10) }),
-		"handshake_slow": engineFault(func(e *emulator.Faults, f Fault) { e.HandshakeMS = cmp.Or(f.Size, 100) }),
+		"fast_errors":    engineFault(func(e *emulator.Faults, f Fault) { e.ErrorShare = cmp.Or(f.Size, 0.8) }),
+		"origin_slow":    engineFault(func(e *emulator.Faults, f Fault) { e.TransferSlowFactor = cmp.Or(f.Size, 4) }),
+		"report_late":    engineFault(func(e *emulator.Faults, f Fault) { e.LoadReportSlowFactor = cmp.Or(f.Size, 10) }),
+		"handshake_slow": engineFault(func(e *emulator.Faults, f Fault) { e.HandshakeDelayMS = cmp.Or(f.Size, 100) }),
 		"silent":         engineFault(func(e *emulator.Faults, _ Fault) { e.Silent = true }),
 		"cut_streams": engineFault(func(e *emulator.Faults, f Fault) {
 			events := int(f.Size)
-			e.CutAfter = &events
+			e.CloseAfter = &events
 		}),
 		"pauses": engineFault(func(e *emulator.Faults, f Fault) {
 			e.PauseMS = cmp.Or(f.Size, 150)
--- a/lab/scenario/run.go
+++ b/lab/scenario/run.go
@@ -62,7 +62,7 @@
 	log        *record.Log
 	fleet      *fleet.Fleet
 	client     *client.Client
-	listServer *emulator.ListServer // nil = a list file for each node
+	listServer *emulator.ConsulServer // nil = a list file for each node
 	nodes      []*nodeSlot
 	start      time.Time
 	ctx        context.Context // ends the run early
@@ -118,7 +118,7 @@
 	}
 	defer r.fleet.Stop()
 	if script.List.Server {
-		r.listServer = emulator.NewListServer(1)
+		r.listServer = emulator.NewConsulServer(1)
 		if err := r.listServer.Start(); err != nil {
 			return nil, err
 		}
@@ -224,21 +224,21 @@
 	var members []fleet.Member
 	r.script.eachEngine(func(id string, k Kind, g Group) {
 		members = append(members, fleet.Member{Kind: k.Name, Cell: g.Cell, Zone: g.Zone, Settings: emulator.Settings{
-			ID:           id,
-			Role:         k.Role,
-			Slots:        k.Slots,
-			Queue:        k.Queue,
-			MemoryTokens: k.MemoryTokens,
-			ReadPerS:     k.PrefillTokensPerSecond * g.Speed,
-			StepMS:       k.StepMS / g.Speed,
-			PerSeqMS:     k.PerSeqMS / g.Speed,
-			MovePerS:     k.TransferTokensPerSecond,
-			ColdShare:    k.SlowStartShare,
-			ColdS:        k.SlowStartSeconds,
-			ReportMS:     k.ReportMS,
-			LocalRead:    r.script.Limits.LocalPrefill,
-			StateTTL:     30,
-			Seed:         r.script.Seed*1000 + uint64(len(members)),
+			ID:                      id,
+			Role:                    k.Role,
+			Slots:                   k.Slots,
+			QueueLimit:              k.Queue,
+			MemoryTokens:            k.MemoryTokens,
+			PrefillTokensPerSecond:  k.PrefillTokensPerSecond * g.Speed,
+			DecodeStepMS:            k.StepMS / g.Speed,
+			DecodeStepPerSequenceMS: k.PerSeqMS / g.Speed,
+			TransferTokensPerSecond: k.TransferTokensPerSecond,
+			SlowStartShare:          k.SlowStartShare,
+			SlowStartSeconds:        k.SlowStartSeconds,
+			LoadReportIntervalMS:    k.ReportMS,
+			LocalPrefill:            r.script.Limits.LocalPrefill,
+			StateTTLSeconds:         30,
+			Seed:                    r.script.Seed*1000 + uint64(len(members)),
 		}})
 	})
 	return members
