--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -1,17 +1,17 @@
 package scheduler
 
-// This file is what a Scheduler asks for: the actions, which the host carries out in order.
+// This file defines the output of a Scheduler: the actions, which the host carries out in order.
 
-// Action is something that the host is to do.
+// Action is something that the host must do: an output of [Scheduler.Step].
 type Action interface{ action() }
 
-// Send starts an attempt of a request at an engine. Attempts of a request are numbered from 0 in the order of their sends.
+// Send starts an attempt of a request at an engine. Attempts of a request are numbered from 0 in the order of their Send actions.
 type Send struct {
 	ID, Engine string
-	Timeout    float64 // seconds; 0 = until the client gives up
+	Timeout    float64 // seconds; 0 = until the client's timeout
 }
 
-// Cancel ends the wait for an attempt. Its outcome still follows.
+// Cancel cancels an attempt. Its outcome still follows.
 type Cancel struct {
 	ID      string
 	Attempt int
@@ -20,13 +20,13 @@
 // Reserve reserves a slot and memory at a decode engine for a request that is being prefilled.
 type Reserve struct{ ID, Engine string }
 
-// Release releases each state and place that engines reserve for a request.
+// Release releases every state and slot that engines reserve for a request.
 type Release struct{ ID string }
 
-// Reject is a final response with the promise that a retry by the client is harmless.
+// Reject is a final response that promises that a retry by the client is harmless.
 type Reject struct {
 	ID         string
-	RetryAfter float64 // seconds; 0 = no delay is given to the client
+	RetryAfter float64 // delay for the client, in seconds; 0 = none is sent
 	Reason     GiveUpReason
 }
 
@@ -36,10 +36,10 @@
 	Reason GiveUpReason
 }
 
-// GiveUpReason says why a request is given up. It is a text for operators and clients; no decision depends on it.
+// GiveUpReason is why a request is rejected or failed. It is a text for operators and clients; no decision depends on it.
 type GiveUpReason string
 
-// Reasons to give up.
+// Reasons for a Reject or Fail.
 const (
 	DeadlineNear         GiveUpReason = "its time is nearly up"
 	ObjectiveUnreachable GiveUpReason = "no engine can begin the answer while it has any worth"
@@ -47,22 +47,22 @@
 	RepeatUnsafe         GiveUpReason = "a further attempt could run it twice"
 )
 
-// SetTimer asks for a TimerFired with the token at a time.
+// SetTimer requests a TimerFired with the token at a time.
 type SetTimer struct {
 	At    float64
 	Token int64
 }
 
-// Probe asks an engine for its health and load.
+// Probe requests the health and load of an engine.
 type Probe struct{ Engine string }
 
 // WatchEndpoints starts or ends a subscription to changes of the endpoint list.
 type WatchEndpoints struct{ On bool }
 
-// FetchEndpoints asks for a complete snapshot of the endpoint list once.
+// FetchEndpoints requests one complete snapshot of the endpoint list.
 type FetchEndpoints struct{}
 
-// Log is a line for the operators.
+// Log writes a log line for the operators.
 type Log struct{ Text string }
 
 func (Send) action()           {}
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -6,21 +6,23 @@
 	"slices"
 )
 
-// This file is SABER's admission control (paper, section IV-C and algorithm 1): two tiers, a random draw from the head
-// of the high tier, and a test of each drawn request against the concurrency curve and its first-token objective.
+// This file implements SABER's admission control (paper, section IV-C and algorithm 1): two tiers, a random draw from the
+// head of the high tier, and a test of each drawn request against the concurrency curve and its first-token objective.
 
 const (
 	// drawWindowSize is the number of requests at the head of the high tier from which one is drawn ("windowSize" in the paper).
 	drawWindowSize = 4
-	// prefillSlack is the factor on its prediction that a prefill may take in the first-token test, as queues grow unseen.
+	// prefillSlack is the multiple of its predicted time that the first-token test allows a prefill, because queues can grow
+	// without this node seeing it.
 	prefillSlack = 1.8
-	// idleObjectiveShare is the share of its first-token objective that a prefill on an idle engine may take.
+	// idleObjectiveShare is the share of the first-token objective that a prefill on an idle engine may take.
 	idleObjectiveShare = 0.9
-	// affinityFactor is the factor on the next candidate's time to first token from which the preferred replica is passed over.
+	// affinityFactor is the multiple of a later candidate's time to first token that must be less than the preferred replica's
+	// time for the replica to be passed over.
 	affinityFactor = 2
-	// affinitySlack is the time in seconds that is added to that bound.
+	// affinitySlack is the time in seconds that is added to that multiple.
 	affinitySlack = 0.1
-	// affinityCandidates is the number of prefill candidates in rendezvous order that are tested.
+	// affinityCandidates is the number of prefill candidates, in rendezvous order, that are tested.
 	affinityCandidates = 4
 )
 
@@ -29,8 +31,8 @@
 	prefill, decode *engine
 }
 
-// sortByDeadline orders a tier: requests beyond their tenant's quota last, then by the time at which the first token is due
-// (design, "the high tier is kept by deadline").
+// sortByDeadline orders a tier by the time at which the first token is due, after moving requests that exceed their tenant's
+// quota to its end (design, "the high tier is kept by deadline").
 func sortByDeadline(tier []*request) {
 	slices.SortStableFunc(tier, func(a, b *request) int {
 		return cmp.Or(compareBools(a.overQuota, b.overQuota), cmp.Compare(a.firstTokenDue, b.firstTokenDue))
@@ -48,8 +50,8 @@
 	return 1
 }
 
-// admitHighTier tests a request drawn from the head of the tier (algorithm 1, lines 5 to 16), until none passes. It returns
-// the requests that wait.
+// admitHighTier admits requests drawn from the tier (algorithm 1, lines 5 to 16) until no drawn request passes the tests. It
+// returns the requests that still wait.
 func (s *Scheduler) admitHighTier(tier []*request) []*request {
 	for {
 		admitted := s.admitOneOf(tier)
@@ -60,7 +62,7 @@
 	}
 }
 
-// admitOneOf admits the first drawn request that passes, and returns its index, or -1.
+// admitOneOf admits the first drawn request that passes the tests, and returns its index, or -1 if none passes.
 func (s *Scheduler) admitOneOf(tier []*request) int {
 	for _, i := range s.drawWindow(len(tier)) {
 		if s.admit(tier[i], false) {
@@ -70,8 +72,9 @@
 	return -1
 }
 
-// drawWindow draws the first few indices of a tier in random order, then as many of the others. Without the others, requests at
-// the head that are just too late to pass would block all behind them until those are as late.
+// drawWindow returns the first drawWindowSize of n indices in random order, followed by at most as many random indices of the
+// others. Without the others, requests at the head that are just too late to pass would block all requests behind them until those
+// are as late.
 func (s *Scheduler) drawWindow(n int) []int {
 	drawn := s.rng.Perm(min(drawWindowSize, n))
 	for range min(drawWindowSize, n-drawWindowSize) {
@@ -80,8 +83,8 @@
 	return drawn
 }
 
-// admitLowTier serves the low tier on a best-effort basis while the high tier is empty (algorithm 1, lines 18 to 21). It
-// stops after a few requests that don't pass, as thousands may wait.
+// admitLowTier admits requests of the low tier on a best-effort basis while the high tier is empty (algorithm 1, lines 18 to
+// 21). It stops after a few requests that don't pass, because thousands may wait.
 func (s *Scheduler) admitLowTier(tier []*request) {
 	failed := 0
 	for _, req := range tier {
@@ -94,11 +97,12 @@
 	}
 }
 
-// admit starts a queued request at the best pair of engines that passes the tests, and tells whether it did.
-func (s *Scheduler) admit(req *request, low bool) bool {
+// admit sends a queued request to the best pair of engines that passes the tests or, as a last resort, to one engine that
+// prefills and decodes it. It reports whether the request was sent.
+func (s *Scheduler) admit(req *request, lowTier bool) bool {
 	candidates := s.prefillCandidates(req)
 	if s.attemptsLeft(req) >= 2 {
-		if pair := s.bestPairing(req, candidates, low); pair.prefill != nil {
+		if pair := s.bestPairing(req, candidates, lowTier); pair.prefill != nil {
 			s.startPairing(req, pair)
 			return true
 		}
@@ -107,9 +111,9 @@
 	return lastResort && s.admitWithoutPrefillEngine(req)
 }
 
-// bestPairing goes through the first candidates in order. The preferred replica is passed over only for a candidate that has
-// the first token in less than half the time.
-func (s *Scheduler) bestPairing(req *request, candidates []*engine, low bool) pairing {
+// bestPairing returns the best pairing with one of the first candidates, or a zero pairing if none passes. The preferred replica
+// is passed over only for a candidate that has the first token in less than half the time.
+func (s *Scheduler) bestPairing(req *request, candidates []*engine, lowTier bool) pairing {
 	var best pairing
 	bound := math.Inf(1) // time to first token that a later candidate must beat, after affinityFactor and affinitySlack
 	for _, candidate := range candidates[:min(affinityCandidates, len(candidates))] {
@@ -117,10 +121,10 @@
 		if affinitySlack+affinityFactor*seconds >= bound {
 			continue
 		}
-		if low && !s.delaysNobody(candidate, seconds) && !s.mayExplore() {
+		if lowTier && !s.delaysNoNewRequest(candidate, seconds) && !s.mayExplore() {
 			continue
 		}
-		decode := s.decodeEngineFor(req, candidate, seconds, low)
+		decode := s.decodeEngineFor(req, candidate, seconds, lowTier)
 		if decode == nil {
 			continue
 		}
@@ -143,10 +147,11 @@
 	}
 }
 
-// decodeEngineFor returns the engine that would decode what a candidate prefills in the given seconds, or nil: a mixed engine
-// itself if it passes, so that no state is transferred, else the best decode engine that passes.
-func (s *Scheduler) decodeEngineFor(req *request, candidate *engine, seconds float64, low bool) *engine {
-	timeLeft := s.timeAfterPrefill(req, candidate, seconds, low)
+// decodeEngineFor returns the engine that would decode what a candidate prefills in the given seconds, or nil. For a mixed
+// candidate that is the candidate itself if it passes the tests, so that no state is transferred; for a prefill engine it is the
+// best decode engine that passes.
+func (s *Scheduler) decodeEngineFor(req *request, candidate *engine, seconds float64, lowTier bool) *engine {
+	timeLeft := s.timeAfterPrefill(req, candidate, seconds, lowTier)
 	if candidate.role != Mixed {
 		return s.bestDecodeEngine(req, candidate, timeLeft, s.mayExplore())
 	}
@@ -157,31 +162,32 @@
 	return candidate
 }
 
-// timeAfterPrefill is what a prefill of the given seconds leaves of the time until the first token is due. An objective that
-// is too short for the slack on an idle engine is tested with the slack that it leaves, as its class would never be sent
-// otherwise. The low tier and an exploration request have no objective to meet.
-func (s *Scheduler) timeAfterPrefill(req *request, candidate *engine, seconds float64, low bool) float64 {
-	if low || s.mayExplore() {
+// timeAfterPrefill returns the time that remains until the first token is due after a prefill that takes prefillSlack times the
+// given seconds. If an objective is too short for that factor even on an idle engine, the factor is reduced to what the objective
+// allows; otherwise requests of its class would never be sent. The result is infinite for the low tier and for an exploration
+// request, which have no objective to meet.
+func (s *Scheduler) timeAfterPrefill(req *request, candidate *engine, seconds float64, lowTier bool) float64 {
+	if lowTier || s.mayExplore() {
 		return math.Inf(1)
 	}
-	objective := req.firstTokenDue - req.arrived - s.bestFirstToken.latency
-	alone := (s.uncachedTokens(req, candidate) + prefillOverhead) * s.prefillSecondsPerToken(candidate)
+	objective := req.firstTokenDue - req.arrived - s.firstTokenBound.latency
+	idleSeconds := (s.uncachedTokens(req, candidate) + prefillOverhead) * s.prefillSecondsPerToken(candidate)
 	slack := float64(prefillSlack)
-	if idleObjectiveShare*seconds <= alone { // nothing is queued there
-		slack = max(1, min(prefillSlack, idleObjectiveShare*objective/alone))
+	if idleObjectiveShare*seconds <= idleSeconds { // nothing is queued there
+		slack = max(1, min(prefillSlack, idleObjectiveShare*objective/idleSeconds))
 	}
 	return req.firstTokenDue - s.now - slack*seconds
 }
 
-// delaysNobody tells whether an engine can prefill, in the given seconds, a request that is late anyway and make no other
-// late: a newcomer of any class right behind it would still start in time, by the error that predictions have lately had.
-// The test is needed because an empty high tier here doesn't mean that those of the other routers are empty.
-func (s *Scheduler) delaysNobody(candidate *engine, seconds float64) bool {
+// delaysNoNewRequest reports whether an engine can prefill, in the given seconds, a request that is late anyway without making others
+// late: a new request of any class that arrives right behind it must still start in time, with a margin for the recent prediction
+// error. The test is needed because an empty high tier at this node doesn't mean that those of the other nodes are empty.
+func (s *Scheduler) delaysNoNewRequest(candidate *engine, seconds float64) bool {
 	seconds += predictionErrorFactor * s.predictionError[candidate.role].get(s.now, 0, 0)
 	for i, class := range s.cfg.Classes {
 		prompt := s.classes[i].promptTokens.mean
 		objective := class.FirstTokenObjective + class.ObjectivePer1KTokens*prompt/1000
-		// An objective that is too short for any engine isn't met by letting the late request wait.
+		// An objective that is too short for any engine can't be met by delaying the late request.
 		attainable := objective > prefillSlack*(prompt+prefillOverhead)*initialPrefillSecondsPerToken
 		if attainable && prefillSlack*(seconds+(prompt+prefillOverhead)*s.prefillSecondsPerToken(candidate)) > objective {
 			return false
@@ -190,18 +196,18 @@
 	return true
 }
 
-// admitWithoutPrefillEngine has a mixed engine, or a decode engine where the site lets it, prefill and decode a request that
-// has no prefill engine in sight or one attempt left. While prefill engines are merely late, only they prefill: decode engines
-// that prefill fall behind, and the fleet with them (incidents i263144 and iaa9861).
+// admitWithoutPrefillEngine sends a request that has no prefill candidate, or only one attempt left, to an engine that prefills and
+// decodes it: a mixed engine or, with DecodeEnginesPrefill, a decode engine. It is not used while prefill engines are merely
+// late, because decode engines that prefill fall behind and slow down the whole fleet (incidents i263144 and iaa9861).
 func (s *Scheduler) admitWithoutPrefillEngine(req *request) bool {
 	var best *engine
-	most := math.Inf(-1)
+	bestAmount := math.Inf(-1)
 	for _, candidate := range s.eligibleEngines(func(e *engine) bool {
 		prefills := e.role == Mixed || e.role == Decode && s.cfg.DecodeEnginesPrefill
 		return prefills && s.repeatAllowed(req, e) && s.slowStartAllows(req, e)
 	}) {
-		if left := s.spareCapacity(candidate, req); left.passes() && left.amount > most {
-			best, most = candidate, left.amount
+		if remaining := s.spareCapacity(candidate, req); remaining.passes() && remaining.amount > bestAmount {
+			best, bestAmount = candidate, remaining.amount
 		}
 	}
 	if best == nil {
--- a/scheduler/affinity.go
+++ b/scheduler/affinity.go
@@ -8,32 +8,32 @@
 	"slices"
 )
 
-// This file chooses the engines that are likely to have a request's prefix or session cached. The ordinary path pairs
-// a prefill engine by hash of the shared prefix with a decode engine of the same cell (design, "Our pairing").
+// This file chooses the engines that are likely to have a request's prefix or session cached. The main path pairs a prefill
+// engine, chosen by a hash of the shared prefix, with a decode engine of the same cell (design, "Our pairing").
 
 const (
 	// prefixWindow is the time constant, in seconds, over which the share of each prefix in the arrivals is averaged.
 	prefixWindow = 30.0
-	// prefixPrior is the number of requests with other prefixes that are added to the arrivals.
+	// prefixPrior is the number of requests with other prefixes that are added to the arrivals as a prior.
 	prefixPrior = 5
-	// maxAffinityWeight is the largest weight of a prefill engine in the hashing of prefixes; one is an even share.
+	// maxAffinityWeight is the largest weight of a prefill engine in the hashing of prefixes; 1 is an equal share.
 	maxAffinityWeight = 1.2
-	// minAffinityWeight is the least weight of a prefill engine in the hashing of prefixes.
+	// minAffinityWeight is the smallest weight of a prefill engine in the hashing of prefixes.
 	minAffinityWeight = 0.5
-	// mixedAffinityWeight is the weight of a mixed engine in the hashing of prefixes, as it decodes too.
+	// mixedAffinityWeight is the weight of a mixed engine in the hashing of prefixes. It is small because the engine decodes too.
 	mixedAffinityWeight = 0.5
-	// sessionIdleTime is the time in seconds after which an idle session or prefix is forgotten.
+	// sessionIdleTime is the time in seconds after which an idle session or prefix is evicted.
 	sessionIdleTime = 60.0
 )
 
-// session is the latest prefill of a client's session.
+// session records the latest prefill of a client's session.
 type session struct {
 	promptTokens  float64
 	usedAt        float64
 	prefillEngine *engine
 }
 
-// rendezvousHash hashes a key and an engine's ID to a number between 0 and 1. Similar IDs get unrelated numbers.
+// rendezvousHash hashes a key and an engine's ID to a number between 0 and 1. Similar IDs get uncorrelated numbers.
 func rendezvousHash(key, id string) float64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(id))
@@ -51,9 +51,9 @@
 	slices.SortFunc(engines, func(a, b *engine) int { return cmp.Compare(b.rendezvousScore, a.rendezvousScore) })
 }
 
-// prefillCandidates returns the engines that may prefill a request, its preferred replica first: in weighted rendezvous
-// order of the prefix, or of the session where it has none, which is the same at all routers. A hot prefix has several
-// preferred replicas, by its share of the arrivals; sessions are spread over them.
+// prefillCandidates returns the engines that may prefill a request, its preferred replica first. They are in weighted rendezvous
+// order of the prefix, or of the session if the request has no prefix; the order is the same at all nodes. A hot prefix has
+// several preferred replicas, in proportion to its share of the arrivals; its sessions are spread over them.
 func (s *Scheduler) prefillCandidates(req *request) []*engine {
 	candidates := s.retryCandidates(req, s.eligibleEngines(func(e *engine) bool {
 		return e.role != Decode && s.repeatAllowed(req, e) && s.slowStartAllows(req, e)
@@ -68,7 +68,7 @@
 	return candidates
 }
 
-// prefixShare is the share of a prefix in this router's arrivals.
+// prefixShare returns the share of a prefix in this node's arrivals.
 func (s *Scheduler) prefixShare(prefix string) float64 {
 	rate := s.prefixRates[prefix]
 	return rate.get(s.now, 1) / (s.prefixArrivals.get(s.now, 1) + prefixPrior)
@@ -81,37 +81,37 @@
 	s.prefixRates[prefix] = rate
 }
 
-// cachedPrefixTokens predicts how many tokens of a prompt an engine has cached: all of the session's latest prompt where the
-// engine prefilled it, else the mean share of shared prefixes that was found cached there.
+// cachedPrefixTokens predicts how many tokens of a prompt an engine has cached: all of the session's latest prompt if the engine
+// prefilled it, else the mean share of shared prefixes that was found cached there.
 func (s *Scheduler) cachedPrefixTokens(req *request, target *engine) float64 {
 	if latest, ok := s.sessions[req.Session]; ok && latest.prefillEngine == target && latest.usedAt > target.BootTime {
 		return min(latest.promptTokens, req.PromptTokens)
 	}
-	share := target.prefixHit.get(s.now, s.kinds[target.Kind].prefixHit.get(s.now, 0, 0), prefillWaitForget)
+	share := target.prefixHitRate.get(s.now, s.kinds[target.Kind].prefixHitRate.get(s.now, 0, 0), prefillWaitDecayTime)
 	return share * min(req.PrefixTokens, req.PromptTokens)
 }
 
-// learnPrefixHit takes the share of a shared prefix that was found cached. The rest is expected to be prefilled anew.
-func (s *Scheduler) learnPrefixHit(req *request, target *engine, cached float64) {
+// learnPrefixHitRate records the share of a shared prefix that was found cached. Predictions assume that the rest must be prefilled.
+func (s *Scheduler) learnPrefixHitRate(req *request, target *engine, cached float64) {
 	if req.PrefixTokens > 0 {
 		share := min(1, cached/req.PrefixTokens)
-		target.prefixHit.add(s.now, share, prefillWaitGain)
-		s.kinds[target.Kind].prefixHit.add(s.now, share, kindGain)
+		target.prefixHitRate.add(s.now, share, prefillWaitGain)
+		s.kinds[target.Kind].prefixHitRate.add(s.now, share, kindGain)
 	}
 }
 
-// forgetIdleSessions forgets sessions and prefixes that have been idle.
-func (s *Scheduler) forgetIdleSessions() {
-	if s.now < s.sweepAt {
+// evictIdleSessions removes the sessions and prefixes that have been idle for sessionIdleTime.
+func (s *Scheduler) evictIdleSessions() {
+	if s.now < s.nextSweepAt {
 		return
 	}
-	s.sweepAt = s.now + sessionIdleTime/4
+	s.nextSweepAt = s.now + sessionIdleTime/4
 	maps.DeleteFunc(s.prefixRates, func(_ string, rate decayingRate) bool { return s.now-rate.updatedAt > sessionIdleTime })
 	maps.DeleteFunc(s.sessions, func(_ string, latest session) bool { return s.now-latest.usedAt > sessionIdleTime })
 }
 
-// updateAffinityWeights weighs each prefill engine by the root of the ratio of decode to prefill engines in its cell, so that
-// states seldom leave their cell. Routers with the same endpoint list agree on the weights.
+// updateAffinityWeights weights each prefill engine by the square root of the ratio of decode to prefill engines in its cell,
+// relative to that of the fleet, so that states seldom leave their cell. Nodes with the same endpoint list compute the same weights.
 func (s *Scheduler) updateAffinityWeights() {
 	ready := countReady(s.engineList)
 	for _, target := range s.engineList {
--- a/scheduler/affinity_test.go
+++ b/scheduler/affinity_test.go
@@ -139,11 +139,11 @@
 		prefill: prefillPrediction{load: 600, uncachedTokens: 200}}
 	req.Session = ""
 	for range 5 {
-		sched.learnPrefixHit(req, e, 800)
+		sched.learnPrefixHitRate(req, e, 800)
 	}
 	before := sched.cachedPrefixTokens(req, e)
 	for range 5 {
-		sched.learnPrefixHit(req, e, 0)
+		sched.learnPrefixHitRate(req, e, 0)
 	}
 	if after := sched.cachedPrefixTokens(req, e); before < 600 || after > before/2 {
 		t.Fatalf("%g tokens taken to be cached, then %g", before, after)
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -1,8 +1,9 @@
 package scheduler
 
-// This file is the configuration of a Scheduler: its place among the routers, and the site's settings.
+// This file defines the configuration of a Scheduler: the position of its node among all nodes, and the settings of the
+// deployment.
 
-// Role says what an engine kind can do.
+// Role is what an engine kind can do.
 type Role int
 
 // Roles of an engine kind.
@@ -14,13 +15,13 @@
 
 func (r Role) String() string { return enumName(int(r), "prefill", "decode", "mixed") }
 
-// Effect says what a repeat of a request does.
+// Effect is the effect of repeating a request.
 type Effect int
 
 // Effects of a repeat.
 const (
 	Idempotent      Effect = iota // a repeat is harmless
-	IdempotentByKey               // a repeat is discarded, within the class's DedupScope and DedupWindow
+	IdempotentByKey               // engines discard a repeat, within the class's DedupScope and DedupWindow
 	AtMostOnce                    // a repeat is never allowed
 )
 
@@ -35,19 +36,19 @@
 const (
 	DedupFleet DedupScope = iota // all engines
 	DedupZone                    // the engines of the zone of the first attempt that may have run
-	DedupCell                    // the engines of its cell
+	DedupCell                    // the engines of the cell of that attempt
 )
 
 func (d DedupScope) String() string { return enumName(int(d), "fleet", "zone", "cell") }
 
-// ReportStyle says how engines report their load.
+// ReportStyle is the way in which engines report their load.
 type ReportStyle int
 
 // Styles of load reports.
 const (
-	ReportOff     ReportStyle = iota // never
-	ReportInline                     // within outcomes and probe results
-	ReportOnProbe                    // within probe results alone
+	ReportOff     ReportStyle = iota // not at all
+	ReportInline                     // in outcomes and probe results
+	ReportOnProbe                    // in probe results only
 )
 
 func (r ReportStyle) String() string { return enumName(int(r), "off", "inline", "on-probe") }
@@ -55,71 +56,72 @@
 // Class is one class of requests. Times are in seconds.
 type Class struct {
 	Effect                 Effect
-	DedupScope             DedupScope // of IdempotentByKey: which engines discard repeats
-	DedupWindow            float64    // of IdempotentByKey: for how long, from the first attempt that may have run
+	DedupScope             DedupScope // for IdempotentByKey: the engines that discard repeats
+	DedupWindow            float64    // for IdempotentByKey: how long they do, from the first attempt that may have run
 	FirstTokenObjective    float64    // latency objective: time to first token
-	ObjectivePerHintSecond float64    // added to it for each second of the request's DurationHint
-	ObjectivePer1KTokens   float64    // added to it for each 1,000 prompt tokens
-	ClientTimeout          float64    // how long the client waits in all
+	ObjectivePerHintSecond float64    // added to FirstTokenObjective for each second of the request's DurationHint
+	ObjectivePer1KTokens   float64    // added to FirstTokenObjective for each 1,000 prompt tokens
+	ClientTimeout          float64    // how long the client waits in total
 	OutputTokenObjective   float64    // latency objective: mean time per output token
 	PriorityWeight         float64
-	LateValue              float64 // share of the weight that a late answer earns
+	LateValue              float64 // share of PriorityWeight that a late answer is worth
 }
 
 // Kind is one kind of engine.
 type Kind struct {
 	Role   Role
-	Memory float64 // tokens of KV cache; 0 = unknown
+	Memory float64 // size of the KV cache in tokens; 0 = unknown
 }
 
 // Tenant is one account that sends requests.
 type Tenant struct {
-	Quota float64 // requests a second over all routers; 0 = no limit known
+	Quota float64 // requests per second over all nodes; 0 = no known limit
 }
 
-// Limits are what the site allows a router.
+// Limits is what the deployment allows a node.
 type Limits struct {
-	MaxAttempts int // of a request
-	// UnsentAttemptsAreFree says that attempts which ended before their request was written don't count towards MaxAttempts.
+	MaxAttempts int // attempts per request
+	// UnsentAttemptsAreFree excludes from MaxAttempts the attempts that ended before their request was written.
 	UnsentAttemptsAreFree bool
-	// StateTimeRunsUntilResponse says that the time for which a state may wait runs on during an attempt, unless its engine responds.
+	// StateTimeRunsUntilResponse makes the time limit of a waiting state run on through the attempts to fetch it. It restarts after
+	// an attempt only if the engine has responded.
 	StateTimeRunsUntilResponse bool
-	Cancel                     bool    // Cancel may be used
-	Probe                      bool    // Probe may be used
-	HedgedRequests             bool    // a second attempt may be in flight beside the first; not used yet
-	RetryAfter                 bool    // a Reject may give a delay
-	MaxRetryAfter              float64 // seconds
+	Cancel                     bool    // the action Cancel may be used
+	Probe                      bool    // the action Probe may be used
+	HedgedRequests             bool    // a second attempt may be in flight beside the first; no policy uses it yet
+	RetryAfter                 bool    // a Reject may carry a delay
+	MaxRetryAfter              float64 // longest such delay, in seconds
 }
 
-// Rules are the figures of the operators' rules. Times are in seconds.
+// Rules holds the parameters of the operators' rules. Times are in seconds.
 type Rules struct {
-	AnswerSlack       float64 // after its deadline, within which a request must have its final response
-	PollInterval      float64 // of the endpoint list, at the longest, where it must be polled
-	SlowStartShare    float64 // least share of its capacity that an engine has while it warms up
-	SlowStartDuration float64 // after which an engine is warm at the latest
-	DrainGrace        float64 // after an engine is listed as draining or removed, within which sends to it must end (rule 3)
-	OverloadMultiple  float64 // multiple of its capacity that an engine in slow start may be sent
-	SlowStartWindow   float64 // over which that is counted
-	StateReleaseLimit float64 // within which reserved state or a place must be used or released
+	AnswerSlack       float64 // time after its deadline within which a request must have its final response (rule 1)
+	PollInterval      float64 // longest interval between polls of the endpoint list, if it must be polled
+	SlowStartShare    float64 // smallest share of its capacity that an engine in slow start has
+	SlowStartDuration float64 // longest time from an engine's start until it is warm
+	DrainGrace        float64 // time after an engine is listed as draining or removed within which sends to it must end (rule 3)
+	OverloadMultiple  float64 // multiple of its capacity that an engine in slow start may be sent (rule 4)
+	SlowStartWindow   float64 // time window over which those sends are counted
+	StateReleaseLimit float64 // time within which a reserved state or slot must be used or released (rule 5)
 }
 
-// Prices are what each kind of cost takes from the result, in points for each unit of its rate.
+// Prices holds what each kind of cost deducts from the result, in points per unit of its rate.
 type Prices struct {
 	Probe, Waste, CrossZone, LateFailure, Transfer float64
 }
 
-// Config is the configuration of a Scheduler. New checks it.
+// Config is the configuration of a Scheduler. New validates it.
 type Config struct {
-	NodeIndex, NodeCount int // this router's number, from 0, and how many there are
+	NodeIndex, NodeCount int // index of this node, from 0, and number of nodes
 	Zone, ZoneCount      int
 	Classes              []Class
 	Kinds                []Kind
 	Tenants              []Tenant
-	PollsDiscovery       bool // the endpoint list comes only when it is asked for
+	PollsDiscovery       bool // the endpoint list is sent only on request
 	ReportStyle          ReportStyle
-	ReservationOffered   bool    // Reserve may be used
-	DecodeEnginesPrefill bool    // decode engines prefill requests that come without a state
-	Tick                 float64 // seconds between two steps at the least
+	ReservationOffered   bool    // the action Reserve may be used
+	DecodeEnginesPrefill bool    // decode engines prefill requests that arrive without a state
+	Tick                 float64 // shortest time between two steps, in seconds
 	Limits               Limits
 	Rules                Rules
 	Prices               Prices
--- a/scheduler/curve.go
+++ b/scheduler/curve.go
@@ -1,79 +1,79 @@
 package scheduler
 
-// This file fits the concurrency curve f(L) (paper, section IV-B): the speed of each stream at concurrency L against
+// This file fits the concurrency curve f(L) (paper, section IV-B): the speed of each stream at concurrency L relative to
 // that of a lone stream. The paper fits the Universal Scalability Law offline; this file fits it online.
 
 const (
-	// initialSecondsPerOutputToken is the time in seconds that a lone stream is taken to need for a token until streams have ended.
+	// initialSecondsPerOutputToken is the prior of the time per token of a lone stream, in seconds.
 	initialSecondsPerOutputToken = 0.02
-	// minSecondsPerOutputToken is the least time for a token, in seconds, that a fit is believed to show.
+	// minSecondsPerOutputToken is the lower bound of a fitted time per token, in seconds.
 	minSecondsPerOutputToken = 1e-4
 	// curvePrior is the weight of a curve's prior, in samples.
 	curvePrior = 4
-	// tokensPerSample is the number of output tokens that weigh as one sample of a curve.
+	// tokensPerSample is the number of output tokens that have the weight of one sample of a curve.
 	tokensPerSample = 100
-	// solverRounds is the number of rounds of coordinate descent, by which the fit has settled.
+	// solverRounds is the number of rounds of coordinate descent, after which the fit has converged.
 	solverRounds = 40
 )
 
 // uslCurve fits the seconds per token at concurrency L as c0·(1 + σ(L−1) + κL(L−1)), the Universal Scalability Law in its
-// linear form, by weighted least squares with forgetting. σ (contention) and κ (coherence) start at zero.
+// linear form, by weighted least squares with exponential forgetting. σ (contention) and κ (coherence) start at zero.
 type uslCurve struct {
 	normal  [3][3]float64 // normal matrix of the least-squares fit
 	moments [3]float64    // its right-hand side
 	terms   [3]float64    // latest fit: c0, c0·σ and c0·κ
 }
 
-// sample adds the seconds per token that were seen at a concurrency, with a weight.
+// sample adds the measured seconds per token at a concurrency, with a weight.
 func (c *uslCurve) sample(concurrency, secondsPerToken, weight float64) {
 	x := [3]float64{1, concurrency - 1, concurrency * (concurrency - 1)}
 	for i := range x {
 		for j := range x {
-			c.normal[i][j] = fitMemory*c.normal[i][j] + weight*x[i]*x[j]
+			c.normal[i][j] = forgettingFactor*c.normal[i][j] + weight*x[i]*x[j]
 		}
-		c.moments[i] = fitMemory*c.moments[i] + weight*x[i]*secondsPerToken
+		c.moments[i] = forgettingFactor*c.moments[i] + weight*x[i]*secondsPerToken
 	}
 }
 
-// fit solves for the law's terms, which are pulled to a prior where samples are few. σ and κ stay in [0, 1].
+// fit solves for the terms of the law, regularized toward a prior that dominates while samples are few. σ and κ stay in [0, 1].
 func (c *uslCurve) fit(prior [3]float64) {
-	var pull [3]float64
-	for i := range pull {
-		pull[i] = curvePrior * (1 + c.normal[i][i]/(1+c.normal[0][0]))
+	var priorWeights [3]float64
+	for i := range priorWeights {
+		priorWeights[i] = curvePrior * (1 + c.normal[i][i]/(1+c.normal[0][0]))
 	}
-	terms := solveNonNegative(c.normal, c.moments, prior, pull)
+	terms := solveNonNegative(c.normal, c.moments, prior, priorWeights)
 	terms[0] = max(terms[0], minSecondsPerOutputToken)
 	terms[1] = min(terms[1], terms[0])
 	terms[2] = min(terms[2], terms[0])
 	c.terms = terms
 }
 
-// speed is f(L): the speed of a stream at a concurrency against that of a lone stream.
+// speed returns f(L): the speed of a stream at a concurrency relative to that of a lone stream.
 func (c *uslCurve) speed(concurrency float64) float64 {
 	contention := c.terms[1] * (concurrency - 1)
 	coherence := c.terms[2] * concurrency * (concurrency - 1)
 	return c.terms[0] / (c.terms[0] + contention + coherence)
 }
 
-// solveNonNegative finds a non-negative x with a·x = b in the least-squares sense, each term pulled to its prior with a
-// weight, by projected coordinate descent.
-func solveNonNegative(a [3][3]float64, b, prior, pull [3]float64) [3]float64 {
+// solveNonNegative finds a non-negative x with a·x = b in the least-squares sense, by projected coordinate descent. Each term is
+// regularized toward its prior with its prior weight.
+func solveNonNegative(a [3][3]float64, b, prior, priorWeights [3]float64) [3]float64 {
 	x := prior
 	for range solverRounds {
 		for i := range x {
-			rest := b[i]
+			residual := b[i]
 			for j := range x {
 				if j != i {
-					rest -= a[i][j] * x[j]
+					residual -= a[i][j] * x[j]
 				}
 			}
-			x[i] = max(0, (rest+pull[i]*prior[i])/(a[i][i]+pull[i]))
+			x[i] = max(0, (residual+priorWeights[i]*prior[i])/(a[i][i]+priorWeights[i]))
 		}
 	}
 	return x
 }
 
-// curveOf returns the engine's own curve, or that of its kind until a stream of this router has ended there.
+// curveOf returns the engine's own curve, or that of its kind until a stream of this node has ended there.
 func (s *Scheduler) curveOf(target *engine) *uslCurve {
 	if target.curve.terms[0] == 0 {
 		return &s.kinds[target.Kind].curve
@@ -81,12 +81,12 @@
 	return &target.curve
 }
 
-// learnDecode takes the time of a completed stream, from its first token to its end. The fit is weighted by tokens, as the mean
-// of ratios with rough token counts would be too slow a speed.
+// learnDecode records the duration of a completed stream, from its first token to its end. The fit is weighted by tokens: token
+// counts are approximate, and an unweighted mean of seconds per token would give too slow a speed.
 func (s *Scheduler) learnDecode(req *request, target *engine) {
 	tokens := s.expectedOutputTokens(req)
 	seconds := s.now - req.stream.startedAt
-	if req.stream.startedAt == 0 || tokens <= 1 || seconds <= 0 { // a stream within one step has no time to learn from
+	if req.stream.startedAt == 0 || tokens <= 1 || seconds <= 0 { // a stream within one step has no measurable duration
 		return
 	}
 	concurrency := max(1, (req.stream.concurrency+s.concurrency(target))/2)
@@ -99,10 +99,10 @@
 	target.curve.fit(ofKind.terms)
 }
 
-// concurrency estimates L, the streams of all routers at a decode engine: as last reported, and this router's since then.
+// concurrency estimates L, the streams of all nodes at a decode engine: those last reported, and those of this node since then.
 func (s *Scheduler) concurrency(target *engine) float64 {
 	own := s.ownLoad(target)
 	reported := reportedStreams(&target.report)
-	others := s.kinds[target.Kind].reportedStreams.drawnTo(reported, s.reportFreshness(target))
-	return max(own.streams, others+own.newStreams)
+	blended := s.kinds[target.Kind].reportedStreams.blend(reported, s.reportFreshness(target))
+	return max(own.streams, blended+own.newStreams)
 }
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -1,31 +1,31 @@
 package scheduler
 
-// This file sends attempts and keeps the counts of what is in flight.
+// This file sends attempts and maintains the counts of what is in flight.
 
-// sendAttempt sends an attempt and counts it.
-func (s *Scheduler) sendAttempt(req *request, target *engine, expected, timeout float64) {
+// sendAttempt sends an attempt and records it as in flight.
+func (s *Scheduler) sendAttempt(req *request, target *engine, predictedSeconds, timeout float64) {
 	s.emit(Send{ID: req.ID, Engine: target.ID, Timeout: timeout})
 	s.countSlowStartSend(req, target)
-	req.inFlight = &attempt{number: req.attemptsSent, engine: target, sentAt: s.now, expected: expected}
+	req.inFlight = &attempt{number: req.attemptsSent, engine: target, sentAt: s.now, predictedSeconds: predictedSeconds}
 	req.attemptsSent++
 	s.awaitingFirstToken++
 }
 
-// sendPrefill starts the prefill of a request that is admitted to a decode engine.
+// sendPrefill sends a request to its prefill engine and admits it to a decode engine.
 func (s *Scheduler) sendPrefill(req *request, prefill, decode *engine) {
 	req.prefill = s.predictPrefill(req, prefill)
 	req.cachedTokens = s.cachedPrefixTokens(req, prefill)
 	req.stage = stagePrefilling
 	req.prefillEngine = prefill
-	timeout := max(s.cfg.Tick, req.deadline-s.now-2*s.responseMargin()) // the outcome comes before the final response is due
+	timeout := max(s.cfg.Tick, req.deadline-s.now-2*s.responseMargin()) // the outcome arrives before the final response is due
 	s.sendAttempt(req, prefill, req.prefill.seconds, timeout)
 	prefill.prefills = append(prefill.prefills, req)
 	s.assignDecodeEngine(req, decode)
-	s.reservePlace(req, decode)
+	s.reserveSlot(req, decode)
 }
 
-// reservePlace reserves a place at the decode engine where the transfer takes a good part of the time left.
-func (s *Scheduler) reservePlace(req *request, decode *engine) {
+// reserveSlot reserves a slot at the decode engine if the transfer takes a large part of the time until the first token is due.
+func (s *Scheduler) reserveSlot(req *request, decode *engine) {
 	transfer := s.transferTime(req, req.prefillEngine, decode)
 	if s.cfg.ReservationOffered && transfer > reserveTransferShare*max(0, req.firstTokenDue-s.now) &&
 		s.slowStartAllows(req, decode) && decode.State == EngineReady {
@@ -35,7 +35,7 @@
 	}
 }
 
-// sendPrefillWithDecode has one engine prefill and decode a request.
+// sendPrefillWithDecode sends a request to one engine that prefills and decodes it.
 func (s *Scheduler) sendPrefillWithDecode(req *request, target *engine) {
 	req.prefill = s.predictPrefill(req, target)
 	s.assignDecodeEngine(req, target)
@@ -53,7 +53,7 @@
 	s.beginTransfer(req)
 }
 
-// assignDecodeEngine counts a request as admitted to an engine and to no other; nil means to none.
+// assignDecodeEngine counts a request as admitted to an engine and to no other; nil means that it is admitted to none.
 func (s *Scheduler) assignDecodeEngine(req *request, target *engine) {
 	if req.decodeEngine != nil {
 		req.decodeEngine.admitted = without(req.decodeEngine.admitted, req)
--- a/scheduler/endpointview.go
+++ b/scheduler/endpointview.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// This file keeps the view of the endpoints: it applies updates of the endpoint list, and watches for them.
+// This file maintains the endpoint view: it applies updates of the endpoint list, and subscribes to them.
 
 const (
-	// minWatchInterval is the shortest time in seconds between two looks at the state of the watch.
+	// minWatchInterval is the shortest time in seconds between two checks of the subscription.
 	minWatchInterval = 0.5
 	// maxWatchInterval is the longest such time, in seconds.
 	maxWatchInterval = 2
@@ -29,12 +29,12 @@
 		s.updateEngine(entry)
 	}
 	s.removeEngines(update.Form != UpdateIncremental, listed)
-	s.updateMostReady()
+	s.updateMaxReady()
 	s.updateAffinityWeights()
 }
 
-// updateEngine applies one entry. A new start of an engine voids what was learned of it: it comes back warming up and with
-// nothing cached.
+// updateEngine applies one entry. After a restart of the engine its statistics are dropped, because it is in slow start and its
+// cache is empty.
 func (s *Scheduler) updateEngine(entry Engine) {
 	target := s.engines[entry.ID]
 	if target == nil {
@@ -47,7 +47,7 @@
 			prefills:       target.prefills,
 			admitted:       target.admitted,
 			slowStartSends: target.slowStartSends,
-			prefixHit:      gauge{samples: 1, updatedAt: s.now},
+			prefixHitRate:  decayingMean{samples: 1, updatedAt: s.now},
 		}
 	}
 	target.Engine = entry
@@ -55,8 +55,8 @@
 	target.memory = s.cfg.Kinds[entry.Kind].Memory
 }
 
-// removeEngines marks the engines that a complete list lacks as removed, and forgets the removed ones that have no request
-// of this router.
+// removeEngines marks the engines that are missing from a complete list as removed, and deletes removed engines that have no
+// request of this node.
 func (s *Scheduler) removeEngines(complete bool, listed map[string]bool) {
 	remaining := s.engineList[:0]
 	for _, target := range s.engineList {
@@ -101,8 +101,8 @@
 	return ready
 }
 
-// updateMostReady keeps the most engines of each role that were ready at once.
-func (s *Scheduler) updateMostReady() {
+// updateMaxReady updates the most engines of each role that were ready at once.
+func (s *Scheduler) updateMaxReady() {
 	var ready [roles]int
 	for _, target := range s.engineList {
 		if target.State == EngineReady {
@@ -110,17 +110,17 @@
 		}
 	}
 	for role, n := range ready {
-		s.mostReady[role] = max(s.mostReady[role], n)
+		s.maxReady[role] = max(s.maxReady[role], n)
 	}
 }
 
-// watchEndpoints subscribes to the endpoint list where it is polled, and again after a failed call.
+// watchEndpoints subscribes to the endpoint list if it is polled, and again after a failed call.
 func (s *Scheduler) watchEndpoints() {
-	if !s.cfg.PollsDiscovery || s.now < s.watchCheckAt {
+	if !s.cfg.PollsDiscovery || s.now < s.nextWatchCheckAt {
 		return
 	}
-	if !s.watchActive || s.watchCheckAt == 0 {
+	if !s.watchActive || s.nextWatchCheckAt == 0 {
 		s.emit(WatchEndpoints{On: true})
 	}
-	s.watchCheckAt = s.now + max(minWatchInterval, min(maxWatchInterval, s.cfg.Rules.PollInterval/4))
+	s.nextWatchCheckAt = s.now + max(minWatchInterval, min(maxWatchInterval, s.cfg.Rules.PollInterval/4))
 }
--- a/scheduler/engine.go
+++ b/scheduler/engine.go
@@ -3,51 +3,51 @@
 // roles is the number of roles, for arrays that are indexed by Role.
 const roles = 3
 
-// engine is what the scheduler knows of one engine.
+// engine is the state of one engine in the scheduler's view.
 type engine struct {
 	Engine
 	role         Role
 	memory       float64 // tokens; 0 = unknown
-	discoveredAt float64 // when this start of the engine was first listed
+	discoveredAt float64 // when the engine was first listed since its latest start
 
-	prefills []*request // requests whose prefill attempt is in flight here
-	admitted []*request // requests that are admitted here to decode, until their stream ends
+	prefills []*request // requests with a prefill attempt in flight here
+	admitted []*request // requests admitted here for decoding, until their stream ends
 
-	prefillWait       gauge // seconds that a prefill takes beyond what the work sent from here explains
-	firstTokenLatency gauge // seconds from a decode attempt's send to its first token
-	prefixHit         gauge // share of a shared prefix that was found cached
+	prefillWait       decayingMean // seconds that a prefill takes beyond what the load from this node explains
+	firstTokenLatency decayingMean // seconds from the send of a decode attempt to its first token
+	prefixHitRate     decayingMean // share of a shared prefix that is found cached
 	affinityWeight    float64
-	rendezvousScore   float64 // score in the latest rendezvous order
+	rendezvousScore   float64 // score in the latest call of orderByRendezvous
 	curve             uslCurve
 
-	report    LoadReport
-	reportAt  float64
-	hasReport bool
+	report     LoadReport
+	reportedAt float64
+	hasReport  bool
 
-	failureScore  float64
-	ejectionTime  float64 // seconds of the latest ejection; doubles from one to the next
-	ejectedUntil  float64
-	fullUntil     float64 // until when it counts as full after a rejection
-	lastSuccess   float64
-	probeInFlight bool
+	failureScore     float64
+	ejectionDuration float64 // seconds of the latest ejection; doubles with each ejection
+	ejectedUntil     float64
+	fullUntil        float64 // when it stops counting as full after a rejection
+	lastSuccess      float64
+	probeInFlight    bool
 
 	slowStartSends []slowStartSend
 }
 
-// kindStats pools what engines of one kind have shown.
+// kindStats pools the statistics of all engines of one kind.
 type kindStats struct {
-	prefillTime       linearFit // seconds of a prefill against its load in tokens
-	prefillWait       gauge
-	prefixHit         gauge
-	firstTokenLatency gauge
-	reportedStreams   gauge
-	reportedMemory    gauge // share of memory that is taken
+	prefillTime       linearFit // seconds of a prefill as a function of its load in tokens
+	prefillWait       decayingMean
+	prefixHitRate     decayingMean
+	firstTokenLatency decayingMean
+	reportedStreams   decayingMean
+	reportedMemory    decayingMean // share of memory in use
 	curve             uslCurve
 }
 
-// classStats is what was learned of a class's requests.
+// classStats holds statistics of the requests of one class.
 type classStats struct {
-	promptTokens gauge
-	streamTimes  []float64 // seconds of the latest streams, scaled to the speed of a lone stream
-	outputShare  float64   // mean share of its token limit that an answer has; 0 = not yet learned
+	promptTokens decayingMean
+	streamTimes  []float64 // durations of the latest streams in seconds, scaled to the speed of a lone stream
+	outputShare  float64   // mean ratio of an answer's length to its token limit; 0 = not yet known
 }
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -2,53 +2,53 @@
 
 import "fmt"
 
-// This file is the input of a Scheduler: the events, and the types in them.
+// This file defines the input of a Scheduler: the events, and the types that they contain.
 
-// Event is something that the host has learned.
+// Event is something that the host has observed: an input of [Scheduler.Step].
 type Event interface{ event() }
 
-// Request is a client's request. One final response is owed to it.
+// Request is a client's request. It must get one final response.
 type Request struct {
 	ID              string
-	Class, Tenant   int // indices into the Config
+	Class, Tenant   int // indices into Config.Classes and Config.Tenants
 	Session, Prefix string
-	ClientTimeLeft  float64 // seconds until the client gives up
-	DurationHint    float64 // rough seconds of the answer at the class's OutputTokenObjective; 0 = none
+	ClientTimeLeft  float64 // seconds until the client's timeout
+	DurationHint    float64 // approximate duration of the answer, in seconds, at the class's OutputTokenObjective; 0 = none
 	PromptTokens    float64
-	PrefixTokens    float64 // of the prompt, shared with other requests of the same Prefix
+	PrefixTokens    float64 // tokens of the prompt that it shares with other requests of the same Prefix
 	MaxOutputTokens float64
-	Retry           bool // the client has sent it before
-	Returned        bool // the client has come back after a disconnect or a migration
+	Retry           bool // the client has sent the request before
+	Returned        bool // the client has reconnected after a disconnect or a migration
 }
 
-// Outcome says how an attempt ended.
+// Outcome reports how an attempt ended.
 type Outcome struct {
 	ID      string
 	Attempt int
 	Engine  string
 	Status  Status
-	Info    int     // of Prefilled: cached tokens that were found; of Rejected: 1 = the engine found no state to fetch
-	Spent   float64 // seconds since its send
+	Info    int     // for Prefilled: number of cached tokens that were found; for Rejected: 1 = the engine found no state to fetch
+	Spent   float64 // seconds since the attempt was sent
 	Closed  bool    // the request has ended
 	Report  *LoadReport
 }
 
-// FirstToken says that an answer has begun to stream.
+// FirstToken reports that an answer has started to stream.
 type FirstToken struct {
 	ID      string
 	Attempt int
 	Engine  string
-	Spent   float64 // seconds since its send
+	Spent   float64 // seconds since the attempt was sent
 }
 
-// ClientDisconnected says that the client has left.
+// ClientDisconnected reports that the client of a request has disconnected.
 type ClientDisconnected struct{ ID string }
 
-// StateReleased says that the state of a request has been released, since it could not be held any longer. An attempt that was to
-// fetch it may be in flight; its outcome still follows.
+// StateReleased reports that the host has released the state of a request because its time limit was reached. An attempt that
+// fetches the state may be in flight; its outcome still follows.
 type StateReleased struct{ ID string }
 
-// ReserveResult answers a Reserve.
+// ReserveResult is the result of a Reserve.
 type ReserveResult struct {
 	ID      string
 	Attempt int
@@ -62,18 +62,18 @@
 	Engines []Engine
 }
 
-// ProbeResult answers a Probe.
+// ProbeResult is the result of a Probe.
 type ProbeResult struct {
 	Engine string
 	Status Status
-	Spent  float64 // seconds
+	Spent  float64 // duration of the probe, in seconds
 	Report *LoadReport
 }
 
-// TimerFired says that a timer has fired.
+// TimerFired reports that the timer with the token has fired.
 type TimerFired struct{ Token int64 }
 
-// PeerMessage is a message from another router.
+// PeerMessage is a message from another node.
 type PeerMessage struct {
 	From int
 	Data []byte
@@ -90,7 +90,7 @@
 func (TimerFired) event()         {}
 func (PeerMessage) event()        {}
 
-// Status says how an attempt or a probe ended.
+// Status is how an attempt or a probe ended.
 type Status int
 
 // Statuses. Rejected, ConnectFailed, NotSent and Prefilled prove that the request has had no effect.
@@ -111,21 +111,21 @@
 		"canceled", "not-sent", "prefilled")
 }
 
-// LoadReport is an engine's own figures of its load. A figure counts only if it is in Has.
+// LoadReport holds the load figures that an engine reports. A figure is valid only if its flag is set in Has.
 type LoadReport struct {
-	Active        float64 // requests at the engine, with those and the states that wait
-	Waiting       float64 // requests that wait for a slot
+	Active        float64 // requests at the engine, including waiting requests and waiting states
+	Waiting       float64 // requests waiting for a slot
 	Utilization   float64 // share of its slots in use
 	LatencyMS     float64 // mean latency to the end of a prefill or to the first token, in milliseconds
 	MemoryShare   float64 // share of its KV cache in use
-	TokensWaiting float64 // prompt tokens that wait to be prefilled or fetched
+	TokensWaiting float64 // prompt tokens waiting to be prefilled or fetched
 	Has           LoadReportField
 }
 
 // LoadReportField is a set of figures of a LoadReport.
 type LoadReportField uint8
 
-// The figures that a LoadReport may hold.
+// Flags of the figures in a LoadReport.
 const (
 	HasActive LoadReportField = 1 << iota
 	HasWaiting
@@ -139,10 +139,10 @@
 type Engine struct {
 	ID         string
 	Cell, Zone int
-	Kind       int // index into the Config
+	Kind       int // index into Config.Kinds
 	State      EngineState
 	Weight     float64
-	BootTime   float64 // of its last start; 0 = long ago
+	BootTime   float64 // time of its last start; 0 = long ago
 }
 
 // EngineState is the state of an engine in the endpoint list.
@@ -157,22 +157,22 @@
 
 func (s EngineState) String() string { return enumName(int(s), "ready", "draining", "removed") }
 
-// UpdateForm says how an EndpointUpdate is to be read.
+// UpdateForm is what the engines of an EndpointUpdate stand for.
 type UpdateForm int
 
-// Forms of an update.
+// Forms of an EndpointUpdate.
 const (
-	UpdateIncremental UpdateForm = iota // changes
+	UpdateIncremental UpdateForm = iota // changes only
 	UpdateComplete                      // a complete snapshot
 	UpdateStale                         // a complete snapshot that may be outdated
-	UpdateFailed                        // none: the call failed
+	UpdateFailed                        // no list, because the call failed
 )
 
 func (f UpdateForm) String() string {
 	return enumName(int(f), "incremental", "complete", "stale", "failed")
 }
 
-// enumName returns the name of a value of an enumeration, or its number where it has none.
+// enumName returns the name of a value of an enumeration, or its number if it has none.
 func enumName(value int, names ...string) string {
 	if value < 0 || value >= len(names) {
 		return fmt.Sprintf("unknown(%d)", value)
--- a/scheduler/exploration.go
+++ b/scheduler/exploration.go
@@ -1,18 +1,18 @@
 package scheduler
 
-// This file decides when one exploration request is sent although the performance models forbid it. What was learned in bad
-// times can stop all work, and an engine that gets no work is never measured anew.
+// This file decides when one exploration request is sent although the performance models forbid it. Statistics from a time of
+// poor performance can stop all work, and an engine that gets no work is never measured again.
 
-// mayExplore tells whether one request may be sent untested: no first token is awaited, and none has come for as long as all
-// routers, one after the other, take for a request each.
+// mayExplore reports whether one request may be sent without the admission tests: no attempt is in flight without a first token,
+// and none has been for the time that all nodes take for one request each, one after the other, or for meanDecayTime.
 func (s *Scheduler) mayExplore() bool {
 	return s.awaitingFirstToken == 0 && s.lastProgressAt > 0 &&
-		s.now > s.lastProgressAt+min(forgetTime, s.bestFirstToken.total*float64(s.cfg.NodeCount))
+		s.now > s.lastProgressAt+min(meanDecayTime, s.firstTokenBound.total*float64(s.cfg.NodeCount))
 }
 
-// attemptProgressed counts an attempt that has begun to stream or, before that, has ended.
-func (s *Scheduler) attemptProgressed(was stage) {
-	if was == stageStreaming {
+// attemptProgressed records that an attempt has started to stream or, before that, has ended.
+func (s *Scheduler) attemptProgressed(previous stage) {
+	if previous == stageStreaming {
 		return
 	}
 	s.awaitingFirstToken--
--- a/scheduler/firsttoken.go
+++ b/scheduler/firsttoken.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// This file predicts the time to first token: the latency of a decode engine, and the transfer of a prefilled state to it.
+// This file predicts the first-token latency of a decode engine, and the time that the transfer of a prefilled state to it adds.
 
 const (
-	// initialFirstTokenLatency is the prior, in seconds, of the time from a decode attempt's send to its first token.
+	// initialFirstTokenLatency is the prior, in seconds, of the time from the send of a decode attempt to its first token.
 	initialFirstTokenLatency = 0.1
 	// initialTransferSecondsPerToken is the prior, in seconds, of the transfer time of one token out of a cell.
 	initialTransferSecondsPerToken = 2e-5
@@ -13,13 +13,13 @@
 	transferGain = 0.3
 )
 
-// firstTokenBound is the least time to first token that the listed engines allow a request.
+// firstTokenBound is a lower bound of a request's time to first token at the listed engines.
 type firstTokenBound struct {
-	total   float64 // seconds; 0 where no engine is listed, so that requests wait for one
-	latency float64 // part of the decode engine; infinite where none is listed
+	total   float64 // seconds; 0 if no engine is listed, so that requests wait for one
+	latency float64 // part of the decode engine; infinite if none is listed
 }
 
-// boundFirstToken returns the least time in which the request's first token could still come.
+// boundFirstToken returns a lower bound of the time until the request's first token.
 func (s *Scheduler) boundFirstToken(req *request) firstTokenBound {
 	prefill, latency := math.Inf(1), math.Inf(1)
 	for _, candidate := range s.engineList {
@@ -42,19 +42,19 @@
 	return bound
 }
 
-// firstTokenLatency predicts the time from a decode attempt's send to its first token.
+// firstTokenLatency predicts the time from the send of a decode attempt to its first token.
 func (s *Scheduler) firstTokenLatency(target *engine) float64 {
 	ofKind := s.kinds[target.Kind].firstTokenLatency.get(s.now, initialFirstTokenLatency, 0)
-	return target.firstTokenLatency.get(s.now, ofKind, forgetTime)
+	return target.firstTokenLatency.get(s.now, ofKind, meanDecayTime)
 }
 
-// linkKey names the link out of a cell to a zone.
+// linkKey identifies the link out of a cell to a zone.
 type linkKey struct{ cell, zone int }
 
-// link is what is known of a link between a cell and a zone. Transfers over it share its capacity.
+// link is the state of the link out of a cell to a zone. Transfers over it share its capacity.
 type link struct {
-	secondsPerToken gauge
-	tokensInTransit float64 // of this router's transfers
+	secondsPerToken decayingMean
+	tokensInTransit float64 // of this node's transfers
 }
 
 func (s *Scheduler) link(from, to *engine) *link {
@@ -65,18 +65,18 @@
 	return s.links[key]
 }
 
-// transferTime predicts the time that a state's transfer takes beyond the first-token latency. Only a transfer out of the
-// cell counts, behind what is in transit there.
+// transferTime predicts the time that a state's transfer takes beyond the first-token latency. Only a transfer out of the cell
+// counts; it is queued behind the tokens that are in transit on its link.
 func (s *Scheduler) transferTime(req *request, from, to *engine) float64 {
 	if from == nil || from.Cell == to.Cell {
 		return 0
 	}
-	way := s.link(from, to)
-	perToken := way.secondsPerToken.get(s.now, initialTransferSecondsPerToken, forgetTime)
-	return (way.tokensInTransit + req.PromptTokens) * perToken
+	transferLink := s.link(from, to)
+	perToken := transferLink.secondsPerToken.get(s.now, initialTransferSecondsPerToken, meanDecayTime)
+	return (transferLink.tokensInTransit + req.PromptTokens) * perToken
 }
 
-// beginTransfer counts the state of the request's attempt in flight on its link, if it leaves the cell.
+// beginTransfer adds the state that the request's attempt in flight transfers to its link, if it leaves the cell.
 func (s *Scheduler) beginTransfer(req *request) {
 	target := req.inFlight.engine
 	if target.Cell != req.prefillEngine.Cell {
@@ -85,7 +85,7 @@
 	}
 }
 
-// endTransfer takes the state of the request's attempt in flight off its link.
+// endTransfer removes the state that the request's attempt in flight transfers from its link.
 func (s *Scheduler) endTransfer(req *request) {
 	if tokens := req.inFlight.transferTokens; tokens > 0 {
 		s.link(req.prefillEngine, req.inFlight.engine).tokensInTransit -= tokens
@@ -93,7 +93,7 @@
 	}
 }
 
-// learnTransfer takes the time from a send to its first token, of which the transfer is what exceeds the latency.
+// learnTransfer records the time from a send to its first token. What exceeds the first-token latency is the transfer.
 func (s *Scheduler) learnTransfer(req *request, spent float64) {
 	target := req.inFlight.engine
 	perToken := max(0, spent-s.firstTokenLatency(target)) / req.inFlight.transferTokens
--- a/scheduler/lifecycle.go
+++ b/scheduler/lifecycle.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// This file follows each request from its arrival to its final response.
+// This file tracks each request from its arrival to its final response.
 
 const (
-	// meanGain is the weight of one arrival in the mean prompt and output lengths.
-	meanGain = 0.05
-	// firstTokenGain is the weight of one first token in its engine's mean latency.
+	// lengthGain is the weight of the newest arrival in the mean prompt and output lengths.
+	lengthGain = 0.05
+	// firstTokenGain is the weight of the newest first token in its engine's mean first-token latency.
 	firstTokenGain = 0.25
 	// stateMissing is the Info of a rejection by an engine that found no state to fetch.
 	stateMissing = 1
 )
 
-// requestArrived takes a request into the high tier (paper, section IV-C, step 1).
+// requestArrived adds a request to the high tier (paper, section IV-C, step 1).
 func (s *Scheduler) requestArrived(event Request) {
 	if s.requests[event.ID] != nil || event.Class < 0 || event.Class >= len(s.cfg.Classes) {
 		return
@@ -26,7 +26,7 @@
 		deadline: s.now + event.ClientTimeLeft,
 		firstTokenDue: s.now + class.FirstTokenObjective + class.ObjectivePer1KTokens*event.PromptTokens/1000 +
 			class.ObjectivePerHintSecond*event.DurationHint,
-		overQuota: s.beyondQuota(event.Tenant),
+		overQuota: s.exceedsQuota(event.Tenant),
 	}
 	s.requests[event.ID] = req
 	s.openRequests = append(s.openRequests, req)
@@ -36,9 +36,9 @@
 func (s *Scheduler) countArrival(req *request) {
 	s.arrivals.add(s.now, 1, rateWindow)
 	s.countPrefix(req.Prefix)
-	s.classes[req.Class].promptTokens.add(s.now, req.PromptTokens, meanGain)
-	s.meanPromptTokens.add(s.now, req.PromptTokens, meanGain)
-	s.meanOutputTokens.add(s.now, s.expectedOutputTokens(req), meanGain)
+	s.classes[req.Class].promptTokens.add(s.now, req.PromptTokens, lengthGain)
+	s.meanPromptTokens.add(s.now, req.PromptTokens, lengthGain)
+	s.meanOutputTokens.add(s.now, s.expectedOutputTokens(req), lengthGain)
 }
 
 // clientDisconnected ends a request without a final response.
@@ -48,7 +48,7 @@
 	}
 }
 
-// firstTokenArrived records that the answer has begun to stream.
+// firstTokenArrived records that the answer has started to stream.
 func (s *Scheduler) firstTokenArrived(event FirstToken) {
 	req := s.requests[event.ID]
 	if req == nil || !req.hasInFlight(event.Attempt) || req.stage != stageDecoding {
@@ -57,7 +57,7 @@
 	engine := req.decodeEngine
 	s.attemptProgressed(req.stage)
 	s.completedWork[engine.role].add(s.now, s.work(req, engine.role), rateWindow)
-	req.overtakeEarlier(engine.admitted, stageDecoding)
+	req.countOvertaken(engine.admitted, stageDecoding)
 	prefilledHere := req.prefillsWithDecode()
 	req.stream = streamStart{startedAt: s.now, concurrency: s.concurrency(engine)}
 	req.stage = stageStreaming
@@ -70,7 +70,7 @@
 		engine.firstTokenLatency.add(s.now, event.Spent, firstTokenGain)
 		s.kinds[engine.Kind].firstTokenLatency.add(s.now, event.Spent, kindGain)
 	}
-	s.predictionError[engine.role].add(s.now, math.Abs(event.Spent-req.inFlight.expected), kindGain)
+	s.predictionError[engine.role].add(s.now, math.Abs(event.Spent-req.inFlight.predictedSeconds), kindGain)
 	s.recordSuccess(engine)
 }
 
@@ -80,7 +80,7 @@
 	stage stage
 }
 
-// attemptEnded closes the attempt of an outcome, learns from it by its status, and moves the request on.
+// attemptEnded closes the attempt of an outcome, updates the statistics by its status, and advances the request.
 func (s *Scheduler) attemptEnded(outcome Outcome) {
 	s.recordReport(s.engines[outcome.Engine], outcome.Report)
 	req := s.requests[outcome.ID]
@@ -102,17 +102,17 @@
 	s.continueRequest(req, ended, outcome.Closed)
 }
 
-// closeAttempt takes the attempt out of flight and off the engine's counts.
+// closeAttempt removes the attempt from its request and from the counts of its engine.
 func (s *Scheduler) closeAttempt(req *request, outcome Outcome) endedAttempt {
 	ended := endedAttempt{attempt: *req.inFlight, stage: req.stage}
 	engine := ended.engine
 	s.attemptProgressed(ended.stage)
 	if req.prefillsWithDecode() && outcome.Status != Completed {
-		s.emit(Release{ID: req.ID}) // the state that an engine has prefilled for itself is reserved too
+		s.emit(Release{ID: req.ID}) // an engine that prefills and decodes reserves the state too
 	}
 	s.learnPredictionError(ended, outcome)
 	if outcome.Status == Prefilled {
-		req.overtakeEarlier(engine.prefills, stagePrefilling)
+		req.countOvertaken(engine.prefills, stagePrefilling)
 	}
 	s.restartReservedTime(req, outcome.Status)
 	s.endTransfer(req)
@@ -122,15 +122,15 @@
 	return ended
 }
 
-// learnPredictionError takes the error of an attempt's predicted time: of a prefill that succeeded, or where no engine of
-// the role has answered since the attempt was sent. One engine that hangs while others answer is no measure of its role.
+// learnPredictionError records the error of an attempt's predicted time if the attempt is a successful prefill, or if no engine
+// of the role has succeeded since it was sent. Otherwise one engine that hangs while others answer would raise the error of its role.
 func (s *Scheduler) learnPredictionError(ended endedAttempt, outcome Outcome) {
 	if ended.stage != stagePrefilling && ended.stage != stageDecoding {
 		return
 	}
 	role := ended.engine.role
 	if outcome.Status == Prefilled || s.lastSuccess[role] < ended.sentAt {
-		s.predictionError[role].add(s.now, math.Abs(outcome.Spent-ended.expected), kindGain)
+		s.predictionError[role].add(s.now, math.Abs(outcome.Spent-ended.predictedSeconds), kindGain)
 	}
 }
 
@@ -141,7 +141,7 @@
 	req.stage = stagePrefilled
 	s.completedWork[Prefill].add(s.now, s.work(req, Prefill), rateWindow)
 	s.learnPrefill(req, ended.engine, max(1, req.prefill.load+req.cachedTokens-cached), outcome.Spent)
-	s.learnPrefixHit(req, ended.engine, cached)
+	s.learnPrefixHitRate(req, ended.engine, cached)
 	s.recordSuccess(ended.engine)
 }
 
@@ -151,18 +151,18 @@
 	s.learnDecode(req, engine)
 }
 
-// attemptRejected records a rejection: the engine is full, or a decode engine found no state to fetch.
+// attemptRejected records a rejection, which means that the engine is full or that a decode engine found no state to fetch.
 func (s *Scheduler) attemptRejected(req *request, ended endedAttempt, outcome Outcome) {
 	stateReserved := ended.stage == stageDecoding && req.reserved != nil
 	if outcome.Info == stateMissing {
-		if stateReserved { // the prefill engine lost the state, the decode engine is not full: prefill anew
+		if stateReserved { // the prefill engine lost the state and the decode engine is not full: prefill again
 			s.recordFailure(req.prefillEngine)
 		}
 		return
 	}
 	ended.engine.fullUntil = s.now + fullDuration
-	if reportsSpareCapacity(outcome.Report) { // it rejects what it has capacity for: another engine is next
-		req.lastFailedAt = ended.engine
+	if reportsSpareCapacity(outcome.Report) { // it rejects although it reports spare capacity: another engine is next
+		req.lastFailedEngine = ended.engine
 	}
 	if stateReserved {
 		req.stage = stagePrefilled
@@ -172,21 +172,21 @@
 // attemptFailed records a failure: an error, a timeout, a lost connection, or a cancellation.
 func (s *Scheduler) attemptFailed(req *request, ended endedAttempt, status Status) {
 	engine := ended.engine
-	req.lastFailedAt = engine
+	req.lastFailedEngine = engine
 	s.recordAttemptFailure(ended, status)
 	if ended.stage != stageDecoding && ended.stage != stageStreaming {
 		return
 	}
-	if status != ConnectFailed && req.mayHaveRun == nil && engine.role != Prefill {
-		req.mayHaveRun = &possibleEffect{sentAt: ended.sentAt, engine: engine}
+	if status != ConnectFailed && req.possibleEffect == nil && engine.role != Prefill {
+		req.possibleEffect = &possibleEffect{sentAt: ended.sentAt, engine: engine}
 	}
 	if req.reserved != nil {
 		req.stage = stagePrefilled
 	}
 }
 
-// continueRequest moves a request on after its attempt has ended. A state that waits keeps its admitted engine only if
-// the attempt was the prefill.
+// continueRequest advances a request after its attempt has ended. A request whose state waits stays admitted to its decode engine
+// only if the attempt was the prefill.
 func (s *Scheduler) continueRequest(req *request, ended endedAttempt, closed bool) {
 	switch {
 	case closed && !req.done:
@@ -201,9 +201,9 @@
 	}
 }
 
-// restartReservedTime restarts the time for which a state may be reserved, as the attempt to fetch it has ended. Where
+// restartReservedTime restarts the time limit of a reserved state when the attempt to fetch it has ended. If
 // StateTimeRunsUntilResponse is set, it restarts only if the engine has responded: an attempt that ended otherwise may never have
-// reached its engine, and then the time has run on.
+// reached its engine, and then the time limit has run on.
 func (s *Scheduler) restartReservedTime(req *request, status Status) {
 	responded := status == Rejected || status == ServerError
 	if req.reserved != nil && (responded || !s.cfg.Limits.StateTimeRunsUntilResponse) {
@@ -211,8 +211,8 @@
 	}
 }
 
-// stateReleased records that the host has released the state of a request. One that waits is prefilled anew; so is one whose attempt
-// in flight fails for want of the state.
+// stateReleased records that the host has released the state of a request. A request that waits is prefilled again. A request with
+// an attempt in flight is prefilled again if the attempt fails because the state is missing.
 func (s *Scheduler) stateReleased(event StateReleased) {
 	req := s.requests[event.ID]
 	if req == nil || req.reserved == nil {
@@ -228,8 +228,8 @@
 	}
 }
 
-// releaseState releases whatever is reserved for a request that has no attempt in flight (rule 5), and takes the request off
-// its decode engine.
+// releaseState releases what is reserved for a request that has no attempt in flight (rule 5), and removes the request from its
+// decode engine.
 func (s *Scheduler) releaseState(req *request) {
 	if req.reserved != nil {
 		s.emit(Release{ID: req.ID})
@@ -241,8 +241,8 @@
 	s.assignDecodeEngine(req, nil)
 }
 
-// finish gives the final response (nil where the client has one or has left), cancels the attempt in flight, and releases
-// the rest. A request whose attempt is still in flight stays known until its outcome.
+// finish gives the final response (nil if the client has one or has disconnected), cancels the attempt in flight, and releases what
+// is reserved. A request whose attempt is still in flight remains in s.requests until its outcome.
 func (s *Scheduler) finish(req *request, response Action) {
 	if response != nil {
 		s.emit(response)
@@ -258,6 +258,6 @@
 		s.emit(Cancel{ID: req.ID, Attempt: req.inFlight.number})
 	}
 	if req.stage == stagePrefilling && req.reserved != nil {
-		s.emit(Release{ID: req.ID}) // a place that is reserved during the prefill
+		s.emit(Release{ID: req.ID}) // a slot that is reserved during the prefill
 	}
 }
--- a/scheduler/memory.go
+++ b/scheduler/memory.go
@@ -1,9 +1,9 @@
 package scheduler
 
-// This file counts this router's streams and their tokens at a decode engine, and estimates how much of its KV-cache memory
-// is taken.
+// This file counts this node's streams and their tokens at a decode engine, and estimates how much of its KV-cache memory is in
+// use.
 
-// ownLoad is the load of this router at a decode engine. The new part is what its last report can't include yet.
+// ownLoad is the load of this node at a decode engine. The new part is what the engine's last report can't include yet.
 type ownLoad struct {
 	streams, tokens       float64
 	newStreams, newTokens float64
@@ -15,7 +15,7 @@
 		tokens := req.PromptTokens + s.expectedOutputTokens(req)
 		own.streams++
 		own.tokens += tokens
-		if req.stage != stageStreaming || req.stream.startedAt > target.reportAt-reportDelay {
+		if req.stage != stageStreaming || req.stream.startedAt > target.reportedAt-reportDelay {
 			own.newStreams++
 			own.newTokens += tokens
 		}
@@ -23,14 +23,14 @@
 	return own
 }
 
-// memoryShareWith estimates the share of an engine's memory that is taken once it has the request, as concurrency estimates
-// its streams.
+// memoryShareWith estimates the share of an engine's memory that is in use once it has the request, in the same way as concurrency
+// estimates its streams.
 func (s *Scheduler) memoryShareWith(target *engine, req *request) float64 {
 	if target.memory <= 0 {
 		return 0
 	}
 	own := s.ownLoad(target)
-	reported := s.kinds[target.Kind].reportedMemory.drawnTo(target.report.MemoryShare, s.reportFreshness(target))
+	reported := s.kinds[target.Kind].reportedMemory.blend(target.report.MemoryShare, s.reportFreshness(target))
 	used := max(own.tokens, reported*target.memory+own.newTokens) / target.memory
 	return used + (req.PromptTokens+s.expectedOutputTokens(req))/target.memory
 }
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// This file ejects outliers and readmits them on probation, and cancels attempts that are stuck.
+// This file ejects outliers, readmits them on probation, and cancels stuck attempts.
 
 const (
 	// failureGain is the weight of the newest outcome in an engine's failure score.
@@ -15,13 +15,13 @@
 	minEjection = 0.5
 	// maxEjection is the longest duration, in seconds, of an ejection before the next probation.
 	maxEjection = 4.0
-	// overdueFactor is the number of times its predicted duration after which an attempt may be overdue.
+	// overdueFactor is the multiple of its predicted duration after which an attempt may be overdue.
 	overdueFactor = 3
-	// overdueGrace is the time in seconds that is added to an attempt's predicted duration before it is overdue.
+	// overdueGrace is the time in seconds that is added to that multiple.
 	overdueGrace = 0.3
-	// lostAfterOvertaken is the number of later attempts which an engine answers before it is taken to have lost an earlier one.
-	lostAfterOvertaken = 2
-	// predictionErrorFactor is the number of mean prediction errors that are allowed for, as in RFC 6298, section 2.
+	// lostOvertakeCount is the number of later attempts that an engine answers before an earlier one counts as lost.
+	lostOvertakeCount = 2
+	// predictionErrorFactor is the number of mean prediction errors that are added as a margin, as in RFC 6298, section 2.
 	predictionErrorFactor = 4
 )
 
@@ -31,12 +31,12 @@
 	target.lastSuccess = s.now
 	s.lastSuccess[target.role] = s.now
 	if target.failureScore < probationScore {
-		target.ejectionTime = 0
+		target.ejectionDuration = 0
 	}
 }
 
-// recordFailure raises an engine's failure score. Two failures in a row eject it, whatever their cause: fast errors, a dead
-// process, a cut link or silence.
+// recordFailure raises an engine's failure score. Two consecutive failures eject it, whatever their cause: fast errors, a dead
+// process, a cut link or no response.
 func (s *Scheduler) recordFailure(target *engine) {
 	target.failureScore += failureGain * (1 - target.failureScore)
 	if target.failureScore >= ejectionScore && s.now >= target.ejectedUntil {
@@ -44,11 +44,11 @@
 	}
 }
 
-// recordAttemptFailure counts a failed attempt against its engine. A refused connection ejects at once. A slow attempt
-// doesn't count where the engine has answered others since, unless the engine has lost it.
+// recordAttemptFailure counts a failed attempt against its engine. A refused connection ejects the engine at once. An attempt that
+// timed out or was canceled doesn't count if the engine has answered others since it was sent, unless the engine has lost it.
 func (s *Scheduler) recordAttemptFailure(ended endedAttempt, status Status) {
 	target := ended.engine
-	lost := ended.overtaken >= lostAfterOvertaken
+	lost := ended.overtakenBy >= lostOvertakeCount
 	slow := (status == TimedOut || status == Canceled) && target.lastSuccess >= ended.sentAt && !lost
 	if status == ConnectFailed && target.failureScore < ejectionScore {
 		s.eject(target)
@@ -57,62 +57,61 @@
 	}
 }
 
-// eject keeps new work from an engine for a time that doubles from one ejection to the next. The engine then returns on
-// probation.
+// eject excludes an engine from new work for a time that doubles with each ejection. The engine is then readmitted on probation.
 func (s *Scheduler) eject(target *engine) {
 	target.failureScore = max(target.failureScore, ejectionScore)
-	target.ejectionTime = min(maxEjection, max(minEjection, 2*target.ejectionTime))
-	target.ejectedUntil = s.now + target.ejectionTime
-	if target.ejectionTime == minEjection {
+	target.ejectionDuration = min(maxEjection, max(minEjection, 2*target.ejectionDuration))
+	target.ejectedUntil = s.now + target.ejectionDuration
+	if target.ejectionDuration == minEjection {
 		s.emit(Log{Text: fmt.Sprintf("ejected %s, failure score %.2f", target.ID, target.failureScore)})
 	}
 }
 
-// acceptsWork tells whether an engine may get new work: it isn't ejected, gets one request at a time while it is on probation,
-// and has no attempt that is stuck because the engine is silent (a dead machine, a cut zone, a hung process).
+// acceptsWork reports whether an engine may get new work: it isn't ejected, it has no attempt that is stuck because the engine
+// doesn't respond (a dead machine, a cut zone, a hung process), and it has no other attempt in flight while it is on probation.
 func (s *Scheduler) acceptsWork(target *engine) bool {
 	if s.now < target.ejectedUntil {
 		return false
 	}
-	waiting := 0
+	pending := 0
 	for _, requests := range [2][]*request{target.prefills, target.admitted} {
 		for _, req := range requests {
-			if !target.awaits(req) {
+			if !target.hasPendingAttempt(req) {
 				continue
 			}
-			waiting++
-			if s.isStuck(req.inFlight) && req.inFlight.overtaken < lostAfterOvertaken {
+			pending++
+			if s.isStuck(req.inFlight) && req.inFlight.overtakenBy < lostOvertakeCount {
 				return false
 			}
 		}
 	}
-	return target.failureScore < probationScore || waiting == 0
+	return target.failureScore < probationScore || pending == 0
 }
 
-// awaits tells whether an attempt of the request is in flight at the engine, before its first token.
-func (e *engine) awaits(req *request) bool {
+// hasPendingAttempt reports whether an attempt of the request is in flight at the engine and its stream has not started.
+func (e *engine) hasPendingAttempt(req *request) bool {
 	return req.inFlight != nil && req.inFlight.engine == e && req.stage != stageStreaming
 }
 
-// isStuck tells whether an attempt is overdue and its engine has either succeeded with nothing since, or has answered later
-// attempts before it. Engines take what waits in order, so an overtaken attempt is lost, however loaded the engine is.
-func (s *Scheduler) isStuck(waiting *attempt) bool {
-	return s.now > s.overdueAt(waiting) &&
-		(waiting.engine.lastSuccess < waiting.sentAt || waiting.overtaken >= lostAfterOvertaken)
+// isStuck reports whether an attempt is overdue and its engine has either had no success since it was sent, or answered later
+// attempts before it. Engines process waiting attempts in order, so an overtaken attempt is lost, however loaded the engine is.
+func (s *Scheduler) isStuck(pending *attempt) bool {
+	return s.now > s.overdueAt(pending) &&
+		(pending.engine.lastSuccess < pending.sentAt || pending.overtakenBy >= lostOvertakeCount)
 }
 
-// overdueAt is when an attempt will have taken longer than its prediction allows, with the error that predictions have
-// lately had. Where all engines of a role are late, none is overdue.
-func (s *Scheduler) overdueAt(waiting *attempt) float64 {
-	at := waiting.sentAt + overdueFactor*waiting.expected + overdueGrace
-	if waiting.overtaken < lostAfterOvertaken {
-		at += predictionErrorFactor * s.predictionError[waiting.engine.role].get(s.now, 0, 0)
+// overdueAt returns the time at which an attempt becomes overdue. Unless the attempt was overtaken, this includes a margin for the
+// recent prediction error of the role, so that no attempt is overdue when all engines of the role are late.
+func (s *Scheduler) overdueAt(pending *attempt) float64 {
+	at := pending.sentAt + overdueFactor*pending.predictedSeconds + overdueGrace
+	if pending.overtakenBy < lostOvertakeCount {
+		at += predictionErrorFactor * s.predictionError[pending.engine.role].get(s.now, 0, 0)
 	}
 	return at
 }
 
-// cancelStuckAttempt cancels a stuck attempt, so that the request is retried elsewhere while there is time. Attempts at an
-// engine that still answers others go on: under overload a retry would only add to the load.
+// cancelStuckAttempt cancels a stuck attempt, so that the request is retried elsewhere while there is time. Attempts at an engine
+// that still answers others continue: under overload a retry would only add to the load.
 func (s *Scheduler) cancelStuckAttempt(req *request) {
 	if req.inFlight == nil || req.inFlight.cancelRequested || !s.cfg.Limits.Cancel || s.attemptsLeft(req) < 2 {
 		return
@@ -124,24 +123,25 @@
 	}
 }
 
-// cancelAttemptWithoutState cancels an attempt whose state was released beside it, where its engine has answered nothing since: if the
-// attempt has reached it at all, it finds no state. A new prefill is of more use than the wait, if attempts are left for one.
+// cancelAttemptWithoutState cancels an attempt whose state was released while it was in flight, if its engine has had no success
+// since it was sent: if the attempt has reached the engine at all, the engine finds no state. A new prefill is then more useful
+// than waiting, if attempts are left for one.
 func (s *Scheduler) cancelAttemptWithoutState(req *request) {
-	waiting := req.inFlight
-	if waiting == nil || !waiting.stateReleased || waiting.cancelRequested || req.stage != stageDecoding {
+	pending := req.inFlight
+	if pending == nil || !pending.stateReleased || pending.cancelRequested || req.stage != stageDecoding {
 		return
 	}
 	if req.class.Effect != Idempotent || !s.cfg.Limits.Cancel || !s.canPrefillAgain(req) {
 		return
 	}
-	if waiting.engine.lastSuccess < waiting.sentAt {
-		waiting.cancelRequested = true
-		s.emit(Cancel{ID: req.ID, Attempt: waiting.number})
+	if pending.engine.lastSuccess < pending.sentAt {
+		pending.cancelRequested = true
+		s.emit(Cancel{ID: req.ID, Attempt: pending.number})
 	}
 }
 
-// eligibleEngines returns the engines that fit, are listed as ready (rule 3) and accept work. Where none accepts work, it
-// returns the one that failed least.
+// eligibleEngines returns the engines that satisfy fits, are listed as ready (rule 3) and accept work. If none accepts work, it
+// returns the one that has failed least.
 func (s *Scheduler) eligibleEngines(fits func(e *engine) bool) []*engine {
 	var eligible []*engine
 	var lastResort *engine
@@ -168,15 +168,15 @@
 	return e.ejectedUntil < other.ejectedUntil
 }
 
-// overtakeEarlier counts the attempts at the same stage that were sent before the request's attempt in flight and are
-// still unanswered when it is answered.
-func (req *request) overtakeEarlier(others []*request, at stage) {
+// countOvertaken records, when the request's attempt in flight is answered, that it has overtaken the attempts at the same stage
+// that were sent earlier and are still unanswered.
+func (req *request) countOvertaken(others []*request, at stage) {
 	for _, other := range others {
 		if other == req || other.stage != at || other.inFlight.usesReservation != req.inFlight.usesReservation {
 			continue
 		}
 		if other.inFlight.sentAt < req.inFlight.sentAt {
-			other.inFlight.overtaken++
+			other.inFlight.overtakenBy++
 		}
 	}
 }
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -38,7 +38,7 @@
 	if !sched.acceptsWork(e) {
 		t.Fatal("gets no request on probation after the ejection")
 	}
-	e.admitted = []*request{{stage: stageDecoding, decodeEngine: e, inFlight: &attempt{engine: e, sentAt: sched.now, expected: 1}}}
+	e.admitted = []*request{{stage: stageDecoding, decodeEngine: e, inFlight: &attempt{engine: e, sentAt: sched.now, predictedSeconds: 1}}}
 	if sched.acceptsWork(e) {
 		t.Fatal("gets a second request on probation beside the first")
 	}
--- a/scheduler/outputlength.go
+++ b/scheduler/outputlength.go
@@ -2,25 +2,25 @@
 
 import "cmp"
 
-// This file infers how many tokens an answer will have.
+// This file predicts how many tokens an answer will have.
 
 const (
-	// streamTimesKept is the number of stream times that are kept for each class.
-	streamTimesKept = 128
-	// initialOutputShare is the share of its token limit that an answer is taken to have until streams of its class have ended.
+	// maxStreamTimes is the number of latest stream durations that are stored for each class.
+	maxStreamTimes = 128
+	// initialOutputShare is the prior of the ratio of an answer's length to its token limit.
 	initialOutputShare = 0.3
-	// minStreamTimes is the number of stream times from which the share is learned.
-	minStreamTimes = streamTimesKept / 8
-	// longestStreamQuantile is the quantile of the stream times that is taken to be the time of a stream at the token limit.
+	// minStreamTimes is the number of stream durations that are needed to estimate the ratio.
+	minStreamTimes = maxStreamTimes / 8
+	// longestStreamQuantile is the quantile of the stream durations that is assumed for a stream at the token limit.
 	longestStreamQuantile = 0.99
-	// minOutputTokens is the least number of tokens that an answer is taken to have.
+	// minOutputTokens is the shortest predicted length of an answer, in tokens.
 	minOutputTokens = 4
-	// minOutputTokenObjective is the least time per output token, in seconds, with which a hint is read.
+	// minOutputTokenObjective is the lower bound of the time per output token, in seconds, by which a duration hint is divided.
 	minOutputTokenObjective = 1e-3
 )
 
-// expectedOutputTokens predicts an answer's length: from its hint, else as its class's mean share of the token limit. Where
-// no answer reaches the limit the prediction is too long, and admission errs to the open side.
+// expectedOutputTokens predicts an answer's length in tokens: from its duration hint or, without one, from its token limit and the
+// mean ratio of its class. If no answer reaches the limit, the prediction is too long, and admission errs toward admitting too much.
 func (s *Scheduler) expectedOutputTokens(req *request) float64 {
 	tokens := req.DurationHint / max(req.class.OutputTokenObjective, minOutputTokenObjective)
 	if req.DurationHint <= 0 {
@@ -29,13 +29,13 @@
 	return max(minOutputTokens, min(tokens, req.MaxOutputTokens))
 }
 
-// learnOutputShare takes a stream's time, scaled to the speed of a lone stream. The longest streams of a class are taken
-// to have reached the token limit; the mean over their time is the mean share of the limit.
+// learnOutputShare records a stream's duration, scaled to the speed of a lone stream. The longest streams of a class are assumed to
+// have reached the token limit; the mean duration divided by theirs is the mean ratio of length to limit.
 func (s *Scheduler) learnOutputShare(req *request, seconds float64) {
 	class := &s.classes[req.Class]
 	class.streamTimes = append(class.streamTimes, seconds)
-	class.streamTimes = class.streamTimes[max(0, len(class.streamTimes)-streamTimesKept):]
+	class.streamTimes = class.streamTimes[max(0, len(class.streamTimes)-maxStreamTimes):]
 	if len(class.streamTimes) >= minStreamTimes {
-		class.outputShare = meanOverQuantile(class.streamTimes, longestStreamQuantile)
+		class.outputShare = meanToQuantileRatio(class.streamTimes, longestStreamQuantile)
 	}
 }
--- a/scheduler/outputlength_test.go
+++ b/scheduler/outputlength_test.go
@@ -13,7 +13,7 @@
 	if got := sched.expectedOutputTokens(req); got != 50 {
 		t.Fatalf("length by the hint is %g, want 50", got)
 	}
-	if got := meanOverQuantile([]float64{1, 1, 1, 1, 2}, 1); math.Abs(got-0.6) > 1e-9 {
+	if got := meanToQuantileRatio([]float64{1, 1, 1, 1, 2}, 1); math.Abs(got-0.6) > 1e-9 {
 		t.Fatalf("mean over the longest is %g, want 0.6", got)
 	}
 }
@@ -23,7 +23,7 @@
 func TestStreamsWithoutDurationAreNotLearned(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	now := 1.0
-	for i := range 2 * streamTimesKept {
+	for i := range 2 * maxStreamTimes {
 		req := testRequest(fmt.Sprint("q", i), 0)
 		_, w := prefillAndPlace(t, sched, now, req)
 		sched.Step(now+0.2, []Event{FirstToken{ID: req.ID, Attempt: 1, Engine: w, Spent: 0.01},
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -30,10 +30,10 @@
 			ProbeResult{Engine: "w1", Status: Completed, Report: report(0.05)},
 		})
 		sched.kinds[decodeKind].reportedMemory.mean = 0.4 // of all that have reported lately
-		sched.engines["w0"].reportAt, sched.engines["w1"].reportAt = 1, 1
+		sched.engines["w0"].reportedAt, sched.engines["w1"].reportedAt = 1, 1
 		sched.now = 1 + age
 		if age > 1 { // the engine of the cell has just reported, the other one long ago
-			sched.engines["w0"].reportAt = sched.now
+			sched.engines["w0"].reportedAt = sched.now
 		}
 		if w := sched.bestDecodeEngine(req, sched.engines["r0"], 1, false); w == nil || w.ID != want {
 			t.Errorf("reports %.1f s old: %v, want %s", age, w, want)
--- a/scheduler/probing.go
+++ b/scheduler/probing.go
@@ -1,17 +1,17 @@
 package scheduler
 
-// This file sends routine probes, where they are the only source of load reports.
+// This file sends routine probes if they are the only source of load reports.
 
 const (
-	// probeBudget is the most that routine probes may cost, in points of the result for each arrival.
+	// probeBudget is the highest cost of routine probes, in points of the result per arrival.
 	probeBudget = 5e-3
 	// minProbeInterval is the shortest time in seconds between two probes.
 	minProbeInterval = 0.02
-	// minProbedArrivals is the least rate of arrivals, in requests a second, by which the budget counts.
+	// minProbedArrivals is the lower bound of the arrival rate, in requests per second, from which the budget is computed.
 	minProbedArrivals = 0.5
 )
 
-// sendProbe probes the engines that decode in turn, as often as the price of a probe allows.
+// sendProbe probes the decode and mixed engines in turn, as often as the price of a probe allows.
 func (s *Scheduler) sendProbe() {
 	if s.cfg.ReportStyle != ReportOnProbe || !s.cfg.Limits.Probe || s.now < s.nextProbeAt {
 		return
@@ -29,7 +29,7 @@
 	}
 }
 
-// probeEnded records a probe's report, or counts its failure against the engine.
+// probeEnded records a probe's load report, or counts its failure against the engine.
 func (s *Scheduler) probeEnded(result ProbeResult) {
 	target := s.engines[result.Engine]
 	if target == nil {
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -1,16 +1,16 @@
 package scheduler
 
-// This file decides which requests are beyond their tenant's quota.
+// This file decides which requests exceed their tenant's quota.
 
 const (
-	// quotaBurst is the time in seconds for which a tenant may save up its quota.
+	// quotaBurst is the time in seconds for which a tenant may accumulate unused quota.
 	quotaBurst = 2.0
-	// quotaMinBurst is the least number of requests that a tenant may save up.
+	// quotaMinBurst is the smallest burst, in requests, that a tenant may accumulate.
 	quotaMinBurst = 4
 )
 
-// beyondQuota counts a request of a tenant, and tells whether it exceeds this router's even part of the tenant's quota.
-func (s *Scheduler) beyondQuota(tenant int) bool {
+// exceedsQuota counts a request of a tenant, and reports whether it exceeds this node's equal share of the tenant's quota.
+func (s *Scheduler) exceedsQuota(tenant int) bool {
 	if tenant < 0 || tenant >= len(s.quotas) || s.cfg.Tenants[tenant].Quota <= 0 {
 		return false
 	}
@@ -24,7 +24,7 @@
 	filledAt float64
 }
 
-// take takes one token from a bucket that fills at a rate up to a size. It returns false where the bucket is empty.
+// take takes one token from a bucket that fills at a rate up to a size. It returns false if the bucket is empty.
 func (b *tokenBucket) take(now, perSecond, size float64) bool {
 	if b.filledAt == 0 {
 		b.level = size
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -4,13 +4,13 @@
 
 // This file decides whether a request may have a further attempt, and where (rule 2).
 
-// dedupMarginTicks is the number of ticks before the end of a deduplication window from which no repeat is sent.
+// dedupMarginTicks is the number of ticks before the end of a deduplication window from which on no repeat is sent.
 const dedupMarginTicks = 2
 
-// repeatAllowed tells whether the request may be sent to an engine: none of its attempts may have run, it is idempotent, or
-// the engine is in the scope that discards repeats, within the deduplication window.
+// repeatAllowed reports whether the request may be sent to an engine: no attempt of it can have run, it is idempotent, or the
+// engine is in the scope that discards repeats and the deduplication window has not ended.
 func (s *Scheduler) repeatAllowed(req *request, target *engine) bool {
-	first := req.mayHaveRun
+	first := req.possibleEffect
 	if first == nil || req.class.Effect == Idempotent {
 		return true
 	}
@@ -32,12 +32,12 @@
 	return false
 }
 
-// attemptsLeft is how many attempts a request may still have.
+// attemptsLeft returns how many attempts a request may still have.
 func (s *Scheduler) attemptsLeft(req *request) int {
-	return s.cfg.Limits.MaxAttempts - req.attemptsSent + req.attemptsUncounted
+	return s.cfg.Limits.MaxAttempts - req.attemptsSent + req.exemptAttempts
 }
 
-// canPrefillAgain tells whether the request has attempts left for a prefill and a decode, or for an engine that does both.
+// canPrefillAgain reports whether the request has attempts left for a prefill and a decode, or for an engine that does both.
 func (s *Scheduler) canPrefillAgain(req *request) bool {
 	left := s.attemptsLeft(req)
 	if left >= 2 {
@@ -48,28 +48,29 @@
 	})
 }
 
-// exemptUnsentAttempt takes an attempt that was never written off the count, where UnsentAttemptsAreFree is set. At most as
-// many are exempt as attempts are allowed.
+// exemptUnsentAttempt excludes an attempt whose request was never written from the attempt limit, if UnsentAttemptsAreFree is set.
+// At most MaxAttempts attempts of a request are excluded.
 func (s *Scheduler) exemptUnsentAttempt(outcome Outcome) {
 	if !s.cfg.Limits.UnsentAttemptsAreFree || outcome.Status != ConnectFailed && outcome.Status != NotSent {
 		return
 	}
 	req := s.requests[outcome.ID]
-	if req != nil && req.hasInFlight(outcome.Attempt) && req.attemptsUncounted < s.cfg.Limits.MaxAttempts {
-		req.attemptsUncounted++
+	if req != nil && req.hasInFlight(outcome.Attempt) && req.exemptAttempts < s.cfg.Limits.MaxAttempts {
+		req.exemptAttempts++
 	}
 }
 
-// retryCandidates returns the engines less the one at which the request failed last, unless it is the only one. A request
-// that has met refused connections waits for an ejected engine, if its time allows, as engines often die together.
+// retryCandidates returns the engines except the one at which the request failed last, unless it is the only one. A request with
+// attempts that were never written gets no ejected engine if the ejection ends before the request's final response is due. It
+// waits for that end, because engines often fail together.
 func (s *Scheduler) retryCandidates(req *request, engines []*engine) []*engine {
-	if req.attemptsUncounted > 0 {
+	if req.exemptAttempts > 0 {
 		engines = slices.DeleteFunc(engines, func(e *engine) bool {
 			return s.now < e.ejectedUntil && e.ejectedUntil < req.deadline-s.responseMargin()
 		})
 	}
-	if len(engines) < 2 || req.lastFailedAt == nil {
+	if len(engines) < 2 || req.lastFailedEngine == nil {
 		return engines
 	}
-	return slices.DeleteFunc(engines, func(e *engine) bool { return e == req.lastFailedAt })
+	return slices.DeleteFunc(engines, func(e *engine) bool { return e == req.lastFailedEngine })
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -5,67 +5,68 @@
 	"math/rand/v2"
 )
 
-// This file is one step of a scheduler: apply the events, decide once, set one timer.
+// This file implements one step of a scheduler: it applies the events, makes one decision pass and sets one timer.
 //
-// The ordinary path is SABER's admission rule (paper, section IV-C, algorithm 1): a queued request is admitted to a decode
-// engine only if the online curve f(L) of speed against concurrency says that it and each stream there keep their
-// objective for the time per output token, and if its first token can come in time.
+// The main path is SABER's admission rule (paper, section IV-C, algorithm 1): a queued request is admitted to a decode engine
+// only if two predictions hold. By the online curve f(L) of speed against concurrency, the request and each stream at the
+// engine meet their objective for the time per output token; and the request's first token can come in time.
 
-// recheckInterval is the time in seconds between looks at waiting requests when nothing else happens.
+// recheckInterval is the time in seconds after which waiting requests are checked again if no event comes first.
 const recheckInterval = 0.02
 
-// randomStream selects the sequence of random draws beside the seed.
+// randomStream is the second seed word of the random generator; the first is the seed passed to New.
 const randomStream = 0x9e3779b97f4a7c15
 
-// Scheduler decides for one router. It is not safe for concurrent use: one goroutine owns it and all its fields.
+// Scheduler makes the decisions of one node. It is not safe for concurrent use: one goroutine owns it and all its fields.
 type Scheduler struct {
-	cfg     Config
-	rng     *rand.Rand
-	begun   bool    // Step has been called
-	started float64 // time of the first step
-	now     float64
-	actions []Action // of this step, in order
+	cfg         Config
+	rng         *rand.Rand
+	initialized bool    // Step has been called
+	startedAt   float64 // time of the first step
+	now         float64
+	actions     []Action // actions of the current step, in order
 
 	// Endpoint view.
-	engines      map[string]*engine
-	engineList   []*engine // in order of ID; decisions range over this list and never over the map
-	mostReady    [roles]int
-	watchActive  bool
-	watchCheckAt float64
+	engines          map[string]*engine
+	engineList       []*engine  // in order of ID; decisions range over this list and never over the map
+	maxReady         [roles]int // most engines of each role that were ready at once
+	watchActive      bool
+	nextWatchCheckAt float64
 
 	// Requests.
 	requests     map[string]*request
-	openRequests []*request // without a final response, in order of arrival
+	openRequests []*request // requests without a final response, in order of arrival
 
 	// Performance models.
 	kinds            []kindStats
 	classes          []classStats
 	links            map[linkKey]*link
-	predictionError  [roles]gauge // seconds by which attempts' times differed from their predictions
-	meanPromptTokens gauge
-	meanOutputTokens gauge
-	completedWork    [roles]decayingRate // work of prefills ended and streams begun
+	predictionError  [roles]decayingMean // mean absolute error of the predicted times of attempts, in seconds
+	meanPromptTokens decayingMean
+	meanOutputTokens decayingMean
+	completedWork    [roles]decayingRate // work of completed prefills and of started streams
 	lastSuccess      [roles]float64      // when an engine of the role last succeeded
 	arrivals         decayingRate
-	bestFirstToken   firstTokenBound // of the latest request that was looked at
+	firstTokenBound  firstTokenBound // of the request that was checked last
 
 	// Prefix affinity.
 	sessions       map[string]session
 	prefixRates    map[string]decayingRate
-	prefixArrivals decayingRate // all arrivals, over the same window as each prefix's
-	sweepAt        float64
+	prefixArrivals decayingRate // all arrivals, over the same window as those of each prefix
+	nextSweepAt    float64
 
 	// Quotas, exploration, probes and timers.
 	quotas             []tokenBucket // by tenant
-	awaitingFirstToken int           // attempts of which neither the first token nor the outcome has come
-	lastProgressAt     float64       // when the latest of these came
+	awaitingFirstToken int           // attempts in flight that have not streamed a first token
+	lastProgressAt     float64       // when an attempt last streamed its first token, or ended without one
 	nextProbeAt        float64
 	probeCursor        int
 	timerAt            float64
 	timerToken         int64
 }
 
-// New returns a scheduler, or an error that names the field of an impossible Config. The seed decides all random draws.
+// New returns a scheduler for a configuration, or an error that names the field with an invalid value. The seed determines all
+// random draws.
 func New(cfg Config, seed uint64) (*Scheduler, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -84,11 +85,11 @@
 	}, nil
 }
 
-// Step applies the events up to now, in order, decides once, and returns the actions in the order in which the host
-// carries them out. The package comment states its contract.
+// Step applies the events up to now, in order, makes one decision pass, and returns the actions in the order in which the host
+// must carry them out. The package comment states its contract.
 func (s *Scheduler) Step(now float64, events []Event) []Action {
-	if !s.begun {
-		s.begin(now)
+	if !s.initialized {
+		s.initialize(now)
 	}
 	s.now = max(now, s.now)
 	s.actions = nil
@@ -100,15 +101,15 @@
 	return s.actions
 }
 
-func (s *Scheduler) begin(now float64) {
-	s.begun = true
-	s.started = now
+func (s *Scheduler) initialize(now float64) {
+	s.initialized = true
+	s.startedAt = now
 	for i := range s.kinds {
 		s.kinds[i].curve.terms[0] = initialSecondsPerOutputToken
 	}
 }
 
-// handle passes an event to the file of its concern.
+// handle dispatches an event to its handler.
 func (s *Scheduler) handle(event Event) {
 	switch event := event.(type) {
 	case EndpointUpdate:
@@ -135,11 +136,11 @@
 
 func (s *Scheduler) emit(action Action) { s.actions = append(s.actions, action) }
 
-// schedule is the one decision pass of a step: it expires requests, cancels stuck attempts, places prefilled states, and
-// admits queued requests, those of the high tier first.
+// schedule is the decision pass of a step: it expires requests, cancels stuck attempts, places prefilled states, and admits
+// queued requests, those of the high tier first.
 func (s *Scheduler) schedule() {
 	s.watchEndpoints()
-	s.forgetIdleSessions()
+	s.evictIdleSessions()
 	var high, low []*request
 	for _, req := range append([]*request(nil), s.openRequests...) {
 		if req.stage == stageStreaming || s.expire(req) {
@@ -167,14 +168,14 @@
 	s.sendProbe()
 }
 
-// armTimer sets one timer, for the earliest time at which something is to be looked at.
+// armTimer sets one timer, for the earliest time at which something must be checked again.
 func (s *Scheduler) armTimer() {
 	at := math.Inf(1)
 	for _, req := range s.openRequests {
-		at = min(at, s.nextLook(req))
+		at = min(at, s.nextCheck(req))
 	}
 	if s.cfg.PollsDiscovery {
-		at = min(at, s.watchCheckAt)
+		at = min(at, s.nextWatchCheckAt)
 	}
 	if s.nextProbeAt > 0 {
 		at = min(at, s.nextProbeAt)
@@ -182,11 +183,11 @@
 	s.setTimer(max(at, s.now+s.cfg.Tick))
 }
 
-// nextLook is when an open request must be looked at again; infinite when it need not be.
-func (s *Scheduler) nextLook(req *request) float64 {
+// nextCheck returns the time at which an open request must be checked again, or +Inf if it need not be.
+func (s *Scheduler) nextCheck(req *request) float64 {
 	switch req.stage {
 	case stageQueued, stagePrefilled:
-		return min(s.now+recheckInterval, req.finalResponseDue) // its time may be up before the next look
+		return min(s.now+recheckInterval, req.finalResponseDue) // it may expire before the next check
 	case stageStreaming:
 		return math.Inf(1)
 	}
@@ -197,7 +198,7 @@
 	return at
 }
 
-// setTimer asks for a TimerFired, unless one is due earlier.
+// setTimer requests a TimerFired at a time, unless a timer that is due no later is set.
 func (s *Scheduler) setTimer(at float64) {
 	if math.IsInf(at, 1) || s.timerAt > s.now && s.timerAt <= at {
 		return
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -6,31 +6,31 @@
 	"math"
 )
 
-// This file keeps the traffic to an engine that is warming up within its slow-start budget (rule 4).
+// This file limits the traffic to an engine in slow start to its slow-start budget (rule 4).
 
 const (
-	// slowStartSafety is the share of the slow-start budget that is used, as load and not capacity is what is measured.
-	slowStartSafety = 0.8
-	// slowStartChance is the number of square roots of the budget that the rule leaves to chance and that are used beside it.
-	slowStartChance = 2
-	// slowStartCapacityTrust is the share of the estimated capacity of an engine kind that is relied upon.
-	slowStartCapacityTrust = 0.5
-	// promptDecodeWork is the share of a prompt token that counts as one output token in the work of a decode engine.
+	// slowStartSafetyFactor is the share of the slow-start budget that is used, because load is measured and not capacity.
+	slowStartSafetyFactor = 0.8
+	// slowStartDeviations is the number of square roots of the budget that rule 4 allows for random variation and that are used too.
+	slowStartDeviations = 2
+	// slowStartCapacityShare is the share of the estimated capacity of an engine kind on which the budget relies.
+	slowStartCapacityShare = 0.5
+	// promptDecodeWork is the work of one prompt token at an engine that decodes, in output tokens.
 	promptDecodeWork = 0.1
 )
 
-// slowStartSend is an attempt that was sent to an engine that was warming up.
+// slowStartSend is an attempt that was sent to an engine in slow start.
 type slowStartSend struct {
 	sentAt float64
 	work   float64
 }
 
-// warmingUp tells whether an engine may still be warming up.
+// warmingUp reports whether an engine may still be in slow start.
 func (s *Scheduler) warmingUp(target *engine) bool {
 	return target.BootTime > 0 && s.now < target.BootTime+s.cfg.Rules.SlowStartDuration
 }
 
-// warmEngines counts the ready engines of a role that are not warming up.
+// warmEngines returns the number of ready engines of a role that are not in slow start.
 func (s *Scheduler) warmEngines(role Role) int {
 	n := 0
 	for _, candidate := range s.engineList {
@@ -41,7 +41,7 @@
 	return n
 }
 
-// work is the mean work of the request's class at an engine of a role, in tokens. It is the unit of the slow-start budget.
+// work returns the mean work of the request's class at an engine of a role, in tokens. It is the unit of the slow-start budget.
 func (s *Scheduler) work(req *request, role Role) float64 {
 	prompt := s.classes[req.Class].promptTokens.mean
 	if role == Prefill {
@@ -50,7 +50,7 @@
 	return s.expectedOutputTokens(req) + promptDecodeWork*prompt
 }
 
-// countSlowStartSend counts an attempt at an engine that is warming up.
+// countSlowStartSend records an attempt that is sent to an engine in slow start.
 func (s *Scheduler) countSlowStartSend(req *request, target *engine) {
 	if s.warmingUp(target) {
 		send := slowStartSend{sentAt: s.now, work: s.work(req, target.role)}
@@ -58,20 +58,20 @@
 	}
 }
 
-// slowStartAllows tells whether one more attempt at the engine keeps within this router's part of the slow-start budget
-// (rule 4). In the first window after the router's own start nothing is sent, as sends of its previous process may count.
+// slowStartAllows reports whether one more attempt at the engine stays within this node's share of the slow-start budget (rule 4).
+// In the first window after the node's own start nothing is sent, because sends of its previous process may count.
 func (s *Scheduler) slowStartAllows(req *request, target *engine) bool {
 	if !s.warmingUp(target) {
 		return true
 	}
-	if s.now < s.started+s.cfg.Rules.SlowStartWindow {
+	if s.now < s.startedAt+s.cfg.Rules.SlowStartWindow {
 		return false
 	}
 	work := s.work(req, target.role)
 	return s.slowStartUsed(req, target)+work <= work*s.slowStartSendsAllowed(target, work)
 }
 
-// slowStartUsed is the work of this router in the latest window: sent, or admitted and still to be sent.
+// slowStartUsed returns the work from this node in the latest window: sent, or admitted and still to be sent.
 func (s *Scheduler) slowStartUsed(req *request, target *engine) float64 {
 	target.slowStartSends = recentSends(target.slowStartSends, s.now-s.cfg.Rules.SlowStartWindow)
 	used := 0.0
@@ -97,23 +97,24 @@
 	return recent
 }
 
-// slowStartSendsAllowed is the number of attempts of a given work that this router may send in a window. It follows from
-// the work that warm engines of the role complete for this router or, as there may be none, from an even part of what the
-// engine kind should bear.
+// slowStartSendsAllowed returns the number of attempts of a given work that this node may send in a window. It is derived from the
+// work that warm engines of the role complete for this node or, because there may be none, from an equal share of the estimated
+// capacity of the engine kind, whichever is larger.
 func (s *Scheduler) slowStartSendsAllowed(target *engine, work float64) float64 {
 	rules := &s.cfg.Rules
-	warm := max(1, s.warmEngines(target.role), s.mostReady[target.role]/2) // where most are warming up, the few warm ones are no measure
+	// If most engines are in slow start, the few warm ones are not representative.
+	warm := max(1, s.warmEngines(target.role), s.maxReady[target.role]/2)
 	perWarmEngine := s.completedWork[target.role].get(s.now, rateWindow) / float64(warm) / work
-	ofAllRouters := slowStartCapacityTrust * rules.OverloadMultiple * rules.SlowStartShare * rules.SlowStartWindow /
+	forAllNodes := slowStartCapacityShare * rules.OverloadMultiple * rules.SlowStartShare * rules.SlowStartWindow /
 		s.expectedBusyTime(target)
-	evenPart := (ofAllRouters + slowStartChance*math.Sqrt(ofAllRouters)) / float64(s.cfg.NodeCount)
-	part := slowStartSafety * max(rules.OverloadMultiple*rules.SlowStartShare*rules.SlowStartWindow*perWarmEngine, evenPart)
-	return math.Floor(part + s.slowStartTurn(target))
+	equalShare := (forAllNodes + slowStartDeviations*math.Sqrt(forAllNodes)) / float64(s.cfg.NodeCount)
+	share := slowStartSafetyFactor * max(rules.OverloadMultiple*rules.SlowStartShare*rules.SlowStartWindow*perWarmEngine, equalShare)
+	return math.Floor(share + s.slowStartTurn(target))
 }
 
-// slowStartTurn is a number between 0 and 1 that decides who may send where the parts are fractions of a send. Routers draw
-// it by their numbers, so that as many have a turn in a window as the fractions add up to. In the window in which the engine
-// was discovered it is 0.
+// slowStartTurn returns a number between 0 and 1 that decides which nodes may send if their shares are fractions of a send. Nodes
+// derive it from their indices, so that as many of them have a turn in a window as the fractions add up to. In the window in which
+// the engine was discovered it is 0.
 func (s *Scheduler) slowStartTurn(target *engine) float64 {
 	window := s.cfg.Rules.SlowStartWindow
 	phase := float64(s.cfg.NodeIndex) / float64(s.cfg.NodeCount)
@@ -125,8 +126,8 @@
 	return fraction
 }
 
-// expectedBusyTime is how long, in seconds, a request of mean work keeps an engine busy. It is estimated from the prefill times
-// and the curve of its kind, and is no shorter than by the priors.
+// expectedBusyTime returns how long, in seconds, a request of mean work occupies an engine. It is estimated from the prefill times
+// and the curve of the engine's kind, with the priors as lower bounds.
 func (s *Scheduler) expectedBusyTime(target *engine) float64 {
 	kind := &s.kinds[target.Kind]
 	prompt, output := s.meanPromptTokens.mean+prefillOverhead, s.meanOutputTokens.mean
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -260,7 +260,7 @@
 		f := newSlowStartFleet(t, slowStartLoad{routers: routers, role: Prefill, spread: 0.5, seed: 7})
 		_, all := f.mostInWindow(8)
 		windows := 8/f.cfg.Rules.SlowStartWindow - 1 // nothing is sent in that in which the engine was discovered
-		modeled := slowStartCapacityTrust * f.allowance
+		modeled := slowStartCapacityShare * f.allowance
 		if want := 0.7 * (modeled + 2*math.Sqrt(modeled)) * windows; float64(all) < want {
 			t.Errorf("%d routers: got %d sends in 8 s, want %.0f at least", routers, all, want)
 		}
--- a/scheduler/statistics.go
+++ b/scheduler/statistics.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// This file holds the running statistics from which the performance models predict.
+// This file implements the running statistics of the performance models.
 
 const (
-	// kindGain is the weight of one outcome or report in the mean of its engine kind or role.
+	// kindGain is the weight of the newest outcome or report in the mean of its engine kind or role.
 	kindGain = 0.05
-	// forgetTime is the time constant, in seconds, with which a gauge returns to its prior.
-	forgetTime = 5.0
+	// meanDecayTime is the time constant, in seconds, with which a decayingMean returns to its prior.
+	meanDecayTime = 5.0
 	// rateWindow is the time constant, in seconds, over which the rates of arrivals and of completed work are averaged.
 	rateWindow = 10.0
-	// fitMemory is the share of the older samples' weight that a least-squares fit keeps at each new sample.
-	fitMemory = 0.98
+	// forgettingFactor is the factor by which each new sample of a least-squares fit reduces the weight of the older samples.
+	forgettingFactor = 0.98
 )
 
-// gauge is a running mean that returns to a prior while nothing is learned, so that an engine or a link that was slow once
-// is tried again.
-type gauge struct {
+// decayingMean is a running mean that returns to a prior while no value is added, so that an engine or a link that was slow once is
+// tried again.
+type decayingMean struct {
 	mean      float64
 	updatedAt float64
 	samples   int
 }
 
 // add moves the mean toward a value by a gain. The first value becomes the mean.
-func (g *gauge) add(now, value, gain float64) {
+func (g *decayingMean) add(now, value, gain float64) {
 	if g.samples == 0 {
 		gain = 1
 	}
@@ -36,8 +36,8 @@
 	g.samples++
 }
 
-// get returns the mean, drawn to the prior with a time constant in seconds; 0 draws never.
-func (g *gauge) get(now, prior, timeConstant float64) float64 {
+// get returns the mean, which has decayed toward the prior with a time constant in seconds; 0 means no decay.
+func (g *decayingMean) get(now, prior, timeConstant float64) float64 {
 	if g.samples == 0 {
 		return prior
 	}
@@ -47,28 +47,28 @@
 	return prior + (g.mean-prior)*math.Exp(-(now-g.updatedAt)/timeConstant)
 }
 
-// drawnTo returns the mean, drawn to a value by the trust in that value, from 0 to 1.
-func (g *gauge) drawnTo(value, trust float64) float64 { return g.mean + (value-g.mean)*trust }
+// blend returns the weighted mean of the running mean and a value. The weight of the value is from 0 to 1.
+func (g *decayingMean) blend(value, weight float64) float64 { return g.mean + (value-g.mean)*weight }
 
-// linearFit fits y = a + bx by least squares with forgetting.
+// linearFit fits y = a + bx by least squares with exponential forgetting. Its fields are weighted sums over the samples.
 type linearFit struct{ n, x, y, xx, xy float64 }
 
-// add adds a sample. Older samples keep a share of their weight.
-func (f *linearFit) add(x, y, keep float64) {
-	f.n = keep*f.n + 1
-	f.x = keep*f.x + x
-	f.y = keep*f.y + y
-	f.xx = keep*f.xx + x*x
-	f.xy = keep*f.xy + x*y
+// add adds a sample. The weights of older samples are multiplied by retention.
+func (f *linearFit) add(x, y, retention float64) {
+	f.n = retention*f.n + 1
+	f.x = retention*f.x + x
+	f.y = retention*f.y + y
+	f.xx = retention*f.xx + x*x
+	f.xy = retention*f.xy + x*y
 }
 
-// slope returns b, drawn to a prior that weighs as much as a squared deviation of x.
+// slope returns b, regularized toward a prior. The weight of the prior is expressed as a squared deviation of x.
 func (f *linearFit) slope(prior, priorWeight float64) float64 {
 	n := max(1, f.n)
 	return (f.xy - f.x*f.y/n + priorWeight*prior) / (f.xx - f.x*f.x/n + priorWeight)
 }
 
-// decayingRate is a sum that decays with a time constant; divided by that, it is a rate.
+// decayingRate is a sum that decays exponentially with a time constant; divided by the time constant, it is a rate.
 type decayingRate struct {
 	sum       float64
 	updatedAt float64
@@ -83,8 +83,8 @@
 	return r.sum * math.Exp(-(now-r.updatedAt)/timeConstant) / timeConstant
 }
 
-// meanOverQuantile returns the mean of values over their value at a quantile.
-func meanOverQuantile(values []float64, quantile float64) float64 {
+// meanToQuantileRatio returns the mean of the values divided by their quantile.
+func meanToQuantileRatio(values []float64, quantile float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	sum := 0.0
 	for _, value := range sorted {
--- a/scheduler/validate.go
+++ b/scheduler/validate.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// check returns an error that names the first field of the Config with an impossible value.
+// check returns an error that names the first field of the Config with an invalid value.
 func (c *Config) check() error {
 	if err := c.checkNode(); err != nil {
 		return err
@@ -17,7 +17,7 @@
 		return fmt.Errorf("scheduler: Limits.MaxAttempts is %d", c.Limits.MaxAttempts)
 	}
 	if c.Zone < 0 || c.ZoneCount > 0 && c.Zone >= c.ZoneCount {
-		return fmt.Errorf("scheduler: Zone %d is not under ZoneCount %d", c.Zone, c.ZoneCount)
+		return fmt.Errorf("scheduler: Zone %d is not below ZoneCount %d", c.Zone, c.ZoneCount)
 	}
 	if !(c.Tick >= 0) {
 		return fmt.Errorf("scheduler: Tick is %g", c.Tick)
@@ -33,18 +33,18 @@
 		}
 	}
 	if !c.Rules.allNonNegative() {
-		return fmt.Errorf("scheduler: Rules has a negative figure")
+		return fmt.Errorf("scheduler: Rules has a negative value")
 	}
 	return nil
 }
 
-// checkNode checks the router's number.
+// checkNode checks the node's index and the number of nodes.
 func (c *Config) checkNode() error {
 	if c.NodeCount < 1 {
 		return fmt.Errorf("scheduler: NodeCount is %d", c.NodeCount)
 	}
 	if c.NodeIndex < 0 || c.NodeIndex >= c.NodeCount {
-		return fmt.Errorf("scheduler: NodeIndex %d is not under NodeCount %d", c.NodeIndex, c.NodeCount)
+		return fmt.Errorf("scheduler: NodeIndex %d is not below NodeCount %d", c.NodeIndex, c.NodeCount)
 	}
 	return nil
 }
@@ -65,7 +65,7 @@
 		r.PollInterval, r.DrainGrace, r.AnswerSlack)
 }
 
-// allNonNegative tells whether each value is a number of at least 0.
+// allNonNegative reports whether each value is a number of at least 0.
 func allNonNegative(values ...float64) bool {
 	for _, value := range values {
 		if !(value >= 0) {
