--- a/scheduler/affinity.go
+++ b/scheduler/affinity.go
@@ -91,7 +91,7 @@
 	return share * min(req.PrefixTokens, req.PromptTokens)
 }
 
-// learnPrefixHitRate records the share of a shared prefix that was found cached. Predictions assume that the rest must be prefilled.
+// learnPrefixHitRate records the share of a shared prefix that was found cached. Predictions assume that the rest is prefilled again.
 func (s *Scheduler) learnPrefixHitRate(req *request, target *engine, cached float64) {
 	if req.PrefixTokens > 0 {
 		share := min(1, cached/req.PrefixTokens)
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -157,7 +157,7 @@
 
 func (s EngineState) String() string { return enumName(int(s), "ready", "draining", "removed") }
 
-// UpdateForm is what the engines of an EndpointUpdate stand for.
+// UpdateForm is what the Engines of an EndpointUpdate contain.
 type UpdateForm int
 
 // Forms of an EndpointUpdate.
--- a/scheduler/expiry.go
+++ b/scheduler/expiry.go
@@ -21,11 +21,11 @@
 // (paper, section IV-C, step 1). It reports whether the request has ended.
 func (s *Scheduler) expire(req *request) bool {
 	s.firstTokenBound = s.boundFirstToken(req)
-	limit := s.expirationOf(req)
-	req.finalResponseDue = limit.at
+	expiry := s.expirationOf(req)
+	req.finalResponseDue = expiry.at
 	req.lowTier = req.lowTier || s.now+s.firstTokenBound.total > req.firstTokenDue
-	if s.now >= limit.at {
-		s.finish(req, s.finalResponse(req, limit.reason))
+	if s.now >= expiry.at {
+		s.finish(req, s.finalResponse(req, expiry.reason))
 	}
 	return req.done
 }
@@ -33,9 +33,9 @@
 // expirationOf returns the expiration of a request: now if it can have no further attempt, the last moment at which it could
 // still start and have some value if it waits, and shortly before its deadline otherwise.
 func (s *Scheduler) expirationOf(req *request) expiration {
-	limit := expiration{at: req.deadline - s.responseMargin(), reason: DeadlineNear}
+	expiry := expiration{at: req.deadline - s.responseMargin(), reason: DeadlineNear}
 	if req.inFlight != nil {
-		return limit
+		return expiry
 	}
 	if s.attemptsLeft(req) <= 0 {
 		return expiration{at: s.now, reason: AttemptsExhausted}
@@ -47,10 +47,10 @@
 	if req.class.LateValue <= 0 {
 		valueUntil = req.firstTokenDue // a late answer is worth nothing
 	}
-	if lastStart := valueUntil - s.firstTokenBound.total; !s.mayExplore() && lastStart < limit.at {
+	if lastStart := valueUntil - s.firstTokenBound.total; !s.mayExplore() && lastStart < expiry.at {
 		return expiration{at: lastStart, reason: ObjectiveUnreachable}
 	}
-	return limit
+	return expiry
 }
 
 // responseMargin returns how long before the deadline a final response is given.
