--- a/internal/decide/endpoints/endpoints.go
+++ b/internal/decide/endpoints/endpoints.go
@@ -1,14 +1,14 @@
-// Package endpoints decides which engines a node sends to, and when it polls for the next engine list.
+// Package endpoints decides which engines a node sends to, and when it polls for the next endpoint list.
 //
-// A View is built from complete lists that may come late, twice or out of order, from servers that lost their state, and
-// at times with most of the fleet missing. A NotifiedView is built from updates that count as notified from the moment the
-// source sends them. A Poller says when to call the source, a PollPolicy how long each step may take, and StartTimes
-// translates reported start times into the node's clock. The package does no I/O and reads no clock; times are in seconds.
+// A View is built from complete lists. They may arrive late, twice or out of order, may come from a server that lost its
+// state, and may lack most of the fleet. A NotifiedView is built from updates that count as notified from the moment the
+// source sends them. A Poller schedules the calls to the source, a PollPolicy limits how long each step may take, and StartTimes
+// translates reported start times to the node's clock. The package does no I/O and reads no clock; times are in seconds.
 //
-// A View applies at once that an engine drains, that one was added, restarted, moved or changed its role. It waits for
-// confirmation before it removes a large part of a role in one step, and before it calls an engine ready that keeps
-// coming and going. Both errors are bounded: a node that waits sends to removed engines, which fail at once, for at most
-// Options.ConfirmAfter; a node that did not wait would reject every request because of one broken response.
+// A View applies at once that an engine drains, was added, restarted, moved or changed its role. It waits for confirmation
+// before it removes a large part of a role in one step, and before it treats an engine as ready that is removed and added
+// again and again. The cost of waiting is bounded: for at most Options.ConfirmAfter the node sends to removed engines, where
+// attempts fail at once. Without the wait, a single broken response would make the node reject every request.
 package endpoints
 
 import (
@@ -16,7 +16,7 @@
 	"slices"
 )
 
-// State is the state that a list gives an engine.
+// State is the state of an engine in an endpoint list.
 type State int
 
 // States of a listed engine.
@@ -43,16 +43,16 @@
 	Cell, Zone  int
 	State       State
 	Weight      float64
-	BootTime    float64 // last start; 0 = long ago
+	BootTime    float64 // time of the last start; 0 = long ago
 }
 
-// List is a complete engine list as a source gave it.
+// List is a complete endpoint list as received from a source.
 type List struct {
 	Index     uint64 // orders the lists of one source; 0 = the source has no index
 	Endpoints []Endpoint
 }
 
-// sortedIDs returns the keys of a map by engine id in their order.
+// sortedIDs returns the sorted keys of a map by engine id.
 func sortedIDs[V any](byID map[string]V) []string {
 	return slices.Sorted(maps.Keys(byID))
 }
--- a/internal/decide/endpoints/golden_poller_test.go
+++ b/internal/decide/endpoints/golden_poller_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// goldenPollers are the ways in which a source is asked, each with its own chance.
+// goldenPollers returns a poller for each kind of source; all of them take their random numbers from draw.
 func goldenPollers(draw func() float64) map[string]*Poller {
 	return map[string]*Poller{"plain": NewPoller(draw), "watcher": NewAgentPoller(draw), "own": AgentPollPolicy(6, draw).NewPoller(),
 		"shared": SharedPollPolicy(6, 5, draw).NewPoller(), "shared slow": SharedPollPolicy(20, 30, draw).NewPoller()}
@@ -16,30 +16,30 @@
 	for seed := range uint64(goldenSeeds) {
 		for _, name := range []string{"plain", "watcher", "own", "shared", "shared slow"} {
 			r := rand.New(rand.NewPCG(seed, 4))
-			chance := rand.New(rand.NewPCG(seed, 5))
-			poller := goldenPollers(chance.Float64)[name]
+			random := rand.New(rand.NewPCG(seed, 5))
+			poller := goldenPollers(random.Float64)[name]
 			x.line("sequence %d of %s", seed, name)
 			now := 100.0
 			x.line("at %s start next=%s", number(now), number(poller.FirstCall(now)))
-			mood := 0 // what the source mostly does, for some calls
+			outcome := 0 // how most calls end, until it is drawn again
 			for range goldenSteps {
 				now += []float64{0, 0.001, 0.01, 0.1, 0.5, 1, 3, 20}[r.IntN(8)]
 				if r.IntN(8) == 0 {
-					mood = r.IntN(4)
+					outcome = r.IntN(4)
 				}
-				pollerStep(x, r, poller, now, mood)
+				pollerStep(x, r, poller, now, outcome)
 			}
 		}
 	}
 	compareGolden(t, "asker", x.String())
 }
 
-// pollerStep tells the asker how one call ended.
-func pollerStep(x *transcript, r *rand.Rand, poller *Poller, now float64, mood int) {
+// pollerStep reports to the poller how one call ended: mostly with the usual outcome, else with a random one.
+func pollerStep(x *transcript, r *rand.Rand, poller *Poller, now float64, outcome int) {
 	if r.IntN(4) == 0 {
-		mood = r.IntN(4)
+		outcome = r.IntN(4)
 	}
-	switch mood {
+	switch outcome {
 	case 0:
 		x.line("at %s good next=%s", number(now), number(poller.AfterCall(now, true)))
 	case 1:
--- a/internal/decide/endpoints/golden_test.go
+++ b/internal/decide/endpoints/golden_test.go
@@ -23,26 +23,27 @@
 // transcript collects the text of one golden file.
 type transcript struct {
 	strings.Builder
-	block string // what was last written by lines
+	lastBlock string // the last block that lines wrote
 }
 
 func (x *transcript) line(format string, args ...any) { fmt.Fprintf(&x.Builder, format+"\n", args...) }
 
-// lines writes a block of lines, or that it is the same as the last block.
+// lines writes a block of lines, or only that it equals the last block.
 func (x *transcript) lines(name string, lines []string) {
 	block := strings.Join(lines, "\n")
-	if block == x.block {
+	if block == x.lastBlock {
 		x.line("  %s as before", name)
 		return
 	}
-	x.block = block
+	x.lastBlock = block
 	x.line("  %s", name)
 	for _, l := range lines {
 		x.line("    %s", l)
 	}
 }
 
-// compareGolden compares a text with the file of the name given, and prints the first line that differs.
+// compareGolden compares a text with the golden file of the given name and prints the first line that differs. With -update it
+// rewrites the file instead.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name+".txt")
@@ -75,7 +76,7 @@
 	}
 }
 
-// number writes a time or a weight with nine digits after the point, so that a difference of rounding alone is not one.
+// number formats a time or a weight with nine decimal places, so that differences due to rounding do not show.
 func number(x float64) string {
 	s := strings.TrimRight(strings.TrimRight(fmt.Sprintf("%.9f", x), "0"), ".")
 	if s == "-0" {
@@ -91,7 +92,7 @@
 	return "no"
 }
 
-// engineLine writes each field of an engine of a list.
+// engineLine formats all fields of an endpoint.
 func engineLine(e Endpoint) string {
 	state := "ready"
 	if e.State == Draining {
@@ -101,7 +102,7 @@
 		e.ID, e.Address, e.Kind, e.Role, e.Cell, e.Zone, state, number(e.Weight), number(e.BootTime))
 }
 
-// pool is a random fleet that a source tells of.
+// pool is a random set of engines that a source lists.
 type pool struct {
 	r       *rand.Rand
 	engines []Endpoint
@@ -116,7 +117,7 @@
 	return p
 }
 
-// change changes one engine of the pool at a time.
+// change makes one random change to an engine of the pool.
 func (p *pool) change(now float64) {
 	e := &p.engines[p.r.IntN(len(p.engines))]
 	switch p.r.IntN(7) {
@@ -135,7 +136,7 @@
 	}
 }
 
-// list returns part of the pool: all of it, most of it or little of it, some engines twice.
+// list returns all, most or few engines of the pool, some of them twice.
 func (p *pool) list() []Endpoint {
 	missing := []float64{0, 0, 0.1, 0.2, 0.7, 1}[p.r.IntN(6)]
 	var out []Endpoint
@@ -145,25 +146,25 @@
 		}
 		out = append(out, e)
 		if p.r.IntN(25) == 0 {
-			twin := e
+			duplicate := e
 			switch p.r.IntN(4) {
 			case 0:
-				twin.Address = "10.9.9.9:80"
+				duplicate.Address = "10.9.9.9:80"
 			case 1:
-				twin.Address = "1.1.1.1:80"
+				duplicate.Address = "1.1.1.1:80"
 			case 2:
-				twin.BootTime++
+				duplicate.BootTime++
 			case 3:
-				twin.State = Draining
+				duplicate.State = Draining
 			}
-			out = append(out, twin)
+			out = append(out, duplicate)
 		}
 	}
 	return out
 }
 
-// step returns how much time passes before the next step: nothing, little, some seconds or very long.
-func step(r *rand.Rand) float64 {
+// drawElapsed draws the time until the next step: none, a fraction of a second, some seconds or some minutes.
+func drawElapsed(r *rand.Rand) float64 {
 	durations := []float64{0, 0.01, 0.3, 1, 2, 2.5, 5, 6, 40, 125, 320}
 	drawn := []int{0, 1, 1, 2, 2, 2, 3, 3, 3, 4, 4, 5, 5, 6, 6, 7, 8, 9, 10}
 	return durations[drawn[r.IntN(19)]]
@@ -174,11 +175,11 @@
 	for seed := range uint64(goldenSeeds) {
 		x.line("sequence %d", seed)
 		r := rand.New(rand.NewPCG(seed, 1))
-		settings := DefaultOptions
+		options := DefaultOptions
 		if seed%2 == 1 {
-			settings = Options{ShrinkShare: 0.25, ConfirmAfter: 6, FlapCount: 2, FlapWindow: 60, FlapHold: 8}
+			options = Options{ShrinkShare: 0.25, ConfirmAfter: 6, FlapCount: 2, FlapWindow: 60, FlapHold: 8}
 		}
-		view, p := NewView(settings), newPool(r)
+		view, p := NewView(options), newPool(r)
 		now, index := 1000.0, uint64(5)
 		if seed >= 2 {
 			saved := p.list()
@@ -190,7 +191,7 @@
 			viewState(x, view, now)
 		}
 		for range goldenSteps {
-			now += step(r)
+			now += drawElapsed(r)
 			viewStep(x, r, view, p, now, &index)
 			viewState(x, view, now)
 		}
@@ -198,29 +199,29 @@
 	compareGolden(t, "view", x.String())
 }
 
-// viewStep tells the view one thing.
+// viewStep applies one random event to the view: a list, the passage of time, an index reset or a restore.
 func viewStep(x *transcript, r *rand.Rand, view *View, p *pool, now float64, index *uint64) {
 	switch n := r.IntN(20); {
 	case n < 13:
 		if r.IntN(3) > 0 {
 			p.change(now)
 		}
-		answer := List{Index: *index, Endpoints: p.list()}
+		list := List{Index: *index, Endpoints: p.list()}
 		switch r.IntN(8) {
 		case 0: // the same index again
 		case 1:
-			answer.Index = 0
+			list.Index = 0
 		case 2:
-			answer.Index = *index - 1
+			list.Index = *index - 1
 		default:
 			*index++
-			answer.Index = *index
+			list.Index = *index
 		}
-		x.line("at %s list index=%d", number(now), answer.Index)
-		for _, e := range answer.Endpoints {
+		x.line("at %s list index=%d", number(now), list.Index)
+		for _, e := range list.Endpoints {
 			x.line("  told %s", engineLine(e))
 		}
-		x.line("  changed=%s", yesNo(view.Apply(now, answer)))
+		x.line("  changed=%s", yesNo(view.Apply(now, list)))
 	case n < 18:
 		x.line("at %s time passes", number(now))
 		x.line("  changed=%s", yesNo(view.Tick(now)))
@@ -234,17 +235,17 @@
 	}
 }
 
-// viewState writes all that the view gives out.
+// viewState writes everything that the view returns.
 func viewState(x *transcript, view *View, now float64) {
 	due := "never"
 	if at, ok := view.Next(); ok {
 		due = number(at)
 	}
-	b := view.Snapshot(now)
+	snapshot := view.Snapshot(now)
 	x.line("  due=%s waiting=%s index=%d since=%s saved=%s", due, strings.Join(view.UnconfirmedRemovals(), ","),
-		b.Index, number(b.ConfirmedAt), yesNo(b.Saved))
+		snapshot.Index, number(snapshot.ConfirmedAt), yesNo(snapshot.Saved))
 	var use []string
-	for _, e := range b.Endpoints {
+	for _, e := range snapshot.Endpoints {
 		use = append(use, engineLine(e))
 	}
 	x.lines("use", use)
@@ -252,36 +253,37 @@
 	for _, n := range view.Notes() {
 		notes = append(notes, strings.Join(noteFigures.FindAllString(n.Text, -1), " "))
 	}
-	slices.Sort(notes) // the notes of several roles come in no set order
+	slices.Sort(notes) // notes about several roles are in random order
 	for _, n := range notes {
 		x.line("  note of %s", n)
 	}
 }
 
-// noteFigures finds what a note tells of: engines, addresses and figures. Its other words are for people and may be reworded.
+// noteFigures matches the engines, addresses and numbers in a note. The rest of the text is for operators and may be reworded
+// without a change of the golden file.
 var noteFigures = regexp.MustCompile(`\be\d+\b|\d[\d.:%]*`)
 
-func wordLine(w Update) string { return engineLine(w.Endpoint) + " gone=" + yesNo(w.Removed) }
+func updateLine(w Update) string { return engineLine(w.Endpoint) + " gone=" + yesNo(w.Removed) }
 
 func TestGoldenNotifiedView(t *testing.T) {
 	x := &transcript{}
 	for seed := range uint64(goldenSeeds) {
 		x.line("sequence %d", seed)
 		r := rand.New(rand.NewPCG(seed, 2))
-		list, p := NewNotifiedView(), newPool(r)
+		view, p := NewNotifiedView(), newPool(r)
 		now, version := 1000.0, int64(0)
 		for range goldenSteps {
-			now += step(r)
-			notifiedStep(x, r, list, p, now, &version)
-			at, ok := list.Version()
+			now += drawElapsed(r)
+			notifiedStep(x, r, view, p, now, &version)
+			at, ok := view.Version()
 			x.line("  version=%d whole=%s", at, yesNo(ok))
 		}
 	}
 	compareGolden(t, "told", x.String())
 }
 
-// notifiedStep tells the list one answer, whole or of changes, now and then from the past.
-func notifiedStep(x *transcript, r *rand.Rand, list *NotifiedView, p *pool, now float64, version *int64) {
+// notifiedStep applies one response to the view: a complete list or changes, at times with an old version.
+func notifiedStep(x *transcript, r *rand.Rand, view *NotifiedView, p *pool, now float64, version *int64) {
 	p.change(now)
 	sent := *version
 	switch r.IntN(6) {
@@ -297,20 +299,20 @@
 	if !full {
 		entries = entries[:min(len(entries), r.IntN(3))]
 	}
-	var words []Update
+	var updates []Update
 	for _, e := range entries {
-		words = append(words, Update{Endpoint: e, Removed: r.IntN(6) == 0})
+		updates = append(updates, Update{Endpoint: e, Removed: r.IntN(6) == 0})
 	}
 	x.line("at %s answer version=%d full=%s", number(now), sent, yesNo(full))
-	for _, w := range words {
-		x.line("  told %s", wordLine(w))
+	for _, w := range updates {
+		x.line("  told %s", updateLine(w))
 	}
-	for _, w := range list.Apply(now, sent, full, words) {
-		x.line("  changed %s", wordLine(w))
+	for _, w := range view.Apply(now, sent, full, updates) {
+		x.line("  changed %s", updateLine(w))
 	}
 }
 
-func TestGoldenStarts(t *testing.T) {
+func TestGoldenStartTimes(t *testing.T) {
 	x := &transcript{}
 	for seed := range uint64(goldenSeeds) {
 		x.line("sequence %d", seed)
@@ -318,27 +320,27 @@
 		starts := NewStartTimes()
 		now, offset := 1000.0, []float64{0, 0, 50, -50}[seed%4]
 		for range 2 * goldenSteps {
-			now += step(r)
+			now += drawElapsed(r)
 			if r.IntN(15) == 0 {
 				offset = float64(r.IntN(200) - 100)
 			}
-			startsStep(x, r, starts, now, offset)
+			startTimesStep(x, r, starts, now, offset)
 		}
 	}
 	compareGolden(t, "starts", x.String())
 }
 
-// startsStep tells the memory of starts one thing.
-func startsStep(x *transcript, r *rand.Rand, starts *StartTimes, now, offset float64) {
+// startTimesStep applies one random event to the start times: a reported start, a complete list or a removal.
+func startTimesStep(x *transcript, r *rand.Rand, starts *StartTimes, now, offset float64) {
 	id := fmt.Sprintf("e%d", r.IntN(4))
 	switch n := r.IntN(10); {
 	case n < 7:
-		notified := now + offset - []float64{-30, -1, 0, 1, 10, 100, 2000}[r.IntN(7)]
-		notified = []float64{notified, notified, notified, 500, 500, 0, 990}[r.IntN(7)]
-		absent := []float64{0, 0, now - 1, now - 20, now - 200}[r.IntN(5)]
-		own := starts.LocalTime(id, notified, now, now+offset, absent)
+		reported := now + offset - []float64{-30, -1, 0, 1, 10, 100, 2000}[r.IntN(7)]
+		reported = []float64{reported, reported, reported, 500, 500, 0, 990}[r.IntN(7)]
+		lastResponse := []float64{0, 0, now - 1, now - 20, now - 200}[r.IntN(5)]
+		local := starts.LocalTime(id, reported, now, now+offset, lastResponse)
 		x.line("at %s engine=%s told=%s wall=%s absent=%s own=%s",
-			number(now), id, number(notified), number(now+offset), number(absent), number(own))
+			number(now), id, number(reported), number(now+offset), number(lastResponse), number(local))
 	case n < 9:
 		listed := map[string]string{}
 		var names []string
@@ -357,33 +359,33 @@
 	}
 }
 
-func watchingLine(w WatchTimeouts) string {
+func watchTimeoutsLine(w WatchTimeouts) string {
 	return fmt.Sprintf("hold=%s late=%s first=%s idle=%s whole=%s most=%s slow=%s calls=%d", number(w.Hold), number(w.ResponseSlack),
 		number(w.FirstByte), number(w.BetweenBytes), number(w.CompleteResponse), number(w.MaxSilence),
 		number(w.MaxCallInterval), w.MaxCalls)
 }
 
-func TestGoldenWatching(t *testing.T) {
+func TestGoldenPollPolicies(t *testing.T) {
 	x := &transcript{}
 	draw := func() float64 { return 0.5 }
-	for _, notified := range []float64{0.5, 2, 6, 20} {
-		watchingTable(x, fmt.Sprintf("own told=%s", number(notified)), AgentPollPolicy(notified, draw))
-		for _, every := range []float64{1, 5, 30} {
-			watchingTable(x, fmt.Sprintf("shared told=%s every=%s", number(notified), number(every)),
-				SharedPollPolicy(notified, every, draw))
+	for _, notifiedAfter := range []float64{0.5, 2, 6, 20} {
+		pollPolicyTable(x, fmt.Sprintf("own told=%s", number(notifiedAfter)), AgentPollPolicy(notifiedAfter, draw))
+		for _, pollInterval := range []float64{1, 5, 30} {
+			pollPolicyTable(x, fmt.Sprintf("shared told=%s every=%s", number(notifiedAfter), number(pollInterval)),
+				SharedPollPolicy(notifiedAfter, pollInterval, draw))
 		}
-		x.line("plain told=%s %s", number(notified), watchingLine(NewWatchTimeouts(notified)))
+		x.line("plain told=%s %s", number(notifiedAfter), watchTimeoutsLine(NewWatchTimeouts(notifiedAfter)))
 	}
 	compareGolden(t, "watching", x.String())
 }
 
-// watchingTable writes the times of one way of following a source.
-func watchingTable(x *transcript, name string, policy PollPolicy) {
-	x.line("%s spread=%s %s", name, number(policy.FirstCallSpread), watchingLine(policy.WatchTimeouts))
-	for _, begun := range []float64{0, 1000.25} {
-		x.line("  begun=%s silent=%s", number(begun), number(policy.WatchDeadline(begun)))
-		for silent := -1; silent <= 12; silent++ {
-			x.line("  begun=%s calls silent=%d until=%s", number(begun), silent, number(policy.CallDeadline(begun, silent)))
+// pollPolicyTable writes the timeouts of one poll policy.
+func pollPolicyTable(x *transcript, name string, policy PollPolicy) {
+	x.line("%s spread=%s %s", name, number(policy.FirstCallSpread), watchTimeoutsLine(policy.WatchTimeouts))
+	for _, started := range []float64{0, 1000.25} {
+		x.line("  begun=%s silent=%s", number(started), number(policy.WatchDeadline(started)))
+		for silentCalls := -1; silentCalls <= 12; silentCalls++ {
+			x.line("  begun=%s calls silent=%d until=%s", number(started), silentCalls, number(policy.CallDeadline(started, silentCalls)))
 		}
 	}
 }
--- a/internal/decide/endpoints/notified.go
+++ b/internal/decide/endpoints/notified.go
@@ -2,22 +2,22 @@
 
 import "maps"
 
-// Update is one engine of an update that counts as notified from the moment it was sent.
+// Update is the state of one engine as a source reported it. It counts as notified from the moment the source sent it.
 type Update struct {
 	Endpoint
 	Removed bool
 }
 
-// stopsNewWork tells whether an engine must not be sent new work.
+// stopsNewWork reports whether the engine must not be sent new work.
 func (u Update) stopsNewWork() bool { return u.Removed || u.State != Ready }
 
-// NotifiedView is the endpoint view of a source whose updates count as notified from the moment they are sent: a node that goes
-// on sending to an engine of which it was notified that it drains breaks a rule, however odd the list looks. So a removal
-// or a drain is applied at once, always. An update that adds work is ignored only where it is older than one already
-// applied. It is not safe for concurrent use.
+// NotifiedView is the endpoint view of a source whose updates count as notified from the moment they are sent. A node that
+// keeps sending to an engine after it was notified that the engine drains breaks rule 3, however implausible the list looks.
+// So the view always applies a removal or a drain at once. An update that makes an engine ready is ignored only if it is older
+// than one already applied. NotifiedView is not safe for concurrent use.
 type NotifiedView struct {
 	version   int64
-	complete  bool // a complete list was applied, so that the source may be polled for changes since version
+	complete  bool // a complete list was applied, so that only the changes since version are needed
 	endpoints map[string]notifiedEndpoint
 }
 
@@ -27,7 +27,7 @@
 	notifiedAt float64 // when it was last reported
 }
 
-// removedRetention is the time for which a removed engine is remembered (s), so that an old response does not add it again.
+// removedRetention is how long a removed engine is remembered (s), so that an outdated response does not add it again.
 const removedRetention = 120
 
 // NewNotifiedView returns an empty view.
@@ -35,12 +35,12 @@
 	return &NotifiedView{endpoints: map[string]notifiedEndpoint{}}
 }
 
-// Version returns the version after which changes are wanted; ok is false where the complete list is. The first version
-// may be 0.
+// Version returns the version since which to request changes. ok is false if the complete list must be requested instead;
+// version 0 is a valid version.
 func (v *NotifiedView) Version() (version int64, ok bool) { return v.version, v.complete }
 
-// Apply applies a response of the source, which is complete (full) or holds the changes up to its version. It returns what
-// has changed, in order of id.
+// Apply applies a response of the source: the complete list if full is set, otherwise the changes up to version. It returns the
+// updates that changed the view, sorted by id.
 func (v *NotifiedView) Apply(now float64, version int64, full bool, updates []Update) []Update {
 	changes := map[string]Update{}
 	outdated := v.complete && version < v.version
@@ -59,7 +59,7 @@
 	return ordered
 }
 
-// applyUpdate records an engine's update and adds it to the changes where it is one.
+// applyUpdate records an engine's update and adds it to changes if it changes the view.
 func (v *NotifiedView) applyUpdate(now float64, update Update, outdated bool, changes map[string]Update) {
 	endpoint, known := v.endpoints[update.ID]
 	if outdated && known && endpoint.stopsNewWork() && !update.stopsNewWork() && update.BootTime <= endpoint.BootTime {
@@ -98,10 +98,10 @@
 	})
 }
 
-// advance sets the version after which changes are wanted.
+// advance sets the version since which to request changes.
 func (v *NotifiedView) advance(version int64, full, outdated bool) {
 	switch {
-	case full: // an older one too: the source started anew
+	case full: // even if the version is older: the source has restarted
 		v.version = version
 		v.complete = true
 	case outdated: // the changes between this version and the view's are unknown
--- a/internal/decide/endpoints/notified_test.go
+++ b/internal/decide/endpoints/notified_test.go
@@ -41,20 +41,20 @@
 	}
 	step("the first list, of version 0", "a b ", 0, true, readyUpdate("a"), readyUpdate("b"))
 	if v, ok := view.Version(); v != 0 || !ok {
-		t.Fatal("version 0 is a version: the complete list must not be requested again")
+		t.Fatal("after a complete list of version 0: the complete list is requested again")
 	}
 	step("no changes", "", 0, false)
 	step("a drain", "a* ", 1, false, drainingUpdate("a"))
 	step("an older response does not undo it", "", 0, false, readyUpdate("a"))
 	if _, ok := view.Version(); ok {
-		t.Fatal("after changes of an older version the complete list is wanted")
+		t.Fatal("after changes of an older version: the complete list is not requested")
 	}
 	step("the complete list", "c ", 3, true, drainingUpdate("a"), readyUpdate("b"), readyUpdate("c"))
 	step("an older complete list removes at once, and makes no draining engine ready", "c- ", 2, true, readyUpdate("a"), readyUpdate("b"))
 	if v, ok := view.Version(); v != 2 || !ok {
-		t.Fatal("a source that started anew is followed")
+		t.Fatal("after a complete list of an older version from a restarted source: its version is not adopted")
 	}
-	step("a newer response does", "a ", 3, false, readyUpdate("a"))
+	step("a newer response makes a draining engine ready", "a ", 3, false, readyUpdate("a"))
 	step("removal of an unknown engine", "", 4, false, removedUpdate("z"))
 	step("removal of all engines is applied", "a- b- ", 5, true)
 }
@@ -74,7 +74,8 @@
 	return updates, named
 }
 
-// checkWithdrawn checks that a view holds no engine ready that the latest response withdrew.
+// checkWithdrawn checks that no engine is ready in the view that the latest response reported as draining or removed, and that
+// a complete list removed the engines it does not name.
 func checkWithdrawn(t *rapid.T, state, named map[string]Update, full bool) {
 	for id, update := range state {
 		reported, inResponse := named[id]
@@ -88,7 +89,7 @@
 	}
 }
 
-// Over all interleavings: an engine that was last reported draining or removed, by a response no older than others, is never ready.
+// In any sequence of responses, old ones included, an engine that the latest response reported as draining or removed is not ready.
 func TestNotifiedViewNeverKeepsWithdrawnEndpointReady(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := NewNotifiedView()
@@ -121,6 +122,6 @@
 		view.Apply(float64(i), int64(2*i+1), false, []Update{removedUpdate(id)})
 	}
 	if len(view.endpoints) > 200 {
-		t.Fatalf("%d engines are remembered after a day of replacements", len(view.endpoints))
+		t.Fatalf("%d engines are remembered after 10,000 replacements, want at most 200", len(view.endpoints))
 	}
 }
--- a/internal/decide/endpoints/poll_policy.go
+++ b/internal/decide/endpoints/poll_policy.go
@@ -1,14 +1,14 @@
 package endpoints
 
-// PollPolicy says how a node polls one kind of source.
+// PollPolicy defines how a node polls one kind of source.
 type PollPolicy struct {
 	WatchTimeouts
 	FirstCallSpread float64        // seconds over which the first calls of nodes that start together are spread
 	NewPoller       func() *Poller // returns the poller of one watch
 }
 
-// AgentPollPolicy returns the policy for a source of the node's own, an agent on its machine: it answers at once and at no
-// cost. notifiedAfter is the time after which a change counts as notified whatever became of the calls (s).
+// AgentPollPolicy returns the policy for an agent on the node's machine that serves only this node. It responds at once, and
+// calls to it cost nothing. notifiedAfter is the time after which a change counts as notified, even if all calls failed (s).
 func AgentPollPolicy(notifiedAfter float64, random func() float64) PollPolicy {
 	return PollPolicy{
 		WatchTimeouts: NewWatchTimeouts(notifiedAfter),
@@ -16,24 +16,25 @@
 	}
 }
 
-// Figures of a shared source. Its timeout is a third of the time after which a change counts as notified (2 s of 6 s; PROTOCOL,
-// figures). A silent watch, its deadline and one queued response have to fit into that time.
+// Parameters of SharedPollPolicy. The timeout of a shared source is a third of notifiedAfter, the time after which a change
+// counts as notified (2 s of 6 s; PROTOCOL, figures). A silent watch up to its deadline and one queued response have to fit into
+// notifiedAfter.
 const (
 	sharedHoldShare            = 1.0 / 3  // of notifiedAfter
 	sharedFirstByteShare       = 1.0 / 3  // of notifiedAfter: a response may be queued for the source's whole timeout
 	sharedMaxCalls             = 2        // calls in flight at once
-	sharedMinBackoff           = 0.5      // s before the first further call
-	sharedMaxBackoffShare      = 0.65     // of notifiedAfter, before the first call too: a queued response still fits in
+	sharedMinBackoff           = 0.5      // s
+	sharedMaxBackoffShare      = 0.65     // of notifiedAfter, also for the first call: a queued response still fits in
 	sharedMaxIntervalShare     = 0.4      // of notifiedAfter: a queued response and one more call still fit in
 	sharedCongestionDelayShare = 1.0 / 12 // of notifiedAfter
-	sharedFirstCallShare       = 0.8      // of the time in which a node is expected to poll
+	sharedFirstCallShare       = 0.8      // of the time within which a node is expected to poll
 )
 
-// SharedPollPolicy returns the policy for a source that all nodes poll. It can answer each of them only every few seconds,
-// and rejects calls that would be queued for longer than its timeout, so that nodes which called again at once would keep it
-// overloaded. Nodes that start with a saved list therefore spread their first calls, each backs off with jitter after a
-// failure, and after repeated rejections for so long that the rejected nodes no longer overload it, but no longer than
-// notifiedAfter (s). pollInterval is the time in which a node is expected to poll (s).
+// SharedPollPolicy returns the policy for a source that all nodes poll. It can respond to each of them only every few seconds,
+// and rejects calls that would be queued for longer than its timeout, so nodes that called again at once would keep it
+// overloaded. Nodes that start with a saved list therefore spread their first calls, and each node backs off with jitter after
+// a failure. After repeated rejections the backoff is so long that the rejected nodes no longer overload the source, but at most
+// notifiedAfter (s). pollInterval is the time within which a node is expected to poll (s).
 func SharedPollPolicy(notifiedAfter, pollInterval float64, random func() float64) PollPolicy {
 	timeouts := NewWatchTimeouts(notifiedAfter)
 	timeouts.Hold = sharedHoldShare * notifiedAfter
--- a/internal/decide/endpoints/poller.go
+++ b/internal/decide/endpoints/poller.go
@@ -1,18 +1,18 @@
 package endpoints
 
-// Poller decides when a node calls the source of the engine list again. Hundreds of nodes poll the same source: after a
-// failure each of them backs off with jitter, and none exceeds its budget of calls, whatever the source responds. Times are
-// in seconds. It is not safe for concurrent use.
+// Poller decides when a node calls the source of the endpoint list again. Hundreds of nodes may poll the same source: after a
+// failure each of them backs off with jitter, and none exceeds its call budget, whatever the source responds. Times are in
+// seconds. Poller is not safe for concurrent use.
 type Poller struct {
 	MinBackoff, MaxBackoff float64        // bounds of the backoff after a failed call
-	OverloadBackoff        float64        // longest backoff while the source is overloaded (AfterRejection); 0 = none of its own
-	CallsPerSecond, Burst  float64        // budget of calls
+	OverloadBackoff        float64        // longest backoff while the source is overloaded (AfterRejection); 0 = as after a failed call
+	CallsPerSecond, Burst  float64        // call budget
 	MaxInterval            float64        // longest poll interval after a response, while the source is congested; 0 = no interval
-	CongestionDelay        float64        // a response that comes later than this shows that the source is congested
-	Random                 func() float64 // returns numbers from 0 up to 1; the only source of chance
+	CongestionDelay        float64        // the source counts as congested if a response is delayed by more than this
+	Random                 func() float64 // returns numbers in [0, 1); the only source of randomness
 
-	interval              float64 // poll interval after a response, now
-	backoff               float64 // backoff after a failed call, now
+	interval              float64 // current poll interval after a response
+	backoff               float64 // current backoff after a failed call
 	tokens                float64 // calls that the budget still allows
 	refilledAt            float64
 	started               bool
@@ -20,8 +20,8 @@
 	hasSucceeded          bool // a call has succeeded
 }
 
-// A source counts as overloaded after this number of rejections in a row: before its first response to this node, when all
-// nodes call at the same time, and since then, when they call at different times.
+// A source counts as overloaded after this number of consecutive rejections. Before its first response to this node all nodes
+// call at the same time; after it they call at different times.
 const (
 	rejectionsBeforeResponse = 2
 	rejectionsAfterResponse  = 4
@@ -30,31 +30,31 @@
 // Poll interval of a congested source (AfterResponse).
 const (
 	initialInterval       = 0.25 // s; the first interval when congestion begins
-	intervalDecreaseShare = 0.25 // of initialInterval that each response in time takes off
+	intervalDecreaseShare = 0.25 // of initialInterval, by which each response in time shortens the interval
 )
 
 // backoffGrowth is the factor by which a backoff may exceed the one before it (decorrelated jitter).
 const backoffGrowth = 3
 
-// NewPoller returns a poller for a source that many nodes share, with starting values that no page prescribes.
+// NewPoller returns a poller with default parameters for a source that many nodes share.
 func NewPoller(random func() float64) *Poller {
 	return &Poller{MinBackoff: 0.25, MaxBackoff: 20, CallsPerSecond: 2, Burst: 4, Random: random}
 }
 
-// NewAgentPoller returns a poller for a source of the node's own, an agent on its machine. It needs no backoff of several
-// seconds. A watch continues only if its next call comes within 0.2 s, and what the source has when it recovers may
-// count as notified at once.
+// NewAgentPoller returns a poller for an agent on the node's machine that serves only this node, so that it needs no backoff of
+// several seconds. A watch continues only if its next call comes within 0.2 s, and the changes that the source has when it
+// recovers may count as notified at once.
 func NewAgentPoller(random func() float64) *Poller {
 	return &Poller{MinBackoff: 0.05, MaxBackoff: 0.2, CallsPerSecond: 10, Burst: 20, Random: random}
 }
 
-// FirstCall returns when the first call may be made: nodes that start together do not call together.
+// FirstCall returns when the first call may be made. The time is random, so that nodes that start together do not call together.
 func (p *Poller) FirstCall(now float64) float64 {
 	return p.takeToken(now + p.MinBackoff*p.Random())
 }
 
-// AfterCall returns when to call again after a call that ended at now. After a success that is at once, within the budget:
-// the source holds the call until there is a change. After a failure it is a backoff with decorrelated jitter (Brooker,
+// AfterCall returns when to call again after a call that ended at now. After a success it is at once, within the budget, because
+// the source holds the call until there is a change. After a failure it is after a backoff with decorrelated jitter (Brooker,
 // "Exponential Backoff and Jitter", 2015).
 func (p *Poller) AfterCall(now float64, succeeded bool) float64 {
 	if succeeded {
@@ -66,18 +66,18 @@
 	return p.takeToken(now + p.backoff)
 }
 
-// AfterResponse returns when to call again after a response that came so late (s): the calls of all nodes must not exceed
-// what the source can answer. The poll interval doubles while the source is congested and shrinks step by step while it is
-// not, as in TCP's congestion avoidance (Chiu and Jain, 1989). Of N nodes that each pause for an interval p and then queue, of
-// which the source answers C a second, none is rejected if N/C is at most p and the time for which a call may queue.
+// AfterResponse returns when to call again after a response that was delayed by the given time (s): the calls of all nodes must
+// not exceed what the source can answer. The poll interval doubles while the source is congested and shrinks step by step while
+// it is not, as in TCP's congestion avoidance (Chiu and Jain, 1989). If N nodes each pause for an interval p and then queue, and
+// the source answers C calls a second, none is rejected as long as N/C is at most p plus the time for which a call may queue.
 func (p *Poller) AfterResponse(now, delay float64) float64 {
 	p.adjustInterval(delay > p.CongestionDelay)
 	p.recordSuccess()
 	return p.takeToken(now + p.interval*(1+p.Random())/2)
 }
 
-// AfterRejection returns when to call again after the source has responded that it cannot answer now. The first rejections
-// lead to the backoff of any failure; more of them lead to one so long that the calls of all rejected nodes no longer keep
+// AfterRejection returns when to call again after the source has responded that it cannot answer now. The backoff after the
+// first rejections is that of any failure. After further ones it is so long that the calls of all rejected nodes no longer keep
 // the source overloaded.
 func (p *Poller) AfterRejection(now float64) float64 {
 	p.adjustInterval(true)
@@ -93,7 +93,7 @@
 	return p.takeToken(now + p.backoff)
 }
 
-// recordSuccess ends the backoff.
+// recordSuccess resets the backoff and the count of rejections.
 func (p *Poller) recordSuccess() {
 	p.backoff = 0
 	p.consecutiveRejections = 0
@@ -109,7 +109,7 @@
 	p.interval = max(0, p.interval-intervalDecreaseShare*initialInterval)
 }
 
-// takeToken takes one call from the budget (a token bucket) and returns when it may be made, not before the time given.
+// takeToken takes one call from the budget (a token bucket) and returns when it may be made, which is not before at.
 func (p *Poller) takeToken(at float64) float64 {
 	if !p.started {
 		p.started = true
--- a/internal/decide/endpoints/poller_test.go
+++ b/internal/decide/endpoints/poller_test.go
@@ -7,20 +7,20 @@
 	"pgregory.net/rapid"
 )
 
-// A node keeps its budget of calls, however the source behaves.
+// A poller stays within its call budget, whatever the source does.
 func TestPollerKeepsCallBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		poller := NewPoller(func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "chance") })
+		poller := NewPoller(func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "random") })
 		at := poller.FirstCall(50)
 		firstCall, n := at, 1
 		for range rapid.IntRange(1, 60).Draw(t, "calls") {
 			took := rapid.SampledFrom([]float64{0, 0, 0.01, 1, 30}).Draw(t, "took")
 			next := poller.AfterCall(at+took, rapid.Bool().Draw(t, "good"))
 			if next < at+took {
-				t.Fatalf("calls at %.3f, before the last call ended at %.3f", next, at+took)
+				t.Fatalf("the next call is at %.3f, before the last call ended at %.3f", next, at+took)
 			}
 			if next > at+took+poller.MaxBackoff+60 {
-				t.Fatalf("calls only after %.1f s", next-at-took)
+				t.Fatalf("the next call comes only after %.1f s", next-at-took)
 			}
 			at = next
 			if n++; float64(n) > poller.Burst+1+poller.CallsPerSecond*(at-firstCall)+1e-6 {
@@ -31,12 +31,12 @@
 }
 
 func TestBackoffSpreadsCallsOfManyNodes(t *testing.T) {
-	x := uint64(1)
+	state := uint64(1)
 	slots := map[int]int{}
 	for range 300 {
 		poller := NewPoller(func() float64 {
-			x = x*6364136223846793005 + 1442695040888963407
-			return float64(x>>11) / (1 << 53)
+			state = state*6364136223846793005 + 1442695040888963407
+			return float64(state>>11) / (1 << 53)
 		})
 		at := poller.FirstCall(0)
 		for range 4 {
@@ -49,11 +49,11 @@
 		most = max(most, n)
 	}
 	if most > 60 {
-		t.Fatalf("%d of 300 call within a tenth of a second: %s", most, fmt.Sprint(slots))
+		t.Fatalf("%d of 300 nodes call within a tenth of a second, want at most 60: %s", most, fmt.Sprint(slots))
 	}
 }
 
-// A source that does not hold its calls is polled within the call budget, and a watch on it continues all the same.
+// A source that responds at once instead of holding its calls is polled within the call budget, and a watch on it still continues.
 func TestAgentPollerContinuesWatchWithinCallBudget(t *testing.T) {
 	poller, now, calls := NewAgentPoller(func() float64 { return 0.5 }), 100.0, 0
 	for end := now + 10; now < end; calls++ {
--- a/internal/decide/endpoints/shared_test.go
+++ b/internal/decide/endpoints/shared_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// scheduledCall is a node and when it calls.
+// scheduledCall is the next call of a node.
 type scheduledCall struct {
 	at   float64
 	node int
@@ -18,7 +18,7 @@
 func (c callQueue) Less(i, k int) bool { return c[i].at < c[k].at }
 func (c callQueue) Swap(i, k int)      { c[i], c[k] = c[k], c[i] }
 
-// Push and Pop are those of container/heap.
+// Push and Pop implement heap.Interface.
 func (c *callQueue) Push(x any) { *c = append(*c, x.(scheduledCall)) }
 
 func (c *callQueue) Pop() any {
@@ -28,12 +28,13 @@
 	return x
 }
 
-// rejectionCost is the cost of a rejected call as a share of one that is answered: it sends no list.
+// rejectionCost is the cost of a rejected call as a share of an answered one. It is lower because no list is sent.
 const rejectionCost = 0.7
 
-// nodesWithList returns how many of the nodes that start together have a list by a time. The source answers one call of each
-// node in takes seconds, queues a response for 2 s at most, and rejects calls that would be queued for longer.
-func nodesWithList(nodes int, takes, by float64, policy func(draw func() float64) PollPolicy) (n int) {
+// nodesWithList simulates nodes that start together and returns how many of them have a list at the time by. The source takes
+// roundTime seconds to answer one call of each node, queues a response for 2 s at most, and rejects calls that would be queued
+// for longer.
+func nodesWithList(nodes int, roundTime, by float64, policy func(draw func() float64) PollPolicy) (n int) {
 	rng := rand.New(rand.NewPCG(1, uint64(nodes)))
 	pollers, queue := make([]*Poller, nodes), callQueue{}
 	for i := range nodes {
@@ -42,42 +43,42 @@
 		queue = append(queue, scheduledCall{p.FirstCallSpread * rng.Float64(), i})
 	}
 	heap.Init(&queue)
-	cost, free := takes/float64(nodes), 0.0
+	cost, freeAt := roundTime/float64(nodes), 0.0
 	for len(queue) > 0 {
-		d := heap.Pop(&queue).(scheduledCall)
-		if d.at > by {
+		call := heap.Pop(&queue).(scheduledCall)
+		if call.at > by {
 			break
 		}
-		if wait := max(0, free-d.at); wait <= 2 {
-			free = max(free, d.at) + cost
+		if wait := max(0, freeAt-call.at); wait <= 2 {
+			freeAt = max(freeAt, call.at) + cost
 			n++
 			continue
 		}
-		free += rejectionCost * cost
-		heap.Push(&queue, scheduledCall{pollers[d.node].AfterRejection(d.at), d.node})
+		freeAt += rejectionCost * cost
+		heap.Push(&queue, scheduledCall{pollers[call.node].AfterRejection(call.at), call.node})
 	}
 	return n
 }
 
-// Nodes that start together are all answered soon by a source that they share, though it cannot answer them at once. With the
-// policy for an agent they would keep it overloaded.
+// Nodes that start together all get a list soon from a source that they share, though it cannot answer all of them at once. With
+// the policy for an agent they would keep it overloaded.
 func TestSharedPollPolicyEndsSourceOverload(t *testing.T) {
 	shared := func(draw func() float64) PollPolicy { return SharedPollPolicy(6, 10, draw) }
 	for _, nodes := range []int{2, 32, 300} {
-		for _, takes := range []float64{2, 4, 8} {
-			if n := nodesWithList(nodes, takes, 30, shared); n < nodes {
-				t.Errorf("%d nodes, %g s for a call of each: %d have a list after 30 s", nodes, takes, n)
+		for _, roundTime := range []float64{2, 4, 8} {
+			if n := nodesWithList(nodes, roundTime, 30, shared); n < nodes {
+				t.Errorf("%d nodes, %g s for a call of each: %d nodes have a list after 30 s", nodes, roundTime, n)
 			}
 		}
 	}
-	own := func(draw func() float64) PollPolicy { return AgentPollPolicy(6, draw) }
-	if n := nodesWithList(300, 8, 30, own); n >= 300 {
-		t.Errorf("with the agent policy %d of 300 have a list: this test shows nothing", n)
+	agent := func(draw func() float64) PollPolicy { return AgentPollPolicy(6, draw) }
+	if n := nodesWithList(300, 8, 30, agent); n >= 300 {
+		t.Errorf("with the agent policy %d of 300 nodes have a list, want fewer: the simulated source is not overloaded", n)
 	}
 }
 
-// A silent watch, its deadline and a queued response fit into the time after which a change counts as notified, and so do the
-// first call and any backoff after a failed call: an outage is no overload.
+// A silent watch up to its deadline and a queued response fit into the time after which a change counts as notified. So do the
+// delay of the first call and any backoff after failed calls, because an outage is no overload.
 func TestSharedPollPolicyFitsNotificationTime(t *testing.T) {
 	policy := SharedPollPolicy(6, 10, func() float64 { return 0.999 })
 	if got := policy.CallDeadline(policy.WatchDeadline(0), 1); got >= 6 {
@@ -97,7 +98,7 @@
 	}
 }
 
-// A node that has a list and is then rejected two or three times calls again before a change counts as notified.
+// A node that has a list and is then rejected up to three times calls again before a change counts as notified.
 func TestBackoffOfRejectedCallsAfterResponse(t *testing.T) {
 	policy := SharedPollPolicy(6, 10, func() float64 { return 0.999 })
 	poller := policy.NewPoller()
--- a/internal/decide/endpoints/start_times.go
+++ b/internal/decide/endpoints/start_times.go
@@ -3,30 +3,31 @@
 import "maps"
 
 // StartTimes translates the start times of engines into times of the node's own clock, which is never stepped. A source
-// reports them by a wall clock that all machines are meant to share. The two clocks differ where the machine's wall clock was
-// stepped after the node had started, and which of the two is right is unknown: an engine cannot have started in the future,
-// and of two possible ages the lesser one errs on the side of slow start. Where the wall clock was ahead when the node started,
-// both ages are too high; that shows in a start that the source did not report when it last responded. StartTimes is not safe
-// for concurrent use.
+// reports them by a wall clock that all machines are meant to share.
+//
+// If the machine's wall clock was stepped after the node had started, the two clocks differ and it is unknown which one is
+// right. An engine cannot have started in the future, and of two possible ages the lower one counts: if it is wrong, the engine
+// is only in slow start for too long. If the wall clock was ahead when the node started, both ages are too high; this is detected
+// when a start that looks old was missing from the source's last response. StartTimes is not safe for concurrent use.
 type StartTimes struct{ records map[string]startRecord }
 
 // startRecord is one start of an engine, by both clocks.
 type startRecord struct {
 	reported  float64
 	local     float64
-	removedAt float64 // when the engine was removed; 0 = it is listed. It may come back without a restart
+	removedAt float64 // when the engine was removed; 0 = it is listed. It may be listed again without a restart
 }
 
-// maxReportDelay is the time within which a source reports a start (s): it notices an engine some seconds after it has
-// started, and what it reports counts as notified 6 s later at the latest.
+// maxReportDelay is the time within which a source reports a start (s). The source notices an engine some seconds after it has
+// started, and its report counts as notified 6 s later at the latest.
 const maxReportDelay = 15
 
-// NewStartTimes returns an empty memory of start times.
+// NewStartTimes returns start times without any engine.
 func NewStartTimes() *StartTimes { return &StartTimes{records: map[string]startRecord{}} }
 
-// LocalTime returns when an engine started by the node's own clock, which shows now, while the wall clock shows wall. A start
-// that was reported before keeps its local time. lastResponse is when the source last responded without this start; 0 = never.
-// A time of 0, reported or returned, means long ago.
+// LocalTime returns when an engine started by the node's own clock. now is the current time by the node's clock and wall by the
+// wall clock. A start that was reported before keeps its local time. lastResponse is when the source last responded without
+// this start; 0 = never. A start time of 0, reported or returned, means long ago.
 func (s *StartTimes) LocalTime(id string, reported, now, wall, lastResponse float64) float64 {
 	if reported <= 0 {
 		delete(s.records, id)
@@ -42,7 +43,7 @@
 	return record.local
 }
 
-// maxAge returns the highest age that an engine may have.
+// maxAge returns the highest age that an engine can have.
 func maxAge(reported, now, wall, lastResponse float64) float64 {
 	age := now - reported
 	wallAge := wall - reported
@@ -50,12 +51,12 @@
 		age = wallAge
 	}
 	if lastResponse > 0 && age > now-lastResponse+maxReportDelay {
-		return 0 // it had not started then: the clocks are wrong, and by how much is unknown
+		return 0 // the engine had not started then: the clocks are wrong by an unknown amount
 	}
 	return max(0, age)
 }
 
-// Retain removes all engines that a complete list, given by id, does not name.
+// Retain removes all engines that are not in listed, a complete list by id.
 func (s *StartTimes) Retain(listed map[string]string, now float64) {
 	for id := range s.records {
 		if _, ok := listed[id]; !ok {
@@ -65,8 +66,8 @@
 	s.forgetRemoved(now)
 }
 
-// Remove records that an engine was removed. Its start is remembered for a while: an engine that was partitioned off comes
-// back with the same start.
+// Remove records that an engine was removed. Its start is remembered for a while, because an engine that was removed during a
+// network partition is listed again with the same start.
 func (s *StartTimes) Remove(id string, now float64) {
 	if record, ok := s.records[id]; ok && record.removedAt == 0 {
 		record.removedAt = now
--- a/internal/decide/endpoints/start_times_test.go
+++ b/internal/decide/endpoints/start_times_test.go
@@ -9,7 +9,7 @@
 
 const hour = 3600.0
 
-// The local start time is the true one or a later one, whichever of the two clocks was stepped.
+// The local start time is never earlier than the true one, whichever of the two clocks was stepped.
 func TestStartTimeIsNeverOlderWhicheverClockStepped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := 1e9 + rapid.Float64Range(0, 1e6).Draw(t, "now")
@@ -21,8 +21,8 @@
 		} else {
 			wall += step
 		}
-		own := NewStartTimes().LocalTime("e", reported, now, wall, 0)
-		got := now - own
+		local := NewStartTimes().LocalTime("e", reported, now, wall, 0)
+		got := now - local
 		if got < -1e-6 || got > age+1e-6 {
 			t.Fatalf("an engine that started %g s ago has the age %g s; step %g", age, got, step)
 		}
@@ -42,14 +42,14 @@
 		t.Errorf("a new start: got %g, want 1030", later)
 	}
 	if s.LocalTime("e", 0, 1040, 1040, 0) != 0 {
-		t.Error("long ago stays long ago")
+		t.Error("a start time of 0, which means long ago, does not stay 0")
 	}
 	if s.LocalTime("f", 900, 1040, 1040, 0); s.LocalTime("f", 900, 1050, 1050, 1049) != 900 {
-		t.Error("a start that was reported before keeps its local time")
+		t.Error("a start that was reported before does not keep its local time")
 	}
 	s.Remove("f", 1060)
 	if returnedLocal := s.LocalTime("f", 900, 1070, 1070, 1069); returnedLocal != 900 {
-		t.Errorf("an engine that was partitioned off and comes back: got %g, want 900", returnedLocal)
+		t.Errorf("an engine that is listed again after a network partition: got %g, want 900", returnedLocal)
 	}
 	s.Remove("f", 1080)
 	s.Retain(map[string]string{}, 1080+removedRetention+1)
@@ -58,8 +58,9 @@
 	}
 }
 
-// An engine whose start the source did not report a moment ago is not taken for an older one, though the wall clock of the node's
-// machine was ahead when it started. A correct clock counts as long as the source's report may have been late.
+// An engine whose start was missing from the source's last response does not count as older than that response allows, even if the
+// wall clock of the node's machine was ahead when the node started. The age by a correct clock is used as long as the source's
+// report may have been late.
 func TestStartTimeWhenWallClockIsAhead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := 1e9 + rapid.Float64Range(0, 1e6).Draw(t, "now")
--- a/internal/decide/endpoints/view.go
+++ b/internal/decide/endpoints/view.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Options bound how far a View trusts a list as it came.
+// Options define which changes a View applies only after confirmation or a delay.
 type Options struct {
 	ShrinkShare  float64 // a list that lacks more than this share of a role's engines needs confirmation
 	ConfirmAfter float64 // seconds after which a removal is confirmed without a second list
@@ -11,30 +11,30 @@
 	FlapHold     float64 // seconds for which a flapping engine must stay listed; it drains until then
 }
 
-// DefaultOptions are starting values that no page or measurement prescribes.
+// DefaultOptions are the options that a node uses.
 var DefaultOptions = Options{ShrinkShare: 0.5, ConfirmAfter: 2, FlapCount: 3, FlapWindow: 30, FlapHold: 5}
 
 const (
-	// retentionWindows is the time for which a removed engine is remembered, in units of FlapWindow, so that one which
-	// comes back later still counts as flapping.
+	// retentionWindows is how long a removed engine is remembered, in units of FlapWindow, so that an engine that is added
+	// again later still counts as flapping.
 	retentionWindows = 10
-	// retentionSlack is added to that time (s), so that Tick finds the time exceeded when Next says that it is due.
+	// retentionSlack is added to that time (s), so that the time is exceeded when Tick is called at the time that Next returned.
 	retentionSlack = 1
 	// removalsToConfirm is the number of different lists that have to lack an engine before a large removal is applied.
 	removalsToConfirm = 2
-	// maxNotes bounds the notes between two calls of Notes: a broken source may cause any number.
+	// maxNotes limits the notes between two calls of Notes, because a broken source may cause any number.
 	maxNotes = 100
 )
 
 // Snapshot is the list of engines that the node uses at one time.
 type Snapshot struct {
 	Endpoints   []Endpoint // in order of id
-	Index       uint64     // of the list that it rests on
+	Index       uint64     // of the list that it is based on
 	ConfirmedAt float64    // when a source last confirmed it
-	Saved       bool       // it rests on a list that an earlier run saved, and no source has responded yet
+	Saved       bool       // it is based on a list that an earlier run saved, and no source has responded yet
 }
 
-// Note tells the operators why a list was not applied as it came.
+// Note is a message to operators that explains why a list was not applied as it was received.
 type Note struct{ Text string }
 
 // viewRecord is the history of one engine. An engine that was removed stays recorded for some time.
@@ -43,8 +43,8 @@
 	listed       bool      // it is part of the snapshot
 	listedSince  float64   // when it was last added
 	removals     []float64 // times of the latest removals, the oldest first; at most FlapCount
-	missingSince float64   // when lists began to lack it, while its removal is unconfirmed; 0 = they name it
-	missingLists int       // number of different lists that lacked it since
+	missingSince float64   // when lists began to lack it, while its removal is unconfirmed; 0 = no removal is pending
+	missingLists int       // number of different lists that have lacked it since then
 }
 
 // View is the endpoint view that a node builds from complete lists. It is not safe for concurrent use.
@@ -63,9 +63,10 @@
 	return &View{options: options, records: map[string]*viewRecord{}}
 }
 
-// Restore applies the list that an earlier run saved. It is used until a source has responded, however old it is: calls
-// to a listed engine that no longer exists fail at once, and the first response adds engines that are missing. Start times
-// are restored as they were, so that an engine which was warming up still is. Restore does nothing once the view has content.
+// Restore applies the list that an earlier run saved. It is used until a source has responded, however old it is: calls to a
+// listed engine that no longer exists fail at once, and the first response adds engines that are missing. Start times are
+// restored unchanged, so that an engine in slow start stays in it. Restore does nothing if the view has engines already, or a
+// source has responded.
 func (v *View) Restore(now float64, saved []Endpoint) {
 	if v.responded || len(v.records) > 0 {
 		return
@@ -77,8 +78,8 @@
 	v.changed = true
 }
 
-// Apply applies a list and returns whether the snapshot has changed. A list with an index older than the view's is
-// rejected, unless the source's index was reset (see IndexReset).
+// Apply applies a list and reports whether the snapshot has changed. A list with a lower index than the view's is rejected,
+// unless the source's index was reset (see IndexReset).
 func (v *View) Apply(now float64, list List) bool {
 	v.changed = false
 	if list.Index > 0 && list.Index < v.index {
@@ -97,8 +98,8 @@
 	return v.changed
 }
 
-// IndexReset makes the view accept lists from the lowest index on: the source's index went backwards, because the source
-// was restored or replaced. Engines that its lists lack still need confirmation like those of any other large removal.
+// IndexReset makes the view accept lists from the lowest index on. It is called when the source's index went backwards, because
+// the source was restored or replaced. A large removal by its lists still needs confirmation.
 func (v *View) IndexReset() {
 	v.addNote("the list server's index fell below %d; polling it from the start", v.index)
 	v.index = 0
@@ -118,7 +119,7 @@
 		record.listedSince = now
 		v.changed = true
 		if endpoint.BootTime <= record.BootTime {
-			endpoint.BootTime = now // the list reports no restart, but the engine's cache may be gone all the same
+			endpoint.BootTime = now // the list reports no restart, but the engine may still have lost its cache
 		}
 	case endpoint.Address != record.Address || endpoint.Kind != record.Kind:
 		v.addNote("engine %s was %s, kind %d, and is %s, kind %d: it counts as restarted",
@@ -138,7 +139,7 @@
 }
 
 // applyMissing removes the engines that a list lacks, or records that their removal needs confirmation. A repeated list
-// confirms nothing.
+// does not confirm a removal.
 func (v *View) applyMissing(now float64, listed []Endpoint, repeated bool) {
 	named := map[string]bool{}
 	for _, endpoint := range listed {
@@ -169,8 +170,8 @@
 	}
 }
 
-// rolesToConfirm returns for each role that a list shrinks whether the removal needs confirmation. A single engine does
-// not: it may be the only one of its role.
+// rolesToConfirm returns, for each role of which a list lacks engines, whether their removal needs confirmation. The removal of
+// a single engine does not, because it may be the only one of its role.
 func (v *View) rolesToConfirm(named map[string]bool) map[int]bool {
 	listed := map[int]int{}
 	missing := map[int]int{}
@@ -200,7 +201,7 @@
 	v.changed = true
 }
 
-// Snapshot returns the list that the node uses at a time.
+// Snapshot returns the list that the node uses at the time now.
 func (v *View) Snapshot(now float64) Snapshot {
 	snapshot := Snapshot{Index: v.index, ConfirmedAt: v.confirmedAt, Saved: !v.responded}
 	for _, id := range sortedIDs(v.records) {
@@ -217,14 +218,14 @@
 	return snapshot
 }
 
-// isFlapping tells whether an engine was removed and added too often to get new work yet.
+// isFlapping reports whether an engine was removed and added too often to get new work yet.
 func (v *View) isFlapping(now float64, record *viewRecord) bool {
 	return len(record.removals) >= v.options.FlapCount &&
 		record.removals[0] > record.listedSince-v.options.FlapWindow &&
 		now < record.listedSince+v.options.FlapHold
 }
 
-// UnconfirmedRemovals returns the ids of the engines that lists lack and the snapshot still holds.
+// UnconfirmedRemovals returns the ids of the engines that lists lack and that are still in the snapshot.
 func (v *View) UnconfirmedRemovals() []string {
 	var ids []string
 	for _, id := range sortedIDs(v.records) {
@@ -235,7 +236,7 @@
 	return ids
 }
 
-// Notes returns the notes since its last call.
+// Notes returns the notes that were added since its last call.
 func (v *View) Notes() []Note {
 	notes := v.notes
 	v.notes = nil
--- a/internal/decide/endpoints/view_property_test.go
+++ b/internal/decide/endpoints/view_property_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// viewMachine applies random events to a view and checks what holds after each of them.
+// viewMachine applies random events to a view and checks its invariants after each of them.
 type viewMachine struct {
 	view      *View
 	now       float64
@@ -46,7 +46,7 @@
 		if len(m.lists) > 0 {
 			m.applyOldList(t)
 		}
-	case 4: // the source starts anew
+	case 4: // the source restarts
 		m.view.IndexReset()
 		m.lastIndex = 0
 		m.lists = nil
@@ -75,7 +75,7 @@
 	}
 }
 
-// checkDraining checks, right after a list was applied, that no draining engine gets new work.
+// checkDraining checks, right after a list was applied, that no engine that drains in the list is ready in the snapshot.
 func (m *viewMachine) checkDraining(t *rapid.T, list []Endpoint) {
 	for _, listed := range list {
 		for _, endpoint := range m.view.Snapshot(m.now).Endpoints {
@@ -87,7 +87,7 @@
 	}
 }
 
-// passTime lets time pass until it changes nothing more.
+// passTime advances the time until it causes no further change.
 func (m *viewMachine) passTime() {
 	for range 20 {
 		at, ok := m.view.Next()
@@ -99,7 +99,7 @@
 	}
 }
 
-// checkEquals checks that the snapshot holds what a list does.
+// checkEquals checks that the snapshot has the same engines as a list.
 func (m *viewMachine) checkEquals(t *rapid.T, list []Endpoint) {
 	want := map[string]bool{}
 	for _, endpoint := range list {
@@ -123,8 +123,8 @@
 	}
 }
 
-// In any order of events: no engine is listed twice, a draining one is never ready, an older list changes nothing, and the
-// snapshot becomes the list that a source has sent for long enough.
+// In any order of events no engine is in the snapshot twice, a draining engine is never ready, and an older list changes nothing.
+// Once the source has sent the same list for long enough, the snapshot equals it.
 func TestViewConvergesToListUnderAnyInterleaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &viewMachine{view: NewView(DefaultOptions), now: 100}
--- a/internal/decide/endpoints/view_test.go
+++ b/internal/decide/endpoints/view_test.go
@@ -6,7 +6,7 @@
 	return Endpoint{ID: id, Address: "a:" + id, Kind: role, Role: role, Weight: 1}
 }
 
-// snapshotIDs returns the ids of a snapshot; draining engines carry a mark.
+// snapshotIDs returns the ids of a snapshot, those of draining engines with an asterisk.
 func snapshotIDs(view *View, now float64) string {
 	s := ""
 	for _, e := range view.Snapshot(now).Endpoints {
@@ -51,12 +51,12 @@
 		t.Fatal(at, ok)
 	}
 	if view.Tick(3.9) || !view.Tick(4) {
-		t.Fatal("the removal is not confirmed exactly at its time")
+		t.Fatal("the removal is not confirmed exactly at 4 s")
 	}
 	expectSnapshot(t, view, 4, "x ")
 }
 
-// A list that is sent twice, as by a blocking query whose wait ends, is no second list.
+// A list that is sent again, as at the end of a blocking query's wait, does not count as a second list.
 func TestRepeatedListConfirmsNothing(t *testing.T) {
 	view := NewView(DefaultOptions)
 	view.Apply(1, List{Index: 1, Endpoints: fiveEndpoints()})
@@ -83,7 +83,7 @@
 	expectSnapshot(t, view, 3, "a b c d x ")
 }
 
-func TestEngineWithNewAddressOrRoleStartsAnew(t *testing.T) {
+func TestEngineWithNewAddressOrRoleCountsAsRestarted(t *testing.T) {
 	view := NewView(DefaultOptions)
 	view.Apply(1, List{Index: 1, Endpoints: fiveEndpoints()})
 	moved := fiveEndpoints()
@@ -94,7 +94,7 @@
 			t.Fatalf("%+v", e)
 		}
 	}
-	moved[0].BootTime = 9 // a reported start counts
+	moved[0].BootTime = 9 // a reported start time takes precedence
 	view.Apply(9.5, List{Index: 3, Endpoints: moved})
 	if e := view.Snapshot(9.5).Endpoints[0]; e.BootTime != 9 {
 		t.Fatalf("%+v", e)
@@ -103,12 +103,12 @@
 
 func TestDuplicateEngineDrains(t *testing.T) {
 	view := NewView(DefaultOptions)
-	twin := endpoint("a", 0)
-	twin.Address = "b:other"
-	view.Apply(1, List{Index: 1, Endpoints: append(fiveEndpoints(), twin)})
+	duplicate := endpoint("a", 0)
+	duplicate.Address = "b:other"
+	view.Apply(1, List{Index: 1, Endpoints: append(fiveEndpoints(), duplicate)})
 	expectSnapshot(t, view, 1, "a* b c d x ")
-	twin.BootTime = 3 // now one of them is the newer one
-	view.Apply(4, List{Index: 2, Endpoints: append(fiveEndpoints(), twin)})
+	duplicate.BootTime = 3 // now one of the two is newer
+	view.Apply(4, List{Index: 2, Endpoints: append(fiveEndpoints(), duplicate)})
 	expectSnapshot(t, view, 4, "a b c d x ")
 }
 
@@ -128,7 +128,7 @@
 	expectSnapshot(t, view, now, "a* b c d x ")
 	at, ok := view.Next()
 	if !ok || !view.Tick(at) {
-		t.Fatal("the engine drains for ever", at, ok)
+		t.Fatal("the flapping engine drains forever", at, ok)
 	}
 	expectSnapshot(t, view, at, "a b c d x ")
 }
@@ -141,7 +141,7 @@
 	}
 	view.Apply(2, List{Index: 1, Endpoints: fiveEndpoints()[1:]})
 	if view.Snapshot(2).Saved {
-		t.Fatal("still marked as saved")
+		t.Fatal("the snapshot is still marked as saved after a response of the source")
 	}
 	expectSnapshot(t, view, 2, "b c d x ")
 }
--- a/internal/decide/endpoints/view_time.go
+++ b/internal/decide/endpoints/view_time.go
@@ -1,7 +1,7 @@
 package endpoints
 
-// Tick applies the passage of time and returns whether the snapshot has changed by it: an unconfirmed removal is confirmed
-// by its age, or a flapping engine has stayed listed for long enough. Next returns when it is due.
+// Tick applies the passage of time and reports whether this has changed the snapshot: an unconfirmed removal is confirmed by
+// its age, or a flapping engine has stayed listed for long enough. Next returns when Tick is due.
 func (v *View) Tick(now float64) bool {
 	v.changed = false
 	for _, id := range sortedIDs(v.records) {
@@ -19,7 +19,7 @@
 	return v.changed
 }
 
-// Next returns when Tick is due; ok is false where time alone changes nothing.
+// Next returns when Tick is due; ok is false if time alone changes nothing.
 func (v *View) Next() (at float64, ok bool) {
 	for _, record := range v.records {
 		due, scheduled := v.nextOf(record)
@@ -31,7 +31,7 @@
 	return at, ok
 }
 
-// nextOf returns when time changes the record of one engine.
+// nextOf returns when time alone changes the record of one engine.
 func (v *View) nextOf(record *viewRecord) (at float64, ok bool) {
 	switch {
 	case record.listed && record.missingSince > 0:
--- a/internal/decide/endpoints/watch_test.go
+++ b/internal/decide/endpoints/watch_test.go
@@ -6,18 +6,18 @@
 	"pgregory.net/rapid"
 )
 
-// A change counts as notified a fixed time after its source had it, whatever became of the calls: a watch that became silent the
-// moment before, and two more calls that are silent, refused, broken or corrupted after any part of their time.
+// A change counts as notified a fixed time after its source had it, even if calls fail. The worst case is a watch that became silent
+// just before the change, followed by two more calls that are silent, refused, broken or corrupted after any part of their time.
 func TestNextCallComesBeforeNotificationTime(t *testing.T) {
 	const notifiedAfter = 6.0
 	timeouts := NewWatchTimeouts(notifiedAfter)
 	rapid.Check(t, func(t *rapid.T) {
-		poller := NewAgentPoller(func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "chance") })
+		poller := NewAgentPoller(func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "random") })
 		now := 100.0
-		for range rapid.IntRange(0, 40).Draw(t, "responses before") { // the budget may be all but spent
+		for range rapid.IntRange(0, 40).Draw(t, "responses before") { // the call budget may be nearly used up
 			now = poller.AfterCall(now, true)
 		}
-		silentSince := now // the change comes at once after
+		silentSince := now // the change comes right after this
 		now = timeouts.WatchDeadline(now)
 		for i := range rapid.IntRange(0, 2).Draw(t, "failures") {
 			if rapid.Bool().Draw(t, "silent") {
@@ -27,7 +27,7 @@
 			}
 		}
 		if now >= silentSince+notifiedAfter {
-			t.Fatalf("polled only %.2f s after the watch became silent", now-silentSince)
+			t.Fatalf("the next call comes %.2f s after the watch became silent, too late", now-silentSince)
 		}
 	})
 }
@@ -37,11 +37,11 @@
 	const notifiedAfter = 6.0
 	timeouts := NewWatchTimeouts(notifiedAfter)
 	rapid.Check(t, func(t *rapid.T) {
-		poller := NewAgentPoller(func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "chance") })
+		poller := NewAgentPoller(func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "random") })
 		now, recoveredAt := 100.0, 100+rapid.Float64Range(0.1, 60).Draw(t, "down for")
-		begun := now
+		lastCallAt := now
 		for silent := 1; now < recoveredAt; silent++ {
-			begun = now
+			lastCallAt = now
 			if rapid.Bool().Draw(t, "silent") {
 				now = timeouts.CallDeadline(now, silent)
 			} else {
@@ -49,12 +49,12 @@
 			}
 		}
 		if now > recoveredAt+notifiedAfter/3 {
-			t.Fatalf("recovered at %.2f, polled at %.2f, the call before started at %.2f", recoveredAt, now, begun)
+			t.Fatalf("recovered at %.2f, polled at %.2f, the call before started at %.2f", recoveredAt, now, lastCallAt)
 		}
 	})
 }
 
-// A watch ends early enough for the calls after a silent one.
+// The deadline of a watch leaves time for further calls after a silent one.
 func TestWatchTimeoutsFitNotificationTime(t *testing.T) {
 	timeouts := NewWatchTimeouts(6)
 	if got := timeouts.WatchDeadline(0); got > 3.5 || got <= timeouts.Hold {
