--- a/internal/decide/batching/batching.go
+++ b/internal/decide/batching/batching.go
@@ -1,14 +1,14 @@
-// Package batching decides how often the routing module runs a decision pass. A pass at every event would let a burst spend all
-// of the event loop's time on passes that each see one event; rare passes add their interval to every request twice. It does
-// no I/O and reads no clock; times are in seconds.
+// Package batching decides how often the decision module runs a decision pass. If it ran one at every event, a burst would use up
+// the event loop's time with passes that each handle one event; rare passes add their interval to every request twice. The package
+// does no I/O and reads no clock; times are in seconds.
 package batching
 
-// maxTimeShare is the share of the event loop's time that decision passes may take, a starting value that no page prescribes.
+// maxTimeShare is the share of the event loop's time that decision passes may take.
 const maxTimeShare = 0.25
 
 // DispatchInterval schedules decision passes. It is not safe for concurrent use.
 type DispatchInterval struct {
-	Tick     float64 // least time between the starts of two passes (s)
+	Tick     float64 // minimum time between the starts of two passes (s)
 	nextPass float64
 }
 
--- a/internal/decide/batching/batching_test.go
+++ b/internal/decide/batching/batching_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// However long passes take, they get no more than their share of the time, and the first pass does not wait.
+// However long passes take, they use no more than their share of the time, and the first pass does not wait.
 func TestPassesKeepTimeShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const start = 1000.0
--- a/internal/decide/classify/classify.go
+++ b/internal/decide/classify/classify.go
@@ -1,5 +1,5 @@
-// Package classify decides what a request is before it is routed: its tenant, its class, and how long its client waits. It does
-// no I/O. The same request always gets the same answer.
+// Package classify determines the tenant and the class of a request, and how long its client waits, before the request is
+// routed. It does no I/O. The same request always gets the same result.
 package classify
 
 import (
@@ -12,10 +12,10 @@
 // tokensPer1K is the unit of Class.ClientTimeoutPer1KTokens.
 const tokensPer1K = 1000
 
-// slowestOutputFactor is the multiple of the latency objective up to which an output is still of worth.
+// slowestOutputFactor is the multiple of the latency objective up to which an output still has worth.
 const slowestOutputFactor = 2
 
-// Class is what classification needs of a class.
+// Class holds the parameters of a class that classification needs.
 type Class struct {
 	ClientTimeout            float64 // s until the client disconnects
 	ClientTimeoutPer1KTokens float64 // s more for each 1,000 prompt tokens
@@ -30,7 +30,7 @@
 	Class                int
 }
 
-// Table is an immutable set of rules. It is safe for concurrent use.
+// Table classifies requests by an immutable set of rules. It is safe for concurrent use.
 type Table struct {
 	classes []Class
 	models  map[string]int
@@ -38,14 +38,14 @@
 	keys    []tenantKey
 }
 
-// tenantKey is the hash of a key and its tenant.
+// tenantKey is the hash of an API key and the tenant that the key belongs to.
 type tenantKey struct {
 	hash   [sha256.Size]byte
 	tenant int
 }
 
-// NewTable returns a table. models holds the class of each model; keys holds each tenant's keys, and hashes the SHA-256 of
-// further ones in hex. A hash that is not one is ignored.
+// NewTable returns a table. models holds the class of each model; keys holds each tenant's keys, and hashes the SHA-256 hashes
+// of further keys in hex. An invalid hash is ignored.
 func NewTable(classes []Class, models map[string]int, rules []Rule, keys, hashes [][]string) *Table {
 	t := &Table{classes: classes, models: models, rules: rules}
 	for tenant, tenantKeys := range keys {
@@ -64,7 +64,7 @@
 	return t
 }
 
-// Tenant returns the tenant of a key. It compares every key, in constant time, so that the time reveals nothing.
+// Tenant returns the tenant of a key. It compares every key, in constant time, so that the time it takes reveals nothing.
 func (t *Table) Tenant(key string) (tenant int, ok bool) {
 	hash := sha256.Sum256([]byte(key))
 	tenant = -1
@@ -76,8 +76,8 @@
 	return tenant, tenant >= 0
 }
 
-// Class returns the class of a request: that of the first rule that matches, else its model's. known tells whether the model
-// is configured.
+// Class returns the class of a request: that of the first rule that matches, else that of its model. known reports whether the
+// model is configured.
 func (t *Table) Class(model string, header func(string) string) (class int, known bool) {
 	class, known = t.models[model]
 	if !known {
@@ -110,10 +110,12 @@
 	CompleteResponse float64 // of a response that does not stream; 0 = it streams
 }
 
-// ClientWait returns how long a client waits: as its class says, or less where the client has stated so (0 = it has not).
+// ClientWait returns how long a client waits: the time of its class, or the time that the client has stated if that is shorter
+// (0 = none is stated).
 //
-// A client whose response must be complete sees nothing before the end, so that its time must hold the decode too: the longest
-// one at the latency objective, but never more than half of the time, because most responses are shorter.
+// A client that waits for a complete response receives nothing before the end, so its stated time has to include the decode.
+// The time for the first token is therefore reduced by the longest decode at the latency objective, but by no more than half of
+// the stated time, because most responses are shorter.
 func (t *Table) ClientWait(class, promptTokens, maxTokens int, stated float64, complete bool) Timeouts {
 	c := &t.classes[class]
 	timeouts := Timeouts{FirstToken: c.ClientTimeout + c.ClientTimeoutPer1KTokens*float64(promptTokens)/tokensPer1K}
@@ -131,7 +133,8 @@
 	return timeouts
 }
 
-// MaxTokens returns the most tokens that a response may hold, where the request states a number (0 = it does not).
+// MaxTokens returns the maximum number of tokens of a response: the number that the request states, or that of its class if the
+// request states none (0).
 func (t *Table) MaxTokens(class, stated int) int {
 	if stated > 0 {
 		return stated
--- a/internal/decide/classify/recent_ids.go
+++ b/internal/decide/classify/recent_ids.go
@@ -1,14 +1,14 @@
 package classify
 
-// RecentIDs remembers ids that clients chose, so that none is accepted twice: a second request under the id of another would be
-// taken for it by everything that knows requests by their ids. An id is remembered for a window of time at least, and longer
-// while there are few; under a flood of ids the oldest are forgotten first. RecentIDs does not read the clock and is not safe
-// for concurrent use.
+// RecentIDs remembers ids that clients chose, so that none is accepted twice: a second request with the id of another would be
+// mistaken for it wherever requests are identified by id. An id is remembered for at least a time window, and longer while there
+// are few ids; under a flood of ids the oldest are forgotten first. RecentIDs does not read the clock and is not safe for
+// concurrent use.
 type RecentIDs struct {
 	minSize, maxSize int
 	window           float64 // s
 	ids              map[string]bool
-	queue            []recentID // in order of arrival, from oldest on
+	queue            []recentID // in order of arrival; the entries before oldest are unused
 	oldest           int
 }
 
@@ -18,17 +18,17 @@
 	addedAt float64
 }
 
-// floodFactor is the ratio of the ids that are remembered under a flood to those without one.
+// floodFactor is the number of ids that are remembered under a flood, in units of the minimum size.
 const floodFactor = 4
 
-// NewRecentIDs returns a memory of minSize ids, at least one, and of those added within the window (s), if they are more, up to
-// four times as many.
+// NewRecentIDs returns a RecentIDs that remembers the latest minSize ids, at least one, and those added within the window (s) if
+// there are more of them, up to four times as many.
 func NewRecentIDs(minSize int, window float64) *RecentIDs {
 	minSize = max(1, minSize)
 	return &RecentIDs{minSize: minSize, maxSize: floodFactor * minSize, window: window, ids: map[string]bool{}}
 }
 
-// Add adds an id and tells whether it is new.
+// Add adds an id and reports whether it is new.
 func (r *RecentIDs) Add(now float64, id string) bool {
 	if r.ids[id] {
 		return false
@@ -45,7 +45,7 @@
 	return true
 }
 
-// oldestExpired tells whether the oldest id is to be forgotten.
+// oldestExpired reports whether the oldest id is to be forgotten.
 func (r *RecentIDs) oldestExpired(now float64) bool {
 	size := len(r.queue) - r.oldest
 	if size > r.maxSize {
--- a/internal/decide/classify/recent_ids_test.go
+++ b/internal/decide/classify/recent_ids_test.go
@@ -7,11 +7,11 @@
 	"pgregory.net/rapid"
 )
 
-// idHistory is what TestRecentIDsAreNewOnce has added.
+// idHistory lists the ids that TestRecentIDsAreNewOnce has added, in order.
 type idHistory []recentID
 
-// remembered tells whether an id must be known: fewer others than minSize have been added since, or fewer than floodFactor
-// times as many, within the window.
+// remembered reports whether an id must be remembered: fewer than minSize others have been added since, or it was added within the
+// window and fewer than floodFactor*minSize others have been added since.
 func (h idHistory) remembered(id string, now, window float64, minSize int) bool {
 	for i, added := range h {
 		since := len(h) - i - 1
@@ -22,8 +22,8 @@
 	return false
 }
 
-// An id is new once: for as long as fewer others than the size have come since, and within the window as long as fewer than
-// four times as many have; memory is bounded.
+// An id is not new again while fewer others than the minimum size have been added since, or within the window while fewer than four
+// times as many have. The memory is bounded.
 func TestRecentIDsAreNewOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(0, 20).Draw(t, "size")
--- a/internal/decide/connreuse/connreuse_test.go
+++ b/internal/decide/connreuse/connreuse_test.go
@@ -25,7 +25,7 @@
 	}
 	policy.ObserveLoss(32, 0.01)
 	if policy.MaxIdle(33) != 0 || policy.MaxIdle(32+pauseAfterLoss+1) == 0 {
-		t.Fatal("after a loss at 0.01 s reuse does not pause, or pauses for ever")
+		t.Fatal("after a loss at 0.01 s reuse does not pause, or pauses forever")
 	}
 }
 
--- a/internal/decide/outcome/classify.go
+++ b/internal/decide/outcome/classify.go
@@ -9,9 +9,9 @@
 type Classification struct {
 	Status       scheduler.Status
 	Info         int  // cached prompt tokens, or InfoStateMissing
-	MayHaveRun   bool // an effect is possible
+	MayHaveRun   bool // the request may have had an effect
 	MayHoldState bool // the engine may hold a state that no attempt will fetch
-	// PassThrough says that the engine's own response goes to the client: the engine has called the request invalid.
+	// PassThrough means that the client gets the engine's own response, which calls the request invalid.
 	PassThrough bool
 }
 
@@ -37,8 +37,8 @@
 
 // ProvesNotRun reports whether the bytes of an attempt prove that it has not run at its engine: its request was not written
 // completely, or the engine responded that the prefill is done or that the request did not run. Unlike
-// Classification.MayHaveRun it does not accept the role of an engine as proof: that a prefill engine runs nothing proves
-// little about an engine that did not respond as one.
+// Classification.MayHaveRun it does not accept the role of an engine as proof: a prefill engine does not run requests, but an
+// engine that did not respond like one may not be one.
 func ProvesNotRun(evidence Evidence) bool {
 	if evidence.Cause != ResponseComplete {
 		return evidence.Progress < RequestWritten
@@ -53,7 +53,7 @@
 }
 
 // Silent reports whether an attempt was written completely and then canceled or timed out before any byte of a response
-// came. Whether its request has reached the engine is unknown.
+// was received. Whether its request has reached the engine is unknown.
 func Silent(evidence Evidence) bool {
 	return evidence.Progress == RequestWritten && (evidence.Cause == CanceledByScheduler || evidence.Cause == AttemptTimedOut)
 }
@@ -107,9 +107,9 @@
 	return Classification{Status: scheduler.ServerError, MayHaveRun: evidence.Stage == Decode}
 }
 
-// classifyInvalidRequest passes an engine's opinion that a request is invalid to the client once a second engine agrees, or
+// classifyInvalidRequest passes an engine's response that a request is invalid to the client once a second engine agrees, or
 // no attempt is left. A single engine may be wrong (it lacks a model, or does not accept a key), and would otherwise fail
-// every request as fast as it is asked.
+// every request as fast as it receives them.
 func classifyInvalidRequest(evidence Evidence) Classification {
 	if evidence.ConfirmedElsewhere || evidence.LastAttempt {
 		return Classification{Status: scheduler.Completed, PassThrough: true}
--- a/internal/decide/outcome/outcome.go
+++ b/internal/decide/outcome/outcome.go
@@ -1,12 +1,12 @@
 // Package outcome decides what the end of an attempt proves: which status the scheduler receives, whether the request may
-// have run, and whether the engine may still hold a state for it. It also names the final responses that the node itself
-// gives. It does no I/O: the caller states as Evidence what was seen on the socket. The request table (internal/decide/
-// requesttable) calls it at the end of each attempt; docs/design/node.md holds the same table.
+// have run, and whether the engine may still hold a state for it. It also defines the final responses that the node itself
+// gives. It does no I/O: the caller describes what was observed on the socket as Evidence. The request table
+// (internal/decide/requesttable) calls it at the end of each attempt; docs/design/node.md contains the same table.
 package outcome
 
 import "fmt"
 
-// Stage is what an attempt asked of its engine.
+// Stage is the work that an attempt requests from its engine.
 type Stage int
 
 // Stages of a request.
@@ -15,26 +15,26 @@
 	Decode               // generate the response, with or without a state to fetch
 )
 
-// String returns the stage as a word for logs.
-func (s Stage) String() string { return enumWord("stage", int(s), "prefill", "decode") }
+// String returns the name of the stage in logs.
+func (s Stage) String() string { return enumName("stage", int(s), "prefill", "decode") }
 
 // Progress is how far an attempt had come on its socket when it ended.
 type Progress int
 
-// Steps of an attempt, in order. A request that was not written completely cannot run, for the engine received less than
+// Steps of an attempt, in order. A request that was not written completely cannot run, because the engine received less than
 // the stated length (RFC 9112, section 8).
 const (
 	NotStarted     Progress = iota // nothing was done yet
 	Connecting                     // there is no connection yet
 	Connected                      // there is a connection, but not every byte of the request was written
-	RequestWritten                 // the connection took every byte of the request
-	HeaderReceived                 // the status line and the header of the response have come
-	Streaming                      // the first token has been passed on
+	RequestWritten                 // every byte of the request was written to the connection
+	HeaderReceived                 // the status line and the header of the response were received
+	Streaming                      // the first token was forwarded to the client
 )
 
-// String returns the step as a word for logs.
+// String returns the name of the step in logs.
 func (p Progress) String() string {
-	return enumWord("progress", int(p), "not_started", "connecting", "connected", "request_written", "header_received", "streaming")
+	return enumName("progress", int(p), "not_started", "connecting", "connected", "request_written", "header_received", "streaming")
 }
 
 // Cause is what ended an attempt.
@@ -42,23 +42,23 @@
 
 // Causes of the end of an attempt.
 const (
-	ResponseComplete    Cause = iota // a complete response came
+	ResponseComplete    Cause = iota // a complete response was received
 	ConnectionBroken                 // the connection was refused, reset, or closed before the response was complete
 	AttemptTimedOut                  // the timeout of the attempt passed
 	CanceledByScheduler              // the scheduler canceled the attempt
-	RequestEnded                     // the request had ended, or may have no such attempt
-	MalformedResponse                // what came is no response of the protocol
+	RequestEnded                     // the request had ended, or the attempt was not allowed
+	MalformedResponse                // the received data is not a valid response
 	StreamStalled                    // a stream sent nothing for longer than the limit
 	ClientDisconnected               // the client has disconnected
 )
 
-// String returns the cause as a word for logs.
+// String returns the name of the cause in logs.
 func (c Cause) String() string {
-	return enumWord("cause", int(c), "response_complete", "connection_broken", "attempt_timed_out", "canceled_by_scheduler",
+	return enumName("cause", int(c), "response_complete", "connection_broken", "attempt_timed_out", "canceled_by_scheduler",
 		"request_ended", "malformed_response", "stream_stalled", "client_disconnected")
 }
 
-// ResponseKind is what a complete response says, whatever the protocol; the engine's client translates it.
+// ResponseKind is the meaning of a complete response, independent of the protocol. The engine's client translates responses to it.
 type ResponseKind int
 
 // Kinds of a complete response.
@@ -71,30 +71,30 @@
 	InvalidRequest                     // the engine calls the request invalid; it has not run
 )
 
-// String returns the kind as a word for logs.
+// String returns the name of the kind in logs.
 func (k ResponseKind) String() string {
-	return enumWord("response_kind", int(k), "engine_error", "prefill_done", "decode_done", "engine_rejected", "state_missing",
+	return enumName("response_kind", int(k), "engine_error", "prefill_done", "decode_done", "engine_rejected", "state_missing",
 		"invalid_request")
 }
 
-// enumWord returns the word of an enumeration's value, or its number if it has none.
-func enumWord(enumeration string, value int, words ...string) string {
-	if value < 0 || value >= len(words) {
+// enumName returns the name of an enumeration's value, or the enumeration and the number of a value without a name.
+func enumName(enumeration string, value int, names ...string) string {
+	if value < 0 || value >= len(names) {
 		return fmt.Sprintf("%s(%d)", enumeration, value)
 	}
-	return words[value]
+	return names[value]
 }
 
-// Evidence is what was seen of an attempt that has ended.
+// Evidence is what was observed of an attempt that has ended.
 type Evidence struct {
 	Stage        Stage
 	Progress     Progress
 	Cause        Cause
 	ResponseKind ResponseKind // valid if Cause is ResponseComplete
-	Code         int          // of an InvalidRequest: tells one such response from another
+	Code         int          // of an InvalidRequest: distinguishes such responses
 	CachedTokens int          // prompt tokens that the engine had cached
-	// ConfirmedElsewhere says that another engine has called the same request invalid with the same code.
+	// ConfirmedElsewhere means that another engine has called the same request invalid with the same code.
 	ConfirmedElsewhere bool
-	// LastAttempt says that the request can have no further attempt.
+	// LastAttempt means that the request can have no further attempt.
 	LastAttempt bool
 }
--- a/internal/decide/outcome/outcome_test.go
+++ b/internal/decide/outcome/outcome_test.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// Over all evidence: MayHaveRun and the status never contradict each other, and a prefill has no effect.
+// For all evidence, MayHaveRun and the status do not contradict each other, and a prefill has no effect.
 func TestStatusAndPossibleEffectAgree(t *testing.T) {
 	everyEvidence(func(evidence Evidence) {
 		class := Classify(evidence)
@@ -150,12 +150,12 @@
 	})
 }
 
-// Over all evidence: what the bytes prove is never more than the classification: an attempt that may have run is not proven
-// not to have run.
+// For all evidence, ProvesNotRun does not contradict the classification: an attempt that may have run is not proven not to have
+// run.
 func TestProvesNotRunIsNoStrongerThanClassification(t *testing.T) {
 	everyEvidence(func(evidence Evidence) {
 		if evidence.Cause == ResponseComplete && evidence.Progress < HeaderReceived {
-			return // no response can have come
+			return // impossible: a response cannot be complete before its header was received
 		}
 		if ProvesNotRun(evidence) && Classify(evidence).MayHaveRun {
 			t.Errorf("%+v: proven not to have run, though it may have", evidence)
@@ -163,7 +163,7 @@
 	})
 }
 
-func TestEnumerationsPrintWords(t *testing.T) {
+func TestEnumerationsPrintNames(t *testing.T) {
 	for got, want := range map[string]string{
 		Decode.String():              "decode",
 		Streaming.String():           "streaming",
--- a/internal/decide/outcome/response.go
+++ b/internal/decide/outcome/response.go
@@ -6,7 +6,7 @@
 type Response struct {
 	HTTPStatus  int
 	Code        string
-	RetryIsSafe bool // the client is told that a retry cannot make an effect happen twice
+	RetryIsSafe bool // the response promises that a retry cannot make an effect happen twice
 }
 
 // RejectedResponse is given to a request that no engine could serve in time.
@@ -19,17 +19,17 @@
 	return Response{HTTPStatus: 500, Code: "may_have_run"}
 }
 
-// StreamBrokenResponse is given where a stream ended before it was complete.
+// StreamBrokenResponse is given if a stream ended before it was complete.
 func StreamBrokenResponse(effect scheduler.Effect, scope scheduler.DedupScope) Response {
 	return Response{HTTPStatus: 502, Code: "stream_broken", RetryIsSafe: RepeatAllowed(effect, scope, true)}
 }
 
-// DeadlineResponse is given where a response that is not streamed is incomplete when its client gives up.
+// DeadlineResponse is given if a response that is not streamed is incomplete at its client's deadline.
 func DeadlineResponse(effect scheduler.Effect, scope scheduler.DedupScope) Response {
 	return Response{HTTPStatus: 504, Code: "answer_too_slow", RetryIsSafe: RepeatAllowed(effect, scope, true)}
 }
 
-// RepeatAllowed reports whether a client may be told that a retry is safe (rule 2): always if nothing can have run, and
+// RepeatAllowed reports whether a response may promise that a retry is safe (rule 2): always if nothing can have run, and
 // otherwise if the request is idempotent or every engine of the fleet recognizes its idempotency key.
 func RepeatAllowed(effect scheduler.Effect, scope scheduler.DedupScope, mayHaveRun bool) bool {
 	switch {
--- a/internal/decide/overload/budget.go
+++ b/internal/decide/overload/budget.go
@@ -1,16 +1,15 @@
 package overload
 
-// Budget is the share of a node's limits that each of its concerns gets.
+// Budget divides a node's limits among its uses of descriptors and memory.
 type Budget struct {
-	Clients        int   // connections of clients, and requests open at once
+	Clients        int   // client connections, and requests open at once
 	RejectionQueue int   // further connections whose requests are being rejected
 	Engines        int   // connections to engines
-	BodyBytes      int64 // of requests' bodies
-	HeapLimit      int64 // bytes that the runtime keeps its heap within; the rest is for memory that it does not count
+	BodyBytes      int64 // of request bodies
+	HeapLimit      int64 // bytes; heap limit of the Go runtime. The rest is for memory that the runtime does not count
 }
 
-// Shares of the descriptors and of the memory, starting values that no page prescribes. The rest of the descriptors is for the
-// listener, discovery and the runtime.
+// Shares of the descriptors and of the memory. The rest of the descriptors is for the listener, discovery and the runtime.
 const (
 	clientShare         = 0.4
 	rejectionQueueShare = 1.0 / 16
@@ -20,7 +19,7 @@
 	heapShare           = 0.6
 )
 
-// Limits that a node without stated ones takes.
+// Limits of a node for which none are stated.
 const (
 	defaultDescriptors = 1024
 	defaultMemory      = 256 << 20 // bytes
--- a/internal/decide/overload/connections.go
+++ b/internal/decide/overload/connections.go
@@ -1,18 +1,18 @@
 package overload
 
-// Starting values for the connection limit that no page prescribes.
+// Parameters of the connection limit.
 const (
 	reservedDescriptors     = 32  // for listeners, logs, lists, state and a reload
-	reservedDescriptorShare = 0.1 // of all, besides, for calls that release states and for the rest of the process
-	descriptorsPerRequest   = 2   // that a request in flight holds: its client's and an engine's
-	minConnections          = 4   // below which a shortage does not reduce the limit
-	shortageShare           = 0.7 // of the open connections that a shortage leaves
-	regrowthShare           = 0.1 // of the full limit that comes back in a second without a shortage
+	reservedDescriptorShare = 0.1 // of all descriptors, reserved in addition for state release calls and the rest of the process
+	descriptorsPerRequest   = 2   // of a request in flight: the connection of its client and that to an engine
+	minConnections          = 4   // lowest limit after a shortage
+	shortageShare           = 0.7 // of the open connections, the new limit after a shortage
+	regrowthShare           = 0.1 // of the full limit, regained per second without a shortage
 )
 
-// connectionLimit bounds the connections of clients. A shortage of descriptors lowers it at once; it grows again slowly.
+// connectionLimit limits the client connections. A shortage of descriptors lowers it at once; it grows again slowly.
 type connectionLimit struct {
-	maximum   int // that the settings and the descriptors allow
+	maximum   int // allowed by the settings and the descriptors
 	current   float64
 	grownAt   float64
 	shortages int
--- a/internal/decide/overload/lag.go
+++ b/internal/decide/overload/lag.go
@@ -8,7 +8,7 @@
 	lagHalfLife      = 2.0 // s after which a lag that is not observed again counts half
 	minRetryAfter    = 0.1 // s after which a rejected client may retry at the earliest
 	maxRetryAfter    = 5.0 // s after which a rejected client may retry at the latest
-	retryRandomFloor = 0.5 // lowest share of the time to recover after which a client may retry; the highest is one more
+	retryRandomFloor = 0.5 // lowest multiple of the recovery time after which a client may retry; the highest is one more
 )
 
 // lagEstimate is a moving mean and deviation of the lag.
@@ -29,7 +29,7 @@
 	e.mean += lagGain * (lag - e.mean)
 }
 
-// decay reduces a lag that has not been observed again.
+// decay reduces the estimate by the time since it was last reduced, so that a lag that is not observed again loses weight.
 func (e *lagEstimate) decay(now float64) {
 	elapsed := now - e.decayedAt
 	if elapsed <= 0 {
@@ -41,14 +41,14 @@
 	e.decayedAt = now
 }
 
-// bound returns an upper bound for the lag of the next event.
+// bound returns an upper bound of the lag of the next event.
 func (e *lagEstimate) bound(now float64) float64 {
 	e.decay(now)
 	return e.mean + boundDeviations*e.deviation
 }
 
-// retryAfter spreads the retries of rejected clients over the time that the node needs to recover from a lag, so that they
-// do not come at once.
+// retryAfter returns the time after which a rejected client may retry (s). It spreads the retries over the time that the node
+// needs to recover from a lag, so that they do not all come at once.
 func retryAfter(lag, random float64) float64 {
 	recovery := min(maxRetryAfter, max(minRetryAfter, 2*lagHalfLife*min(1, lag)+2*lag))
 	return min(maxRetryAfter, recovery*(retryRandomFloor+random))
--- a/internal/decide/overload/overload.go
+++ b/internal/decide/overload/overload.go
@@ -1,12 +1,13 @@
-// Package overload decides what a node admits by how its own machine keeps up. No rule may break because a machine is slow or
-// its descriptors run out: a node that cannot keep up sheds load early, while the rejection can still be written in time.
+// Package overload decides which requests a node admits, depending on whether its own machine keeps up. No rule may be broken
+// because a machine is slow or file descriptors run out: a node that cannot keep up sheds load early, while the rejection can
+// still be written in time.
 //
-// It goes by three signals: lag is how late the node handles events (facts that waited for the event loop, timers that fired
-// late); descriptors are those that the process may hold, and the calls that failed for want of one; bytes are what requests
-// hold.
+// It uses three signals: lag, which is how late the node handles events (events that waited for the event loop, timers that
+// fired late); file descriptors, which are the limit of the process and the calls that failed for lack of one; and the bytes
+// that requests hold in memory.
 //
-// It does no I/O, reads no clock and has no source of chance; times are in seconds. The host calls it from one goroutine at a
-// time.
+// It does no I/O, reads no clock and has no source of randomness; times are in seconds. The host calls it from one goroutine at
+// a time.
 package overload
 
 // Limits are what the machine and the settings allow.
@@ -17,7 +18,7 @@
 	ResponseSlack float64 // s by which a response may come after the client's timeout
 }
 
-// Starting values for admission that no page prescribes.
+// Limits of admission.
 const (
 	maxLagShare       = 0.25 // of a client's timeout that lag may take before the request is rejected
 	maxHeldBytesShare = 0.9  // of the limit of bytes, above which requests are rejected
@@ -30,31 +31,32 @@
 	reasonBytes = "bytes" // requests in memory hold too many bytes
 )
 
-// Controller records how one node keeps up. It is not safe for concurrent use.
+// Controller tracks how well one node keeps up. It is not safe for concurrent use.
 type Controller struct {
 	limits      Limits
 	lag         lagEstimate
 	connections connectionLimit
 }
 
-// New returns the controller of a node that keeps up.
+// New returns a controller that has observed neither lag nor a shortage.
 func New(limits Limits) *Controller {
 	return &Controller{limits: limits, connections: newConnectionLimit(limits)}
 }
 
-// ObserveLag records how late an event was handled: the longest wait among the events of one turn of the loop, or a timer's.
+// ObserveLag records how late an event was handled: the longest wait among the events of one iteration of the event loop, or
+// the delay of a timer.
 func (c *Controller) ObserveLag(now, lag float64) { c.lag.observe(now, lag) }
 
 // Lag returns an upper bound for the lag of the next event, by the latest observations.
 func (c *Controller) Lag(now float64) float64 { return c.lag.bound(now) }
 
-// ObserveDescriptorShortage records that a socket or file could not be opened for want of a descriptor, while so many
-// connections of clients were open. The limit of connections falls at once and grows again slowly.
+// ObserveDescriptorShortage records that a socket or file could not be opened for lack of a descriptor while the given number of
+// client connections was open. The limit of connections falls at once and grows again slowly.
 func (c *Controller) ObserveDescriptorShortage(now float64, open int) {
 	c.connections.observeShortage(now, open)
 }
 
-// Connections returns how many connections of clients may be open now.
+// Connections returns how many client connections may be open now.
 func (c *Controller) Connections(now float64) int { return c.connections.at(now) }
 
 // Shortages returns the number of descriptor shortages.
@@ -63,21 +65,21 @@
 // Request is what admission needs to know of a request.
 type Request struct {
 	ClientTimeout float64 // s that the client waits, from the first byte of its request
-	Elapsed       float64 // s of them that are over
+	Elapsed       float64 // s of ClientTimeout that have passed
 	HeldBytes     int64   // bytes of all requests in memory, this one included
-	Random        float64 // from 0 up to 1; the only source of chance
+	Random        float64 // in [0, 1); the only source of randomness
 }
 
 // Decision says whether a request is admitted.
 type Decision struct {
 	Admitted       bool
-	ClientTimeLeft float64 // s until the response has to be on its way, the node's own lag taken off
+	ClientTimeLeft float64 // s until the response has to be on its way, less the node's own lag
 	RetryAfter     float64 // of a rejection: s until the client may retry
 	Reason         string  // of a rejection: lag, time or bytes
 }
 
-// Admit decides on a request. It rejects a request when lag would take so much of its time that a response might come too
-// late, or when no more time than the lag is left: a rejection is certain to be in time only while it is given at once.
+// Admit decides on a request. It rejects a request if lag would take so much of its time that a response might come too late, or
+// if the remaining time is no longer than the lag: a rejection is certain to be in time only if it is given at once.
 func (c *Controller) Admit(now float64, request Request) Decision {
 	lag := c.Lag(now)
 	timeLeft := request.ClientTimeout - request.Elapsed - max(0, lag-c.limits.ResponseSlack)
@@ -101,5 +103,5 @@
 	return ""
 }
 
-// RetryAfter returns when a client may retry whose request could not be read (s); random is from 0 up to 1.
+// RetryAfter returns the time after which a client whose request could not be read may retry (s); random is in [0, 1).
 func (c *Controller) RetryAfter(now, random float64) float64 { return retryAfter(c.Lag(now), random) }
--- a/internal/decide/overload/overload_test.go
+++ b/internal/decide/overload/overload_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// Without this, nodes at 900 requests a second on a full machine responded after their clients had disconnected.
+// Without these rejections, nodes on a saturated machine responded after their clients had disconnected, at 900 requests a second.
 func TestLaggingNodeRejectsUntilItRecovers(t *testing.T) {
 	controller := New(limits)
 	for i := range 40 {
@@ -80,9 +80,9 @@
 	}
 }
 
-// Whatever is observed, in any order: an admitted request has time for the lag, a rejected one gets a time for its retry, and the
-// connections stay between their minimum and the limits.
-func TestAdmissionProperties(t *testing.T) {
+// For any sequence of observations, an admitted request has more time left than the lag, a rejected one gets a time for its retry,
+// and the connection limit stays between its minimum and its maximum.
+func TestAdmissionInvariantsHoldForAnyObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
 			Descriptors:   rapid.IntRange(0, 4096).Draw(t, "descriptors"),
--- a/internal/decide/permit/audit.go
+++ b/internal/decide/permit/audit.go
@@ -1,6 +1,6 @@
 package permit
 
-// Rules of the platform's pages, by their number.
+// Numbers of the rules that the audit checks.
 const (
 	ruleDeadlines    = 1
 	ruleNoDuplicates = 2
@@ -8,19 +8,19 @@
 	ruleStateRelease = 5
 )
 
-// Violation is a rule that was broken, as an observer of the sockets would judge it.
+// Violation is a broken rule, as an observer of the sockets would report it.
 type Violation struct {
-	Rule   int // number of the rule on the platform's pages
+	Rule   int // number of the rule
 	Reason Reason
 }
 
-// Tolerances of the pages beyond a limit.
+// Tolerances that the rules allow beyond a limit.
 const (
-	// noticeWithin is the time in which a node must notice that a client has disconnected (s).
-	noticeWithin = 0.1
-	// pauseWithin is how long a node may be paused between reading its clock and writing (s).
-	pauseWithin = 0.15
-	// responseLostAfter is how late a response counts as lost rather than as worthless (s).
+	// disconnectNoticeTime is the time within which a node must notice that a client has disconnected (s).
+	disconnectNoticeTime = 0.1
+	// maxPause is how long a node may be paused between reading its clock and writing (s).
+	maxPause = 0.15
+	// responseLostAfter is the delay after which a response counts as lost rather than as worthless (s).
 	responseLostAfter = 0.5
 )
 
@@ -36,13 +36,13 @@
 
 // Violations returns the rules that the attempt broke.
 func (w Written) Violations() (broken []Violation) {
-	if w.ClientDisconnectedAt > 0 && w.At > w.ClientDisconnectedAt+noticeWithin {
+	if w.ClientDisconnectedAt > 0 && w.At > w.ClientDisconnectedAt+disconnectNoticeTime {
 		broken = append(broken, Violation{Rule: ruleDeadlines, Reason: ClientDisconnected})
 	}
-	if w.ClientDeadline > 0 && w.At > w.ClientDeadline+pauseWithin {
+	if w.ClientDeadline > 0 && w.At > w.ClientDeadline+maxPause {
 		broken = append(broken, Violation{Rule: ruleDeadlines, Reason: DeadlinePassed})
 	}
-	if w.DedupWindowEnd > 0 && w.At > w.DedupWindowEnd+pauseWithin {
+	if w.DedupWindowEnd > 0 && w.At > w.DedupWindowEnd+maxPause {
 		broken = append(broken, Violation{Rule: ruleNoDuplicates, Reason: DedupWindowPassed})
 	}
 	if w.DrainingSince > 0 && w.At > w.DrainingSince+w.DrainGrace {
@@ -83,10 +83,10 @@
 type HeldState struct {
 	Answered bool // an engine has acknowledged the call
 	At       float64
-	By       float64 // limit on the hold time, with the slack of the pages (HeldStateSlack)
+	By       float64 // latest time at which the state may be held: its limit plus HeldStateSlack
 }
 
-// HeldStateSlack is for how long a state may still be held beyond its limit (s).
+// HeldStateSlack is how long a state may still be held beyond its limit (s).
 const HeldStateSlack = 0.3
 
 // Violations returns the rules that the state breaks.
--- a/internal/decide/permit/permit.go
+++ b/internal/decide/permit/permit.go
@@ -1,17 +1,17 @@
 // Package permit decides whether an action is allowed now: accepting a request, starting, writing or repeating an attempt,
-// rejecting a request, closing an idle connection, releasing a state. It is the only place that decides these. Whoever is
-// about to act describes the circumstances at the last moment at which the action can still be left out, and gets the reason
-// if it is not allowed. The audit (audit.go) judges afterwards what was done, from other facts, so that a code path which
-// forgets to ask is counted as a violation. The package does no I/O and reads no clock; times are in seconds.
+// rejecting a request, closing an idle connection, releasing a state. It is the only place that decides these. The caller
+// describes the circumstances at the last moment at which it can still omit the action, and gets the reason if the action is not
+// allowed. The audit (audit.go) checks afterwards what was done, from other facts, so that violations by a code path that does
+// not ask for permits are counted as well. The package does no I/O and reads no clock; times are in seconds.
 package permit
 
 import "dillroute/scheduler"
 
-// Reason says why an action is not allowed. It appears in logs and as a label of the metric of rule violations; no client
-// receives it.
+// Reason is the reason why an action is not allowed. It appears in logs and as a label of the metric of rule violations; no
+// client receives it.
 type Reason string
 
-// Reasons; Allowed is the absence of one.
+// Reasons. Allowed, the empty reason, means that the action is allowed.
 const (
 	Allowed            Reason = ""
 	RequestEnded       Reason = "the request has ended"
@@ -35,7 +35,7 @@
 	StateNotReleased   Reason = "no engine has acknowledged the release of its state in time"
 )
 
-// Accept describes a request that may be accepted.
+// Accept describes a request that is about to be accepted.
 type Accept struct {
 	Stopping bool
 	IDInUse  bool
@@ -56,14 +56,14 @@
 	return Allowed
 }
 
-// Send describes an attempt that may be started.
+// Send describes an attempt that is about to be started.
 type Send struct {
 	RequestEnded bool // the client has its response, or has disconnected
 	AttemptsLeft int
 	EngineKnown  bool
 	Draining     bool    // the engine is draining or removed
 	DrainingFor  float64 // how long this has been known
-	DrainGrace   float64 // for how long such an engine may still receive attempts
+	DrainGrace   float64 // how long such an engine may still receive attempts
 	Repeat       Repeat
 }
 
@@ -82,14 +82,14 @@
 	return s.Repeat.Reason()
 }
 
-// Repeat describes a further attempt of a request (rule 2). The rule covers prefills as well: they have no effect, but
-// whatever is sent after an attempt that may have run counts as sent again.
+// Repeat describes a further attempt of a request (rule 2). The rule applies to prefills as well: they have no effect, but
+// anything sent after an attempt that may have run counts as a repeat.
 type Repeat struct {
 	Effect       scheduler.Effect
 	DedupScope   scheduler.DedupScope
 	MayHaveRun   bool    // an earlier attempt has run or may run yet
 	SinceFirst   float64 // time since that attempt was sent
-	DedupWindow  float64 // for how long engines recognize a repeat by its idempotency key
+	DedupWindow  float64 // how long engines recognize a repeat by its idempotency key
 	EnginesKnown bool    // both engines are known: the one that may have run the request and the next
 	SameCell     bool
 	SameZone     bool
@@ -128,7 +128,7 @@
 	AttemptCanceled    bool
 	ClientTimeLeft     float64 // until the client's deadline
 	HasDedupWindow     bool    // DedupWindowLeft is valid
-	DedupWindowLeft    float64 // for how long engines still recognize the attempt as a repeat
+	DedupWindowLeft    float64 // how long engines still recognize the attempt as a repeat
 }
 
 // Reason returns why the attempt may not be written.
@@ -155,8 +155,8 @@
 	ClientTimeLeft float64 // until the client's deadline
 }
 
-// minRetryTime is the time that a client needs for a retry (s). With less time left, a rejection that rests on an engine
-// that did not respond is of no use, and a failure serves an at-most-once request better.
+// minRetryTime is the time that a client needs for a retry (s). With less time left, a rejection after an attempt without a
+// response is of no use to the client, and a failure is the better response to an at-most-once request.
 const minRetryTime = 0.1
 
 // Reason returns why the promise may not be made.
@@ -173,12 +173,12 @@
 	return Allowed
 }
 
-// CloseIdle describes an idle client connection that may be closed. A connection on which a request has begun to arrive is
-// not idle; http1.Server decides that under a lock.
+// CloseIdle describes an idle client connection that is about to be closed. A connection on which a request has begun to arrive
+// is not idle; http1.Server decides that under a lock.
 type CloseIdle struct {
-	Evicts  bool    // another client needs its place; otherwise its idle timeout has passed, or the node is stopping
+	Evicts  bool    // closed in favor of another client; otherwise its idle timeout has passed, or the node is stopping
 	IdleFor float64 // since its last response, or since it was opened
-	MinIdle float64 // after which a request is hardly on its way any more
+	MinIdle float64 // idle time after which it is unlikely that a request is already on its way
 }
 
 // Reason returns why the connection may not be closed.
@@ -189,13 +189,13 @@
 	return Allowed
 }
 
-// Release describes a call that releases every state which any engine holds for a request and which no attempt is to fetch.
+// Release describes a call that releases every state that any engine holds for a request and that no attempt is to fetch.
 type Release struct {
 	AttemptsInFlight int
 	StateNeeded      bool
-	// Due says that the time for which the state may be held is nearly over (staterelease.DueAt). Only an attempt whose response
-	// has begun (Responding) is certain to have reached its engine. If any other has, the call costs it a prefill; if not, the
-	// state must be released, for such an attempt does not stop the limit.
+	// Due means that the time for which the state may be held is nearly over (staterelease.DueAt). Only an attempt whose response
+	// has begun (Responding) is certain to have reached its engine. If another attempt has reached its engine, the call costs it
+	// a prefill. If it has not, the state must be released, because such an attempt does not stop the limit.
 	Due        bool
 	Responding bool
 }
--- a/internal/decide/permit/permit_test.go
+++ b/internal/decide/permit/permit_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// Actions that several cases vary.
+// Actions that several cases are derived from.
 var (
 	atMostOnceRepeat = Repeat{Effect: scheduler.AtMostOnce, MayHaveRun: true}
 	keyedRepeat      = Repeat{Effect: scheduler.IdempotentByKey, DedupScope: scheduler.DedupCell, MayHaveRun: true, SinceFirst: 1,
@@ -23,9 +23,9 @@
 	lateRepeat.SinceFirst = 5.1
 	sendAfterGrace.DrainingFor = 0.3
 	for _, c := range []struct {
-		name string
-		ask  interface{ Reason() Reason }
-		want Reason
+		name   string
+		action interface{ Reason() Reason }
+		want   Reason
 	}{
 		{"accept", Accept{MaxOpen: 1}, Allowed},
 		{"accept when full", Accept{Open: 1, MaxOpen: 1}, NodeFull},
@@ -66,7 +66,7 @@
 		{"release a state that is due during silent attempts", Release{AttemptsInFlight: 2, StateNeeded: true, Due: true}, Allowed},
 		{"release a state that is due during a response", Release{AttemptsInFlight: 1, Due: true, Responding: true}, AttemptInFlight},
 	} {
-		if got := c.ask.Reason(); got != c.want {
+		if got := c.action.Reason(); got != c.want {
 			t.Errorf("%s: got %q, want %q", c.name, got, c.want)
 		}
 	}
@@ -82,7 +82,7 @@
 		if w.Reason() != Allowed {
 			return
 		}
-		at := now + rapid.Float64Range(0, pauseWithin).Draw(t, "held up for")
+		at := now + rapid.Float64Range(0, maxPause).Draw(t, "held up for")
 		if broken := (Written{At: at, ClientDeadline: now + left, DedupWindowEnd: now + window}).Violations(); len(broken) > 0 {
 			t.Fatalf("allowed with %g s and %g s left, written %g s later: %v", left, window, at-now, broken)
 		}
--- a/internal/decide/shutdown/shutdown.go
+++ b/internal/decide/shutdown/shutdown.go
@@ -1,7 +1,7 @@
-// Package shutdown decides when a node that shuts down gracefully ends the streams that it still forwards, where clients come
-// again for the rest of a stream. A node that is killed ends all of them at one moment, perhaps one at which the other nodes
-// restart too, and a client that finds no node then has lost its response. Of streams that are ended one by one over the time
-// that is left, most clients find a node. It does no I/O and reads no clock; times are in seconds.
+// Package shutdown decides when a node that shuts down gracefully ends the streams that it still forwards, if clients reconnect
+// for the rest of a stream. A node that is killed ends all of them at once, perhaps while the other nodes restart too, and a
+// client that finds no node then loses its response. If the streams are ended one by one over the remaining time, most clients
+// find a node. The package does no I/O and reads no clock; times are in seconds.
 package shutdown
 
 import (
@@ -21,23 +21,23 @@
 	At float64
 }
 
-// interval is a part of the time that is left, as shares of it.
+// interval is a part of the remaining time, as shares of it.
 type interval struct{ from, to float64 }
 
 var (
-	// fewNodesInterval is for a rolling restart of a few nodes: the previous node may not be back yet at first, and the next one
-	// may be told to stop towards the end, so that no node may be available for a while.
+	// fewNodesInterval is for a rolling restart of a few nodes. At the start the previous node may not be available yet, and
+	// towards the end the next node may have begun to stop, so that for a while no node may be available.
 	fewNodesInterval = interval{from: 0.45, to: 0.9}
-	// manyNodesInterval is for more nodes, of which some are always available. What can end by itself should: the rest of a
-	// stream that is ended early has to be prefilled and generated anew.
+	// manyNodesInterval is for more nodes, of which some are always available. Streams should end by themselves if they can,
+	// because the rest of a stream that is ended early has to be prefilled and generated again.
 	manyNodesInterval = interval{from: 0.85, to: 0.97}
 )
 
 // maxFewNodes is the largest number of nodes that fewNodesInterval is for.
 const maxFewNodes = 3
 
-// CutoffSchedule returns when one of so many nodes ends each stream that has not ended by itself by then. All are ended before
-// the deadline, the youngest first, because they have most left to send.
+// CutoffSchedule returns when a node ends each stream that has not ended by itself by then. nodes is the number of all nodes.
+// All streams are ended before the deadline, the youngest first, because they have most left to send.
 func CutoffSchedule(now, deadline float64, nodes int, streams []Stream) []Cutoff {
 	timeLeft := max(0, deadline-now)
 	part := fewNodesInterval
--- a/internal/decide/shutdown/shutdown_test.go
+++ b/internal/decide/shutdown/shutdown_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Every stream is ended once, before the deadline, evenly spread, the youngest first, in whatever order they are given.
+// Each stream is ended once, before the deadline. The cutoffs are evenly spread, the youngest stream first, for any order of the input.
 func TestCutoffsAreSpreadYoungestFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 200).Draw(t, "n")
@@ -51,7 +51,7 @@
 	}
 }
 
-// With many nodes, streams that can end by themselves within most of the time do; with a few, some streams are ended early.
+// With many nodes, streams have most of the time to end by themselves; with a few nodes, some streams are ended early.
 func TestCutoffsAreLaterWithManyNodes(t *testing.T) {
 	streams := []Stream{{ID: "a", StartedAt: 1}, {ID: "b", StartedAt: 2}, {ID: "c", StartedAt: 3}}
 	if at := CutoffSchedule(10, 13, 300, streams)[0].At; at < 12.4 {
--- a/internal/decide/staterelease/attemptend_test.go
+++ b/internal/decide/staterelease/attemptend_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// callsAfterEnd returns the calls that follow an attempt which ended at a time, of which each is acknowledged at once. The engine
-// responds at servedAt to a request that it was sent then (0 = never).
+// callsAfterEnd returns the times of the calls that follow an attempt that ended at endedAt, if each call is acknowledged at once. At
+// servedAt the engine responds to a request that it was sent then (0 = never).
 func callsAfterEnd(endedAt, allowed, servedAt float64) (calls []float64) {
 	schedule := RetrySchedule{Deadline: endedAt + allowed, AnyEngine: true, Allowed: allowed, End: AttemptEnd{At: endedAt}}
 	now := endedAt
@@ -24,8 +24,8 @@
 	}
 }
 
-// After an attempt was cut, calls follow the first one though each is acknowledged: a prefill may end between them. Each has its
-// retries.
+// After an attempt was cut, further calls follow the first one although each is acknowledged, because a prefill may end between them.
+// Each of these calls is repeated if it fails.
 func TestCallsFollowACutAttempt(t *testing.T) {
 	if calls := callsAfterEnd(0, 1, 0); len(calls) != 0 {
 		t.Errorf("no attempt was cut: got calls at %v", calls)
@@ -49,8 +49,8 @@
 	}
 }
 
-// Whenever an engine that has served no later request notices the end of an attempt, within the time for which engines hang, a call
-// follows within the limit on the state; the calls are few, and end.
+// An engine that has served no later request may notice the end of an attempt at any time up to 10 s later, the longest that engines
+// hang. A call then follows within the limit on the state. The number of calls is bounded.
 func TestACallFollowsWithinTheLimitWheneverAnEngineNoticesTheEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		allowed := rapid.Float64Range(0.3, 3).Draw(t, "allowed")
@@ -70,7 +70,7 @@
 	})
 }
 
-// An engine that has responded to a later request has noticed the end: the calls for slow ones are over.
+// An engine that has responded to a later request has noticed the end, so the calls for engines that are slow to notice stop.
 func TestCallsEndOnceTheEngineHasServedALaterRequest(t *testing.T) {
 	calls := callsAfterEnd(5, 1, 8)
 	if last := calls[len(calls)-1]; last < 8 || last > 9 {
@@ -78,7 +78,8 @@
 	}
 }
 
-// Further calls go to other engines that respond, as far as there are: one that acknowledges may have reached none that holds the state.
+// Further calls go to other engines that respond, as long as there are any: an engine that acknowledged a call may not have reached the
+// one that holds the state.
 func TestFurtherCallsGoToOtherEngines(t *testing.T) {
 	engines := []Engine{{ID: "a", Listed: true, Holder: true}, {ID: "b", Listed: true, LastSuccess: 2}, {ID: "c", Listed: true},
 		{ID: "silent", Listed: true, LastFailure: 4}}
--- a/internal/decide/staterelease/limit.go
+++ b/internal/decide/staterelease/limit.go
@@ -1,30 +1,30 @@
 package staterelease
 
-// Progress is how far the attempts of a request have come for which engines hold a state that is due for its release. Of several
-// attempts the one counts that has come furthest, in the order of the values.
+// Progress is the progress of a request's attempts while engines hold a state of the request that is due for release. Of several
+// attempts, the one that has progressed furthest counts, in the order of the values.
 type Progress int
 
 // Values of Progress.
 const (
-	// NoneInFlight says that no attempt is in flight.
+	// NoneInFlight means that no attempt is in flight.
 	NoneInFlight Progress = iota
-	// NotDelivered says that the requests of all attempts wait in this machine for their engines.
+	// NotDelivered means that the requests of all attempts are still queued on this machine.
 	NotDelivered
-	// Silent says that an attempt has left this machine, or is being canceled, and that no byte of a response has come. Whether it has
-	// reached a running engine cannot be known: the kernel of the next machine has its bytes.
+	// Silent means that an attempt has left this machine, or is being canceled, and that no byte of a response has been received.
+	// Whether it has reached a running engine is unknown: its bytes may only have reached the kernel of the next machine.
 	Silent
-	// Responding says that the response of an attempt has begun to stream.
+	// Responding means that the response of an attempt has begun to stream.
 	Responding
 )
 
-// Action is what is done about a state that is due for its release.
+// Action is what is done about a state that is due for release.
 type Action int
 
 // Actions.
 const (
-	// Wait leaves everything as it is, for an attempt is certainly in flight.
+	// Wait does nothing, because an attempt is certainly in flight.
 	Wait Action = iota
-	// Cancel cancels the attempts, which can still be kept from their engines, and looks again after CancelGrace.
+	// Cancel cancels the attempts, none of which has reached its engine, and checks again after CancelGrace.
 	Cancel
 	// Release releases the state at once, whatever is in flight.
 	Release
@@ -43,11 +43,11 @@
 	return "unknown"
 }
 
-// AtLimit returns what is done when a state is due; fetchable says that an attempt in flight may be there to fetch it. It asks neither
-// for the class of the request nor for what the scheduler may do about it: whoever else could have used the state in time has not.
+// AtLimit returns what is done when a state is due for release. fetchable means that an attempt in flight may be there to fetch the
+// state. The class of the request and possible actions of the scheduler don't matter: nothing else has used the state in time.
 //
-// A silent attempt may have reached its engine, which is slow; its state is released all the same. Whether the engine was heard of, over
-// what connection and in what order were tried as proof of arrival, and told nothing (docs/incidents/held-states-2026-12.md).
+// The state of a silent attempt is released although the attempt may have reached a slow engine. Data received from the engine, the
+// connection that it came over and its order do not prove that the attempt arrived (docs/incidents/held-states-2026-12.md).
 func AtLimit(progress Progress, fetchable bool) Action {
 	switch {
 	case progress == Responding:
@@ -58,19 +58,20 @@
 	return Release
 }
 
-// CancelGrace is the time in which a canceled attempt ends (s).
+// CancelGrace is the time within which a canceled attempt ends (s).
 const CancelGrace = canceledAttemptDelay
 
-// repeatShare is the share of the allowed time after which a release beside a silent attempt is made again: within the slack that the
-// pages give the limit, so that a state is free in time though its attempt was lost just after a call.
+// repeatShare is the share of the allowed time after which a release is repeated that was made while a silent attempt was in flight. The
+// interval stays within the slack that rule 5 gives the limit, so that the state is released in time even if its attempt was lost just
+// after a call.
 const repeatShare = 0.25
 
-// RepeatInterval returns the time from an acknowledged release beside a silent attempt to the next.
+// RepeatInterval returns the time from a release that was acknowledged while a silent attempt was in flight to the next one (s).
 func RepeatInterval(allowed float64) float64 { return repeatShare * allowed }
 
-// DueAt returns when a state must be released, or be fetched by an attempt that responds, if it has been held since a time, may be held
-// for allowed, and the latest attempt started at attemptAt (0 = none has). That attempt has a little time for its response, but not
-// beyond the allowed time.
+// DueAt returns when a state that has been held since the given time, and may be held for allowed seconds, must be released or be
+// fetched by an attempt that responds. attemptAt is the start of the latest attempt (0 = none has started). That attempt gets a little
+// time for its response, but not beyond the allowed time.
 func DueAt(since, allowed, attemptAt float64) float64 {
 	due := since + releaseStartShare*allowed
 	if attemptAt > 0 {
--- a/internal/decide/staterelease/rank.go
+++ b/internal/decide/staterelease/rank.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// Engine is one that may be called to release a state, where any engine can.
+// Engine is an engine that may be called to release a state, if any engine can release it.
 type Engine struct {
 	ID                       string
 	Listed                   bool    // the endpoint list names it
 	Holder                   bool    // it may hold the state
-	LastSuccess, LastFailure float64 // when a call last succeeded there, and when one last failed; 0 = never
+	LastSuccess, LastFailure float64 // when a call to it last succeeded, and when one last failed; 0 = never
 }
 
-// RankEngines returns the engines in the order in which they are called: engines whose last call succeeded before those whose
-// last call failed, then listed ones first, then the holder, then the one that succeeded latest.
+// RankEngines returns the engines in the order in which they are called. Engines whose last call succeeded come before those whose
+// last call failed. Among these, listed engines come first, then the holder, then the engine with the latest success.
 func RankEngines(engines []Engine) []Engine {
 	ranked := slices.Clone(engines)
 	slices.SortStableFunc(ranked, func(a, b Engine) int {
@@ -28,13 +28,14 @@
 	return ranked
 }
 
-// laterRoundCalls is how many calls are made at once after the first, which is mostly acknowledged. Each may need a connection, of which
-// a node has few.
+// laterRoundCalls is the number of parallel calls in each round after the first, whose call is mostly acknowledged. Each call may need a
+// connection, and a node has few connections.
 const laterRoundCalls = 4
 
-// NextEngines returns the engines that the next round of calls goes to: the first of RankEngines that have not been called. Later
-// rounds call several, so that a node which is cut off from nearly all engines finds one that responds while there is time. The first
-// round of a call that follows an acknowledged one goes to another engine, of those that respond: the one before may reach no other.
+// NextEngines returns the engines that the next round of calls goes to: the first ones in the order of RankEngines that have not been
+// called. Later rounds call several engines, so that a node that is cut off from nearly all engines finds one that responds in time.
+// When a further call follows an acknowledged one, its first round goes to a different engine that responds, because the previous
+// engine may not reach the others.
 func (s *RetrySchedule) NextEngines(engines []Engine) []string {
 	calls := 1
 	if s.Attempts > 0 {
@@ -54,7 +55,7 @@
 			next = append(next, e.ID)
 		}
 	}
-	if len(next) == 0 && len(engines) > 0 { // all were called: begin anew
+	if len(next) == 0 && len(engines) > 0 { // all were called: start over
 		s.called = nil
 		return s.NextEngines(engines)
 	}
@@ -63,7 +64,7 @@
 
 func (e *Engine) failedLast() bool { return e.LastFailure > e.LastSuccess }
 
-// firstWithout compares two engines by a drawback: the one without it comes first.
+// firstWithout compares two engines by a drawback: the engine without it comes first.
 func firstWithout(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/decide/staterelease/staterelease_test.go
+++ b/internal/decide/staterelease/staterelease_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Calls end, never come after the deadline, and come at least twice where the first was lost and time is left.
+// The number of calls is bounded, none is made after the deadline, and there are at least two if the first was lost and time remains.
 func TestReleaseCallsAreBoundedAndInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Float64Range(0, 1e9).Draw(t, "now")
@@ -22,7 +22,7 @@
 			at, again := schedule.Next(now, result)
 			if !again {
 				if result == Unacknowledged && calls == 1 && now < schedule.Deadline {
-					t.Fatalf("given up after one lost call with %.3f s left", schedule.Deadline-now)
+					t.Fatalf("no second call after a lost one with %.3f s left", schedule.Deadline-now)
 				}
 				break
 			}
@@ -37,7 +37,8 @@
 	})
 }
 
-// Engines whose last call succeeded come before those whose last call failed; the holder comes first among equals.
+// Engines whose last call succeeded come before those whose last call failed. Among engines that are otherwise equal, the holder comes
+// first.
 func TestRankEngines(t *testing.T) {
 	got := ""
 	for _, e := range RankEngines([]Engine{
@@ -50,7 +51,7 @@
 		got += e.ID + ", "
 	}
 	if want := "new, old, gone, silent, dead holder, "; got != want {
-		t.Errorf("%s; want %s", got, want)
+		t.Errorf("got %q, want %q", got, want)
 	}
 	engines := []Engine{{ID: "a", Listed: true, LastSuccess: 9}, {ID: "h", Listed: true, Holder: true}}
 	if firstEngine := RankEngines(engines)[0].ID; firstEngine != "h" {
@@ -58,7 +59,8 @@
 	}
 }
 
-// A node that is cut off from all engines but one finds it within four rounds, calls no engine twice before, and begins anew then.
+// A node that is cut off from all engines but one finds that engine within four rounds and calls no engine twice before. After that it
+// starts over.
 func TestRoundsOfCallsFindTheEngineThatResponds(t *testing.T) {
 	var engines []Engine
 	for i := range 11 {
@@ -105,7 +107,7 @@
 	}
 }
 
-// Where any engine will do, two silent ones use up little of even a short time to release.
+// If any engine can release the state, two silent engines use up little of the time for the release, even if that is short.
 func TestSilentEnginesLeaveTimeForOtherEngines(t *testing.T) {
 	schedule := RetrySchedule{Deadline: 10.3, AnyEngine: true}
 	now := 10.0
@@ -130,8 +132,8 @@
 	}
 }
 
-// Calls that fail at once, because a system call does or a connection is refused, do not use up the remaining calls while that
-// lasts: an engine that can be reached again before the deadline is called.
+// Calls that fail at once, because a system call fails or a connection is refused, do not use up the number of calls during the outage:
+// an engine that becomes reachable again before the deadline is called.
 func TestImmediateFailuresDoNotExhaustAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		allowed := rapid.Float64Range(0.3, 5).Draw(t, "allowed")
@@ -141,7 +143,7 @@
 		for now < 100+outage {
 			at, again := schedule.Next(now, Unacknowledged)
 			if !again {
-				t.Fatalf("given up at %.3f s of %.3f after %d calls, with calls failing until %.3f s", now-100, allowed, calls, outage)
+				t.Fatalf("no further call at %.3f s of %.3f after %d calls; calls fail until %.3f s", now-100, allowed, calls, outage)
 			}
 			if calls++; calls > 64 {
 				t.Fatalf("%d calls within %.3f s", calls, now-100)
@@ -154,7 +156,7 @@
 	})
 }
 
-// Past the deadline calls continue where any engine can release, because the state is still held; they are few, and end.
+// If any engine can release the state, calls continue past the deadline because the state is still held. Their number is bounded.
 func TestReleaseRetriesContinuePastDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		schedule := RetrySchedule{Deadline: 11, AnyEngine: true}
@@ -163,7 +165,7 @@
 		for now < 11+outage {
 			at, again := schedule.Next(now, Unacknowledged)
 			if !again {
-				t.Fatalf("given up %.3f s after the deadline, with calls failing for %.3f s", now-11, outage)
+				t.Fatalf("no further call %.3f s after the deadline, with calls failing for %.3f s", now-11, outage)
 			}
 			if pause, most := at-now, max(minOverduePause, (now-11)/2); pause < minOverduePause-1e-9 || pause > most {
 				t.Fatalf("%.3f s after the deadline the next call is made %.3f s later, want %.3f to %.3f",
@@ -188,7 +190,7 @@
 	}
 }
 
-// Once a state is due something is done about it, unless a response streams; whatever is canceled is released at the next look.
+// A state that is due is released at once, or its attempts are canceled so that the next check releases it, unless a response streams.
 func TestEveryDueStateHasAnAction(t *testing.T) {
 	for _, c := range []struct {
 		progress  Progress
@@ -200,7 +202,7 @@
 		{Silent, true, Release},
 		{Responding, true, Wait},
 		{NoneInFlight, false, Release},
-		{NotDelivered, false, Release}, // the attempt needs nothing of what is released
+		{NotDelivered, false, Release}, // the attempt does not need the released state
 		{Silent, false, Release},
 		{Responding, false, Wait},
 	} {
