--- a/internal/decide/classify/recent_ids_test.go
+++ b/internal/decide/classify/recent_ids_test.go
@@ -44,7 +44,7 @@
 				history = append(history, recentID{id: id, addedAt: now})
 			}
 			if len(recent.ids) > floodFactor*minSize || len(recent.queue) > 2*floodFactor*minSize+2 {
-				t.Fatalf("%d ids are remembered in a queue of %d", len(recent.ids), len(recent.queue))
+				t.Fatalf("%d ids are remembered in a queue of length %d: the memory is not bounded", len(recent.ids), len(recent.queue))
 			}
 		}
 	})
--- a/internal/decide/endpoints/poller_test.go
+++ b/internal/decide/endpoints/poller_test.go
@@ -24,7 +24,7 @@
 			}
 			at = next
 			if n++; float64(n) > poller.Burst+1+poller.CallsPerSecond*(at-firstCall)+1e-6 {
-				t.Fatalf("%d calls in %.3f s", n, at-firstCall)
+				t.Fatalf("%d calls in %.3f s exceed the call budget", n, at-firstCall)
 			}
 		}
 	})
@@ -64,7 +64,7 @@
 		now = at
 	}
 	if calls > 130 {
-		t.Fatalf("%d calls in 10 s", calls)
+		t.Fatalf("%d calls in 10 s, want at most 130", calls)
 	}
 	if at := poller.AfterCall(now, false); at > now+1.2 {
 		t.Fatalf("backoff of %g s after a failure", at-now)
--- a/internal/decide/endpoints/steady_test.go
+++ b/internal/decide/endpoints/steady_test.go
@@ -58,7 +58,7 @@
 		nodes := rapid.SampledFrom([]int{2, 3, 24, 130, 300}).Draw(t, "nodes")
 		roundTime := rapid.Float64Range(0.2, 3).Draw(t, "takes")
 		if got := longestWithoutResponse(nodes, roundTime, true, rapid.Uint64().Draw(t, "seed")); got > 6 {
-			t.Fatalf("%d nodes, %.2f s for a call of each: one had no response for %.1f s", nodes, roundTime, got)
+			t.Fatalf("%d nodes, %.2f s for a call of each: a node had no response for %.1f s, want at most 6 s", nodes, roundTime, got)
 		}
 	})
 	if got := longestWithoutResponse(300, 3, false, 1); got <= 6 {
--- a/internal/decide/endpoints/view_property_test.go
+++ b/internal/decide/endpoints/view_property_test.go
@@ -69,7 +69,7 @@
 	seen := map[string]bool{}
 	for _, endpoint := range m.view.Snapshot(m.now).Endpoints {
 		if seen[endpoint.ID] {
-			t.Fatalf("%s is listed twice", endpoint.ID)
+			t.Fatalf("%s is in the snapshot twice", endpoint.ID)
 		}
 		seen[endpoint.ID] = true
 	}
--- a/internal/decide/endpoints/view_test.go
+++ b/internal/decide/endpoints/view_test.go
@@ -91,13 +91,13 @@
 	view.Apply(5, List{Index: 2, Endpoints: moved})
 	for _, e := range view.Snapshot(5).Endpoints {
 		if restarted := e.BootTime == 5; restarted != (e.ID == "a" || e.ID == "b") {
-			t.Fatalf("%+v", e)
+			t.Fatalf("got %+v, want a start at 5 exactly for the engines with a new address or role", e)
 		}
 	}
 	moved[0].BootTime = 9 // a reported start time takes precedence
 	view.Apply(9.5, List{Index: 3, Endpoints: moved})
 	if e := view.Snapshot(9.5).Endpoints[0]; e.BootTime != 9 {
-		t.Fatalf("%+v", e)
+		t.Fatalf("got %+v, want the reported start at 9", e)
 	}
 }
 
@@ -137,7 +137,7 @@
 	view := NewView(DefaultOptions)
 	view.Restore(1, fiveEndpoints())
 	if snapshot := view.Snapshot(1); !snapshot.Saved || len(snapshot.Endpoints) != 5 {
-		t.Fatalf("%+v", snapshot)
+		t.Fatalf("got %+v, want a saved list of 5 engines", snapshot)
 	}
 	view.Apply(2, List{Index: 1, Endpoints: fiveEndpoints()[1:]})
 	if view.Snapshot(2).Saved {
--- a/internal/decide/endpoints/watch_test.go
+++ b/internal/decide/endpoints/watch_test.go
@@ -58,9 +58,9 @@
 func TestWatchTimeoutsFitNotificationTime(t *testing.T) {
 	timeouts := NewWatchTimeouts(6)
 	if got := timeouts.WatchDeadline(0); got > 3.5 || got <= timeouts.Hold {
-		t.Errorf("silent after %g s of a hold of %g", got, timeouts.Hold)
+		t.Errorf("the watch counts as silent after %g s with a hold of %g s, want after the hold and within 3.5 s", got, timeouts.Hold)
 	}
 	if timeouts.CompleteResponse > 2 || timeouts.FirstByte > 0.5 || timeouts.BetweenBytes > timeouts.CompleteResponse {
-		t.Errorf("%+v", timeouts)
+		t.Errorf("got %+v: a timeout is too long", timeouts)
 	}
 }
--- a/internal/decide/overload/budget_test.go
+++ b/internal/decide/overload/budget_test.go
@@ -17,7 +17,7 @@
 		}
 		if budget.Clients < descriptors/3 || budget.RejectionQueue < 1 || budget.Engines < 1 || budget.BodyBytes < 1 ||
 			budget.BodyBytes+budget.HeapLimit > memory {
-			t.Fatalf("%+v of %d and %d", budget, descriptors, memory)
+			t.Fatalf("got %+v of %d descriptors and %d bytes: a share is too small, or the sum too large", budget, descriptors, memory)
 		}
 	})
 }
--- a/internal/decide/overload/overload_test.go
+++ b/internal/decide/overload/overload_test.go
@@ -15,7 +15,7 @@
 	}
 	decision := controller.Admit(10, Request{ClientTimeout: 4, Elapsed: 0.01})
 	if !decision.Admitted || decision.ClientTimeLeft < 3.98 {
-		t.Fatalf("%+v", decision)
+		t.Fatalf("got %+v, want admission with nearly 4 s left", decision)
 	}
 }
 
@@ -27,7 +27,7 @@
 	}
 	decision := controller.Admit(4, Request{ClientTimeout: 4, Random: 0.5})
 	if decision.Admitted || decision.Reason != "lag" || decision.RetryAfter <= 0 {
-		t.Fatalf("%+v, lag %g", decision, controller.Lag(4))
+		t.Fatalf("got %+v, want a rejection because of lag; lag %g", decision, controller.Lag(4))
 	}
 	if decision := controller.Admit(60, Request{ClientTimeout: 4}); !decision.Admitted {
 		t.Fatalf("still rejected a minute later: %+v", decision)
@@ -41,21 +41,21 @@
 	}
 	decision := controller.Admit(10, Request{ClientTimeout: 10, Elapsed: 1})
 	if !decision.Admitted || decision.ClientTimeLeft > 8.8 || decision.ClientTimeLeft < 7.5 {
-		t.Fatalf("%+v", decision)
+		t.Fatalf("got %+v, want admission with 7.5 to 8.8 s left", decision)
 	}
 }
 
 func TestDescriptorLimitBoundsConnections(t *testing.T) {
 	controller := New(limits)
 	if n := controller.Connections(0); n*descriptorsPerRequest+reservedDescriptors > 1024 || n < 400 {
-		t.Fatalf("%d connections with 1024 descriptors", n)
+		t.Fatalf("the limit is %d connections with 1024 descriptors", n)
 	}
 	controller.ObserveDescriptorShortage(1, 300)
 	if n := controller.Connections(1); n > 210 {
-		t.Fatalf("%d connections after descriptors ran out at 300", n)
+		t.Fatalf("the limit is %d connections after descriptors ran out at 300, want at most 210", n)
 	}
 	if n := controller.Connections(60); n < 400 {
-		t.Fatalf("%d connections a minute later", n)
+		t.Fatalf("the limit is %d connections a minute later, want at least 400", n)
 	}
 }
 
@@ -105,7 +105,7 @@
 				checkDecision(t, request, decision, controller.Lag(now))
 			}
 			if n := controller.Connections(now); n < minConnections || n > limits.Connections || controller.Lag(now) < 0 {
-				t.Fatalf("%d connections, lag %g", n, controller.Lag(now))
+				t.Fatalf("the limit of %d connections is out of bounds, or the lag %g is negative", n, controller.Lag(now))
 			}
 		}
 	})
--- a/internal/decide/staterelease/attemptend_test.go
+++ b/internal/decide/staterelease/attemptend_test.go
@@ -28,7 +28,7 @@
 // Each of these calls is repeated if it fails.
 func TestCallsFollowACutAttempt(t *testing.T) {
 	if calls := callsAfterEnd(0, 1, 0); len(calls) != 0 {
-		t.Errorf("no attempt was cut: got calls at %v", calls)
+		t.Errorf("no attempt was cut: got calls at %v, want none", calls)
 	}
 	calls := callsAfterEnd(5, 1, 5.04)
 	if len(calls) != 2 || calls[0] > 5.1 || calls[1] < 5.5 || calls[1] > 5.9 {
--- a/internal/decide/staterelease/staterelease_test.go
+++ b/internal/decide/staterelease/staterelease_test.go
@@ -27,11 +27,11 @@
 				break
 			}
 			if result == Acknowledged || at < now || at > schedule.Deadline {
-				t.Fatalf("%v at %.3f: again at %.3f, deadline %.3f", result, now, at, schedule.Deadline)
+				t.Fatalf("%v at %.3f: next call at %.3f, want one by %.3f, or none", result, now, at, schedule.Deadline)
 			}
 			now = at
 			if calls++; calls > maxAttempts {
-				t.Fatalf("%d calls", calls)
+				t.Fatalf("%d calls exceed the maximum", calls)
 			}
 		}
 	})
@@ -89,7 +89,7 @@
 	}
 	for id, n := range called {
 		if n != 1 {
-			t.Errorf("%s was called %d times", id, n)
+			t.Errorf("%s was called %d times, want once", id, n)
 		}
 	}
 	if again := schedule.NextEngines(engines); len(again) == 0 {
@@ -100,10 +100,10 @@
 func TestCallTimeoutLeavesTimeForRetries(t *testing.T) {
 	schedule := RetrySchedule{Deadline: 11}
 	if w := schedule.CallTimeout(10); w > 0.3 {
-		t.Errorf("one call may take %g s of 1 s", w)
+		t.Errorf("the timeout of a call is %g s of 1 s, want at most 0.3 s", w)
 	}
 	if w := schedule.CallTimeout(12); w <= 0 {
-		t.Errorf("a call has %g s", w)
+		t.Errorf("the timeout of a call past the deadline is %g s", w)
 	}
 }
 
@@ -114,7 +114,7 @@
 	for range 2 {
 		now += schedule.CallTimeout(now)
 		if at, again := schedule.Next(now, Unacknowledged); !again || at != now {
-			t.Fatalf("again %v at %g, want at once", again, at)
+			t.Fatalf("got a further call %v at %g, want one at once", again, at)
 		}
 	}
 	if now > 10.15 {
@@ -125,7 +125,7 @@
 func TestNextEngineIsCalledAtOnce(t *testing.T) {
 	schedule := RetrySchedule{Deadline: 11, AnyEngine: true}
 	if at, again := schedule.Next(10, Unacknowledged); !again || at != 10 {
-		t.Errorf("again %v at %g", again, at)
+		t.Errorf("got a further call %v at %g, want one at 10", again, at)
 	}
 	if _, again := schedule.Next(10, Acknowledged); again {
 		t.Error("called again after a response")
@@ -146,7 +146,7 @@
 				t.Fatalf("no further call at %.3f s of %.3f after %d calls; calls fail until %.3f s", now-100, allowed, calls, outage)
 			}
 			if calls++; calls > 64 {
-				t.Fatalf("%d calls within %.3f s", calls, now-100)
+				t.Fatalf("%d calls within %.3f s, want at most 64", calls, now-100)
 			}
 			now = at
 		}
@@ -175,7 +175,7 @@
 			now, ended = at+rapid.Float64Range(0, 0.2).Draw(t, "took"), at
 		}
 		if calls > 40 {
-			t.Fatalf("%d calls in %.3f s", calls, ended-11)
+			t.Fatalf("%d calls in %.3f s, want at most 40", calls, ended-11)
 		}
 		if _, again := schedule.Next(now, Acknowledged); again {
 			t.Fatal("called again after a response")
