--- a/internal/decide/overload/overload_test.go
+++ b/internal/decide/overload/overload_test.go
@@ -15,11 +15,11 @@
 	}
 	decision := controller.Admit(10, Request{ClientTimeout: 4, Elapsed: 0.01})
 	if !decision.Admitted || decision.ClientTimeLeft < 3.98 {
-		t.Fatalf("%+v", decision)
+		t.Fatalf("got %+v, want admission with nearly 4 s left", decision)
 	}
 }
 
-// Without this, nodes at 900 requests a second on a full machine responded after their clients had disconnected.
+// Without these rejections, nodes on a saturated machine responded after their clients had disconnected, at 900 requests a second.
 func TestLaggingNodeRejectsUntilItRecovers(t *testing.T) {
 	controller := New(limits)
 	for i := range 40 {
@@ -27,7 +27,7 @@
 	}
 	decision := controller.Admit(4, Request{ClientTimeout: 4, Random: 0.5})
 	if decision.Admitted || decision.Reason != "lag" || decision.RetryAfter <= 0 {
-		t.Fatalf("%+v, lag %g", decision, controller.Lag(4))
+		t.Fatalf("got %+v, want a rejection because of lag; lag %g", decision, controller.Lag(4))
 	}
 	if decision := controller.Admit(60, Request{ClientTimeout: 4}); !decision.Admitted {
 		t.Fatalf("still rejected a minute later: %+v", decision)
@@ -41,21 +41,21 @@
 	}
 	decision := controller.Admit(10, Request{ClientTimeout: 10, Elapsed: 1})
 	if !decision.Admitted || decision.ClientTimeLeft > 8.8 || decision.ClientTimeLeft < 7.5 {
-		t.Fatalf("%+v", decision)
+		t.Fatalf("got %+v, want admission with 7.5 to 8.8 s left", decision)
 	}
 }
 
 func TestDescriptorLimitBoundsConnections(t *testing.T) {
 	controller := New(limits)
 	if n := controller.Connections(0); n*descriptorsPerRequest+reservedDescriptors > 1024 || n < 400 {
-		t.Fatalf("%d connections with 1024 descriptors", n)
+		t.Fatalf("the limit is %d connections with 1024 descriptors", n)
 	}
 	controller.ObserveDescriptorShortage(1, 300)
 	if n := controller.Connections(1); n > 210 {
-		t.Fatalf("%d connections after descriptors ran out at 300", n)
+		t.Fatalf("the limit is %d connections after descriptors ran out at 300, want at most 210", n)
 	}
 	if n := controller.Connections(60); n < 400 {
-		t.Fatalf("%d connections a minute later", n)
+		t.Fatalf("the limit is %d connections a minute later, want at least 400", n)
 	}
 }
 
@@ -80,9 +80,9 @@
 	}
 }
 
-// Whatever is observed, in any order: an admitted request has time for the lag, a rejected one gets a time for its retry, and the
-// connections stay between their minimum and the limits.
-func TestAdmissionProperties(t *testing.T) {
+// For any sequence of observations, an admitted request has more time left than the lag, a rejected one gets a time for its retry,
+// and the connection limit stays between its minimum and its maximum.
+func TestAdmissionInvariantsHoldForAnyObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
 			Descriptors:   rapid.IntRange(0, 4096).Draw(t, "descriptors"),
@@ -105,7 +105,7 @@
 				checkDecision(t, request, decision, controller.Lag(now))
 			}
 			if n := controller.Connections(now); n < minConnections || n > limits.Connections || controller.Lag(now) < 0 {
-				t.Fatalf("%d connections, lag %g", n, controller.Lag(now))
+				t.Fatalf("the limit of %d connections is out of bounds, or the lag %g is negative", n, controller.Lag(now))
 			}
 		}
 	})
