--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts one scheduler for each instance of the bench and speaks the bench's line protocol on standard input
-// and output. It decides nothing. It ends with exit code 0 at the end of its input, and with 1 on input that it can't read.
+// Command adapter runs one scheduler for each node that the bench emulates, and uses the bench's line protocol on standard input and
+// output. It makes no decisions. It exits with code 0 at the end of its input, and with code 1 if it can't read the input.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	}
 }
 
-// run answers each batch of the input until it ends.
+// run replies to each batch of the input until the input ends.
 func run(input io.Reader, output, log io.Writer) error {
 	decoder := benchwire.NewDecoder(input)
 	h := host{schedulers: map[int]*scheduler.Scheduler{}, encoder: benchwire.NewEncoder(output), log: log}
@@ -31,86 +31,86 @@
 		if err != nil {
 			return err
 		}
-		if err := h.answer(batch); err != nil {
+		if err := h.reply(batch); err != nil {
 			return err
 		}
 	}
 }
 
-// host holds the schedulers by the number of their instance.
+// host holds the schedulers by the number of their node.
 type host struct {
 	schedulers map[int]*scheduler.Scheduler
 	encoder    *benchwire.Encoder
 	log        io.Writer
 }
 
-// inbox is one instance's events of a batch, in order.
-type inbox struct {
+// nodeEvents holds the events of a batch for one node, in order.
+type nodeEvents struct {
 	node   int
 	events []scheduler.Event
 }
 
-// answer takes one step of each instance that has events in the batch, and writes the reply.
-func (h *host) answer(batch *benchwire.Batch) error {
-	inboxes, err := h.sort(batch.Items)
+// reply runs one step of each node that has events in the batch, and writes the reply.
+func (h *host) reply(batch *benchwire.Batch) error {
+	groups, err := h.groupByNode(batch.Items)
 	if err != nil {
 		return err
 	}
-	for _, box := range inboxes {
-		if err := h.step(box, batch.Now); err != nil {
+	for _, group := range groups {
+		if err := h.step(group, batch.Now); err != nil {
 			return err
 		}
 	}
 	return h.encoder.Done(batch.Serial)
 }
 
-// sort launches and kills instances, and returns the events of each instance in order of its first appearance. An instance's
-// launch or end voids its earlier events of the batch.
-func (h *host) sort(items []benchwire.Item) ([]*inbox, error) {
-	var inboxes []*inbox
-	byNode := map[int]*inbox{}
+// groupByNode launches and kills nodes, and returns the events of each node, in the order in which the nodes first appear. The launch or kill of
+// a node discards its earlier events of the batch.
+func (h *host) groupByNode(items []benchwire.Item) ([]*nodeEvents, error) {
+	var groups []*nodeEvents
+	byNode := map[int]*nodeEvents{}
 	for _, item := range items {
-		box := byNode[item.Node]
-		if box == nil {
-			box = &inbox{node: item.Node}
-			byNode[item.Node] = box
-			inboxes = append(inboxes, box)
+		group := byNode[item.Node]
+		if group == nil {
+			group = &nodeEvents{node: item.Node}
+			byNode[item.Node] = group
+			groups = append(groups, group)
 		}
 		switch {
 		case item.Kill:
 			delete(h.schedulers, item.Node)
-			box.events = nil
+			group.events = nil
 		case item.Launch != nil:
 			launched, err := scheduler.New(item.Launch.Config, item.Launch.Seed)
 			if err != nil {
 				return nil, fmt.Errorf("node %d: %w", item.Node, err)
 			}
 			h.schedulers[item.Node] = launched
-			box.events = nil
+			group.events = nil
 		default:
-			box.events = append(box.events, item.Event)
+			group.events = append(group.events, item.Event)
 		}
 	}
-	return inboxes, nil
+	return groups, nil
 }
 
-// step passes an instance its events and writes its actions. A panic of the scheduler is reported to the bench, and the
-// other instances go on.
-func (h *host) step(box *inbox, now float64) error {
-	target := h.schedulers[box.node]
-	if target == nil || len(box.events) == 0 {
+// step passes a node's events to its scheduler and writes the actions. If the scheduler panics, the failure is reported to the bench and
+// the other nodes continue.
+func (h *host) step(group *nodeEvents, now float64) error {
+	target := h.schedulers[group.node]
+	if target == nil || len(group.events) == 0 {
 		return nil
 	}
-	actions, err := safeStep(target, now, box.events)
+	actions, err := safeStep(target, now, group.events)
 	if err != nil {
 		fmt.Fprintln(h.log, "adapter:", err)
-		h.encoder.Broken(box.node, err.Error())
+		h.encoder.Broken(group.node, err.Error())
 		return nil
 	}
-	return h.encoder.Actions(box.node, actions)
+	return h.encoder.Actions(group.node, actions)
 }
 
-// safeStep turns a panic of the scheduler into an error.
+// safeStep runs a step of the scheduler and returns a panic as an error.
 func safeStep(target *scheduler.Scheduler, now float64, events []scheduler.Event) (actions []scheduler.Action, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func smoke(t *testing.T) string {
+func smokeInput(t *testing.T) string {
 	t.Helper()
 	b, err := os.ReadFile("testdata/smoke.txt")
 	if err != nil {
@@ -17,30 +17,30 @@
 	return string(b)
 }
 
-func TestSmokeRunSendsAndAnswersEachBatch(t *testing.T) {
+func TestSmokeInputIsServedAndEachBatchAnswered(t *testing.T) {
 	var out bytes.Buffer
-	if err := run(strings.NewReader(smoke(t)), &out, io.Discard); err != nil {
+	if err := run(strings.NewReader(smokeInput(t)), &out, io.Discard); err != nil {
 		t.Fatal(err)
 	}
 	got := out.String()
 	for _, want := range []string{"OK\tserial=1\n", "engine=10.0.0.1:1\tcap_s=", "engine=10.0.0.2:1\n", "OK\tserial=3\n"} {
 		if !strings.Contains(got, want) {
-			t.Errorf("no %q in\n%s", want, got)
+			t.Errorf("output lacks %q:\n%s", want, got)
 		}
 	}
 }
 
-func TestKillVoidsTheInstance(t *testing.T) {
+func TestBatchWithKillIsAnswered(t *testing.T) {
 	var out bytes.Buffer
-	in := smoke(t) + "SYNC\tsim_time_s=2\tserial=4\nTO\tnode_id=0\nKILL\nGO\n"
+	in := smokeInput(t) + "SYNC\tsim_time_s=2\tserial=4\nTO\tnode_id=0\nKILL\nGO\n"
 	if err := run(strings.NewReader(in), &out, io.Discard); err != nil || !strings.HasSuffix(out.String(), "OK\tserial=4\n") {
-		t.Fatalf("%v\n%s", err, out.String())
+		t.Fatalf("got error %v and output that should end with the reply to batch 4:\n%s", err, out.String())
 	}
 }
 
 func TestMalformedInputIsAnError(t *testing.T) {
 	var out bytes.Buffer
 	if err := run(strings.NewReader("nonsense\n"), &out, io.Discard); err == nil || out.Len() > 0 {
-		t.Fatalf("error %v, output %q", err, out.String())
+		t.Fatalf("got error %v and output %q, want an error and no output", err, out.String())
 	}
 }
--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -1,9 +1,9 @@
-// Package benchwire is the bench's line protocol (orchid-7119): it decodes lines into the events of package scheduler, and
-// encodes actions into lines. It decides nothing. Its caller is cmd/adapter.
+// Package benchwire implements the bench's line protocol (orchid-7119): it decodes lines into events of package scheduler, and encodes
+// actions as lines. It makes no decisions. It is used by cmd/adapter.
 //
-// A batch of input is a SYNC line, then TO lines that name an instance, each followed by that instance's messages, and a GO
-// line. A line is a name and fields "key=value", separated by tabs. Messages that aren't known are passed over, so that a
-// newer bench can be read; a message that is known and malformed is an error that names its line and field.
+// A batch of input is a SYNC line, then TO lines that name a node, each followed by that node's messages, and a GO line. A line is a
+// name and fields "key=value", separated by tabs. Unknown messages are ignored, so that the input of a newer bench can be read. A known
+// message that is malformed results in an error that names its line and field.
 package benchwire
 
 import (
@@ -18,7 +18,7 @@
 	"dillroute/scheduler"
 )
 
-// inputBufferBytes is the size of the input's buffer; longer lines are read too.
+// inputBufferBytes is the size of the input buffer. Lines may be longer.
 const inputBufferBytes = 1 << 20
 
 // Item is one message of a batch. Exactly one of Launch, Kill and Event is set.
@@ -29,20 +29,20 @@
 	Event  scheduler.Event
 }
 
-// Launch starts an instance.
+// Launch starts a node with a configuration and a random seed.
 type Launch struct {
 	Config scheduler.Config
 	Seed   uint64
 }
 
-// Batch is what came in at one moment.
+// Batch holds the messages that arrive at the same time.
 type Batch struct {
 	Now    float64 // seconds
-	Serial string  // to be repeated in the reply
+	Serial string  // repeated in the reply
 	Items  []Item
 }
 
-// Decoder reads batches. It remembers each instance's configuration, against which it checks indices.
+// Decoder reads batches. It keeps each node's configuration to check that indices are in range.
 type Decoder struct {
 	input   *bufio.Reader
 	line    int
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	if r.name != "SYNC" {
-		return nil, fmt.Errorf("line %d: %q where a batch should begin with SYNC", r.line, clip(r.name))
+		return nil, fmt.Errorf("line %d: got %q, want SYNC at the start of a batch", r.line, clip(r.name))
 	}
 	batch := &Batch{Now: r.number("sim_time_s", required), Serial: r.text("serial")}
 	if r.err != nil {
@@ -101,7 +101,7 @@
 	}
 }
 
-// readItem decodes one message and appends it to the batch, unless it isn't known.
+// readItem decodes one message and appends it to the batch. It ignores unknown messages.
 func (d *Decoder) readItem(r *record, node int, batch *Batch) error {
 	if node < 0 {
 		return fmt.Errorf("line %d: %s before any TO", r.line, clip(r.name))
@@ -136,7 +136,7 @@
 func (d *Decoder) launch(r *record, node int) *Launch {
 	seed, err := strconv.ParseUint(r.fields["random_seed"], 10, 64)
 	if err != nil {
-		r.fail("random_seed", "%q is not a whole number", clip(r.fields["random_seed"]))
+		r.fail("random_seed", "%q is not a non-negative integer", clip(r.fields["random_seed"]))
 	}
 	parsed, err := settings.Parse([]byte(r.text("facts")))
 	if err != nil {
@@ -147,7 +147,7 @@
 	return &Launch{Config: parsed.Scheduler, Seed: seed}
 }
 
-// endpointUpdate decodes an update of the endpoint list, whose entries are lines of their own.
+// endpointUpdate decodes an update of the endpoint list, whose entries are on the lines that follow.
 func (d *Decoder) endpointUpdate(r *record, config *scheduler.Config) (scheduler.EndpointUpdate, error) {
 	update := scheduler.EndpointUpdate{Form: lookup(r, "form", updateForms)}
 	entries := r.integer("members", update.Form != scheduler.UpdateFailed)
@@ -163,7 +163,7 @@
 			return update, err
 		}
 		if entry.name != "ITEM" {
-			return update, fmt.Errorf("line %d: %s where ITEM %d of %d should be", entry.line, clip(entry.name), i+1, entries)
+			return update, fmt.Errorf("line %d: got %s, want ITEM %d of %d", entry.line, clip(entry.name), i+1, entries)
 		}
 		update.Engines = append(update.Engines, decodeEngine(entry, config))
 		if entry.err != nil {
@@ -173,7 +173,7 @@
 	return update, nil
 }
 
-// nextRecord returns the next line that isn't empty.
+// nextRecord returns the next line that isn't empty, or io.EOF at the end of the input.
 func (d *Decoder) nextRecord() (*record, error) {
 	for {
 		line, err := d.input.ReadString('\n')
--- a/internal/benchwire/benchwire_test.go
+++ b/internal/benchwire/benchwire_test.go
@@ -10,7 +10,7 @@
 	"dillroute/scheduler"
 )
 
-// launch is the first batch of the adapter's smoke run: settings and two engines.
+// launch returns the first batch of the adapter's smoke input: a launch with its settings, and two engines.
 func launch(t testing.TB) string {
 	t.Helper()
 	b, err := os.ReadFile("../../cmd/adapter/testdata/smoke.txt")
@@ -42,17 +42,17 @@
 func TestLaunchAndEndpointUpdate(t *testing.T) {
 	items, err := decode(launch(t))
 	if err != nil || len(items) != 2 {
-		t.Fatalf("%v, %d items", err, len(items))
+		t.Fatalf("got error %v and %d items, want 2 items", err, len(items))
 	}
 	c := items[0].Launch.Config
 	if c.Rules.StateReleaseLimit != 1 || c.Classes[0].OutputTokenObjective != 0.06 || c.Classes[0].ObjectivePer1KTokens != 0.04 ||
 		c.Kinds[1].Role != scheduler.Decode || c.ReportStyle != scheduler.ReportInline || items[0].Launch.Seed != 7 {
-		t.Errorf("settings: %+v", c)
+		t.Errorf("launch has unexpected settings: %+v", c)
 	}
 	m := items[1].Event.(scheduler.EndpointUpdate)
 	want := scheduler.Engine{ID: "10.0.0.2:1", Kind: 1, Weight: 1}
 	if m.Form != scheduler.UpdateStale || len(m.Engines) != 2 || m.Engines[1] != want {
-		t.Errorf("endpoint update: %+v", m)
+		t.Errorf("unexpected endpoint update: %+v", m)
 	}
 }
 
@@ -117,14 +117,14 @@
 	}
 }
 
-func TestKillIsAnItem(t *testing.T) {
+func TestKillIsDecoded(t *testing.T) {
 	items, err := decode(launch(t) + batch("KILL"))
 	if err != nil || len(items) != 3 || !items[2].Kill {
 		t.Errorf("got items %+v and error %v, want a kill", items, err)
 	}
 }
 
-func TestUnknownMessageIsPassedOver(t *testing.T) {
+func TestUnknownMessageIsIgnored(t *testing.T) {
 	if items, err := decode(launch(t) + batch("NOVELTY\ta=1")); err != nil || len(items) != 2 {
 		t.Errorf("got %d items and error %v, want the 2 of the launch", len(items), err)
 	}
@@ -147,12 +147,12 @@
 		"SAY_LOG\tbody_text=two lines are joined": scheduler.Log{Text: "two lines\nare joined"},
 	} {
 		if got, err := formatAction(a); err != nil || got != want {
-			t.Errorf("got %q, %v; want %q", got, err, want)
+			t.Errorf("got %q and error %v, want %q", got, err, want)
 		}
 	}
 }
 
-func TestMalformedInputIsNamedByLineAndField(t *testing.T) {
+func TestErrorOfMalformedInputNamesLineAndField(t *testing.T) {
 	for in, want := range map[string]string{
 		batch("DEMAND\top_id=a\ttier_class=5\ttime_left_s=1"):                    "tier_class",
 		batch("DEMAND\top_id=a\ttier_class=0\tproject=3\ttime_left_s=1"):         "project",
@@ -174,21 +174,21 @@
 	} {
 		_, err := decode(launch(t) + in)
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "line ") {
-			t.Errorf("%q: error is %v, want the line and %q", clip(in), err, want)
+			t.Errorf("%q: got error %v, want one with the line and %q", clip(in), err, want)
 		}
 	}
 }
 
-func TestLineOfSeveralMegabytes(t *testing.T) {
+func TestLineOfSeveralMegabytesIsDecoded(t *testing.T) {
 	long := strings.Repeat("x", 4<<20)
 	items, err := decode(launch(t) + batch("GONE\top_id="+long))
 	if err != nil || items[2].Event.(scheduler.ClientDisconnected).ID != long {
-		t.Fatalf("long line: %v", err)
+		t.Fatalf("line of 4 MiB: got error %v or an incomplete ID", err)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
 	f.Add(launch(f) + batch("WAKEUP\tctx=1"))
 	f.Add(batch("DEMAND\top_id=a"))
-	f.Fuzz(func(t *testing.T, s string) { decode(s) }) // errors are fine, panics are not
+	f.Fuzz(func(t *testing.T, s string) { decode(s) }) // errors are allowed, panics are not
 }
--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -9,7 +9,7 @@
 	"dillroute/scheduler"
 )
 
-// The words of the wire for the scheduler's enumerations.
+// The words of the protocol for the scheduler's enumerations.
 var (
 	statuses = map[string]scheduler.Status{
 		"served":          scheduler.Completed,
@@ -35,7 +35,7 @@
 	}
 )
 
-// eventDecoders holds a decoder for each message that is one event on one line.
+// eventDecoders holds the decoders of the messages that consist of one line and stand for one event.
 var eventDecoders = map[string]func(r *record, config *scheduler.Config) scheduler.Event{
 	"WAKEUP":         decodeTimerFired,
 	"DEMAND":         decodeRequest,
@@ -117,7 +117,7 @@
 	if payload := r.fields["payload"]; payload != "-" && payload != "" {
 		decoded, err := hex.DecodeString(payload)
 		if err != nil {
-			r.fail("payload", "not hex digits")
+			r.fail("payload", "not hexadecimal")
 		}
 		data = decoded
 	}
@@ -136,7 +136,7 @@
 	}
 }
 
-// decodeReport reads the load report of a line; nil where it has none. Figures that aren't known are passed over.
+// decodeReport returns the load report of a line, or nil if it has none. It ignores unknown figures.
 func decodeReport(r *record) *scheduler.LoadReport {
 	text := r.fields["report"]
 	if text == "" || text == "-" {
@@ -147,7 +147,7 @@
 		name, value, _ := strings.Cut(part, ":")
 		number, err := strconv.ParseFloat(value, 64)
 		if err != nil {
-			r.fail("report", "%q is not name:number", clip(part))
+			r.fail("report", "%q is not of the form name:number", clip(part))
 			return nil
 		}
 		settings.SetReportField(report, name, number)
--- a/internal/benchwire/encode.go
+++ b/internal/benchwire/encode.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// outputBufferBytes is the size of the output's buffer.
+	// outputBufferBytes is the size of the output buffer.
 	outputBufferBytes = 1 << 18
-	// noNode is the number of no instance.
+	// noNode stands for no node. Nodes are numbered from 0.
 	noNode = -1
 )
 
-// Encoder writes replies.
+// Encoder writes replies to batches. Call Actions and Broken for the nodes of a batch, and then Done.
 type Encoder struct {
 	output *bufio.Writer
-	node   int // instance of the latest SOURCE line of this reply, or noNode
+	node   int // node of the latest SOURCE line of this reply, or noNode
 }
 
 // NewEncoder returns an Encoder that writes to w.
@@ -29,7 +29,7 @@
 	return &Encoder{output: bufio.NewWriterSize(w, outputBufferBytes), node: noNode}
 }
 
-// Actions writes the actions of one instance. Errors of the output show in Done.
+// Actions writes the actions of one node. Write errors are returned by Done.
 func (e *Encoder) Actions(node int, actions []scheduler.Action) error {
 	if len(actions) == 0 {
 		return nil
@@ -49,20 +49,20 @@
 	return nil
 }
 
-// Broken reports that the scheduler of an instance has failed.
+// Broken writes that the scheduler of a node has failed, and why. Write errors are returned by Done.
 func (e *Encoder) Broken(node int, text string) {
 	fmt.Fprintf(e.output, "SOURCE\tnode_id=%d\nBROKEN\tbody_text=%s\n", node, oneLine(text))
 	e.node = node
 }
 
-// Done ends the reply to a batch and flushes it.
+// Done ends the reply to the batch with the given serial and flushes it.
 func (e *Encoder) Done(serial string) error {
 	fmt.Fprintf(e.output, "OK\tserial=%s\n", serial)
 	e.node = noNode
 	return e.output.Flush()
 }
 
-// formatAction returns the line of an action, without its line end.
+// formatAction returns the line of an action, without the newline.
 func formatAction(action scheduler.Action) (string, error) {
 	switch action := action.(type) {
 	case scheduler.Send:
@@ -88,7 +88,7 @@
 	case scheduler.Log:
 		return "SAY_LOG\tbody_text=" + oneLine(action.Text), nil
 	}
-	return "", fmt.Errorf("wire: no line for action %T", action)
+	return "", fmt.Errorf("benchwire: unknown action type %T", action)
 }
 
 func formatSend(send scheduler.Send) string {
@@ -114,7 +114,7 @@
 	return "0"
 }
 
-// oneLine replaces what would end a line or a field by spaces.
+// oneLine replaces the characters that end a line or a field with spaces.
 func oneLine(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r == '\n' || r == '\r' || r == '\t' {
--- a/internal/benchwire/record.go
+++ b/internal/benchwire/record.go
@@ -7,16 +7,16 @@
 	"strings"
 )
 
-// maxQuotedChars is the number of bytes of input that an error message quotes at most.
-const maxQuotedChars = 60
+// maxQuotedBytes is the maximum number of bytes of input that an error message quotes.
+const maxQuotedBytes = 60
 
-// Whether a field must be there.
+// Whether a field must be present.
 const (
 	required = true
 	optional = false
 )
 
-// record is one line, split into its fields. It keeps the first error that is met while its fields are read.
+// record is one line, split into its fields. It stores the first error that occurs when its fields are read.
 type record struct {
 	line   int
 	name   string
@@ -31,7 +31,7 @@
 		part, more, _ := strings.Cut(rest, "\t")
 		key, value, ok := strings.Cut(part, "=")
 		if !ok {
-			return nil, fmt.Errorf("line %d: %s: part %q has no '='", line, name, clip(part))
+			return nil, fmt.Errorf("line %d: %s: field %q has no '='", line, name, clip(part))
 		}
 		if key == "facts" || key == "body_text" { // these texts extend to the end of the line
 			_, value, _ = strings.Cut(rest, "=")
@@ -45,20 +45,20 @@
 
 // clip shortens input for an error message.
 func clip(text string) string {
-	if len(text) > maxQuotedChars {
-		return text[:maxQuotedChars] + "..."
+	if len(text) > maxQuotedBytes {
+		return text[:maxQuotedBytes] + "..."
 	}
 	return text
 }
 
-// fail keeps the error of a field, unless there is one already.
+// fail stores the error of a field, unless an earlier one is stored.
 func (r *record) fail(field, format string, args ...any) {
 	if r.err == nil {
 		r.err = fmt.Errorf("line %d: %s: field %s: %s", r.line, r.name, field, fmt.Sprintf(format, args...))
 	}
 }
 
-// text returns a field that must be there and not be empty.
+// text returns the text of a required field, which must not be empty.
 func (r *record) text(field string) string {
 	value := r.fields[field]
 	if value == "" {
@@ -67,11 +67,11 @@
 	return value
 }
 
-// number returns a finite number, or 0 where an optional field is missing.
-func (r *record) number(field string, must bool) float64 {
+// number returns the finite number in a field, or 0 if an optional field is missing.
+func (r *record) number(field string, mustExist bool) float64 {
 	value, ok := r.fields[field]
 	if !ok {
-		if must {
+		if mustExist {
 			r.fail(field, "missing")
 		}
 		return 0
@@ -83,32 +83,32 @@
 	return number
 }
 
-// integer returns a whole number of at least 0, or 0 where an optional field is missing.
-func (r *record) integer(field string, must bool) int {
+// integer returns the non-negative integer in a field, or 0 if an optional field is missing.
+func (r *record) integer(field string, mustExist bool) int {
 	value, ok := r.fields[field]
 	if !ok {
-		if must {
+		if mustExist {
 			r.fail(field, "missing")
 		}
 		return 0
 	}
 	number, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || number < 0 {
-		r.fail(field, "%q is not a whole number", clip(value))
+		r.fail(field, "%q is not a non-negative integer", clip(value))
 	}
 	return int(number)
 }
 
-// index returns a whole number below n.
+// index returns the integer in an optional field, which must be from 0 to n-1, or 0 if the field is missing.
 func (r *record) index(field string, n int) int {
 	index := r.integer(field, optional)
 	if r.err == nil && index >= n {
-		r.fail(field, "%d is out of range, there are %d", index, n)
+		r.fail(field, "index %d is out of range, there are %d", index, n)
 	}
 	return index
 }
 
-// amount returns a number of at least 0.
+// amount returns the non-negative number in an optional field, or 0 if the field is missing.
 func (r *record) amount(field string) float64 {
 	amount := r.number(field, optional)
 	if amount < 0 {
@@ -117,7 +117,7 @@
 	return amount
 }
 
-// flag returns whether a field is 1; it may be missing, empty or 0 otherwise.
+// flag reports whether a field is 1. Otherwise it must be 0, empty or missing.
 func (r *record) flag(field string) bool {
 	switch r.fields[field] {
 	case "", "0":
@@ -129,11 +129,11 @@
 	return false
 }
 
-// lookup returns what a field's word stands for.
+// lookup returns the value that the word in a field stands for.
 func lookup[T any](r *record, field string, words map[string]T) T {
 	value, ok := words[r.fields[field]]
 	if !ok {
-		r.fail(field, "unknown word %q", clip(r.fields[field]))
+		r.fail(field, "unknown value %q", clip(r.fields[field]))
 	}
 	return value
 }
--- a/internal/settings/report.go
+++ b/internal/settings/report.go
@@ -2,10 +2,10 @@
 
 import "dillroute/scheduler"
 
-// thousandTokens is the unit in which the settings' platform reports waiting tokens.
+// thousandTokens is the unit in which the platform's load reports state waiting tokens.
 const thousandTokens = 1000
 
-// SetReportField sets a figure of a load report by its name in the settings or in the users' pages. It ignores unknown names.
+// SetReportField sets a figure of a load report by its name in the settings object or in the users' pages. Unknown names are ignored.
 func SetReportField(report *scheduler.LoadReport, name string, figure float64) {
 	switch name {
 	case "active", "inflight":
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings object with which the users' platform starts a node, the same for the bench's adapter and
-// for a node in service, and turns it into the scheduler's configuration. It decides nothing.
+// Package settings parses the settings object with which the users' platform starts a node, and converts it to the scheduler's
+// configuration. The object is the same for the bench's adapter and for a node in service. The package makes no decisions.
 package settings
 
 import (
@@ -8,7 +8,7 @@
 	"dillroute/scheduler"
 )
 
-// Settings are the object as far as it is used. Times are in seconds.
+// Settings holds the parts of the settings object that are used. Times are in seconds.
 type Settings struct {
 	Scheduler            scheduler.Config
 	Classes              []string // names, in the order of the scheduler's classes
@@ -16,13 +16,13 @@
 	Zones                []string
 	Kinds                []string
 	MaxOpen              int
-	EngineIdleTimeout    float64 // after which an engine closes an idle connection at the latest; 0 = not stated
-	ConnectTimeout       float64 // within which a connection must be made; 0 = not stated
-	LongestClientTimeout float64 // the longest of all classes
-	ClientsResume        bool    // clients come again for the rest of a stream that broke
+	EngineIdleTimeout    float64 // longest time after which an engine closes an idle connection; 0 = not stated
+	ConnectTimeout       float64 // within which a connection must be established; 0 = not stated
+	LongestClientTimeout float64 // longest client timeout of all classes
+	ClientsResume        bool    // clients send a further request for the rest of a broken stream
 }
 
-// Parse reads the object. An error names the field that cannot be read.
+// Parse parses the settings object. An error names the invalid field.
 func Parse(text []byte) (*Settings, error) {
 	var d document
 	if err := json.Unmarshal(text, &d); err != nil {
@@ -34,19 +34,19 @@
 	}
 	s := &Settings{
 		Scheduler:         config,
-		Zones:             d.Localities,
-		Kinds:             d.MachineTypes,
+		Zones:             d.Zones,
+		Kinds:             d.Kinds,
 		MaxOpen:           d.Limits.MaxOpen,
-		EngineIdleTimeout: d.Limits.KeepAlive,
-		ConnectTimeout:    d.Limits.Connect,
-		ClientsResume:     d.Family.Resume,
+		EngineIdleTimeout: d.Limits.EngineIdleTimeout,
+		ConnectTimeout:    d.Limits.ConnectTimeout,
+		ClientsResume:     d.Family.ClientsResume,
 	}
 	for _, class := range d.Classes {
 		s.Classes = append(s.Classes, class.Name)
-		s.LongestClientTimeout = max(s.LongestClientTimeout, class.HardLimit)
+		s.LongestClientTimeout = max(s.LongestClientTimeout, class.ClientTimeout)
 	}
-	for _, account := range d.Accounts {
-		s.Tenants = append(s.Tenants, account.Name)
+	for _, tenant := range d.Tenants {
+		s.Tenants = append(s.Tenants, tenant.Name)
 	}
 	return s, nil
 }
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -14,9 +14,9 @@
 	tier := []*request{req[0], req[1], req[2]}
 	sortByDeadline(tier)
 	if tier[0] != req[1] || tier[1] != req[0] || tier[2] != req[2] {
-		t.Fatal("not by deadline with requests beyond their quota last")
+		t.Fatal("the tier is not ordered by deadline with requests beyond their quota last")
 	}
-	// A request whose first token is overdue waits while the high tier holds one.
+	// A request whose first token is overdue waits while the high tier has a request.
 	sched := startScheduler(t, testConfig(), listOf())
 	overdue := testRequest("late", 0)
 	sched.Step(0, []Event{overdue})
@@ -24,16 +24,16 @@
 	endpoints := testFleet()
 	acts := sched.Step(1.6, []Event{endpoints})
 	if !sched.requests["late"].lowTier || sched.requests["new"].lowTier {
-		t.Fatal("tiers are wrong")
+		t.Fatal("want the overdue request in the low tier and the new one in the high tier")
 	}
 	if s := actionsOf[Send](acts); len(s) == 0 || s[0].ID != "new" {
-		t.Fatalf("the high tier does not go first: %v", s)
+		t.Fatalf("the request of the high tier was not sent first: %v", s)
 	}
 }
 
-// With many routers each high tier is nearly always empty: a late request is prefilled only where a newcomer right behind it
-// would still be in time, by what prefills have lately shown.
-func TestLowTierIsPrefilledOnlyWhereItDelaysNobody(t *testing.T) {
+// With many nodes, the high tier of each is nearly always empty. A late request may therefore be prefilled only on an engine where
+// a request that arrives right behind it would still be in time, given the waits and prediction errors of recent prefills.
+func TestLowTierIsPrefilledOnlyIfNoOtherRequestIsDelayed(t *testing.T) {
 	for wait, want := range map[float64]int{0: 1, 0.9: 0} {
 		sched := startScheduler(t, testConfig(), testFleet())
 		sched.now = 1
@@ -41,67 +41,68 @@
 		sched.requests["a"].lowTier = true
 		sched.kinds[0].prefillWait.add(1, wait, 1)
 		if got := len(actionsOf[Send](sched.Step(1, nil))); got != want {
-			t.Errorf("prefills wait %g s: got %d sends, want %d", wait, got, want)
+			t.Errorf("prefill wait of %g s: got %d sends, want %d", wait, got, want)
 		}
 	}
 	sched := startScheduler(t, testConfig(), testFleet())
 	sched.now = 1
 	sched.requestArrived(testRequest("a", 0))
 	sched.requests["a"].lowTier = true
-	sched.predictionError[Prefill].add(1, 0.4, 1) // no wait is known, but predictions have been off
+	sched.predictionError[Prefill].add(1, 0.4, 1) // no wait is known, but recent predictions were 0.4 s off
 	noAction[Send](t, sched.Step(1, nil))
 }
 
-func TestCurveLimitsAdmission(t *testing.T) {
+func TestConcurrencyCurveLimitsAdmission(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	for i := range sched.kinds {
-		sched.kinds[i].curve.terms = [3]float64{0.03, 0.012, 0} // two streams 0.042, three 0.054, four 0.066
+		// Seconds per token: 0.042 with two streams, 0.054 with three, 0.066 with four.
+		sched.kinds[i].curve.terms = [3]float64{0.03, 0.012, 0}
 	}
 	sched.cfg.Limits.MaxAttempts = 2
 	sent := 0
 	for i := 0; i < 12; i++ {
 		sent += len(actionsOf[Send](sched.Step(1, []Event{testRequest(fmt.Sprint(i), 0)})))
 	}
-	if sent != 4 { // two at each decode engine keep 0.8 x 0.06; a third would not
-		t.Fatalf("%d were admitted, want 4", sent)
+	if sent != 4 { // two streams at each decode engine stay within 0.8 x 0.06 s per token; a third would exceed it
+		t.Fatalf("admitted %d requests, want 4", sent)
 	}
 }
 
-func TestDecodeEnginesDoNotPrefillWhilePrefillEnginesAreMerelyLate(t *testing.T) {
+func TestDecodeEnginesDoNotPrefillWhilePrefillEnginesAreOnlyLate(t *testing.T) {
 	cfg := testConfig()
 	cfg.DecodeEnginesPrefill = true
 	endpoints := testFleet()
 	endpoints.Engines = append(endpoints.Engines, testEngine("m0", 2, 0))
 	sched := startScheduler(t, cfg, endpoints)
 	for _, e := range sched.engineList {
-		e.prefillWait.add(0.9, 5, 1) // every prefill would take five seconds and more
+		e.prefillWait.add(0.9, 5, 1) // each prefill would take at least five seconds
 	}
 	for i := 0; i < 5; i++ {
 		for _, s := range actionsOf[Send](sched.Step(1, []Event{testRequest(fmt.Sprint(i), 0)})) {
 			if s.Engine[0] == 'w' || s.Engine == "m0" && i > 0 {
-				t.Fatalf("request %d went to %s without a prefill", i, s.Engine)
+				t.Fatalf("request %d was sent to %s, want a prefill engine", i, s.Engine)
 			}
 		}
 	}
-	// With no prefill engine at all, a decode engine prefills.
+	// Without any prefill engine, a decode engine prefills.
 	sched = startScheduler(t, cfg, listOf(testEngine("w0", 1, 0)))
 	if s := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 0)})); s.Engine != "w0" {
 		t.Fatalf("sent to %s, want w0", s.Engine)
 	}
 }
 
-// An objective that is longer than a prefill, but by less than the slack of the first-token test, left a class that an idle
-// fleet rejected: 55 to 80% of its value on drawn days 149, 167 and 327 (lab/simulation).
-func TestShortObjectiveIsSentToAnIdleFleet(t *testing.T) {
+// The first-token test adds slack to the predicted prefill time. A class whose objective exceeds a prefill by less than this slack
+// is still sent to an idle fleet. Rejecting it cost 55 to 80% of its value on drawn days 149, 167 and 327 (lab/simulation).
+func TestShortObjectiveIsPrefilledOnAnIdleFleet(t *testing.T) {
 	alone := (1000 + prefillOverhead) * initialPrefillSecondsPerToken
 	for _, c := range []struct {
 		name      string
-		objective float64 // beside the first-token latency of a decode engine
+		objective float64 // in addition to the first-token latency of a decode engine
 		want      int
 	}{
-		{name: "enough for the slack", objective: 2 * prefillSlack * alone, want: 1},
-		{name: "less than that", objective: 1.3 * alone, want: 1},
-		{name: "less than a prefill", objective: 0.5 * alone, want: 0},
+		{name: "prefill with full slack", objective: 2 * prefillSlack * alone, want: 1},
+		{name: "prefill with less slack", objective: 1.3 * alone, want: 1},
+		{name: "shorter than a prefill", objective: 0.5 * alone, want: 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
@@ -109,15 +110,15 @@
 			cfg.Classes[0].FirstTokenObjective = initialFirstTokenLatency + c.objective
 			sched := startScheduler(t, cfg, testFleet())
 			if got := len(actionsOf[Send](sched.Step(1, []Event{testRequest("a", 0)}))); got != c.want {
-				t.Errorf("an idle fleet got %d prefills, want %d", got, c.want)
+				t.Errorf("got %d prefills on an idle fleet, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-// A class whose objective is hardly longer than its prefills no longer keeps late requests of other classes waiting: where its
-// objective can't be kept behind any other request, waiting keeps it for none.
-func TestShortObjectivesKeepTheirPlaceInTheHighTier(t *testing.T) {
+// A class whose objective is hardly longer than its prefills does not make late requests of other classes wait: its objective can't
+// be met behind any other request, so letting them wait helps none of its requests.
+func TestShortObjectiveIsNotQueuedBehindAnotherPrefill(t *testing.T) {
 	cfg := testConfig()
 	alone := (1000 + prefillOverhead) * initialPrefillSecondsPerToken
 	cfg.Classes[0].ObjectivePer1KTokens = 0
@@ -125,14 +126,14 @@
 	sched := startScheduler(t, cfg, testFleet())
 	actions := sched.Step(1, []Event{testRequest("a", 0), testRequest("b", 0), testRequest("c", 0), testRequest("d", 0)})
 	if got := len(actionsOf[Send](actions)); got < 1 || got > 2 {
-		t.Errorf("two idle engines got %d prefills whose objective leaves no time for two, want 1 or 2", got)
+		t.Errorf("got %d prefills on two idle engines with objectives too short for two in a row, want 1 or 2", got)
 	}
 }
 
-// Where the requests at the head are just late enough to fail the test, and not yet so late that they leave the high tier, those
-// behind them were tested only once they had come to the head, and were as late: after a burst a node with 50 requests a second
-// served 0.56 to the end of the day while all engines idled (drawn days 1116, 1329).
-func TestLateHeadOfTheTierDoesNotBlockOthers(t *testing.T) {
+// Requests at the head of the high tier can be too late to pass the first-token test, but not late enough to leave the tier. If only
+// the head is tested, the requests behind it are tested when they reach the head and are as late themselves. After a burst, a node
+// with 50 requests a second then served 0.56 until the end of the day while all engines were idle (drawn days 1116, 1329).
+func TestLateHeadOfTheHighTierDoesNotBlockOthers(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	sched.now = 10
 	alone := (1000 + prefillOverhead) * initialPrefillSecondsPerToken
@@ -142,7 +143,7 @@
 		req := sched.requests[id]
 		req.arrived, req.deadline, req.firstTokenDue = 0, 30, 20
 		if i < 2*drawWindowSize {
-			req.firstTokenDue = sched.now + initialFirstTokenLatency + 1.3*alone // in time, but without the slack of the test
+			req.firstTokenDue = sched.now + initialFirstTokenLatency + 1.3*alone // enough for a prefill, but not for the test's slack
 		}
 	}
 	sent := 0
@@ -150,11 +151,11 @@
 		sent += len(actionsOf[Send](sched.Step(now, nil)))
 	}
 	if sent < 4 {
-		t.Errorf("idle engines got %d of 32 requests that have time, want 4 at least", sent)
+		t.Errorf("idle engines got %d of 32 requests with enough time, want at least 4", sent)
 	}
 }
 
-// One class whose objective no engine can keep behind another request kept the low tier from being prefilled for ever.
+// A class whose objective no engine can meet behind another request must not keep the low tier from being prefilled forever.
 func TestUnattainableObjectiveDoesNotBlockTheLowTier(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[1].FirstTokenObjective = 0.01
--- a/scheduler/affinity_test.go
+++ b/scheduler/affinity_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-func TestPreferredReplicasLieWhereDecodeEnginesAre(t *testing.T) {
+func TestPreferredReplicasAreMostlyInCellsWithManyDecodeEngines(t *testing.T) {
 	endpoints := listOf()
-	for i := range 4 { // cell 0: four prefill engines and one decode engine; cell 1: two and five
+	for i := range 4 { // cell 0: four prefill engines, one decode engine; cell 1: two prefill engines, five decode engines
 		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("r", i), 0, 0))
 	}
 	endpoints.Engines = append(endpoints.Engines, testEngine("w", 1, 0), testEngine("r4", 0, 1), testEngine("r5", 0, 1))
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestHotPrefixHasSeveralPreferredReplicasAndOthersOne(t *testing.T) {
+func TestOnlyHotPrefixHasSeveralPreferredReplicas(t *testing.T) {
 	endpoints := listOf(testEngine("w", 1, 0))
 	for i := range 10 {
 		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("r", i), 0, 0))
@@ -49,11 +49,11 @@
 		}
 	}
 	if n := len(replicas["p"]); n < 2 || n > 4 || len(replicas["cool9"]) != 1 {
-		t.Fatalf("preferred replicas %v, want 2 to 4 of the hot prefix and 1 of the other", replicas)
+		t.Fatalf("preferred replicas: got %v, want 2 to 4 for the hot prefix and 1 for the other", replicas)
 	}
 }
 
-func TestOverloadedPreferredReplicaIsPassedOver(t *testing.T) {
+func TestOverloadedPreferredReplicaIsSkipped(t *testing.T) {
 	endpoints := testFleet()
 	endpoints.Engines = append(endpoints.Engines, testEngine("r2", 0, 0), testEngine("r3", 0, 1))
 	sched := startScheduler(t, testConfig(), endpoints)
@@ -61,12 +61,12 @@
 	sched.Step(1.05, []Event{Outcome{ID: "a", Engine: first, Status: Prefilled, Spent: 0.05}})
 	sched.engines[first].prefillWait.add(sched.now, 0.7, 1)
 	if next := onlyAction[Send](t, sched.Step(1.1, []Event{testRequest("b", 0)})).Engine; next == first {
-		t.Fatal("the preferred replica was not passed over though its queue takes 0.7 s")
+		t.Fatal("the preferred replica was used although its queue takes 0.7 s")
 	}
 }
 
-// A mixed engine is a preferred replica as prefill engines are, for fewer prefixes. It decodes what it prefills, so that no
-// state is transferred, and gets the states of prefill engines only when no decode engine passes.
+// A mixed engine is a preferred replica like a prefill engine, but for fewer prefixes. It decodes what it prefills, so that no state
+// is transferred, and it gets the states of prefill engines only if no decode engine passes the admission tests.
 func TestMixedEnginesArePreferredReplicas(t *testing.T) {
 	endpoints := listOf()
 	for i := range 4 {
@@ -85,21 +85,22 @@
 			acts := sched.Step(now+0.1, []Event{Outcome{ID: req.ID, Engine: s.Engine, Status: Completed, Closed: true}})
 			noAction[Release](t, acts)
 		} else {
-			w := onlyAction[Send](t, sched.Step(now+0.05, []Event{Outcome{ID: req.ID, Engine: s.Engine, Status: Prefilled, Spent: 0.05}}))
-			if w.Engine[0] != 'w' {
-				t.Fatalf("%s got a state though decode engines pass", w.Engine)
+			decode := onlyAction[Send](t, sched.Step(now+0.05, []Event{
+				Outcome{ID: req.ID, Engine: s.Engine, Status: Prefilled, Spent: 0.05}}))
+			if decode.Engine[0] != 'w' {
+				t.Fatalf("the state was sent to %s, want a decode engine", decode.Engine)
 			}
-			sched.Step(now+0.08, []Event{FirstToken{ID: req.ID, Attempt: 1, Engine: w.Engine, Spent: 0.03},
-				Outcome{ID: req.ID, Attempt: 1, Engine: w.Engine, Status: Completed, Closed: true}})
+			sched.Step(now+0.08, []Event{FirstToken{ID: req.ID, Attempt: 1, Engine: decode.Engine, Spent: 0.03},
+				Outcome{ID: req.ID, Attempt: 1, Engine: decode.Engine, Status: Completed, Closed: true}})
 		}
 		now += 0.2
 	}
 	if n := prefilledBy['m']; n < 60 || n > 140 || prefilledBy['r']+n != 300 {
-		t.Fatalf("prefilled by %v, want about a third by mixed engines", prefilledBy)
+		t.Fatalf("prefills by first letter of the engine: got %v, want about a third by mixed engines", prefilledBy)
 	}
 }
 
-func TestPreferredReplicaIsSharedAndStable(t *testing.T) {
+func TestPreferredReplicaIsTheSameAtAllNodesAndStable(t *testing.T) {
 	endpoints := listOf()
 	for i := 0; i < 6; i++ {
 		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("r", i), 0, i), testEngine(fmt.Sprint("w", i), 1, i))
@@ -119,7 +120,7 @@
 		p := fmt.Sprint("p", i)
 		before[p] = preferred(a, p)
 		if got := preferred(b, p); got != before[p] {
-			t.Fatalf("routers disagree on %s: %s, %s", p, before[p], got)
+			t.Fatalf("two nodes prefer different replicas for %s: %s and %s", p, before[p], got)
 		}
 	}
 	removed := endpoints.Engines[0]
@@ -127,12 +128,12 @@
 	a.Step(a.now, []Event{EndpointUpdate{Form: UpdateIncremental, Engines: []Engine{removed}}})
 	for p, was := range before {
 		if got := preferred(a, p); was != "r0" && got != was {
-			t.Fatalf("%s moved from %s to %s though its preferred replica stayed", p, was, got)
+			t.Fatalf("the preferred replica of %s changed from %s to %s, although the first is still listed", p, was, got)
 		}
 	}
 }
 
-func TestLostPrefixesArePrefilledAnew(t *testing.T) {
+func TestPrefixMissesLowerThePredictedCachedTokens(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	e := sched.engines["r0"]
 	req := &request{Request: testRequest("a", 0), class: &sched.cfg.Classes[0], cachedTokens: 800,
@@ -146,6 +147,6 @@
 		sched.learnPrefixHit(req, e, 0)
 	}
 	if after := sched.cachedPrefixTokens(req, e); before < 600 || after > before/2 {
-		t.Fatalf("%g tokens taken to be cached, then %g", before, after)
+		t.Fatalf("predicted cached tokens: %g after hits and %g after misses, want at least 600 and at most half", before, after)
 	}
 }
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -5,30 +5,30 @@
 	"testing"
 )
 
-// BenchmarkStep takes a step without events, with 100 engines that are full and 1,000 requests that wait.
+// BenchmarkStep measures a step without events, with 100 full engines and 1,000 waiting requests.
 func BenchmarkStep(b *testing.B) {
 	sched, err := New(testConfig(), 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	m := listOf()
+	endpoints := listOf()
 	for i := range 100 {
-		m.Engines = append(m.Engines, testEngine(fmt.Sprint("e", i), i%2, i/2%10))
+		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("e", i), i%2, i/2%10))
 	}
-	now, waits := 1.0, 0
-	sched.Step(now, []Event{m})
-	for i := 0; waits < 1000; i++ {
+	now, waiting := 1.0, 0
+	sched.Step(now, []Event{endpoints})
+	for i := 0; waiting < 1000; i++ {
 		if i == 1000 {
-			b.Fatalf("only %d requests wait", waits)
+			b.Fatalf("got %d waiting requests, want 1000", waiting)
 		}
-		var evs []Event
-		for j := range min(100, 1000-waits) {
-			q := testRequest(fmt.Sprint("q", i, "-", j), j%3)
-			q.ClientTimeLeft = 1e6
-			evs = append(evs, q)
+		var events []Event
+		for j := range min(100, 1000-waiting) {
+			req := testRequest(fmt.Sprint("q", i, "-", j), j%3)
+			req.ClientTimeLeft = 1e6
+			events = append(events, req)
 		}
 		now += 1e-7
-		waits += len(evs) - len(actionsOf[Send](sched.Step(now, evs)))
+		waiting += len(events) - len(actionsOf[Send](sched.Step(now, events)))
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -37,5 +37,5 @@
 		now += 1e-9
 		sends += len(actionsOf[Send](sched.Step(now, nil)))
 	}
-	b.ReportMetric(float64(waits-sends), "waiting")
+	b.ReportMetric(float64(waiting-sends), "waiting")
 }
--- a/scheduler/curve_test.go
+++ b/scheduler/curve_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestCurveFindsAKnownLaw(t *testing.T) {
+func TestCurveFitsAKnownLaw(t *testing.T) {
 	var curve uslCurve
 	curve.terms = [3]float64{0.02, 0, 0}
 	random := rand.New(rand.NewSource(1))
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestCurveStaysPhysicalOnDegenerateSamples(t *testing.T) {
+func TestCurveTermsStayInRangeOnDegenerateSamples(t *testing.T) {
 	for _, secondsPerToken := range []float64{0, 1e-9, 1e6} {
 		var curve uslCurve
 		curve.terms = [3]float64{0.02, 0, 0}
@@ -32,17 +32,17 @@
 			curve.fit(curve.terms)
 			terms := curve.terms
 			if !(terms[0] > 0) || terms[1] < 0 || terms[2] < 0 || terms[1] > terms[0] || terms[2] > terms[0] {
-				t.Fatalf("fit is %v", terms)
+				t.Fatalf("fitted terms are out of range: %v", terms)
 			}
 			if speed := curve.speed(50); !(speed > 0 && speed <= 1) {
-				t.Fatalf("speed is %g, want above 0 and 1 at most", speed)
+				t.Fatalf("got speed %g, want above 0 and at most 1", speed)
 			}
 		}
 	}
 }
 
-func TestRoughHintsDoNotSlowTheCurve(t *testing.T) {
-	// Every answer has 100 tokens at 0.03 s; hints are a third or three times of it.
+func TestRoughDurationHintsDoNotSlowTheCurve(t *testing.T) {
+	// Each answer has 100 tokens at 0.03 s per token. The duration hints stand for a third of these tokens or three times as many.
 	sched := startScheduler(t, testConfig(), testFleet())
 	e := sched.engines["w0"]
 	for i := 0; i < 300; i++ {
@@ -53,6 +53,6 @@
 		sched.learnDecode(req, e)
 	}
 	if secondsPerToken := e.curve.terms[0]; secondsPerToken > 0.03*100*2/(100.0/3+300)+0.004 {
-		t.Fatalf("a lone stream is expected to need %g s a token", secondsPerToken)
+		t.Fatalf("a lone stream is predicted to need %g s per token, which is too slow", secondsPerToken)
 	}
 }
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -13,61 +13,65 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Sizes of a recording: so many steps, of which the first are kept in full and the others as a running hash.
+// Sizes of a recording: its number of steps, the number of first steps that are written in full, and the interval in steps at which
+// a running hash of all steps is written after that.
 const (
-	goldenSteps = 1500
-	goldenFull  = 140
-	goldenEvery = 50
+	goldenSteps        = 1500
+	goldenFullSteps    = 140
+	goldenHashInterval = 50
 )
 
-// goldenCrowded is the setting whose streams are long.
+// goldenCrowded is the name of the setting with long streams, which fill the decode engines.
 const goldenCrowded = "crowded"
 
-// goldenSetting is one setting that is recorded, from two seeds.
+// goldenSetting is a configuration and a workload, which are recorded with two seeds.
 type goldenSetting struct {
-	name   string
-	rate   float64 // chance of a request in each step
-	prompt float64 // most tokens of a prompt
-	boots  int     // a change of an engine is drawn from so many steps
-	change func(c *Config)
-	kinds  []int
+	name          string
+	requestChance float64 // probability of a request in each step
+	maxPrompt     float64 // maximum tokens of a prompt beyond the first 100
+	updateEvery   int     // mean number of steps between endpoint updates
+	configure     func(c *Config)
+	kinds         []int
 }
 
 var ordinaryFleet = []int{0, 0, 0, 1, 1, 1, 1, 2}
 
 func goldenSettings() []goldenSetting {
 	return []goldenSetting{
-		{name: "plain", rate: 0.5, prompt: 4000, boots: 40, kinds: ordinaryFleet, change: func(c *Config) {}},
-		{name: "inline", rate: 0.6, prompt: 4000, boots: 40, kinds: ordinaryFleet, change: func(c *Config) {
+		{name: "plain", requestChance: 0.5, maxPrompt: 4000, updateEvery: 40, kinds: ordinaryFleet, configure: func(c *Config) {}},
+		{name: "inline", requestChance: 0.6, maxPrompt: 4000, updateEvery: 40, kinds: ordinaryFleet, configure: func(c *Config) {
 			c.ReportStyle, c.DecodeEnginesPrefill = ReportInline, true
 		}},
-		{name: "on-probe", rate: 0.5, prompt: 4000, boots: 40, kinds: ordinaryFleet, change: func(c *Config) {
+		{name: "on-probe", requestChance: 0.5, maxPrompt: 4000, updateEvery: 40, kinds: ordinaryFleet, configure: func(c *Config) {
 			c.ReportStyle, c.Limits.Probe, c.Prices.Probe = ReportOnProbe, true, 1e-4
 		}},
-		{name: "ahead", rate: 0.5, prompt: 30000, boots: 40, kinds: ordinaryFleet, change: func(c *Config) {
+		{name: "ahead", requestChance: 0.5, maxPrompt: 30000, updateEvery: 40, kinds: ordinaryFleet, configure: func(c *Config) {
 			c.ReservationOffered, c.Prices = true, Prices{Waste: 0.1, CrossZone: 0.2, LateFailure: 0.5, Transfer: 1e-3}
 		}},
-		{name: "on-request", rate: 0.5, prompt: 4000, boots: 20, kinds: ordinaryFleet, change: func(c *Config) { c.PollsDiscovery = true }},
-		{name: "unsent-free", rate: 0.5, prompt: 4000, boots: 40, kinds: ordinaryFleet, change: func(c *Config) {
+		{name: "on-request", requestChance: 0.5, maxPrompt: 4000, updateEvery: 20, kinds: ordinaryFleet, configure: func(c *Config) {
+			c.PollsDiscovery = true
+		}},
+		{name: "unsent-free", requestChance: 0.5, maxPrompt: 4000, updateEvery: 40, kinds: ordinaryFleet, configure: func(c *Config) {
 			c.Limits.UnsentAttemptsAreFree, c.Limits.StateTimeRunsUntilResponse = true, true
 		}},
-		{name: "no-cancel", rate: 0.9, prompt: 8000, boots: 20, kinds: []int{0, 1}, change: func(c *Config) {
+		{name: "no-cancel", requestChance: 0.9, maxPrompt: 8000, updateEvery: 20, kinds: []int{0, 1}, configure: func(c *Config) {
 			c.Limits.Cancel, c.Limits.RetryAfter, c.Limits.MaxRetryAfter = false, true, 5
 		}},
-		{name: "quotas", rate: 0.8, prompt: 4000, boots: 40, kinds: ordinaryFleet, change: func(c *Config) {
+		{name: "quotas", requestChance: 0.8, maxPrompt: 4000, updateEvery: 40, kinds: ordinaryFleet, configure: func(c *Config) {
 			c.NodeCount, c.NodeIndex, c.Tenants = 3, 1, []Tenant{{Quota: 0}, {Quota: 5}, {Quota: 30}}
 			c.Limits.RetryAfter, c.Limits.MaxRetryAfter = true, 2
 		}},
-		{name: "mixed", rate: 0.6, prompt: 4000, boots: 40, kinds: []int{2, 2, 2, 1}, change: func(c *Config) {
+		{name: "mixed", requestChance: 0.6, maxPrompt: 4000, updateEvery: 40, kinds: []int{2, 2, 2, 1}, configure: func(c *Config) {
 			c.ReportStyle, c.DecodeEnginesPrefill = ReportInline, true
 		}},
-		{name: "cold", rate: 0.7, prompt: 4000, boots: 6, kinds: ordinaryFleet, change: func(c *Config) {
+		{name: "cold", requestChance: 0.7, maxPrompt: 4000, updateEvery: 6, kinds: ordinaryFleet, configure: func(c *Config) {
 			c.NodeCount, c.Rules.SlowStartWindow = 2, 1.5
 		}},
-		{name: goldenCrowded, rate: 0.6, prompt: 1500, boots: 200, kinds: []int{0, 0, 0, 1, 1, 1}, change: func(c *Config) {}},
-		{name: "all", rate: 0.7, prompt: 12000, boots: 20, kinds: ordinaryFleet, change: func(c *Config) {
+		{name: goldenCrowded, requestChance: 0.6, maxPrompt: 1500, updateEvery: 200, kinds: []int{0, 0, 0, 1, 1, 1},
+			configure: func(c *Config) {}},
+		{name: "all", requestChance: 0.7, maxPrompt: 12000, updateEvery: 20, kinds: ordinaryFleet, configure: func(c *Config) {
 			c.ReportStyle, c.Limits.Probe = ReportInline, true
 			c.Prices = Prices{Probe: 1e-4, Waste: 0.1, CrossZone: 0.2, LateFailure: 0.5, Transfer: 1e-4}
 			c.PollsDiscovery, c.ReservationOffered, c.DecodeEnginesPrefill, c.NodeCount, c.NodeIndex = true, true, true, 2, 1
@@ -85,39 +89,39 @@
 			ClientTimeout: 3, OutputTokenObjective: 0.05, PriorityWeight: 3, LateValue: 0.1},
 		Class{Effect: IdempotentByKey, DedupScope: DedupZone, DedupWindow: 3, FirstTokenObjective: 2, ObjectivePer1KTokens: 0.1,
 			ClientTimeout: 8, OutputTokenObjective: 0.1, PriorityWeight: 1, LateValue: 0.5})
-	s.change(&c)
+	s.configure(&c)
 	return c
 }
 
 // goldenAttempt is an attempt that has not ended.
 type goldenAttempt struct {
 	id, engine string
-	n          int
+	number     int
 	role       Role
-	at         float64
+	sentAt     float64
 	streaming  bool
 }
 
-// goldenHost makes random events for a scheduler and carries out its actions. It ranges over slices alone, so that the same
-// seed gives the same events.
+// goldenHost generates random events for a scheduler and carries out its actions. It iterates over slices only, never over maps, so
+// that the same seed gives the same events.
 type goldenHost struct {
-	s         goldenSetting
-	cfg       Config
-	scheduler *Scheduler
-	rnd       *rand.Rand
-	now       float64
-	engines   []Engine
-	roles     map[string]Role
-	open      []string // requests without a final response
-	sent      map[string]int
-	inFlight  []goldenAttempt
-	timers    []SetTimer
-	due       []Event // answers to the scheduler's actions
+	setting       goldenSetting
+	cfg           Config
+	scheduler     *Scheduler
+	random        *rand.Rand
+	now           float64
+	engines       []Engine
+	roles         map[string]Role
+	openRequests  []string // requests without a final response
+	attemptsSent  map[string]int
+	inFlight      []goldenAttempt
+	timers        []SetTimer
+	pendingEvents []Event // results of the scheduler's actions, not passed to it yet
 }
 
 func newGoldenHost(t *testing.T, s goldenSetting, seed int64) *goldenHost {
-	h := &goldenHost{s: s, cfg: goldenConfig(s), rnd: rand.New(rand.NewSource(seed)), now: 1, roles: map[string]Role{},
-		sent: map[string]int{}}
+	h := &goldenHost{setting: s, cfg: goldenConfig(s), random: rand.New(rand.NewSource(seed)), now: 1, roles: map[string]Role{},
+		attemptsSent: map[string]int{}}
 	r, err := New(h.cfg, uint64(seed))
 	if err != nil {
 		t.Fatal(err)
@@ -131,68 +135,68 @@
 	return h
 }
 
-func (h *goldenHost) chance(p float64) bool { return h.rnd.Float64() < p }
+func (h *goldenHost) chance(p float64) bool { return h.random.Float64() < p }
 
-// request makes a request with all fields.
+// request returns a random request in which any field may be set.
 func (h *goldenHost) request(i int) Event {
-	q := testRequest(fmt.Sprint("q", i), h.rnd.Intn(len(h.cfg.Classes)))
-	q.Tenant = h.rnd.Intn(len(h.cfg.Tenants))
-	q.Session, q.Prefix = fmt.Sprint("s", h.rnd.Intn(30)), fmt.Sprint("p", h.rnd.Intn(5))
-	switch h.rnd.Intn(8) {
+	q := testRequest(fmt.Sprint("q", i), h.random.Intn(len(h.cfg.Classes)))
+	q.Tenant = h.random.Intn(len(h.cfg.Tenants))
+	q.Session, q.Prefix = fmt.Sprint("s", h.random.Intn(30)), fmt.Sprint("p", h.random.Intn(5))
+	switch h.random.Intn(8) {
 	case 0:
 		q.Prefix = ""
 	case 1:
 		q.Session = ""
 	case 2:
-		q.DurationHint = h.rnd.Float64() * 10
+		q.DurationHint = h.random.Float64() * 10
 	case 3:
 		q.Retry = true
 	case 4:
 		q.Returned = true
 	}
-	q.ClientTimeLeft, q.PromptTokens = 0.02+h.rnd.Float64()*4, 100+h.rnd.Float64()*h.s.prompt
-	q.PrefixTokens, q.MaxOutputTokens = q.PromptTokens*h.rnd.Float64(), float64(20+h.rnd.Intn(400))
-	h.open = append(h.open, q.ID)
+	q.ClientTimeLeft, q.PromptTokens = 0.02+h.random.Float64()*4, 100+h.random.Float64()*h.setting.maxPrompt
+	q.PrefixTokens, q.MaxOutputTokens = q.PromptTokens*h.random.Float64(), float64(20+h.random.Intn(400))
+	h.openRequests = append(h.openRequests, q.ID)
 	return q
 }
 
-// report makes a report of some of the figures, or none.
+// report returns a random load report with some of its figures, or nil.
 func (h *goldenHost) report() *LoadReport {
 	if h.cfg.ReportStyle == ReportOff && !h.chance(0.05) || h.chance(0.2) {
 		return nil
 	}
-	return &LoadReport{Active: float64(h.rnd.Intn(20)), Waiting: float64(h.rnd.Intn(3)), Utilization: h.rnd.Float64(),
-		LatencyMS: h.rnd.Float64() * 200, MemoryShare: h.rnd.Float64(), TokensWaiting: float64(h.rnd.Intn(5000)),
-		Has: LoadReportField(h.rnd.Intn(int(HasTokensWaiting) * 2))}
+	return &LoadReport{Active: float64(h.random.Intn(20)), Waiting: float64(h.random.Intn(3)), Utilization: h.random.Float64(),
+		LatencyMS: h.random.Float64() * 200, MemoryShare: h.random.Float64(), TokensWaiting: float64(h.random.Intn(5000)),
+		Has: LoadReportField(h.random.Intn(int(HasTokensWaiting) * 2))}
 }
 
 var goldenStatuses = []Status{ServerError, Rejected, TimedOut, ConnectFailed, ConnectionLost, Canceled, NotSent, Prefilled, Completed}
 
-// endAttempt ends an attempt, or starts its stream.
+// endAttempt ends the attempt in flight with index i, or starts its stream.
 func (h *goldenHost) endAttempt(i int) Event {
 	a := h.inFlight[i]
-	spent := h.now - a.at
+	spent := h.now - a.sentAt
 	if a.role != Prefill && !a.streaming && h.chance(0.75) {
 		h.inFlight[i].streaming = true
-		return FirstToken{ID: a.id, Attempt: a.n, Engine: a.engine, Spent: spent}
+		return FirstToken{ID: a.id, Attempt: a.number, Engine: a.engine, Spent: spent}
 	}
 	h.inFlight = append(h.inFlight[:i:i], h.inFlight[i+1:]...)
-	o := Outcome{ID: a.id, Attempt: a.n, Engine: a.engine, Spent: spent, Report: h.report()}
+	o := Outcome{ID: a.id, Attempt: a.number, Engine: a.engine, Spent: spent, Report: h.report()}
 	switch {
 	case a.streaming && h.chance(0.9):
 		o.Status = Completed
 	case a.role == Prefill && h.chance(0.8):
 		o.Status = Prefilled
 	default:
-		o.Status = goldenStatuses[h.rnd.Intn(len(goldenStatuses))]
-		if o.Status == Prefilled && a.role != Prefill { // hosts report this of prefill engines alone
+		o.Status = goldenStatuses[h.random.Intn(len(goldenStatuses))]
+		if o.Status == Prefilled && a.role != Prefill { // a host reports this for prefill engines only
 			o.Status = ServerError
 		}
 	}
 	if o.Status == Prefilled || o.Status == Completed {
-		o.Info = h.rnd.Intn(2000)
+		o.Info = h.random.Intn(2000)
 	} else if o.Status == Rejected {
-		o.Info = h.rnd.Intn(2)
+		o.Info = h.random.Intn(2)
 	}
 	o.Closed = a.streaming || o.Status == Completed || !h.isOpen(a.id)
 	if o.Closed {
@@ -202,7 +206,7 @@
 }
 
 func (h *goldenHost) isOpen(id string) bool {
-	for _, x := range h.open {
+	for _, x := range h.openRequests {
 		if x == id {
 			return true
 		}
@@ -211,43 +215,43 @@
 }
 
 func (h *goldenHost) close(id string) {
-	for i, x := range h.open {
+	for i, x := range h.openRequests {
 		if x == id {
-			h.open = append(h.open[:i:i], h.open[i+1:]...)
+			h.openRequests = append(h.openRequests[:i:i], h.openRequests[i+1:]...)
 			return
 		}
 	}
 }
 
-// endpointUpdate makes a list of engines: a change of one, or a whole list in one of its forms.
+// endpointUpdate changes an engine at random and returns an update with that engine or the whole list, or a failed update.
 func (h *goldenHost) endpointUpdate() Event {
-	i := h.rnd.Intn(len(h.engines))
+	i := h.random.Intn(len(h.engines))
 	e := &h.engines[i]
-	e.State = EngineState(h.rnd.Intn(3))
+	e.State = EngineState(h.random.Intn(3))
 	if h.chance(0.6) {
 		e.State = EngineReady
 	}
 	if e.State == EngineReady && h.chance(0.5) {
-		e.BootTime = h.now - h.rnd.Float64()
+		e.BootTime = h.now - h.random.Float64()
 	}
-	e.Weight = 1 + float64(h.rnd.Intn(2))
-	switch h.rnd.Intn(8) {
+	e.Weight = 1 + float64(h.random.Intn(2))
+	switch h.random.Intn(8) {
 	case 0:
 		return EndpointUpdate{Form: UpdateComplete, Engines: append([]Engine(nil), h.engines...)}
 	case 1:
-		return EndpointUpdate{Form: UpdateStale, Engines: append([]Engine(nil), h.engines[:len(h.engines)-h.rnd.Intn(2)]...)}
+		return EndpointUpdate{Form: UpdateStale, Engines: append([]Engine(nil), h.engines[:len(h.engines)-h.random.Intn(2)]...)}
 	case 2:
 		return EndpointUpdate{Form: UpdateFailed}
 	}
 	return EndpointUpdate{Form: UpdateIncremental, Engines: []Engine{*e}}
 }
 
-// events makes the events of a step and moves the time.
+// events returns the events of step i and advances the time.
 func (h *goldenHost) events(i int) (evs []Event) {
 	if i == 0 {
 		return []Event{EndpointUpdate{Form: UpdateComplete, Engines: append([]Engine(nil), h.engines...)}}
 	}
-	at, due := h.now+h.rnd.Float64()*0.04, -1
+	at, due := h.now+h.random.Float64()*0.04, -1
 	for j, tm := range h.timers {
 		if tm.At <= at {
 			at, due = tm.At, j
@@ -258,33 +262,33 @@
 		evs = append(evs, TimerFired{h.timers[due].Token})
 		h.timers = append(h.timers[:due:due], h.timers[due+1:]...)
 	}
-	for len(h.due) > 0 && h.chance(0.7) {
-		evs, h.due = append(evs, h.due[0]), h.due[1:]
+	for len(h.pendingEvents) > 0 && h.chance(0.7) {
+		evs, h.pendingEvents = append(evs, h.pendingEvents[0]), h.pendingEvents[1:]
 	}
-	rate := h.s.rate
-	if i/300%3 == 2 { // a lull
+	rate := h.setting.requestChance
+	if i/300%3 == 2 { // a period of low load
 		rate /= 5
 	}
 	if h.chance(rate) {
 		evs = append(evs, h.request(i))
 	}
-	if h.rnd.Intn(h.s.boots) == 0 {
+	if h.random.Intn(h.setting.updateEvery) == 0 {
 		evs = append(evs, h.endpointUpdate())
 	}
-	if len(h.open) > 0 && h.chance(0.02) {
-		id := h.open[h.rnd.Intn(len(h.open))]
+	if len(h.openRequests) > 0 && h.chance(0.02) {
+		id := h.openRequests[h.random.Intn(len(h.openRequests))]
 		h.close(id)
 		evs = append(evs, ClientDisconnected{id})
 	}
 	if h.chance(0.01) {
-		evs = append(evs, PeerMessage{From: h.rnd.Intn(3), Data: []byte{byte(h.rnd.Intn(256)), 7}})
+		evs = append(evs, PeerMessage{From: h.random.Intn(3), Data: []byte{byte(h.random.Intn(256)), 7}})
 	}
 	if h.chance(0.01) {
-		evs = append(evs, ProbeResult{Engine: h.engines[h.rnd.Intn(len(h.engines))].ID, Status: TimedOut, Spent: 0.1})
+		evs = append(evs, ProbeResult{Engine: h.engines[h.random.Intn(len(h.engines))].ID, Status: TimedOut, Spent: 0.1})
 	}
 	for j := len(h.inFlight) - 1; j >= 0; j-- {
 		p := 0.12
-		if h.inFlight[j].streaming && h.s.name == goldenCrowded { // long streams: decode engines are full
+		if h.inFlight[j].streaming && h.setting.name == goldenCrowded { // long streams, which fill the decode engines
 			p = 0.01
 		}
 		if h.chance(p) {
@@ -294,24 +298,26 @@
 	return evs
 }
 
-// carryOut takes the actions of a step.
+// carryOut carries out the actions of a step. Their results are passed to the scheduler in later steps.
 func (h *goldenHost) carryOut(acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Send:
-			h.inFlight = append(h.inFlight, goldenAttempt{id: a.ID, engine: a.Engine, n: h.sent[a.ID], role: h.roles[a.Engine], at: h.now})
-			h.sent[a.ID]++
+			h.inFlight = append(h.inFlight, goldenAttempt{id: a.ID, engine: a.Engine, number: h.attemptsSent[a.ID],
+				role: h.roles[a.Engine], sentAt: h.now})
+			h.attemptsSent[a.ID]++
 		case Cancel:
 			for j, x := range h.inFlight {
-				if x.id == a.ID && x.n == a.Attempt {
+				if x.id == a.ID && x.number == a.Attempt {
 					h.inFlight = append(h.inFlight[:j:j], h.inFlight[j+1:]...)
-					h.due = append(h.due, Outcome{ID: x.id, Attempt: x.n, Engine: x.engine, Status: Canceled,
-						Spent: h.now - x.at, Closed: !h.isOpen(x.id)})
+					h.pendingEvents = append(h.pendingEvents, Outcome{ID: x.id, Attempt: x.number, Engine: x.engine, Status: Canceled,
+						Spent: h.now - x.sentAt, Closed: !h.isOpen(x.id)})
 					break
 				}
 			}
 		case Reserve:
-			h.due = append(h.due, ReserveResult{ID: a.ID, Attempt: h.sent[a.ID] - 1, Engine: a.Engine, OK: h.chance(0.7)})
+			h.pendingEvents = append(h.pendingEvents,
+				ReserveResult{ID: a.ID, Attempt: h.attemptsSent[a.ID] - 1, Engine: a.Engine, OK: h.chance(0.7)})
 		case Reject:
 			h.close(a.ID)
 		case Fail:
@@ -319,18 +325,18 @@
 		case SetTimer:
 			h.timers = append(h.timers, a)
 		case Probe:
-			p := ProbeResult{Engine: a.Engine, Status: Completed, Spent: h.rnd.Float64() * 0.05, Report: h.report()}
+			p := ProbeResult{Engine: a.Engine, Status: Completed, Spent: h.random.Float64() * 0.05, Report: h.report()}
 			if h.chance(0.1) {
-				p.Status, p.Report = goldenStatuses[h.rnd.Intn(len(goldenStatuses))], nil
+				p.Status, p.Report = goldenStatuses[h.random.Intn(len(goldenStatuses))], nil
 			}
-			h.due = append(h.due, p)
+			h.pendingEvents = append(h.pendingEvents, p)
 		case WatchEndpoints, FetchEndpoints:
-			h.due = append(h.due, EndpointUpdate{Form: UpdateComplete, Engines: append([]Engine(nil), h.engines...)})
+			h.pendingEvents = append(h.pendingEvents, EndpointUpdate{Form: UpdateComplete, Engines: append([]Engine(nil), h.engines...)})
 		}
 	}
 }
 
-// The words and texts below are the stored form: they stay as they are, whatever the code calls its things.
+// The words and texts below are stored in the golden files. They stay the same when the code is renamed.
 
 func num(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
 
@@ -348,7 +354,7 @@
 	return map[EngineState]string{EngineReady: "ready", EngineDraining: "draining", EngineRemoved: "removed"}[s]
 }
 
-func whyWord(w GiveUpReason) string {
+func reasonWord(w GiveUpReason) string {
 	return map[GiveUpReason]string{"": "none", DeadlineNear: "time-is-up", ObjectiveUnreachable: "too-late",
 		AttemptsExhausted: "no-attempt-left", RepeatUnsafe: "may-run-twice"}[w]
 }
@@ -403,7 +409,7 @@
 	return "unknown event"
 }
 
-// actionText writes an action; words is what it says to people alone.
+// actionText formats an action. words is its text for operators and clients, on which no decision depends.
 func actionText(a Action) (text, words string) {
 	switch v := a.(type) {
 	case Send:
@@ -415,9 +421,9 @@
 	case Release:
 		return "release id=" + v.ID, ""
 	case Reject:
-		return fmt.Sprintf("refuse id=%s after=%s why=%s", v.ID, num(v.RetryAfter), whyWord(v.Reason)), string(v.Reason)
+		return fmt.Sprintf("refuse id=%s after=%s why=%s", v.ID, num(v.RetryAfter), reasonWord(v.Reason)), string(v.Reason)
 	case Fail:
-		return fmt.Sprintf("fail id=%s why=%s", v.ID, whyWord(v.Reason)), string(v.Reason)
+		return fmt.Sprintf("fail id=%s why=%s", v.ID, reasonWord(v.Reason)), string(v.Reason)
 	case SetTimer:
 		return fmt.Sprintf("timer at=%s token=%d", num(v.At), v.Token), ""
 	case Probe:
@@ -432,43 +438,43 @@
 	return "unknown action", ""
 }
 
-// goldenTape is the text of a recording: first steps in full, then a running hash; and the same of the words meant for people, apart,
-// so that a change of wording does not hide one of a decision.
-type goldenTape struct {
-	lines, words []string
-	steps, full  int
-	sum, wordSum uint64
-	counts       map[string]int
+// goldenRecording is a recording: the first steps in full, then a running hash of all steps. Texts for operators and clients are recorded
+// separately, the first of them and a hash of all, so that a change of their wording doesn't hide a changed decision.
+type goldenRecording struct {
+	lines, words     []string
+	steps, fullSteps int
+	hash, wordHash   uint64
+	counts           map[string]int
 }
 
-func (g *goldenTape) step(line string, words []string) {
+func (g *goldenRecording) step(line string, words []string) {
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%016x%s\n", g.sum, line)
-	g.sum = h.Sum64()
-	if g.steps < g.full {
+	fmt.Fprintf(h, "%016x%s\n", g.hash, line)
+	g.hash = h.Sum64()
+	if g.steps < g.fullSteps {
 		g.lines = append(g.lines, line)
-	} else if (g.steps+1)%goldenEvery == 0 {
-		g.lines = append(g.lines, fmt.Sprintf("hash up to step %d: %016x", g.steps, g.sum))
+	} else if (g.steps+1)%goldenHashInterval == 0 {
+		g.lines = append(g.lines, fmt.Sprintf("hash up to step %d: %016x", g.steps, g.hash))
 	}
 	g.steps++
 	for _, w := range words {
 		h := fnv.New64a()
-		fmt.Fprintf(h, "%016x%s\n", g.wordSum, w)
-		g.wordSum = h.Sum64()
+		fmt.Fprintf(h, "%016x%s\n", g.wordHash, w)
+		g.wordHash = h.Sum64()
 		if len(g.words) < 20 {
 			g.words = append(g.words, "words: "+w)
 		}
 	}
 }
 
-func (g *goldenTape) text() string {
-	return strings.Join(g.lines, "\n") + "\n" + strings.Join(g.words, "\n") + fmt.Sprintf("\nhash of all words: %016x\n", g.wordSum)
+func (g *goldenRecording) text() string {
+	return strings.Join(g.lines, "\n") + "\n" + strings.Join(g.words, "\n") + fmt.Sprintf("\nhash of all words: %016x\n", g.wordHash)
 }
 
-func record(t *testing.T, s goldenSetting, seed int64) *goldenTape {
-	h, g := newGoldenHost(t, s, seed), &goldenTape{full: goldenFull, counts: map[string]int{}}
-	if seed > 1 || s.name == goldenCrowded { // the first steps of one seed are enough in full
-		g.full = 10
+func record(t *testing.T, s goldenSetting, seed int64) *goldenRecording {
+	h, g := newGoldenHost(t, s, seed), &goldenRecording{fullSteps: goldenFullSteps, counts: map[string]int{}}
+	if seed > 1 || s.name == goldenCrowded { // the first steps of one seed in full are enough
+		g.fullSteps = 10
 	}
 	for i := range goldenSteps {
 		evs := h.events(i)
@@ -491,8 +497,8 @@
 	return g
 }
 
-// count counts the kind of a line, with the words that stand for a status, form or reason.
-func (g *goldenTape) count(text string) {
+// count counts an event or action by its type, and by its type with each status, form or reason that it has.
+func (g *goldenRecording) count(text string) {
 	fields := strings.Fields(text)
 	g.counts[fields[0]]++
 	for _, f := range fields[1:] {
@@ -502,7 +508,7 @@
 	}
 }
 
-// compareGolden compares a recording with its file, or writes the file.
+// compareGolden compares a recording with its golden file or, with -update, writes the file.
 func compareGolden(t *testing.T, name string, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name+".txt")
@@ -529,14 +535,14 @@
 			h = have[i]
 		}
 		if w != h {
-			t.Fatalf("%s (setting-seed), line %d differs (a hash covers the %d steps up to its own):\nwant %s\ngot  %s", name, i+1,
-				goldenEvery, w, h)
+			t.Fatalf("%s (setting-seed): line %d differs (a hash covers the %d steps up to its own):\nwant %s\ngot  %s", name, i+1,
+				goldenHashInterval, w, h)
 		}
 	}
 }
 
-// The scheduler's actions on the same events stay the same, to the last digit.
-func TestDecisionsAreAsRecorded(t *testing.T) {
+// For the same events, the scheduler returns the same actions as in the golden files, to the last digit.
+func TestActionsMatchGoldenFiles(t *testing.T) {
 	all, ran := map[string]int{}, 0
 	for _, s := range goldenSettings() {
 		for _, seed := range []int64{1, 2} {
@@ -551,7 +557,7 @@
 			})
 		}
 	}
-	if ran < 2*len(goldenSettings()) { // -run picked some of them
+	if ran < 2*len(goldenSettings()) { // -run selected only some of them
 		return
 	}
 	for _, k := range []string{"request", "outcome", "first", "gone", "held", "members form=changes", "members form=full",
@@ -560,7 +566,7 @@
 		"outcome status=no-answer", "outcome status=no-connection", "outcome status=connection-lost", "outcome status=called-off",
 		"outcome status=not-sent", "outcome status=parsed"} {
 		if all[k] == 0 {
-			t.Errorf("no recording has %q", k)
+			t.Errorf("no recording contains %q", k)
 		}
 	}
 	t.Log(all)
--- a/scheduler/heldstate_test.go
+++ b/scheduler/heldstate_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// socketConfig is the configuration of a scheduler whose host speaks the protocol on sockets.
+// socketConfig is the configuration of a scheduler whose host uses the protocol on sockets: attempts that were never written don't count,
+// and the time for which a state may wait keeps running during an attempt, unless its engine responds.
 func socketConfig() Config {
 	cfg := testConfig()
 	cfg.Limits.UnsentAttemptsAreFree = true
@@ -10,9 +11,10 @@
 	return cfg
 }
 
-// A state that the host has released is not sent for again. Where the engine of the attempt is silent, the attempt is canceled and the
-// request prefilled anew; where it answers others, the attempt may have fetched the state, and goes on.
-func TestReleasedStateIsPrefilledAnew(t *testing.T) {
+// No further attempt is sent to fetch a state that the host has released. If the engine of the attempt in flight has been silent, the
+// attempt is canceled and the request is prefilled again. If the engine has answered other attempts, this one may have fetched the
+// state, and it continues.
+func TestReleasedStateIsPrefilledAgain(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		class           int
@@ -22,8 +24,8 @@
 	}{
 		{"silent engine", idempotentClass, false, 4, 1},
 		{"engine that answers others", idempotentClass, true, 4, 0},
-		{"an effect is possible", atMostOnceClass, false, 4, 0},
-		{"no attempts left for a prefill and a decode", idempotentClass, false, 3, 0},
+		{"attempt that may have an effect", atMostOnceClass, false, 4, 0},
+		{"too few attempts left for a prefill and a decode", idempotentClass, false, 3, 0},
 	} {
 		cfg := socketConfig()
 		cfg.Limits.MaxAttempts = c.maxAttempts
@@ -50,13 +52,14 @@
 			t.Errorf("%s: sent to %s, want a prefill engine", c.name, next.Engine)
 		}
 		if score := sched.engines[prefill].failureScore; score > failureScore {
-			t.Errorf("%s: %s is blamed for a state that was released", c.name, prefill)
+			t.Errorf("%s: the released state raised the failure score of %s", c.name, prefill)
 		}
 	}
 }
 
-// A state that waits when the host releases it is prefilled anew, and not released twice.
-func TestWaitingStateThatWasReleasedIsPrefilledAnew(t *testing.T) {
+// If the host releases a state that waits for a decode engine, the request is queued to be prefilled again, and the scheduler does not
+// release the state a second time.
+func TestWaitingStateReleasedByTheHostIsPrefilledAgain(t *testing.T) {
 	sched := startScheduler(t, socketConfig(), testFleet())
 	_, decode := prefillAndPlace(t, sched, 1, testRequest("a", idempotentClass))
 	for _, e := range sched.engineList {
@@ -66,16 +69,17 @@
 	}
 	sched.Step(1.2, []Event{Outcome{ID: "a", Attempt: 1, Engine: decode, Status: Rejected, Spent: 0.1}})
 	if req := sched.requests["a"]; req.stage != stagePrefilled {
-		t.Fatalf("got stage %v, want a state that waits", req.stage)
+		t.Fatalf("got stage %v, want the prefilled stage", req.stage)
 	}
 	noAction[Release](t, sched.Step(1.3, []Event{StateReleased{ID: "a"}}))
 	if req := sched.requests["a"]; req.stage != stageQueued || req.reserved != nil {
-		t.Errorf("got stage %v, reserved %v, want it queued with none", req.stage, req.reserved)
+		t.Errorf("got stage %v and reserved state %v, want a queued request without one", req.stage, req.reserved)
 	}
 }
 
-// On sockets the time of a state runs on during an attempt that got no response, whatever ended it.
-func TestTimeOfStateRunsOnDuringSilentAttempts(t *testing.T) {
+// With socketConfig, the time for which a state may wait keeps running during an attempt that gets no response, however it ends. It
+// restarts after an attempt whose engine responded.
+func TestStateTimeKeepsRunningDuringAttemptsWithoutResponse(t *testing.T) {
 	for status, restarts := range map[Status]bool{
 		Canceled: false, TimedOut: false, ConnectionLost: false, ConnectFailed: false, NotSent: false, Rejected: true, ServerError: true,
 	} {
@@ -83,7 +87,7 @@
 		_, decode := prefillAndPlace(t, sched, 1, testRequest("a", idempotentClass))
 		acts := sched.Step(1.7, []Event{Outcome{ID: "a", Attempt: 1, Engine: decode, Status: status, Spent: 0.65}})
 		if released := len(actionsOf[Release](acts)) > 0; released == restarts {
-			t.Errorf("%v 0.65 s after the prefill: released %v, want %v", status, released, !restarts)
+			t.Errorf("outcome %v 0.65 s after the prefill: state released is %v, want %v", status, released, !restarts)
 		}
 	}
 }
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Kinds and classes of testConfig. In tests the IDs of prefill engines begin with r, of decode engines with w, and of mixed
-// engines with m; the digit is often the cell.
+// Kinds and classes of testConfig. In tests, the IDs of prefill engines begin with r, those of decode engines with w, and those of mixed
+// engines with m. The digit is often the cell.
 const (
 	prefillKind = iota
 	decodeKind
@@ -43,17 +43,17 @@
 	return Engine{ID: id, Kind: kind, Cell: cell, Weight: 1}
 }
 
-// listOf is a complete endpoint list.
+// listOf returns a complete endpoint list.
 func listOf(engines ...Engine) EndpointUpdate {
 	return EndpointUpdate{Form: UpdateComplete, Engines: engines}
 }
 
-// testFleet is two cells of a prefill engine and a decode engine each.
+// testFleet returns the endpoint list of two cells with a prefill engine and a decode engine each.
 func testFleet() EndpointUpdate {
 	return listOf(testEngine("r0", 0, 0), testEngine("w0", 1, 0), testEngine("r1", 0, 1), testEngine("w1", 1, 1))
 }
 
-// startScheduler returns a scheduler that has taken an endpoint list at time 0.
+// startScheduler returns a scheduler that has received an endpoint list at time 0.
 func startScheduler(t *testing.T, cfg Config, endpoints EndpointUpdate) *Scheduler {
 	t.Helper()
 	sched, err := New(cfg, 1)
@@ -78,12 +78,12 @@
 	return out
 }
 
-// onlyAction returns the one action of a type.
+// onlyAction returns the action of type T, of which there must be exactly one.
 func onlyAction[T Action](t *testing.T, actions []Action) T {
 	t.Helper()
 	found := actionsOf[T](actions)
 	if len(found) != 1 {
-		t.Fatalf("got %v, want one %T", actions, *new(T))
+		t.Fatalf("got actions %v, want exactly one %T", actions, *new(T))
 	}
 	return found[0]
 }
@@ -91,11 +91,11 @@
 func noAction[T Action](t *testing.T, actions []Action) {
 	t.Helper()
 	if found := actionsOf[T](actions); len(found) != 0 {
-		t.Fatalf("got %v, want no %T", found, *new(T))
+		t.Fatalf("got actions %v, want no %T", found, *new(T))
 	}
 }
 
-// prefillAndPlace takes a request to the point where its state is sent to a decode engine.
+// prefillAndPlace passes a request and the outcome of its prefill, and returns the engines that prefill and decode it.
 func prefillAndPlace(t *testing.T, sched *Scheduler, now float64, req Request) (prefill, decode string) {
 	t.Helper()
 	first := onlyAction[Send](t, sched.Step(now, []Event{req}))
--- a/scheduler/lifecycle_test.go
+++ b/scheduler/lifecycle_test.go
@@ -7,15 +7,15 @@
 
 func TestRequestIsPrefilledThenDecodedInTheSameCell(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
-	prefill, w := prefillAndPlace(t, sched, 1, testRequest("a", 0))
-	if prefill[0] != 'r' || w[0] != 'w' || prefill[1] != w[1] {
-		t.Fatalf("prefilled at %s, decoded at %s; want one cell", prefill, w)
+	prefill, decode := prefillAndPlace(t, sched, 1, testRequest("a", 0))
+	if prefill[0] != 'r' || decode[0] != 'w' || prefill[1] != decode[1] {
+		t.Fatalf("prefilled at %s, decoded at %s; want the same cell", prefill, decode)
 	}
-	sched.Step(1.1, []Event{FirstToken{ID: "a", Attempt: 1, Engine: w, Spent: 0.05}})
-	acts := sched.Step(2, []Event{Outcome{ID: "a", Attempt: 1, Engine: w, Status: Completed, Spent: 1, Closed: true}})
+	sched.Step(1.1, []Event{FirstToken{ID: "a", Attempt: 1, Engine: decode, Spent: 0.05}})
+	acts := sched.Step(2, []Event{Outcome{ID: "a", Attempt: 1, Engine: decode, Status: Completed, Spent: 1, Closed: true}})
 	noAction[Fail](t, acts)
 	noAction[Reject](t, acts)
-	if len(sched.requests)+len(sched.openRequests)+len(sched.engines[w].admitted) != 0 {
+	if len(sched.requests)+len(sched.openRequests)+len(sched.engines[decode].admitted) != 0 {
 		t.Fatal("an ended request is still counted")
 	}
 }
@@ -32,7 +32,7 @@
 	onlyAction[Cancel](t, sched.Step(1.01, []Event{ClientDisconnected{"a"}}))
 	onlyAction[Release](t, sched.Step(1.02, []Event{Outcome{ID: "a", Engine: s.Engine, Status: Prefilled, Closed: true}}))
 	if len(sched.requests) != 0 {
-		t.Fatal("the request is still known")
+		t.Fatal("the request is still tracked")
 	}
 }
 
@@ -65,8 +65,8 @@
 	t.Fatal("the state was not released in time")
 }
 
-// While connections fail to come up, the time for which a state may wait runs on: the last attempt begins so early that it
-// ends within the rule, and then the state is released though decode engines are left to be tried.
+// The time for which a state may wait keeps running while connections fail. The last attempt must begin early enough to end within the
+// limit of rule 5. The state is then released, although there are decode engines that have not been tried.
 func TestStateIsReleasedInTimeWhileConnectionsFail(t *testing.T) {
 	endpoints := listOf(testEngine("r0", 0, 0))
 	for i := range 8 {
@@ -88,13 +88,12 @@
 		acts = sched.Step(now, []Event{Outcome{ID: "a", Attempt: n, Engine: s[0].Engine, Status: ConnectFailed, Spent: 0.25}})
 	}
 	if len(actionsOf[Release](acts)) != 1 || sched.now > prefilledAt+0.8*cfg.Rules.StateReleaseLimit || n < 3 {
-		t.Fatalf("%.2f s after the prefill, after %d attempts: %v", sched.now-prefilledAt, n, acts)
+		t.Fatalf("%.2f s after the prefill, after %d attempts: got %v, want a release in time", sched.now-prefilledAt, n, acts)
 	}
 }
 
-// Where a failed connection counts as an attempt, the time for which a state may wait restarts at its outcome: a state that
-// was released earlier had to be prefilled anew, and yard-assist-later, whose handshakes are slow, fell from 0.729 to 0.669
-// (simulated servers).
+// If a failed connection counts as an attempt, the time for which a state may wait restarts at its outcome. A state that is released
+// earlier must be prefilled again, which lowered yard-assist-later, whose handshakes are slow, from 0.729 to 0.669 (simulated servers).
 func TestStateTimeRestartsAfterAFailedConnectionThatCounts(t *testing.T) {
 	endpoints := testFleet()
 	endpoints.Engines = append(endpoints.Engines, testEngine("w2", 1, 0), testEngine("w3", 1, 0))
@@ -104,6 +103,6 @@
 	acts := sched.Step(1.8, []Event{Outcome{ID: "a", Attempt: 1, Engine: decode.Engine, Status: ConnectFailed, Spent: 0.7}})
 	noAction[Release](t, acts)
 	if again := onlyAction[Send](t, acts); again.Engine == decode.Engine {
-		t.Errorf("the state was sent to %s again", again.Engine)
+		t.Errorf("the state was sent to %s again, want another decode engine", again.Engine)
 	}
 }
--- a/scheduler/loadreport_test.go
+++ b/scheduler/loadreport_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-func TestReportedLoadLimitsAdmissionWhereOwnStreamsAreFew(t *testing.T) {
-	// One of very many routers: no stream of its own anywhere, but decode engines report that they are busy.
+func TestReportedLoadLimitsAdmissionIfOwnStreamsAreFew(t *testing.T) {
+	// One of very many nodes has no stream of its own at any engine, but the decode engines report that they are busy.
 	cfg := testConfig()
 	cfg.NodeCount, cfg.ReportStyle = 100, ReportInline
 	sched := startScheduler(t, cfg, testFleet())
@@ -13,13 +13,13 @@
 	busy := &LoadReport{Utilization: 0.9, MemoryShare: 0.3, Has: HasUtilization | HasMemoryShare}
 	sched.Step(1, []Event{Outcome{ID: "x", Engine: "w0", Report: busy}})
 	if s := actionsOf[Send](sched.Step(1.1, []Event{testRequest("a", 0)})); len(s) != 0 {
-		t.Fatalf("sent to %v though decode engines are full", s)
+		t.Fatalf("got sends %v, want none, as the decode engines are full", s)
 	}
 	idle := &LoadReport{Utilization: 0.1, Has: HasUtilization | HasMemoryShare}
 	onlyAction[Send](t, sched.Step(1.2, []Event{Outcome{ID: "x", Engine: "w1", Report: idle}}))
 }
 
-func TestOldReportsFadeToTheMeanOfTheKind(t *testing.T) {
+func TestOldReportsDecayToTheMeanOfTheKind(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	e := sched.engines["w0"]
 	sched.now = 1
@@ -32,6 +32,6 @@
 	now := sched.memoryShareWith(e, req)
 	sched.now += 5 * reportFreshTime
 	if later := sched.memoryShareWith(e, req); now < 0.85 || later > 0.35 {
-		t.Fatalf("memory share estimated at %g, then %g", now, later)
+		t.Fatalf("estimated memory share is %g, later %g; want at least 0.85, later at most 0.35", now, later)
 	}
 }
--- a/scheduler/modulesize_test.go
+++ b/scheduler/modulesize_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// Bounds on the shape of the module's files.
+// Size limits of the module's files and functions.
 const (
 	maxFileLines     = 400
 	maxFileColumns   = 140
@@ -19,10 +19,10 @@
 	tabColumns       = 4
 )
 
-// interfaceAndStateFiles are the files of the module that decide nothing: its interface and the types of its state.
+// interfaceAndStateFiles are the files of the module that contain no policy: its interface and the types of its state.
 var interfaceAndStateFiles = []string{"doc.go", "config.go", "events.go", "actions.go", "validate.go", "request.go", "engine.go"}
 
-// policyFiles returns the names that `policy` of the deploy file lists, without their directory.
+// policyFiles returns the file names, without directory, that the `policy` key of the deploy file lists.
 func policyFiles(t *testing.T) map[string]bool {
 	t.Helper()
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -37,7 +37,7 @@
 	for _, quoted := range regexp.MustCompile(`"([^"]*)"`).FindAllSubmatch(line[1], -1) {
 		name, ok := strings.CutPrefix(string(quoted[1]), "scheduler/")
 		if !ok || names[name] {
-			t.Errorf("policy lists %q, which is not in scheduler/ or stands twice", quoted[1])
+			t.Errorf("policy lists %q, which is not in scheduler/ or is listed twice", quoted[1])
 		}
 		names[name] = true
 	}
@@ -59,8 +59,8 @@
 	return out
 }
 
-// Each file of the module is a policy file that the deploy file names, or one of the few that decide nothing, and not both.
-func TestEveryFileIsPolicyOrInterfaceOrState(t *testing.T) {
+// Each file of the module is either listed as policy in the deploy file or is one of interfaceAndStateFiles, and not both.
+func TestEveryFileIsEitherPolicyOrInterfaceAndState(t *testing.T) {
 	policy := policyFiles(t)
 	known := map[string]bool{}
 	for name := range policy {
@@ -68,7 +68,7 @@
 	}
 	for _, name := range interfaceAndStateFiles {
 		if policy[name] {
-			t.Errorf("%s is listed as policy and as interface or state", name)
+			t.Errorf("%s is listed both as policy and in interfaceAndStateFiles", name)
 		}
 		known[name] = true
 	}
@@ -79,12 +79,12 @@
 		delete(known, file)
 	}
 	for name := range known {
-		t.Errorf("%s is listed and does not exist", name)
+		t.Errorf("%s is listed but does not exist", name)
 	}
 }
 
-// Each file keeps the bounds on lines and columns, and each function that on lines.
-func TestModuleSize(t *testing.T) {
+// Files are within the limits on lines and columns, and functions within the limit on lines.
+func TestFilesAndFunctionsAreWithinSizeLimits(t *testing.T) {
 	for _, file := range moduleFiles(t) {
 		source, err := os.ReadFile(file)
 		if err != nil {
@@ -92,11 +92,11 @@
 		}
 		lines := strings.Split(strings.TrimSuffix(string(source), "\n"), "\n")
 		if len(lines) > maxFileLines {
-			t.Errorf("%s has %d lines, want %d at most", file, len(lines), maxFileLines)
+			t.Errorf("%s has %d lines, want at most %d", file, len(lines), maxFileLines)
 		}
 		for i, line := range lines {
 			if n := len([]rune(strings.ReplaceAll(line, "\t", strings.Repeat(" ", tabColumns)))); n > maxFileColumns {
-				t.Errorf("%s:%d has %d columns, want %d at most", file, i+1, n, maxFileColumns)
+				t.Errorf("%s:%d has %d columns, want at most %d", file, i+1, n, maxFileColumns)
 			}
 		}
 		checkFunctionLines(t, file, source)
@@ -117,7 +117,7 @@
 		}
 		first, last := positions.Position(function.Pos()).Line, positions.Position(function.End()).Line
 		if n := last - first + 1; n > maxFunctionLines {
-			t.Errorf("%s:%d: %s has %d lines, want %d at most", file, first, function.Name.Name, n, maxFunctionLines)
+			t.Errorf("%s:%d: %s has %d lines, want at most %d", file, first, function.Name.Name, n, maxFunctionLines)
 		}
 	}
 }
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-func TestAttemptIsNotCanceledWherePredictionsAreLate(t *testing.T) {
-	// One attempt at an engine is all that a router of a large fleet has there: where prefills have lately missed their
-	// predictions by a second, one that is a second late is not canceled.
+func TestAttemptIsNotCanceledWithinRecentPredictionErrors(t *testing.T) {
+	// A node of a large fleet often has only one attempt at an engine. If prefills have recently taken a second longer than
+	// predicted, an attempt that is a second late is not canceled.
 	for _, c := range []struct {
 		predictionError float64 // seconds
 		cancels         int
@@ -32,78 +32,79 @@
 	sched.recordFailure(e)
 	sched.recordFailure(e)
 	if sched.acceptsWork(e) {
-		t.Fatal("gets work after two failures in a row")
+		t.Fatal("the engine accepts work after two failures in a row")
 	}
 	sched.now += maxEjection
 	if !sched.acceptsWork(e) {
-		t.Fatal("gets no request on probation after the ejection")
+		t.Fatal("the engine accepts no request on probation after the ejection")
 	}
 	e.admitted = []*request{{stage: stageDecoding, decodeEngine: e, inFlight: &attempt{engine: e, sentAt: sched.now, expected: 1}}}
 	if sched.acceptsWork(e) {
-		t.Fatal("gets a second request on probation beside the first")
+		t.Fatal("the engine accepts a second request on probation while the first is in flight")
 	}
 	e.admitted = nil
 	for i := 0; i < 5; i++ {
 		sched.recordSuccess(e)
 	}
 	if e.failureScore >= probationScore {
-		t.Fatal("still on probation after five successes")
+		t.Fatal("the engine is still on probation after five successes")
 	}
 }
 
-func TestWithAllEjectedTheLeastFailedServes(t *testing.T) {
+func TestEnginesThatFailedLeastAreUsedIfAllAreEjected(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	for _, e := range sched.engineList {
 		e.failureScore, e.ejectedUntil = 0.9, 100
 	}
 	sched.engines["r1"].failureScore, sched.engines["w1"].failureScore = 0.6, 0.6
-	if prefill, w := prefillAndPlace(t, sched, 1, testRequest("a", 0)); prefill != "r1" || w != "w1" {
-		t.Fatalf("sent to %s and %s, want r1 and w1", prefill, w)
+	if prefill, decode := prefillAndPlace(t, sched, 1, testRequest("a", 0)); prefill != "r1" || decode != "w1" {
+		t.Fatalf("sent to %s and %s, want r1 and w1", prefill, decode)
 	}
 }
 
-func TestSilentPrefillEngineGetsNothingMore(t *testing.T) {
+func TestSilentPrefillEngineGetsNoFurtherRequests(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	s := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 0)}))
 	got := onlyAction[Send](t, sched.Step(1.6, []Event{testRequest("b", 0)}))
 	if got.Engine == s.Engine {
-		t.Fatalf("%s is silent and got more", s.Engine)
+		t.Fatalf("the second request was sent to %s, which is silent", s.Engine)
 	}
 }
 
-// A prefill engine that loses its states (a node cut off, memory run short, a restart that the endpoint list doesn't show)
-// answers prefills as if all were well. The decode engine that finds no state is not full.
+// A prefill engine that loses its states (a machine is cut off, memory runs short, or a restart doesn't show in the endpoint list) still
+// answers prefills normally. A decode engine that rejects an attempt because it found no state doesn't count as full.
 func TestPrefillEngineThatLosesStatesIsAvoided(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	now, preferred := 1.0, ""
 	for i := range 2 {
 		req := testRequest(fmt.Sprint("q", i), 0)
-		prefill, w := prefillAndPlace(t, sched, now, req)
+		prefill, decode := prefillAndPlace(t, sched, now, req)
 		if preferred == "" {
 			preferred = prefill
 		}
-		acts := sched.Step(now+0.2, []Event{Outcome{ID: req.ID, Attempt: 1, Engine: w, Status: Rejected, Info: 1}})
-		if e := sched.engines[w]; e.fullUntil > now {
-			t.Fatalf("%s counts as full", w)
+		acts := sched.Step(now+0.2, []Event{Outcome{ID: req.ID, Attempt: 1, Engine: decode, Status: Rejected, Info: 1}})
+		if e := sched.engines[decode]; e.fullUntil > now {
+			t.Fatalf("%s counts as full", decode)
 		}
 		if i == 0 {
-			if s := onlyAction[Send](t, acts); s.Engine != preferred { // once is chance
+			if s := onlyAction[Send](t, acts); s.Engine != preferred { // one lost state is taken as chance
 				t.Fatalf("prefilled again at %s, want %s", s.Engine, preferred)
 			}
 			sched.Step(now+0.3, []Event{ClientDisconnected{ID: req.ID},
 				Outcome{ID: req.ID, Attempt: 2, Engine: preferred, Status: Canceled, Closed: true}})
 		} else if s := onlyAction[Send](t, acts); s.Engine == preferred {
-			t.Fatalf("%s lost two states and gets the request again", preferred)
+			t.Fatalf("%s lost two states and the request was sent to it again", preferred)
 		}
 		now += 0.5
 	}
 }
 
-// An engine answers some attempts and loses others: one that two later ones overtook is canceled and retried elsewhere, and
-// counts against the engine, which isn't taken to be silent. One that a single later one overtook may be slow: it goes on.
+// An engine answers some attempts and loses others. If it answers two later attempts first, the earlier one is canceled, retried at
+// another engine and counted as a failure of the engine, which doesn't count as silent. An attempt that only one later attempt
+// overtook may just be slow, and continues.
 func TestOvertakenAttemptIsCanceledAndRetriedElsewhere(t *testing.T) {
 	for _, c := range []struct {
-		later    int // attempts sent later that are answered earlier
+		later    int // attempts that are sent later and answered earlier
 		canceled bool
 	}{
 		{later: 1, canceled: false},
@@ -113,7 +114,7 @@
 			sched, lost := overtakeAttempt(t, c.later)
 			engine := sched.engines[lost.Engine]
 			if engine.failureScore > 0 || !sched.acceptsWork(engine) {
-				t.Fatal("an engine that answers is taken to be silent")
+				t.Fatal("an engine that answers other attempts counts as silent or failing")
 			}
 			if got := cancels(sched.Step(2.2, []Event{TimerFired{}}), lost.ID); got != c.canceled {
 				t.Fatalf("canceled: got %v, want %v", got, c.canceled)
@@ -125,7 +126,7 @@
 	}
 }
 
-// overtakeAttempt sends one attempt, and later ones to the same engine, which it answers earlier.
+// overtakeAttempt makes the scheduler send one attempt, and then later ones to the same engine, which answers only these.
 func overtakeAttempt(t *testing.T, later int) (*Scheduler, Send) {
 	t.Helper()
 	cfg := testConfig()
@@ -137,14 +138,14 @@
 		id, now := fmt.Sprint("n", i), 1.1+float64(i)/10
 		sent := onlyAction[Send](t, sched.Step(now, []Event{testRequest(id, 0)}))
 		if sent.Engine != lost.Engine {
-			t.Fatalf("%s went to %s, want %s", id, sent.Engine, lost.Engine)
+			t.Fatalf("%s was sent to %s, want %s", id, sent.Engine, lost.Engine)
 		}
 		sched.Step(now+0.05, []Event{Outcome{ID: id, Engine: sent.Engine, Status: Prefilled, Spent: 0.05}})
 	}
 	return sched, lost
 }
 
-// cancels tells whether an attempt of the request is canceled. Others may be too, as the decode engine answers nothing.
+// cancels reports whether an attempt of the request is canceled. Other attempts may be canceled too, as the decode engine never answers.
 func cancels(actions []Action, id string) bool {
 	for _, cancel := range actionsOf[Cancel](actions) {
 		if cancel.ID == id {
@@ -159,16 +160,16 @@
 	actions := sched.Step(2.21, []Event{Outcome{ID: lost.ID, Engine: lost.Engine, Status: Canceled, Spent: 1.2}})
 	for _, sent := range actionsOf[Send](actions) {
 		if sent.ID == lost.ID && sent.Engine == lost.Engine {
-			t.Fatal("retried at the engine that lost it")
+			t.Fatal("the request was retried at the engine that lost its attempt")
 		}
 	}
 	if sched.engines[lost.Engine].failureScore <= 0 {
-		t.Fatal("an attempt that it lost doesn't count against the engine")
+		t.Fatal("the lost attempt doesn't raise the failure score of the engine")
 	}
 }
 
-// An engine that hangs while others of its role answer says nothing of the role: the next one that hangs is noticed as soon as
-// the first was. Where the whole role is late, that is learned.
+// An engine that hangs while others of its role answer must not raise the prediction error of the role, so that the next engine that
+// hangs is detected as soon as the first was. If all engines of the role are late, the error is learned.
 func TestHangingEngineDoesNotRaisePredictionErrorOfItsRole(t *testing.T) {
 	endpoints := listOf(testEngine("w0", decodeKind, 0))
 	for i := range 6 {
@@ -195,7 +196,7 @@
 				now += 2.5
 			}
 			if got := sched.predictionError[Prefill].get(now, 0, 0); got < c.least || got > c.most {
-				t.Errorf("mean prediction error %.2f s, want %g to %g", got, c.least, c.most)
+				t.Errorf("mean prediction error is %.2f s, want %g to %g", got, c.least, c.most)
 			}
 		})
 	}
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -2,23 +2,24 @@
 
 import "testing"
 
-// Decode engines of one cell ran late while others idled: the first-token latency counts against the spare capacity.
-func TestDecodeEngineWithLateFirstTokensIsPassedOver(t *testing.T) {
+// The first-token latency of a decode engine counts against its spare capacity. Otherwise the decode engines of one cell run late while
+// others are idle.
+func TestDecodeEngineWithLateFirstTokensIsSkipped(t *testing.T) {
 	endpoints := listOf(testEngine("r0", 0, 0), testEngine("w0", 1, 0), testEngine("w1", 1, 0))
 	for _, slow := range []string{"w0", "w1"} {
 		sched := startScheduler(t, testConfig(), endpoints)
 		sched.now = 1
 		sched.engines[slow].firstTokenLatency.add(1, 0.6, 1)
 		req := &request{Request: testRequest("q", 0), class: &sched.cfg.Classes[0]}
-		if w := sched.bestDecodeEngine(req, sched.engines["r0"], 1, false); w.ID == slow {
+		if chosen := sched.bestDecodeEngine(req, sched.engines["r0"], 1, false); chosen.ID == slow {
 			t.Errorf("chose %s, whose first tokens take 0.6 s", slow)
 		}
 	}
 }
 
-// A router with old reports sends a state out of a cell whose decode engine has less spare capacity; one with fresh reports
-// does so only when no decode engine of the cell passes.
-func TestStateLeavesAFullerCellWhereReportsAreOld(t *testing.T) {
+// A node with old reports sends a state out of a cell whose decode engine has less spare capacity. A node with fresh reports does so only
+// if no decode engine of the cell passes the admission tests.
+func TestStateLeavesAFullerCellIfReportsAreOld(t *testing.T) {
 	report := func(share float64) *LoadReport { return &LoadReport{MemoryShare: share, Has: HasMemoryShare} }
 	for age, want := range map[float64]string{0.1: "w0", 8: "w1"} {
 		cfg := testConfig()
@@ -29,20 +30,20 @@
 			ProbeResult{Engine: "w0", Status: Completed, Report: report(0.85)},
 			ProbeResult{Engine: "w1", Status: Completed, Report: report(0.05)},
 		})
-		sched.kinds[decodeKind].reportedMemory.mean = 0.4 // of all that have reported lately
+		sched.kinds[decodeKind].reportedMemory.mean = 0.4 // mean of all engines of the kind that have reported recently
 		sched.engines["w0"].reportAt, sched.engines["w1"].reportAt = 1, 1
 		sched.now = 1 + age
-		if age > 1 { // the engine of the cell has just reported, the other one long ago
+		if age > 1 { // the engine of the cell has just reported, the other one has not for a long time
 			sched.engines["w0"].reportAt = sched.now
 		}
-		if w := sched.bestDecodeEngine(req, sched.engines["r0"], 1, false); w == nil || w.ID != want {
-			t.Errorf("reports %.1f s old: %v, want %s", age, w, want)
+		if chosen := sched.bestDecodeEngine(req, sched.engines["r0"], 1, false); chosen == nil || chosen.ID != want {
+			t.Errorf("reports %.1f s old: got %v, want %s", age, chosen, want)
 		}
 	}
 }
 
-// A decode engine that misses the objective even with one stream, and reports load, is still used where there is no other: late
-// answers are worth more than rejections. One that keeps the objective comes first.
+// A decode engine that misses the objective even with one stream, and reports load, is still used if there is no other: late answers
+// are worth more than rejections. An engine that meets the objective is preferred.
 func TestDecodeEngineBelowOutputObjectiveIsTheLastResort(t *testing.T) {
 	for _, other := range []bool{false, true} {
 		endpoints := listOf(testEngine("r0", 0, 0), testEngine("slow", 1, 0))
@@ -57,10 +58,10 @@
 				e.curve.terms[0] = 0.02
 			}
 		}
-		sched.engines["slow"].curve.terms[0] = 0.1 // 100 ms a token; the objective is 60
-		_, w := prefillAndPlace(t, sched, 1, testRequest("a", 0))
-		if want := map[bool]string{false: "slow", true: "w1"}[other]; w != want {
-			t.Errorf("another decode engine %v: decoded at %s, want %s", other, w, want)
+		sched.engines["slow"].curve.terms[0] = 0.1 // 100 ms per token; the objective is 60 ms
+		_, decode := prefillAndPlace(t, sched, 1, testRequest("a", 0))
+		if want := map[bool]string{false: "slow", true: "w1"}[other]; decode != want {
+			t.Errorf("other decode engine listed is %v: decoded at %s, want %s", other, decode, want)
 		}
 	}
 }
--- a/scheduler/prefilltime_test.go
+++ b/scheduler/prefilltime_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Nothing was sent to prefill engines that had been slow once, so nothing was learned of them, and nothing was sent.
-func TestLearnedWaitsFadeWhileNothingIsPrefilled(t *testing.T) {
+// If learned waits did not decay, prefill engines that were slow once would get no requests. Without requests nothing new is learned of
+// them, and they would never get any again.
+func TestLearnedWaitsDecayWhileNothingIsPrefilled(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	sched.now = 1
 	for _, e := range sched.engineList {
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -19,10 +19,10 @@
 	} {
 		t.Run(c.status.String(), func(t *testing.T) {
 			sched := startScheduler(t, testConfig(), testFleet())
-			_, w := prefillAndPlace(t, sched, 1, testRequest("a", atMostOnceClass))
-			acts := sched.Step(1.2, []Event{Outcome{ID: "a", Attempt: 1, Engine: w, Status: c.status}})
+			_, decode := prefillAndPlace(t, sched, 1, testRequest("a", atMostOnceClass))
+			acts := sched.Step(1.2, []Event{Outcome{ID: "a", Attempt: 1, Engine: decode, Status: c.status}})
 			if !c.mayHaveRun {
-				onlyAction[Send](t, acts) // the state still waits: another decode engine gets it
+				onlyAction[Send](t, acts) // the state still waits, and another decode engine gets it
 				return
 			}
 			noAction[Send](t, acts)
@@ -37,10 +37,10 @@
 	endpoints := testFleet()
 	endpoints.Engines = append(endpoints.Engines, testEngine("w0b", 1, 0), testEngine("w1b", 1, 1))
 	sched := startScheduler(t, testConfig(), endpoints)
-	prefill, w := prefillAndPlace(t, sched, 1, testRequest("a", 2))
-	s := onlyAction[Send](t, sched.Step(1.2, []Event{Outcome{ID: "a", Attempt: 1, Engine: w, Status: ServerError}}))
+	prefill, decode := prefillAndPlace(t, sched, 1, testRequest("a", 2))
+	s := onlyAction[Send](t, sched.Step(1.2, []Event{Outcome{ID: "a", Attempt: 1, Engine: decode, Status: ServerError}}))
 	if s.Engine[1] != prefill[1] {
-		t.Fatalf("retried at %s, want the cell of %s", s.Engine, w)
+		t.Fatalf("retried at %s, want an engine in the cell of %s", s.Engine, decode)
 	}
 	// Past the window nothing more may be sent, and a scope smaller than the fleet forbids a rejection.
 	acts := sched.Step(3.2, []Event{Outcome{ID: "a", Attempt: 2, Engine: s.Engine, Status: ServerError}})
@@ -49,27 +49,28 @@
 	onlyAction[Fail](t, acts)
 }
 
-// A by-key request that is to be prefilled anew, after an attempt that may have run, is prefilled within its scope or not at
-// all: whatever is sent then counts as a repeat.
-func TestIdempotentByKeyIsPrefilledAnewWithinScope(t *testing.T) {
+// A by-key request that must be prefilled again after an attempt that may have run is prefilled within its deduplication scope or not at
+// all, as any further attempt counts as a repeat.
+func TestIdempotentByKeyIsPrefilledAgainWithinScope(t *testing.T) {
 	endpoints, cfg := testFleet(), testConfig()
 	endpoints.Engines = append(endpoints.Engines, testEngine("w0b", 1, 0), testEngine("w1b", 1, 1))
 	cfg.Limits.MaxAttempts = 8
 	sched := startScheduler(t, cfg, endpoints)
-	_, w := prefillAndPlace(t, sched, 1, testRequest("a", 2))
-	s := onlyAction[Send](t, sched.Step(1.2, []Event{Outcome{ID: "a", Attempt: 1, Engine: w, Status: ServerError}}))
-	removed := testEngine("r"+w[1:2], 0, int(w[1]-'0'))
+	_, decode := prefillAndPlace(t, sched, 1, testRequest("a", 2))
+	s := onlyAction[Send](t, sched.Step(1.2, []Event{Outcome{ID: "a", Attempt: 1, Engine: decode, Status: ServerError}}))
+	removed := testEngine("r"+decode[1:2], 0, int(decode[1]-'0'))
 	removed.State = EngineRemoved
 	acts := sched.Step(1.3, []Event{EndpointUpdate{Form: UpdateIncremental, Engines: []Engine{removed}},
 		Outcome{ID: "a", Attempt: 2, Engine: s.Engine, Status: Rejected, Info: 1}})
 	for _, x := range actionsOf[Send](acts) {
-		if x.Engine[1] != w[1] {
-			t.Fatalf("prefilled anew at %s, after an attempt at %s; want one cell", x.Engine, w)
+		if x.Engine[1] != decode[1] {
+			t.Fatalf("prefilled again at %s after an attempt at %s, want the same cell", x.Engine, decode)
 		}
 	}
 }
 
-// A client's time is for attempts that can succeed: two went to an engine that fails at once before it was ejected.
+// A client's time must be spent on attempts that can succeed. Without this rule, two attempts go to an engine that fails at once before it
+// is ejected.
 func TestRetryGoesToAnotherEngine(t *testing.T) {
 	endpoints := listOf()
 	for i := range 4 {
@@ -79,7 +80,7 @@
 	first := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 0)})).Engine
 	again := onlyAction[Send](t, sched.Step(1.01, []Event{Outcome{ID: "a", Engine: first, Status: ServerError, Spent: 0.01}})).Engine
 	if again == first {
-		t.Fatalf("retried at %s, which failed the request", first)
+		t.Fatalf("retried at %s, where the request failed", first)
 	}
 	sched = startScheduler(t, testConfig(), listOf(testEngine("r0", 0, 0), testEngine("w0", 1, 0)))
 	sched.Step(1, []Event{testRequest("a", 0)})
@@ -89,8 +90,8 @@
 	}
 }
 
-// An engine that rejects a request though it reports spare capacity doesn't get it again while there are others; one that
-// reports a queue may.
+// An engine that rejects a request although it reports spare capacity doesn't get the request again while there are other engines. An
+// engine that reports a queue may get it again.
 func TestRejectionDespiteSpareCapacityIsRetriedElsewhere(t *testing.T) {
 	endpoints := listOf(testEngine("r0", 0, 0), testEngine("r1", 0, 0), testEngine("w0", 1, 0))
 	for _, waiting := range []float64{0, 3} {
@@ -100,34 +101,35 @@
 		rejected := Outcome{ID: "a", Engine: s.Engine, Status: Rejected, Spent: 0.28, Report: report}
 		again := onlyAction[Send](t, sched.Step(1.3, []Event{rejected}))
 		if elsewhere := again.Engine != s.Engine; elsewhere != (waiting == 0) {
-			t.Errorf("%g waiting: sent to %s, then %s", waiting, s.Engine, again.Engine)
+			t.Errorf("%g requests waiting: sent to %s, then to %s", waiting, s.Engine, again.Engine)
 		}
 		if sched.engines[s.Engine].failureScore != 0 {
-			t.Error("a rejection counts as a failure")
+			t.Error("a rejection raised the failure score of the engine")
 		}
 	}
 }
 
-// Engines that died together refuse connections within milliseconds. Where attempts that were never written don't count, a
-// request outlives more of them than it has attempts, waits while all are ejected, and is served by the one that comes back.
+// Engines that crash together refuse connections within milliseconds. If attempts that were never written don't count, a request survives
+// more refused connections than it has attempts, waits while all engines are ejected, and is served by the engine that returns.
 func TestRefusedConnectionsDoNotCountAsAttempts(t *testing.T) {
 	for _, free := range []bool{true, false} {
-		t.Run(fmt.Sprintf("unsent attempts are free %v", free), func(t *testing.T) {
+		t.Run(fmt.Sprintf("unsent attempts are free=%v", free), func(t *testing.T) {
 			cfg := testConfig()
 			cfg.Limits.MaxAttempts, cfg.Limits.UnsentAttemptsAreFree = 4, free
-			sends, served := playOutage(t, cfg)
+			sends, served := simulateOutage(t, cfg)
 			if served != free {
-				t.Errorf("%d attempts, prefilled after the outage: got %v, want %v", sends, served, free)
+				t.Errorf("after %d attempts, prefilled after the outage is %v, want %v", sends, served, free)
 			}
 			if free && sends > 2*cfg.Limits.MaxAttempts {
-				t.Errorf("%d attempts, want twice the limit at the most", sends)
+				t.Errorf("got %d attempts, want at most twice the limit", sends)
 			}
 		})
 	}
 }
 
-// playOutage sends one at-most-once request to prefill engines that refuse connections for 0.4 s, and plays 2 s.
-func playOutage(t *testing.T, cfg Config) (sends int, served bool) {
+// simulateOutage simulates 2 s in which one at-most-once request meets prefill engines that refuse connections for the first 0.4 s. It
+// returns the number of attempts, and whether one was sent after the outage.
+func simulateOutage(t *testing.T, cfg Config) (sends int, served bool) {
 	t.Helper()
 	const start, outageEnd, step, steps = 1.0, 1.4, 0.005, 400
 	sched := startScheduler(t, cfg, listOf(testEngine("r0", prefillKind, 0), testEngine("r1", prefillKind, 0),
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// ruleChecker follows events and actions and keeps the first rule that the actions break. It knows nothing of the
-// scheduler's own state.
+// ruleChecker tracks events and actions and records the first violation of a rule by the actions. It doesn't use the scheduler's
+// internal state.
 type ruleChecker struct {
 	cfg       Config
 	now       float64
@@ -18,13 +18,13 @@
 	violation string
 }
 
-// trackedRequest is what the checker knows of a request.
+// trackedRequest is the checker's state of a request.
 type trackedRequest struct {
 	class              int
 	deadline           float64
-	final              bool           // has its final response, or its client has left
+	ended              bool           // has its final response, or its client has disconnected
 	inFlight           int            // attempts in flight
-	attemptsSent       int            // also the number of the next
+	attemptsSent       int            // also the number of the next attempt
 	engineOf           map[int]string // engine of each attempt in flight, by its number
 	sentAt             map[int]float64
 	mayHaveRun         bool // an attempt may have run
@@ -51,10 +51,10 @@
 	}
 }
 
-// checkDeadlines checks what must have happened by now.
+// checkDeadlines checks that final responses and state releases that are due by now have happened.
 func (c *ruleChecker) checkDeadlines() {
 	for id, req := range c.requests {
-		if !req.final && !req.streaming && c.now > req.deadline+c.cfg.Rules.AnswerSlack {
+		if !req.ended && !req.streaming && c.now > req.deadline+c.cfg.Rules.AnswerSlack {
 			c.fail("rule 1: %s has no final response", id)
 		}
 		if req.stateReserved && req.inFlight == 0 && c.now > req.stateReservedSince+c.cfg.Rules.StateReleaseLimit {
@@ -85,12 +85,12 @@
 func (c *ruleChecker) checkSend(send Send) {
 	req := c.requests[send.ID]
 	switch {
-	case req.final || req.streaming:
-		c.fail("rule 1: %s is forwarded after its end", send.ID)
+	case req.ended || req.streaming:
+		c.fail("rule 1: %s is sent after its end", send.ID)
 	case req.inFlight > 0:
 		c.fail("rule 2: %s has two attempts in flight", send.ID)
 	case c.state[send.Engine] != EngineReady:
-		c.fail("rule 3: %s goes to %s, which is not ready", send.ID, send.Engine)
+		c.fail("rule 3: %s is sent to %s, which is not ready", send.ID, send.Engine)
 	case req.attemptsSent >= c.cfg.Limits.MaxAttempts:
 		c.fail("%s has too many attempts", send.ID)
 	case req.mayHaveRun && c.role[send.Engine] != Prefill:
@@ -102,7 +102,7 @@
 	req.attemptsSent++
 }
 
-// checkRepeat checks an attempt that may be the second with an effect. The by-key class of testConfig has a cell's scope.
+// checkRepeat checks an attempt by which an effect may happen twice. The deduplication scope of testConfig's by-key class is the cell.
 func (c *ruleChecker) checkRepeat(req *trackedRequest, send Send) {
 	class := c.cfg.Classes[req.class]
 	switch {
@@ -116,13 +116,13 @@
 
 func (c *ruleChecker) finalResponse(id string) {
 	req := c.requests[id]
-	if req.final {
+	if req.ended {
 		c.fail("rule 1: %s has two final responses", id)
 	}
-	req.final = true
+	req.ended = true
 }
 
-// randomHost makes random legal events: engines that answer, fail, drain, leave and return, clients that disconnect.
+// randomHost generates random valid events: engines answer, fail, drain, are removed and return, and clients disconnect.
 type randomHost struct {
 	*ruleChecker
 	scheduler *Scheduler
@@ -152,7 +152,7 @@
 	h.timers = append(h.timers, actionsOf[SetTimer](actions)...)
 }
 
-// advance moves the time by a random amount or, if that comes first, to a timer, whose event it returns.
+// advance moves the time forward by a random amount. If a timer is due before that, it stops there and returns the timer's event.
 func (h *randomHost) advance() []Event {
 	at, due := h.now+h.random.Float64()*0.05, -1
 	for i, timer := range h.timers {
@@ -169,7 +169,7 @@
 	return []Event{fired}
 }
 
-// events returns the random events of a step. Requests arrive only while arrivals is set.
+// events returns the random events of a step. New requests arrive only if arrivals is set.
 func (h *randomHost) events(step int, arrivals bool) []Event {
 	switch k := h.random.Intn(20); {
 	case k < 6 && arrivals:
@@ -204,10 +204,10 @@
 
 func (h *randomHost) disconnect(id string) []Event {
 	req := h.requests[id]
-	if req.final || req.streaming {
+	if req.ended || req.streaming {
 		return nil
 	}
-	req.final = true
+	req.ended = true
 	return []Event{ClientDisconnected{ID: id}}
 }
 
@@ -230,17 +230,17 @@
 	engine := req.engineOf[number]
 	role := h.role[engine]
 	spent := h.now - req.sentAt[number]
-	if role != Prefill && !req.streaming && !req.final && h.random.Intn(2) == 0 {
+	if role != Prefill && !req.streaming && !req.ended && h.random.Intn(2) == 0 {
 		req.streaming, req.stateReserved = true, false
 		return FirstToken{ID: id, Attempt: number, Engine: engine, Spent: spent}
 	}
 	delete(req.engineOf, number)
 	req.inFlight--
-	outcome := Outcome{ID: id, Attempt: number, Engine: engine, Spent: spent, Closed: req.final || req.streaming}
+	outcome := Outcome{ID: id, Attempt: number, Engine: engine, Spent: spent, Closed: req.ended || req.streaming}
 	switch {
 	case req.streaming:
 		outcome.Status = Completed
-		req.final = true
+		req.ended = true
 	case role == Prefill && h.random.Intn(4) > 0:
 		outcome.Status = Prefilled
 		req.stateReserved, req.stateReservedSince = true, h.now
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -23,7 +23,7 @@
 		return all
 	}
 	if !reflect.DeepEqual(run(), run()) {
-		t.Fatal("actions differ")
+		t.Fatal("two runs with the same seed and events returned different actions")
 	}
 }
 
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -10,30 +10,30 @@
 	"pgregory.net/rapid"
 )
 
-// slowStartFleet is many routers and one engine that is warming up. Each router sends as often as slowStartAllows lets it, which
-// is the most that any burst can bring.
+// slowStartFleet simulates many nodes and one engine that is warming up. Each node sends as soon and as often as its slow-start budget
+// allows, which is the most that any burst can bring.
 type slowStartFleet struct {
 	cfg           Config
 	schedulers    []*Scheduler
 	bootTime      float64
 	warmingEngine string
-	allowance     float64 // N of the rule: mean requests that the engine bears in a window just after its start
+	allowance     float64 // N of rule 4: mean number of requests that the engine tolerates in a window just after its start
 }
 
 // slowStartLoad is the traffic of a slowStartFleet.
 type slowStartLoad struct {
-	routers int
-	warm    int     // warm engines
-	role    Role    // of all engines; it is also their kind in testConfig
-	load    float64 // share of their capacity that warm engines complete
-	spread  float64 // deviation of the logarithm of the routers' shares in it
-	seed    uint64
+	nodes  int
+	warm   int     // warm engines
+	role   Role    // role of all engines, and also their kind in testConfig
+	load   float64 // share of their capacity at which the warm engines complete work
+	spread float64 // standard deviation of the logarithm of the nodes' shares in it
+	seed   uint64
 }
 
 func newSlowStartFleet(t testFailer, load slowStartLoad) *slowStartFleet {
 	t.Helper()
 	f := &slowStartFleet{cfg: testConfig(), bootTime: 100, warmingEngine: "warming"}
-	f.cfg.NodeCount, f.cfg.Rules.SlowStartWindow = load.routers, 1.5
+	f.cfg.NodeCount, f.cfg.Rules.SlowStartWindow = load.nodes, 1.5
 	endpoints := listOf(testEngine(f.warmingEngine, int(load.role), 0))
 	for i := range load.warm {
 		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("e", i), int(load.role), 0))
@@ -61,16 +61,16 @@
 	return f
 }
 
-// testFailer is what testing.T and rapid.T have in common here.
+// testFailer is the part of testing.T and rapid.T that this file uses.
 type testFailer interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-// shares draws the share of each router in the traffic.
+// shares draws the share of each node in the traffic. They add up to 1.
 func (l slowStartLoad) shares() []float64 {
 	random := rand.New(rand.NewPCG(l.seed, 1))
-	shares, sum := make([]float64, l.routers), 0.0
+	shares, sum := make([]float64, l.nodes), 0.0
 	for i := range shares {
 		shares[i] = math.Exp(l.spread * random.NormFloat64())
 		sum += shares[i]
@@ -81,14 +81,14 @@
 	return shares
 }
 
-// mostInWindow plays some seconds and returns the most sends of all routers together in any window, and all sends.
+// mostInWindow simulates some seconds. It returns the largest number of sends of all nodes together in any window, and that of all sends.
 func (f *slowStartFleet) mostInWindow(seconds float64) (most, all int) {
 	var sentAt []float64
 	for now := f.bootTime; now < f.bootTime+seconds; now += 0.05 {
 		for _, sched := range f.schedulers {
 			sched.now = now
 			for role := range sched.completedWork {
-				sched.completedWork[role].updatedAt = now // the load stays as it is
+				sched.completedWork[role].updatedAt = now // keeps the load constant
 			}
 			req, warming := sched.requests["q"], sched.engines[f.warmingEngine]
 			for sched.slowStartAllows(req, warming) {
@@ -100,7 +100,7 @@
 	return mostWithin(sentAt, f.cfg.Rules.SlowStartWindow), len(sentAt)
 }
 
-// mostWithin returns the most of some times, in order, that lie within a window.
+// mostWithin returns the largest number of the given times, which must be sorted, that lie within any window.
 func mostWithin(times []float64, window float64) int {
 	most, from := 0, 0
 	for i := range times {
@@ -112,34 +112,34 @@
 	return most
 }
 
-// Whatever the number of routers, however uneven their traffic, with warm engines that are full, idle or all gone: what all
-// routers together send an engine in slow start in any window stays within N and what the rule leaves to chance, though each
-// sends all that it may at the first moment at which it may.
+// Rule 4 holds for any number of nodes, however uneven their traffic, with warm engines that are full, idle or all gone: all nodes
+// together send an engine in slow start no more than N + 2 sqrt(N) + 2 attempts in any window, although each node sends as much as it
+// may as early as it may.
 func TestSlowStartBudgetHoldsForTheFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newSlowStartFleet(t, slowStartLoad{
-			routers: rapid.SampledFrom([]int{1, 3, 20, 30, 300}).Draw(t, "routers"),
-			warm:    rapid.IntRange(0, 12).Draw(t, "warm"),
-			role:    Role(rapid.IntRange(0, 2).Draw(t, "role")),
-			load:    rapid.Float64Range(0, 1).Draw(t, "load"),
-			spread:  rapid.Float64Range(0, 1).Draw(t, "spread"),
-			seed:    rapid.Uint64().Draw(t, "seed"),
+			nodes:  rapid.SampledFrom([]int{1, 3, 20, 30, 300}).Draw(t, "nodes"),
+			warm:   rapid.IntRange(0, 12).Draw(t, "warm"),
+			role:   Role(rapid.IntRange(0, 2).Draw(t, "role")),
+			load:   rapid.Float64Range(0, 1).Draw(t, "load"),
+			spread: rapid.Float64Range(0, 1).Draw(t, "spread"),
+			seed:   rapid.Uint64().Draw(t, "seed"),
 		})
 		most, _ := f.mostInWindow(6)
 		if limit := f.allowance + 2*math.Sqrt(f.allowance) + 2; float64(most) > limit {
-			t.Fatalf("%d sends in a window, want %.1f at most; N is %.1f", most, limit, f.allowance)
+			t.Fatalf("got %d sends in a window, want at most %.1f; N is %.1f", most, limit, f.allowance)
 		}
 	})
 }
 
-// Where no engine is warm, one in slow start is used all the same: warm engines complete nothing, and a budget that followed
-// from that alone would stay at nothing.
-func TestSlowStartEnginesAreUsedWhereNoneIsWarm(t *testing.T) {
-	for _, routers := range []int{1, 30, 300} {
-		f := newSlowStartFleet(t, slowStartLoad{routers: routers, role: Decode, spread: 0.5, seed: 7})
+// An engine in slow start is used even if no engine is warm. There are then no warm engines that complete work, and a budget that followed
+// from completed work alone would stay at zero.
+func TestSlowStartEnginesAreUsedIfNoneIsWarm(t *testing.T) {
+	for _, nodes := range []int{1, 30, 300} {
+		f := newSlowStartFleet(t, slowStartLoad{nodes: nodes, role: Decode, spread: 0.5, seed: 7})
 		_, all := f.mostInWindow(6)
 		if want := 0.25 * f.allowance * 6 / f.cfg.Rules.SlowStartWindow; float64(all) < want {
-			t.Errorf("%d routers: got %d sends in 6 s, want %.0f at least", routers, all, want)
+			t.Errorf("%d nodes: got %d sends in 6 s, want at least %.0f", nodes, all, want)
 		}
 	}
 }
@@ -163,18 +163,19 @@
 			}
 		}
 	}
-	// SlowStartShare x OverloadMultiple is one warm engine's load; one router is held to less than that.
+	// SlowStartShare x OverloadMultiple is 1, the load of one warm engine. A single node must stay below that.
 	if n["w1"] == 0 || n["w1"] > n["w0"] {
-		t.Fatalf("the engine in slow start got %d, the warm one %d", n["w1"], n["w0"])
+		t.Fatalf("got %d requests at the engine in slow start and %d at the warm one, want 1 or more and no more than the warm one",
+			n["w1"], n["w0"])
 	}
 }
 
-// Many routers, each with about one request a second, and a decode engine in slow start: what they send it together in any window
-// stays under its budget, which follows from what warm engines complete.
-func TestSlowStartBudgetAddsUpOverManyRouters(t *testing.T) {
-	const routers, seconds, bootTime = 100, 14.0, 4.0
+// Many nodes have about one request per second each. What they send together to a decode engine in slow start in any window stays within
+// its budget, which follows from what warm engines complete.
+func TestSlowStartBudgetAddsUpOverManyNodes(t *testing.T) {
+	const nodes, seconds, bootTime = 100, 14.0, 4.0
 	cfg := testConfig()
-	cfg.NodeCount = routers
+	cfg.NodeCount = nodes
 	endpoints := listOf(testEngine("r0", prefillKind, 0))
 	for i := range 10 {
 		endpoints.Engines = append(endpoints.Engines, testEngine(fmt.Sprint("w", i), decodeKind, 0))
@@ -182,7 +183,7 @@
 	endpoints.Engines[1].BootTime = bootTime
 	var warmingSends []float64
 	all := 0
-	for index := range routers {
+	for index := range nodes {
 		cfg.NodeIndex = index
 		sched, err := New(cfg, uint64(index))
 		if err != nil {
@@ -190,7 +191,7 @@
 		}
 		sched.Step(0, []Event{endpoints})
 		for second := range int(seconds) {
-			now := float64(second) + float64(index)/routers
+			now := float64(second) + float64(index)/nodes
 			for _, engine := range decodeAtOnce(sched, now, fmt.Sprint("q", second)) {
 				all++
 				if engine == "w0" && now >= bootTime {
@@ -204,11 +205,11 @@
 	perWarmEngine := float64(all) / seconds / 10
 	budget := cfg.Rules.OverloadMultiple * cfg.Rules.SlowStartShare * cfg.Rules.SlowStartWindow * perWarmEngine
 	if len(warmingSends) == 0 || float64(most) > 1.3*budget {
-		t.Fatalf("%d sends to the engine in slow start, at most %d in a window; budget %.1f", len(warmingSends), most, budget)
+		t.Fatalf("%d sends to the engine in slow start, up to %d in a window; the budget is %.1f", len(warmingSends), most, budget)
 	}
 }
 
-// decodeAtOnce plays a request whose prefill and answer take hundredths of a second, and returns its decode engines.
+// decodeAtOnce simulates a request whose prefill and answer take hundredths of a second, and returns its decode engines.
 func decodeAtOnce(sched *Scheduler, now float64, id string) []string {
 	var engines []string
 	for _, prefill := range actionsOf[Send](sched.Step(now, []Event{testRequest(id, 0)})) {
@@ -224,13 +225,13 @@
 }
 
 func TestSlowStartBudgetCountsAdmittedRequests(t *testing.T) {
-	// Prefills that end together must not all go to an engine in slow start: admission takes its part of the budget.
+	// The states of prefills that end together must not all be sent to an engine in slow start, so admitted requests use up its budget.
 	endpoints := listOf(testEngine("r0", 0, 0), testEngine("w0", 1, 0), testEngine("w1", 1, 0))
 	endpoints.Engines[2].BootTime = 0.5
 	cfg := testConfig()
-	cfg.NodeCount = 1000 // nothing is left of an even part
+	cfg.NodeCount = 1000 // an even part of the budget is next to nothing
 	sched := startScheduler(t, cfg, endpoints)
-	sched.completedWork[Decode].add(3, 1000, rateWindow) // about one warm request a second
+	sched.completedWork[Decode].add(3, 1000, rateWindow) // about one request per second at warm engines
 	for i := 0; i < 30; i++ {
 		sched.Step(3, []Event{testRequest(fmt.Sprint(i), 0)})
 	}
@@ -241,11 +242,11 @@
 		}
 	}
 	if n > 2 {
-		t.Fatalf("%d requests are admitted to an engine in slow start, want 2 at most", n)
+		t.Fatalf("%d requests are admitted to an engine in slow start, want at most 2", n)
 	}
 }
 
-func TestRestartSendsNothingToASlowStartEngineForAWindow(t *testing.T) {
+func TestNothingIsSentToSlowStartEnginesForAWindowAfterARestart(t *testing.T) {
 	endpoints := EndpointUpdate{Form: UpdateStale, Engines: []Engine{testEngine("r0", 0, 0), testEngine("w0", 1, 0)}}
 	endpoints.Engines[0].BootTime = 0.5
 	sched, _ := New(testConfig(), 1)
@@ -253,16 +254,16 @@
 	noAction[Send](t, sched.Step(2.9, []Event{testRequest("b", 0)}))
 }
 
-// Whatever waits, engines in slow start get seven tenths of what is believed of the rule's allowance, with one router or
-// hundreds: what the rule leaves to chance beside N is used too.
+// While requests wait, an engine in slow start gets at least 0.7 of the part of rule 4's allowance that the scheduler relies on, with one
+// node or with hundreds. This includes the square-root term that the rule adds to N.
 func TestSlowStartEnginesGetMostOfTheirBudget(t *testing.T) {
-	for _, routers := range []int{1, 3, 30, 300} {
-		f := newSlowStartFleet(t, slowStartLoad{routers: routers, role: Prefill, spread: 0.5, seed: 7})
+	for _, nodes := range []int{1, 3, 30, 300} {
+		f := newSlowStartFleet(t, slowStartLoad{nodes: nodes, role: Prefill, spread: 0.5, seed: 7})
 		_, all := f.mostInWindow(8)
-		windows := 8/f.cfg.Rules.SlowStartWindow - 1 // nothing is sent in that in which the engine was discovered
-		modeled := slowStartCapacityTrust * f.allowance
-		if want := 0.7 * (modeled + 2*math.Sqrt(modeled)) * windows; float64(all) < want {
-			t.Errorf("%d routers: got %d sends in 8 s, want %.0f at least", routers, all, want)
+		windows := 8/f.cfg.Rules.SlowStartWindow - 1 // nothing is sent in the window in which the engine was discovered
+		usableAllowance := slowStartCapacityTrust * f.allowance
+		if want := 0.7 * (usableAllowance + 2*math.Sqrt(usableAllowance)) * windows; float64(all) < want {
+			t.Errorf("%d nodes: got %d sends in 8 s, want at least %.0f", nodes, all, want)
 		}
 	}
 }
--- a/scheduler/validate_test.go
+++ b/scheduler/validate_test.go
@@ -19,7 +19,7 @@
 		c := testConfig()
 		invalidate(&c)
 		if _, err := New(c, 1); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("got error %v, want one that names %s", err, field)
+			t.Errorf("got error %v, want an error that names %s", err, field)
 		}
 	}
 }
