--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -64,8 +64,8 @@
 	return h.encoder.Done(batch.Serial)
 }
 
-// groupByNode launches and kills nodes, and returns the events of each node, in the order in which the nodes first appear. The launch or kill of
-// a node discards its earlier events of the batch.
+// groupByNode launches and kills nodes, and returns the events of each node, in the order in which the nodes first appear. The launch or
+// kill of a node discards its earlier events of the batch.
 func (h *host) groupByNode(items []benchwire.Item) ([]*nodeEvents, error) {
 	var groups []*nodeEvents
 	byNode := map[int]*nodeEvents{}
