--- a/internal/decide/requesttable/attempts.go
+++ b/internal/decide/requesttable/attempts.go
@@ -6,7 +6,7 @@
 	"dillroute/scheduler"
 )
 
-// send starts an attempt if the rules allow it. One that is not allowed ends at once as not sent.
+// send starts an attempt if the rules allow it. Otherwise the attempt ends at once with the status NotSent.
 func (t *Table) send(now float64, action scheduler.Send) {
 	record := t.records[action.ID]
 	if record == nil {
@@ -16,7 +16,7 @@
 	next := t.newAttempt(now, record, action.Engine)
 	record.sends++
 	if reason := t.sendPermit(now, record, &next); reason != permit.Allowed {
-		// The client may disconnect, or the response begin, while the scheduler decides: that is no fault.
+		// It is no fault if the client disconnected, or the response began, while the scheduler was deciding.
 		if reason != permit.RequestEnded {
 			t.reportFault("send of %s to %s: %s", action.ID, action.Engine, reason)
 		}
@@ -29,10 +29,10 @@
 		})
 		return
 	}
-	writeBy := record.dedupWindowEnd() // of the attempts before this one
+	writeBy := record.dedupWindowEnd() // computed from earlier attempts only, so before next is appended
 	record.attempts = append(record.attempts, next)
 	record.inFlight++
-	record.hold.lastSend = now
+	record.hold.lastSendAt = now
 	t.issue(StartAttempt{
 		ID:           action.ID,
 		Engine:       action.Engine,
@@ -45,7 +45,7 @@
 	})
 }
 
-// newAttempt returns the next attempt of a request, which has not been started.
+// newAttempt returns the next attempt of a request without starting it.
 func (t *Table) newAttempt(now float64, record *requestRecord, engine string) attempt {
 	stage := outcome.Decode
 	if known := t.engines[engine]; known != nil && known.role == scheduler.Prefill {
@@ -73,7 +73,7 @@
 // sendPermit returns why an attempt may not be started.
 func (t *Table) sendPermit(now float64, record *requestRecord, next *attempt) permit.Reason {
 	engine := t.engines[next.engine]
-	request := permit.Send{
+	check := permit.Send{
 		RequestEnded: record.response != responseQueued,
 		AttemptsLeft: t.attemptsLeft(record),
 		EngineKnown:  engine != nil,
@@ -81,13 +81,13 @@
 		Repeat:       t.repeat(now, record, next.engine),
 	}
 	if engine != nil {
-		request.Draining = engine.state != scheduler.EngineReady
-		request.DrainingFor = now - engine.since
+		check.Draining = engine.state != scheduler.EngineReady
+		check.DrainingFor = now - engine.since
 	}
-	return request.Reason()
+	return check.Reason()
 }
 
-// repeat describes a further attempt of a request at an engine, as rule 2 judges it.
+// repeat describes a further attempt of a request at an engine for the check of rule 2.
 func (t *Table) repeat(now float64, record *requestRecord, engine string) permit.Repeat {
 	class := record.class
 	repeat := permit.Repeat{Effect: class.Effect, DedupScope: class.DedupScope, DedupWindow: class.DedupWindow}
@@ -105,7 +105,7 @@
 	return repeat
 }
 
-// dedupWindowEnd returns when engines stop recognizing a repeat of a request with an idempotency key; 0 = no such limit.
+// dedupWindowEnd returns when engines stop recognizing a repeat of a request by its idempotency key; 0 = no limit.
 func (r *requestRecord) dedupWindowEnd() float64 {
 	if earlier := r.possibleEffect(); earlier != nil && r.class.Effect == scheduler.IdempotentByKey {
 		return earlier.sentAt + r.class.DedupWindow
@@ -113,7 +113,8 @@
 	return 0
 }
 
-// cancel cancels an attempt that has not begun to stream. The request may have ended since the scheduler decided it.
+// cancel cancels an attempt that has not begun to stream. A request that has ended since the scheduler decided to cancel is
+// ignored.
 func (t *Table) cancel(id string, number int) {
 	record := t.records[id]
 	if record == nil {
@@ -137,7 +138,7 @@
 	}
 }
 
-// FirstToken reports that the first token of an attempt has come. The attempt waits for its GrantResponse.
+// FirstToken reports that the first token of an attempt has been received. The attempt waits for its GrantResponse.
 func (t *Table) FirstToken(now float64, id string, number int) {
 	record := t.records[id]
 	if record == nil || record.attempt(number) == nil {
@@ -150,21 +151,21 @@
 		return
 	}
 	record.response = responseStreaming
-	record.hold.lastResponse = now
-	record.ended = EndedAttempt{}
-	record.releasesAreSettled() // the state was held after all, and is fetched
+	record.hold.lastResponseAt = now
+	record.lastUnanswered = EndedAttempt{}
+	record.clearReleaseDuringDecode() // the earlier release freed nothing, and the state has been fetched
 	a.state = attemptStreaming
 	if record.state.isHeld() && !a.fetches(record.state) { // the engine computed the prefill itself
 		t.releaseHeldState(id, record)
 	}
-	record.state.clear() // else the fetch is complete and the prefill engine has freed the state
+	record.state.clear() // otherwise the fetch is complete and the prefill engine has freed the state
 	t.issue(GrantResponse{ID: id, Attempt: number, Granted: true})
 	t.emit(scheduler.FirstToken{ID: id, Attempt: number, Engine: a.engine, Spent: now - a.sentAt})
 	t.cancelOthers(id, record, a, outcome.CanceledByScheduler) // hedged requests that lost
-	t.watchHeldState(now, id, record)
+	t.scheduleStateCheck(now, id, record)
 }
 
-// AttemptEnded reports, once, that an attempt has ended. The load report may be nil.
+// AttemptEnded reports that an attempt has ended. It must be called exactly once for each attempt. The load report may be nil.
 func (t *Table) AttemptEnded(now float64, id string, number int, evidence outcome.Evidence, report *scheduler.LoadReport) {
 	record := t.records[id]
 	if record == nil || record.attempt(number) == nil || !record.attempt(number).isInFlight() {
@@ -178,15 +179,15 @@
 	evidence = t.completeEvidence(evidence, record, a, wasStreaming)
 	class := outcome.Classify(evidence)
 	t.recordEvidence(id, record, a, evidence, class)
-	if endedSilently(evidence) {
-		record.ended = EndedAttempt{Engine: a.engine, At: now}
+	if endedUnanswered(evidence) {
+		record.lastUnanswered = EndedAttempt{Engine: a.engine, At: now}
 	}
 	t.recordState(now, id, record, a, class)
-	t.releaseAgain(now, record, a)
+	t.repeatReleaseAfterDecode(now, record, a)
 	if evidence.Progress >= outcome.HeaderReceived {
-		record.hold.lastResponse = now
+		record.hold.lastResponseAt = now
 	}
-	t.issueOwedReleases(record)
+	t.issueDeferredReleases(record)
 	endsRequest := t.respondAtAttemptEnd(id, record, a, wasStreaming, class)
 	t.emit(scheduler.Outcome{
 		ID:      id,
@@ -205,16 +206,16 @@
 		t.endRequest(id, record, outcome.RequestEnded)
 	}
 	t.forgetIfDone(id, record)
-	t.watchHeldState(now, id, record)
+	t.scheduleStateCheck(now, id, record)
 }
 
-// endedSilently reports whether an attempt may have reached its engine and ended before a response began.
-func endedSilently(evidence outcome.Evidence) bool {
+// endedUnanswered reports whether an attempt may have reached its engine and ended before a response began.
+func endedUnanswered(evidence outcome.Evidence) bool {
 	written := evidence.Progress >= outcome.RequestWritten && evidence.Progress < outcome.Streaming
 	return written && evidence.Cause != outcome.ResponseComplete
 }
 
-// completeEvidence adds what the table knows of an attempt to what was seen on its socket.
+// completeEvidence adds what the table knows about an attempt to the evidence from its socket.
 func (t *Table) completeEvidence(evidence outcome.Evidence, record *requestRecord, a *attempt, wasStreaming bool) outcome.Evidence {
 	code := record.evidence.invalidRequestCode
 	evidence.Stage = a.stage
@@ -226,7 +227,7 @@
 	return evidence
 }
 
-// recordEvidence adds the end of an attempt to what the attempts of its request prove.
+// recordEvidence updates the evidence of a request with the end of one of its attempts.
 func (t *Table) recordEvidence(id string, record *requestRecord, a *attempt, evidence outcome.Evidence, class outcome.Classification) {
 	proof := &record.evidence
 	responded := evidence.Cause == outcome.ResponseComplete
--- a/internal/decide/requesttable/attempts_test.go
+++ b/internal/decide/requesttable/attempts_test.go
@@ -8,8 +8,8 @@
 	"dillroute/scheduler"
 )
 
-// Once an attempt may have run, or is in flight, every further attempt of a request with an idempotency key is a repeat, also
-// a prefill: it stays within the deduplication scope and window, and must be written before the window ends.
+// Once an attempt may have run, or is in flight, every further attempt of a request with an idempotency key is a repeat, even
+// a prefill: it must stay within the deduplication scope and window, and must be written before the window ends.
 func TestPrefillsOfKeyedRequestStayInDedupScopeAndWindow(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -32,7 +32,7 @@
 		table.Apply(c.now, scheduler.Send{ID: "a", Engine: c.engine})
 		starts := commandsOf[StartAttempt](table)
 		if (len(starts) == 1) != c.starts {
-			t.Errorf("%s: got %v, want it started: %v", c.name, starts, c.starts)
+			t.Errorf("%s: got starts %v, want an attempt started: %v", c.name, starts, c.starts)
 		}
 		if c.starts && len(starts) == 1 && starts[0].WriteBy != 3 {
 			t.Errorf("%s: got WriteBy %g, want 3", c.name, starts[0].WriteBy)
@@ -59,7 +59,7 @@
 	if _, ok := commands[0].(ReportFault); !ok {
 		t.Fatalf("got %v, want a fault and no attempt", commands)
 	}
-	table.Apply(1.3, scheduler.Reject{ID: "a"}) // not true: the request may have run
+	table.Apply(1.3, scheduler.Reject{ID: "a"}) // its promise of a safe retry is false: the request may have run
 	for _, command := range table.DrainCommands() {
 		if r, ok := command.(Respond); ok && r.Response.RetryIsSafe {
 			t.Fatalf("got %+v, want no response that calls a retry safe", r)
@@ -135,8 +135,8 @@
 	}
 }
 
-// Attempts that ended before their request was written count towards the limit unless the settings say otherwise, and then
-// as many of them as the limit are free.
+// Attempts that ended before their request was written count against the limit by default. With UnsentAttemptsAreFree, as many
+// of them as the limit do not count.
 func TestUnsentAttemptsAreFreeWhereConfigured(t *testing.T) {
 	for free, want := range map[bool]int{false: 4, true: 8} {
 		table := newTable()
@@ -173,7 +173,7 @@
 	startAttempt(t, table, 1.2, "a", "w0")
 }
 
-// Audit names the contradiction and the request by a typed error.
+// Audit reports an inconsistency as an AuditError that names the request.
 func TestAuditReturnsTypedError(t *testing.T) {
 	table := newTable()
 	table.AddRequest(1, newRequest("a", idempotent), 0)
--- a/internal/decide/requesttable/audit.go
+++ b/internal/decide/requesttable/audit.go
@@ -8,9 +8,9 @@
 
 func sortedKeys(records map[string]*requestRecord) []string { return slices.Sorted(maps.Keys(records)) }
 
-// AuditError is a contradiction within the table.
+// AuditError is an inconsistency of the table.
 type AuditError struct {
-	RequestID string // "" = it concerns no single request
+	RequestID string // "" = the table as a whole
 	Problem   string
 }
 
@@ -22,8 +22,8 @@
 	return fmt.Sprintf("requesttable: request %s %s", e.RequestID, e.Problem)
 }
 
-// Audit checks the table against itself and returns the first contradiction, an *AuditError. It takes time in proportion to
-// the number of records; the tests call it after every step.
+// Audit checks the consistency of the table and returns the first inconsistency as an *AuditError. Its running time is
+// proportional to the number of records; the tests call it after every step.
 func (t *Table) Audit() error {
 	open := 0
 	for _, id := range sortedKeys(t.records) {
@@ -36,12 +36,12 @@
 		}
 	}
 	if open != t.openCount {
-		return &AuditError{Problem: fmt.Sprintf("%d requests are open, %d are counted", open, t.openCount)}
+		return &AuditError{Problem: fmt.Sprintf("%d requests are open but %d are counted", open, t.openCount)}
 	}
 	return nil
 }
 
-// auditRecord returns what contradicts itself in a record; "" = nothing.
+// auditRecord describes the first inconsistency of a record; "" = there is none.
 func (t *Table) auditRecord(record *requestRecord) string {
 	inFlight, streaming := 0, 0
 	for i := range record.attempts {
@@ -54,17 +54,17 @@
 	}
 	switch {
 	case inFlight != record.inFlight:
-		return fmt.Sprintf("counts %d attempts in flight, has %d", record.inFlight, inFlight)
+		return fmt.Sprintf("counts %d attempts in flight but has %d", record.inFlight, inFlight)
 	case record.response.ended() && inFlight == 0:
-		return "has ended and is not forgotten"
+		return "has ended without an attempt in flight but has not been removed"
 	case streaming > 1:
-		return fmt.Sprintf("streams from %d attempts", streaming)
-	case record.besideAttempts != nil && !record.decodeInFlight():
-		return "has a release beside attempts and none in flight"
-	case record.hold.repeatAt > 0 && record.besideAttempts == nil:
-		return "repeats a release that it has not made"
+		return fmt.Sprintf("has %d streaming attempts", streaming)
+	case record.releaseDuringDecode != nil && !record.decodeInFlight():
+		return "has a release made during decode attempts but no decode attempt in flight"
+	case record.hold.repeatAt > 0 && record.releaseDuringDecode == nil:
+		return "has a repeat scheduled for a release that was not made"
 	case t.attemptsLeft(record) < 0:
-		return fmt.Sprintf("has %d attempts", len(record.attempts))
+		return fmt.Sprintf("has %d attempts, more than allowed", len(record.attempts))
 	}
 	return ""
 }
--- a/internal/decide/requesttable/commands.go
+++ b/internal/decide/requesttable/commands.go
@@ -4,7 +4,7 @@
 	"dillroute/internal/decide/outcome"
 )
 
-// Command is something that the host must carry out.
+// Command is an instruction that the host must carry out.
 type Command interface{ command() }
 
 // StartAttempt starts an attempt. Times are in seconds.
@@ -13,11 +13,11 @@
 	Engine     string
 	Attempt    int // number of the attempt among those of the request
 	Stage      outcome.Stage
-	FetchState bool // a prefill engine holds a state, which the attempt is to fetch
+	FetchState bool // the attempt is to fetch a state that a prefill engine holds
 	// StateAttempt is the number of the attempt that made the state.
 	StateAttempt int
-	Timeout      float64 // 0 = no limit but the client's deadline
-	// WriteBy is when the request must have been written, since engines recognize a repeat for a limited time; 0 = no limit.
+	Timeout      float64 // 0 = only the client's deadline applies
+	// WriteBy is when the request must have been written, because engines recognize a repeat for a limited time; 0 = no limit.
 	WriteBy float64
 }
 
@@ -28,8 +28,8 @@
 	Cause   outcome.Cause
 }
 
-// GrantResponse decides whether an attempt may write to the client. Once Granted, it is the only writer; otherwise the
-// attempt must stop.
+// GrantResponse decides whether an attempt may write to the client. If Granted, the attempt is the only writer; otherwise it
+// must stop.
 type GrantResponse struct {
 	ID      string
 	Attempt int
@@ -42,32 +42,33 @@
 	ID      string
 	Engine  string
 	Attempt int // number of the attempt that left the state
-	// AttemptCutAt is when that attempt was cut (s): its engine may hold a state now, or only later. 0 = the state is held.
+	// AttemptCutAt is when that attempt was interrupted (s): its engine may hold a state now, or only later. 0 = the state is held.
 	AttemptCutAt float64
-	HeldSince    float64 // when the limit on the time of the state began to run (s)
-	// Acknowledged says that an engine has acknowledged a call after the attempt was cut: only a prefill that it ended since may be held.
+	HeldSince    float64 // when the limit on the hold time of the state began to run (s)
+	// Acknowledged states that an engine has acknowledged a release call since the attempt was interrupted. Only the state of a prefill
+	// that its engine completed after that call may still be held.
 	Acknowledged bool
-	// AtLimit says that the state was due, and is released whatever is in flight.
+	// AtLimit states that the hold time has reached its limit, so that the state is released whatever attempts are in flight.
 	AtLimit bool
-	// Ended is the latest attempt whose engine may notice its end late: a call that is made before may free nothing.
+	// Ended is the latest attempt of which the engine may notice the end late. A release call that is made before then may free nothing.
 	Ended EndedAttempt
-	// Again says that the state was released before, beside an attempt that may have waited for it.
+	// Again states that the state was released before, while an attempt was in flight that may have been waiting for it.
 	Again bool
 }
 
-// EndedAttempt is an attempt that ended without a response after its request had been written. The zero value says that there is none.
+// EndedAttempt is an attempt that ended without a response after its request had been written. The zero value means that there is none.
 type EndedAttempt struct {
 	Engine string
 	At     float64 // s
 }
 
-// CheckHeldState asks for a call of HeldStateDue at a time (s).
+// CheckHeldState asks the host to call HeldStateDue at a time (s).
 type CheckHeldState struct {
 	ID string
 	At float64
 }
 
-// Respond gives a client the node's own final response.
+// Respond sends a client the node's own final response.
 type Respond struct {
 	ID         string
 	Response   outcome.Response
@@ -75,16 +76,16 @@
 	Reason     string
 }
 
-// PassThrough gives a client the response by which an engine has called its request invalid.
+// PassThrough sends a client the response with which an engine has reported its request as invalid.
 type PassThrough struct {
 	ID      string
 	Attempt int
 }
 
-// ForgetRequest says that no further command will come for a request.
+// ForgetRequest states that no further command follows for a request.
 type ForgetRequest struct{ ID string }
 
-// ReportFault reports an action or a fact that contradicts the table and was not carried out.
+// ReportFault reports an action or an input that contradicts the table and was not carried out.
 type ReportFault struct{ Text string }
 
 func (StartAttempt) command()   {}
--- a/internal/decide/requesttable/endpoints.go
+++ b/internal/decide/requesttable/endpoints.go
@@ -4,7 +4,7 @@
 	"dillroute/scheduler"
 )
 
-// engineRecord is what the table knows of an engine.
+// engineRecord is what the table knows about an engine.
 type engineRecord struct {
 	state scheduler.EngineState
 	since float64 // when the state was first reported (s)
@@ -13,7 +13,7 @@
 	role  scheduler.Role
 }
 
-// setState changes the state; since moves only if the state differs.
+// setState sets the state, and updates since only if the state differs.
 func (e *engineRecord) setState(now float64, state scheduler.EngineState) {
 	if e.state != state {
 		e.state = state
@@ -21,7 +21,7 @@
 	}
 }
 
-// UpdateEndpoints applies an update of the endpoint list before the scheduler receives it, so that both know the same.
+// UpdateEndpoints applies an update of the endpoint list before the scheduler receives it, so that both know the same engines.
 func (t *Table) UpdateEndpoints(now float64, update scheduler.EndpointUpdate) {
 	if update.Form == scheduler.UpdateFailed {
 		t.emit(update)
@@ -58,14 +58,14 @@
 	}
 }
 
-// keepRemoved is how long an engine that was removed is remembered, at least (s). No request waits longer for its response
-// to begin, so the engine of a possible effect is remembered for as long as a repeat may be asked for.
-const keepRemoved = 120
+// removedEngineRetention is the least time for which a removed engine stays in the table (s). No request waits longer for its
+// response to begin, so the engine of a possible effect is known for as long as the scheduler may ask for a repeat.
+const removedEngineRetention = 120
 
-// pruneRemoved forgets engines that were removed long ago, since a fleet may replace its engines all day.
+// pruneRemoved deletes engines that were removed long ago, because a fleet may replace its engines continually.
 func (t *Table) pruneRemoved(now float64) {
 	for id, engine := range t.engines {
-		if engine.state == scheduler.EngineRemoved && now > engine.since+keepRemoved {
+		if engine.state == scheduler.EngineRemoved && now > engine.since+removedEngineRetention {
 			delete(t.engines, id)
 		}
 	}
@@ -77,7 +77,7 @@
 	return engine != nil && engine.state == scheduler.EngineReady
 }
 
-// DrainingSince returns since when an engine is known to be draining or removed (s); 0 = it is ready or unknown.
+// DrainingSince returns since when an engine has been known to be draining or removed (s); 0 = it is ready or unknown.
 func (t *Table) DrainingSince(id string) float64 {
 	if engine := t.engines[id]; engine != nil && engine.state != scheduler.EngineReady {
 		return engine.since
@@ -85,7 +85,7 @@
 	return 0
 }
 
-// EngineKnown reports whether an engine is remembered.
+// EngineKnown reports whether an engine is in the table, which includes recently removed ones.
 func (t *Table) EngineKnown(id string) bool { return t.engines[id] != nil }
 
 // Ready reports whether the node may receive requests: it accepts them, and some engine is ready.
--- a/internal/decide/requesttable/golden_test.go
+++ b/internal/decide/requesttable/golden_test.go
@@ -15,16 +15,16 @@
 	"dillroute/scheduler"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Sizes of a recording: so many steps, of which the first are kept in full and the others as a running hash.
+// Sizes of a recording. The first steps are recorded in full, the others as a running hash.
 const (
-	goldenSteps = 4000
-	goldenFull  = 150
-	goldenEvery = 50
+	goldenSteps        = 4000
+	goldenFullSteps    = 150 // steps recorded in full
+	goldenHashInterval = 50  // steps from one recorded hash to the next
 )
 
-// goldenSetting is one setting that is recorded, from several seeds.
+// goldenSetting is a variant of Config that is recorded with several seeds.
 type goldenSetting struct {
 	name   string
 	change func(c *Config)
@@ -42,128 +42,128 @@
 var goldenEngines = []scheduler.Engine{{ID: "r0"}, {ID: "r1", Cell: 1, Zone: 1}, {ID: "w0", Kind: 1}, {ID: "w1", Kind: 1, Cell: 1},
 	{ID: "w2", Kind: 1, Cell: 2, Zone: 1}, {ID: "m0", Kind: 2, Cell: 1, Zone: 1}}
 
-// goldenWorld reports random facts to a table and drains its commands. It iterates over slices alone, so that the same seed
-// gives the same facts.
-type goldenWorld struct {
+// goldenHarness passes random inputs to a table and drains its commands. It iterates over slices only, so that the same seed
+// gives the same inputs.
+type goldenHarness struct {
 	table    *Table
-	cfg      Config
+	config   Config
 	random   *rand.Rand
 	now      float64
 	ids      []string
-	inFlight []StartAttempt // attempts that run
+	inFlight []StartAttempt
 	releases []ReleaseState
-	checks   map[string]CheckHeldState // the latest of each request
-	closed   bool
+	checks   map[string]CheckHeldState // the latest one of each request
+	stopped  bool
 }
 
-func newGoldenWorld(s goldenSetting, seed int64) *goldenWorld {
+func newGoldenHarness(s goldenSetting, seed int64) *goldenHarness {
 	c := classes()
 	c = append(c, scheduler.Class{Effect: scheduler.IdempotentByKey, DedupScope: scheduler.DedupZone, DedupWindow: 1})
-	cfg := Config{Classes: c, MaxOpenRequests: 8, MaxAttempts: 4, ResponseSlack: 0.05, DrainGrace: 0.25,
+	config := Config{Classes: c, MaxOpenRequests: 8, MaxAttempts: 4, ResponseSlack: 0.05, DrainGrace: 0.25,
 		StateReleaseLimit: 1}
-	s.change(&cfg)
-	table := New(cfg, []scheduler.Kind{{Role: scheduler.Prefill}, {Role: scheduler.Decode}, {Role: scheduler.Mixed}})
-	return &goldenWorld{table: table, cfg: cfg, checks: map[string]CheckHeldState{}, random: rand.New(rand.NewSource(seed)), now: 1}
+	s.change(&config)
+	table := New(config, []scheduler.Kind{{Role: scheduler.Prefill}, {Role: scheduler.Decode}, {Role: scheduler.Mixed}})
+	return &goldenHarness{table: table, config: config, checks: map[string]CheckHeldState{}, random: rand.New(rand.NewSource(seed)), now: 1}
 }
 
-func (w *goldenWorld) chance(p float64) bool { return w.random.Float64() < p }
+func (h *goldenHarness) chance(p float64) bool { return h.random.Float64() < p }
 
-// list updates the endpoint list.
-func (w *goldenWorld) list(form scheduler.UpdateForm, engines []scheduler.Engine) string {
-	w.table.UpdateEndpoints(w.now, scheduler.EndpointUpdate{Form: form, Engines: engines})
-	return "members " + membersText(form, engines)
+// updateList passes an update of the endpoint list to the table and returns it as text.
+func (h *goldenHarness) updateList(form scheduler.UpdateForm, engines []scheduler.Engine) string {
+	h.table.UpdateEndpoints(h.now, scheduler.EndpointUpdate{Form: form, Engines: engines})
+	return "members " + endpointsText(form, engines)
 }
 
-// fact reports one fact to the table and returns it as text.
-func (w *goldenWorld) fact(i int) string {
-	w.now += w.random.Float64() * 0.15
+// nextInput passes one random input to the table and returns it as text.
+func (h *goldenHarness) nextInput(i int) string {
+	h.now += h.random.Float64() * 0.15
 	if i == 0 {
-		return w.list(scheduler.UpdateComplete, goldenEngines)
+		return h.updateList(scheduler.UpdateComplete, goldenEngines)
 	}
-	if i%500 == 470 || i%500 == 499 { // the table is emptied and replaced, so that every kind of fact comes again
-		return w.restart()
+	if i%500 == 470 || i%500 == 499 { // the table is emptied and replaced, so that every kind of input occurs again
+		return h.restart()
 	}
-	k := w.random.Intn(100)
-	if len(w.ids) == 0 || k < 14 {
-		return w.request(i)
+	k := h.random.Intn(100)
+	if len(h.ids) == 0 || k < 14 {
+		return h.addRequest(i)
 	}
-	id := w.draw()
+	id := h.drawRequest()
 	switch {
-	case k < 68 && k >= 45 && len(w.inFlight) == 0:
-		return w.send(id)
+	case k < 68 && k >= 45 && len(h.inFlight) == 0:
+		return h.send(id)
 	case k < 45:
-		return w.send(id)
+		return h.send(id)
 	case k < 68:
-		return w.end()
+		return h.endAttempt()
 	case k < 76:
-		return w.first(id)
+		return h.firstToken(id)
 	case k < 84:
-		return w.action(id)
+		return h.applyAction(id)
 	case k < 86:
-		half := w.chance(0.5)
-		w.table.ClientDisconnected(w.now, id, half)
+		half := h.chance(0.5)
+		h.table.ClientDisconnected(h.now, id, half)
 		return fmt.Sprintf("hangup id=%s half=%t", id, half)
 	case k < 89:
-		if at, ok := w.table.Deadline(id); ok && w.chance(0.5) {
-			w.now = max(w.now, at)
+		if at, ok := h.table.Deadline(id); ok && h.chance(0.5) {
+			h.now = max(h.now, at)
 		}
-		w.table.DeadlineReached(w.now, id)
+		h.table.DeadlineReached(h.now, id)
 		return "overdue id=" + id
 	case k < 94:
-		return w.members()
+		return h.updateEndpoints()
 	default:
-		return w.rare(id)
+		return h.rareInput(id)
 	}
 }
 
-// draw draws a request that is open, or now and then one that has ended.
-func (w *goldenWorld) draw() string {
+// drawRequest draws an open request, or occasionally one that has ended.
+func (h *goldenHarness) drawRequest() string {
 	var open []string
-	for _, id := range w.ids[max(0, len(w.ids)-40):] {
-		if _, ok := w.table.Deadline(id); ok {
+	for _, id := range h.ids[max(0, len(h.ids)-40):] {
+		if _, ok := h.table.Deadline(id); ok {
 			open = append(open, id)
 		}
 	}
-	if len(open) == 0 || w.chance(0.05) {
-		open = w.ids
+	if len(open) == 0 || h.chance(0.05) {
+		open = h.ids
 	}
-	return open[w.random.Intn(len(open))]
+	return open[h.random.Intn(len(open))]
 }
 
-func (w *goldenWorld) request(i int) string {
-	q := scheduler.Request{ID: fmt.Sprint("q", i), Class: w.random.Intn(len(w.cfg.Classes)), Session: "s", Prefix: "p",
-		ClientTimeLeft: 0.2 + w.random.Float64()*6, PromptTokens: 1000, MaxOutputTokens: 100}
-	switch w.random.Intn(30) {
+func (h *goldenHarness) addRequest(i int) string {
+	q := scheduler.Request{ID: fmt.Sprint("q", i), Class: h.random.Intn(len(h.config.Classes)), Session: "s", Prefix: "p",
+		ClientTimeLeft: 0.2 + h.random.Float64()*6, PromptTokens: 1000, MaxOutputTokens: 100}
+	switch h.random.Intn(30) {
 	case 0:
 		q.Class = 77
 	case 1:
-		if len(w.ids) > 0 {
-			q.ID = w.ids[len(w.ids)-1]
+		if len(h.ids) > 0 {
+			q.ID = h.ids[len(h.ids)-1]
 		}
 	}
-	whole := []float64{0, 0, 1, 6}[w.random.Intn(4)]
-	a, ok := w.table.AddRequest(w.now, q, whole)
+	whole := []float64{0, 0, 1, 6}[h.random.Intn(4)]
+	a, ok := h.table.AddRequest(h.now, q, whole)
 	if ok {
-		w.ids = append(w.ids, q.ID)
+		h.ids = append(h.ids, q.ID)
 	}
 	return fmt.Sprintf("request id=%s class=%d left=%s whole=%s taken=%t %s", q.ID, q.Class, num(q.ClientTimeLeft), num(whole), ok,
-		answerText(a))
+		responseText(a))
 }
 
-func (w *goldenWorld) send(id string) string {
-	engine := []string{"r0", "r0", "r1", "r1", "w0", "w1", "w2", "m0", "nobody"}[w.random.Intn(9)]
-	timeout := float64(w.random.Intn(3))
-	ok := w.table.Apply(w.now, scheduler.Send{ID: id, Engine: engine, Timeout: timeout})
+func (h *goldenHarness) send(id string) string {
+	engine := []string{"r0", "r0", "r1", "r1", "w0", "w1", "w2", "m0", "nobody"}[h.random.Intn(9)]
+	timeout := float64(h.random.Intn(3))
+	ok := h.table.Apply(h.now, scheduler.Send{ID: id, Engine: engine, Timeout: timeout})
 	return fmt.Sprintf("send id=%s engine=%s timeout=%s known=%t", id, engine, num(timeout), ok)
 }
 
-// pick draws a running attempt, or one that is not there.
-func (w *goldenWorld) pick() (s StartAttempt, at int) {
-	if len(w.inFlight) == 0 || w.chance(0.02) {
+// drawAttempt draws an attempt in flight, or one that does not exist, with the index -1.
+func (h *goldenHarness) drawAttempt() (s StartAttempt, at int) {
+	if len(h.inFlight) == 0 || h.chance(0.02) {
 		return StartAttempt{ID: "q0", Attempt: 3}, -1
 	}
-	at = w.random.Intn(len(w.inFlight))
-	return w.inFlight[at], at
+	at = h.random.Intn(len(h.inFlight))
+	return h.inFlight[at], at
 }
 
 var (
@@ -174,52 +174,52 @@
 	goldenProgress = []outcome.Progress{outcome.NotStarted, outcome.Connecting, outcome.Connected, outcome.RequestWritten,
 		outcome.RequestWritten, outcome.RequestWritten,
 		outcome.HeaderReceived}
-	goldenMeanings = []outcome.ResponseKind{outcome.EngineError, outcome.PrefillDone, outcome.DecodeDone, outcome.EngineRejected,
+	goldenResponseKinds = []outcome.ResponseKind{outcome.EngineError, outcome.PrefillDone, outcome.DecodeDone, outcome.EngineRejected,
 		outcome.StateMissing, outcome.InvalidRequest}
 )
 
-func (w *goldenWorld) end() string {
-	s, at := w.pick()
+func (h *goldenHarness) endAttempt() string {
+	s, at := h.drawAttempt()
 	if at >= 0 {
-		w.inFlight = append(w.inFlight[:at:at], w.inFlight[at+1:]...)
+		h.inFlight = append(h.inFlight[:at:at], h.inFlight[at+1:]...)
 	}
-	f := outcome.Evidence{Cause: goldenCauses[w.random.Intn(len(goldenCauses))],
-		Progress: goldenProgress[w.random.Intn(len(goldenProgress))]}
+	f := outcome.Evidence{Cause: goldenCauses[h.random.Intn(len(goldenCauses))],
+		Progress: goldenProgress[h.random.Intn(len(goldenProgress))]}
 	if f.Cause == outcome.ResponseComplete {
-		f.Progress, f.ResponseKind = outcome.HeaderReceived, goldenMeanings[w.random.Intn(len(goldenMeanings))]
-		if s.Stage == outcome.Prefill && w.chance(0.7) {
+		f.Progress, f.ResponseKind = outcome.HeaderReceived, goldenResponseKinds[h.random.Intn(len(goldenResponseKinds))]
+		if s.Stage == outcome.Prefill && h.chance(0.7) {
 			f.ResponseKind = outcome.PrefillDone
 		}
 		if f.ResponseKind == outcome.InvalidRequest {
-			f.Code = 400 + w.random.Intn(2)
+			f.Code = 400 + h.random.Intn(2)
 		}
-		f.CachedTokens = w.random.Intn(500)
+		f.CachedTokens = h.random.Intn(500)
 	}
 	var rep *scheduler.LoadReport
-	if w.chance(0.2) {
-		rep = &scheduler.LoadReport{Active: float64(w.random.Intn(9)), Utilization: w.random.Float64(),
+	if h.chance(0.2) {
+		rep = &scheduler.LoadReport{Active: float64(h.random.Intn(9)), Utilization: h.random.Float64(),
 			Has: scheduler.HasActive | scheduler.HasUtilization}
 	}
-	w.table.AttemptEnded(w.now, s.ID, s.Attempt, f, rep)
-	return fmt.Sprintf("ended id=%s n=%d %s report=%s", s.ID, s.Attempt, factsText(f), reportText(rep))
+	h.table.AttemptEnded(h.now, s.ID, s.Attempt, f, rep)
+	return fmt.Sprintf("ended id=%s n=%d %s report=%s", s.ID, s.Attempt, evidenceText(f), reportText(rep))
 }
 
-func (w *goldenWorld) first(id string) string {
-	s, _ := w.pick()
-	if w.chance(0.1) {
+func (h *goldenHarness) firstToken(id string) string {
+	s, _ := h.drawAttempt()
+	if h.chance(0.1) {
 		s.ID = id
 	}
-	if (s.Stage == outcome.Prefill || s.FetchState) && w.chance(0.7) {
-		return w.due(s)
+	if (s.Stage == outcome.Prefill || s.FetchState) && h.chance(0.7) {
+		return h.heldStateDue(s)
 	}
-	w.table.FirstToken(w.now, s.ID, s.Attempt)
+	h.table.FirstToken(h.now, s.ID, s.Attempt)
 	return fmt.Sprintf("first id=%s n=%d", s.ID, s.Attempt)
 }
 
-func (w *goldenWorld) action(id string) string {
+func (h *goldenHarness) applyAction(id string) string {
 	var a scheduler.Action
-	text, n, after := "", w.random.Intn(3), w.random.Float64()
-	switch w.random.Intn(10) {
+	text, n, after := "", h.random.Intn(3), h.random.Float64()
+	switch h.random.Intn(10) {
 	case 0:
 		a, text = scheduler.Reject{ID: id, RetryAfter: after, Reason: scheduler.ObjectiveUnreachable},
 			"refuse id="+id+" why=too-late after="+num(after)
@@ -232,98 +232,99 @@
 	case 6:
 		a, text = scheduler.Reserve{ID: id, Engine: "w0"}, "reserve id="+id+" engine=w0"
 	case 7:
-		a, text = scheduler.SetTimer{At: w.now, Token: 1}, "timer"
+		a, text = scheduler.SetTimer{At: h.now, Token: 1}, "timer"
 	default:
 		a, text = scheduler.Cancel{ID: id, Attempt: n}, fmt.Sprintf("cancel id=%s n=%d", id, n)
 	}
-	return fmt.Sprintf("%s known=%t", text, w.table.Apply(w.now, a))
+	return fmt.Sprintf("%s known=%t", text, h.table.Apply(h.now, a))
 }
 
-func (w *goldenWorld) members() string {
-	e := goldenEngines[w.random.Intn(len(goldenEngines))]
+func (h *goldenHarness) updateEndpoints() string {
+	e := goldenEngines[h.random.Intn(len(goldenEngines))]
 	e.State = []scheduler.EngineState{scheduler.EngineReady, scheduler.EngineReady, scheduler.EngineReady,
-		scheduler.EngineDraining, scheduler.EngineRemoved}[w.random.Intn(5)]
-	switch w.random.Intn(8) {
+		scheduler.EngineDraining, scheduler.EngineRemoved}[h.random.Intn(5)]
+	switch h.random.Intn(8) {
 	case 0:
-		return w.list(scheduler.UpdateFailed, nil)
+		return h.updateList(scheduler.UpdateFailed, nil)
 	case 1:
-		return w.list(scheduler.UpdateStale, goldenEngines[:4+w.random.Intn(3)])
+		return h.updateList(scheduler.UpdateStale, goldenEngines[:4+h.random.Intn(3)])
 	case 2, 3, 4:
-		return w.list(scheduler.UpdateComplete, goldenEngines)
+		return h.updateList(scheduler.UpdateComplete, goldenEngines)
 	}
-	return w.list(scheduler.UpdateIncremental, []scheduler.Engine{e})
+	return h.updateList(scheduler.UpdateIncremental, []scheduler.Engine{e})
 }
 
-// rare reports a fact that occurs seldom.
-func (w *goldenWorld) rare(id string) string {
-	s, _ := w.pick()
-	switch w.random.Intn(20) {
+// rareInput passes an input that occurs seldom.
+func (h *goldenHarness) rareInput(id string) string {
+	s, _ := h.drawAttempt()
+	switch h.random.Intn(20) {
 	case 0:
-		w.table.RespondToQueued(w.now)
+		h.table.RespondToQueued(h.now)
 		return "end held"
 	case 1, 2, 3:
-		w.table.CutStream(w.now, id)
+		h.table.CutStream(h.now, id)
 		return "move id=" + id
 	case 8:
-		w.table.ProbeResult(scheduler.ProbeResult{Engine: s.Engine, Status: scheduler.Completed,
+		h.table.ProbeResult(scheduler.ProbeResult{Engine: s.Engine, Status: scheduler.Completed,
 			Report: &scheduler.LoadReport{Active: 2, Has: scheduler.HasActive}})
 		return "heard engine=" + s.Engine
 	case 9:
-		w.now += 121
-		return "long wait; " + w.members()
+		h.now += 121
+		return "long wait; " + h.updateEndpoints()
 	case 10:
-		w.cfg.MaxOpenRequests, w.cfg.DrainGrace, w.cfg.ResponseSlack = 5+w.random.Intn(6), float64(w.random.Intn(4))/8,
-			float64(1+w.random.Intn(3))/20
-		w.table.Reconfigure(w.cfg)
-		return fmt.Sprintf("reconfigure open=%d grace=%s slack=%s", w.cfg.MaxOpenRequests, num(w.cfg.DrainGrace), num(w.cfg.ResponseSlack))
+		h.config.MaxOpenRequests, h.config.DrainGrace, h.config.ResponseSlack = 5+h.random.Intn(6), float64(h.random.Intn(4))/8,
+			float64(1+h.random.Intn(3))/20
+		h.table.Reconfigure(h.config)
+		return fmt.Sprintf("reconfigure open=%d grace=%s slack=%s", h.config.MaxOpenRequests, num(h.config.DrainGrace),
+			num(h.config.ResponseSlack))
 	case 11, 12, 13, 14:
-		if len(w.releases) > 0 {
-			r := w.releases[w.random.Intn(len(w.releases))]
-			return fmt.Sprintf("wanted %s: %t", releaseText(r), w.table.ReleaseAllowed(w.now, r))
+		if len(h.releases) > 0 {
+			r := h.releases[h.random.Intn(len(h.releases))]
+			return fmt.Sprintf("wanted %s: %t", releaseText(r), h.table.ReleaseAllowed(h.now, r))
 		}
 	}
-	return w.due(s)
+	return h.heldStateDue(s)
 }
 
-// due reports that held states of an attempt's request are due, and whether the attempt has left this machine.
-func (w *goldenWorld) due(s StartAttempt) string {
-	delivered := w.chance(0.5)
-	check := w.checks[s.ID]
-	w.now = max(w.now, check.At)
-	w.table.HeldStateDue(w.now, check, Deliveries{s.Attempt: delivered})
+// heldStateDue reports that held states of an attempt's request are due, and whether the attempt has left this machine.
+func (h *goldenHarness) heldStateDue(s StartAttempt) string {
+	delivered := h.chance(0.5)
+	check := h.checks[s.ID]
+	h.now = max(h.now, check.At)
+	h.table.HeldStateDue(h.now, check, Deliveries{s.Attempt: delivered})
 	return fmt.Sprintf("due id=%s n=%d delivered=%t", s.ID, s.Attempt, delivered)
 }
 
-// restart stops the table and ends every request; called again, it makes a new table.
-func (w *goldenWorld) restart() string {
-	if !w.closed {
-		w.closed = true
-		w.table.StopAccepting()
-		w.table.RespondToAll(w.now)
+// restart stops the table and ends every request; the next call creates a new table.
+func (h *goldenHarness) restart() string {
+	if !h.stopped {
+		h.stopped = true
+		h.table.StopAccepting()
+		h.table.RespondToAll(h.now)
 		return "close; end all"
 	}
-	w.closed, w.ids, w.inFlight, w.releases = false, nil, nil, nil
-	w.table = New(w.cfg, []scheduler.Kind{{Role: scheduler.Prefill}, {Role: scheduler.Decode}, {Role: scheduler.Mixed}})
-	return "new; " + w.list(scheduler.UpdateComplete, goldenEngines)
+	h.stopped, h.ids, h.inFlight, h.releases = false, nil, nil, nil
+	h.table = New(h.config, []scheduler.Kind{{Role: scheduler.Prefill}, {Role: scheduler.Decode}, {Role: scheduler.Mixed}})
+	return "new; " + h.updateList(scheduler.UpdateComplete, goldenEngines)
 }
 
-// queries returns as text what the table returns to queries, which change nothing.
-func (w *goldenWorld) queries() string {
-	s := fmt.Sprintf("ready=%t live=%d held=%d pending=%t", w.table.Ready(), w.table.OpenRequests(), w.table.Len(), w.table.HasEvents())
+// queries returns the results of the table's read-only methods as text.
+func (h *goldenHarness) queries() string {
+	s := fmt.Sprintf("ready=%t live=%d held=%d pending=%t", h.table.Ready(), h.table.OpenRequests(), h.table.Len(), h.table.HasEvents())
 	for _, e := range goldenEngines {
-		s += fmt.Sprintf(" %s:%t,%t,%s", e.ID, w.table.EngineKnown(e.ID), w.table.EngineReady(e.ID), num(w.table.DrainingSince(e.ID)))
+		s += fmt.Sprintf(" %s:%t,%t,%s", e.ID, h.table.EngineKnown(e.ID), h.table.EngineReady(e.ID), num(h.table.DrainingSince(e.ID)))
 	}
-	for _, stream := range w.table.Streams() {
+	for _, stream := range h.table.Streams() {
 		s += fmt.Sprintf(" streams:%s,%s", stream.ID, num(stream.SentAt))
 	}
-	if len(w.ids) > 0 {
-		at, ok := w.table.Deadline(w.ids[len(w.ids)-1])
+	if len(h.ids) > 0 {
+		at, ok := h.table.Deadline(h.ids[len(h.ids)-1])
 		s += fmt.Sprintf(" deadline=%s,%t", num(at), ok)
 	}
 	return s
 }
 
-// The words and texts below are the stored form: they stay as they are, whatever the code calls its things.
+// The words and texts below are the format of the golden files. They do not follow the names in the code.
 
 func num(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
 
@@ -357,7 +358,7 @@
 		outcome.ClientDisconnected: "client-left"}[c]
 }
 
-func factsText(f outcome.Evidence) string {
+func evidenceText(f outcome.Evidence) string {
 	progress := map[outcome.Progress]string{outcome.NotStarted: "unsent", outcome.Connecting: "dialling", outcome.Connected: "connected",
 		outcome.RequestWritten: "written", outcome.HeaderReceived: "headed", outcome.Streaming: "streaming"}[f.Progress]
 	meaning := map[outcome.ResponseKind]string{outcome.EngineError: "error", outcome.PrefillDone: "read",
@@ -366,7 +367,7 @@
 	return fmt.Sprintf("cause=%s progress=%s meaning=%s code=%d kept=%d", causeWord(f.Cause), progress, meaning, f.Code, f.CachedTokens)
 }
 
-func answerText(a outcome.Response) string {
+func responseText(a outcome.Response) string {
 	return fmt.Sprintf("http=%d code=%q retry=%t", a.HTTPStatus, a.Code, a.RetryIsSafe)
 }
 
@@ -378,7 +379,7 @@
 		r.Has&scheduler.HasUtilization != 0)
 }
 
-func membersText(form scheduler.UpdateForm, engines []scheduler.Engine) string {
+func endpointsText(form scheduler.UpdateForm, engines []scheduler.Engine) string {
 	s := "form=" + formWord(form)
 	for _, e := range engines {
 		s += fmt.Sprintf(" %s:%s", e.ID, stateWord(e.State))
@@ -406,15 +407,15 @@
 	case scheduler.StateReleased:
 		return "released id=" + v.ID
 	case scheduler.EndpointUpdate:
-		return "members " + membersText(v.Form, v.Engines)
+		return "members " + endpointsText(v.Form, v.Engines)
 	case scheduler.ProbeResult:
 		return fmt.Sprintf("probed engine=%s status=%s report=%s", v.Engine, statusWord(v.Status), reportText(v.Report))
 	}
 	return "unknown event"
 }
 
-// commandText writes a command; words is what it says to people alone.
-func commandText(c Command) (text, words string) {
+// commandText returns a command as text, and separately the message for people that it contains ("" = none).
+func commandText(c Command) (text, message string) {
 	switch v := c.(type) {
 	case StartAttempt:
 		return fmt.Sprintf("start id=%s engine=%s n=%d stage=%s state=%t,%d timeout=%s write-by=%s", v.ID, v.Engine, v.Attempt,
@@ -428,7 +429,7 @@
 	case ReleaseState:
 		return releaseText(v), ""
 	case Respond:
-		return fmt.Sprintf("answer id=%s %s after=%s", v.ID, answerText(v.Response), num(v.RetryAfter)), v.Reason
+		return fmt.Sprintf("answer id=%s %s after=%s", v.ID, responseText(v.Response), num(v.RetryAfter)), v.Reason
 	case PassThrough:
 		return fmt.Sprintf("pass id=%s n=%d", v.ID, v.Attempt), ""
 	case ForgetRequest:
@@ -439,12 +440,12 @@
 	return "unknown command", ""
 }
 
-// goldenTape is the text of a recording: first steps in full, then a running hash; and the same of the words meant for people, apart,
-// so that a change of wording does not hide one of a decision.
-type goldenTape struct {
-	lines, words []string
-	steps        int
-	sum, wordSum uint64
+// goldenRecording is the text of a recording: the first steps in full, then a running hash. The messages for people are recorded
+// separately, so that a change of wording does not hide a change of a decision.
+type goldenRecording struct {
+	lines, messages       []string
+	steps                 int
+	stepHash, messageHash uint64
 }
 
 func runningHash(sum uint64, line string) uint64 {
@@ -453,26 +454,26 @@
 	return h.Sum64()
 }
 
-func (g *goldenTape) step(line string, words []string, full int) {
-	g.sum = runningHash(g.sum, line)
+func (g *goldenRecording) step(line string, messages []string, full int) {
+	g.stepHash = runningHash(g.stepHash, line)
 	if g.steps < full {
 		g.lines = append(g.lines, line)
-	} else if (g.steps+1)%goldenEvery == 0 {
-		g.lines = append(g.lines, fmt.Sprintf("hash up to step %d: %016x", g.steps, g.sum))
+	} else if (g.steps+1)%goldenHashInterval == 0 {
+		g.lines = append(g.lines, fmt.Sprintf("hash up to step %d: %016x", g.steps, g.stepHash))
 	}
 	g.steps++
-	for _, w := range words {
-		if g.wordSum = runningHash(g.wordSum, w); len(g.words) < 30 {
-			g.words = append(g.words, "words: "+w)
+	for _, message := range messages {
+		if g.messageHash = runningHash(g.messageHash, message); len(g.messages) < 30 {
+			g.messages = append(g.messages, "words: "+message)
 		}
 	}
 }
 
-func (g *goldenTape) text() string {
-	return strings.Join(g.lines, "\n") + "\n" + strings.Join(g.words, "\n") + fmt.Sprintf("\nhash of all words: %016x\n", g.wordSum)
+func (g *goldenRecording) text() string {
+	return strings.Join(g.lines, "\n") + "\n" + strings.Join(g.messages, "\n") + fmt.Sprintf("\nhash of all words: %016x\n", g.messageHash)
 }
 
-// goldenCounts counts the kinds of facts, events and commands in a recording.
+// goldenCounts counts the kinds of inputs, events and commands in a recording.
 type goldenCounts map[string]int
 
 // countedFields are the fields of a text whose values are counted too.
@@ -490,35 +491,35 @@
 	}
 }
 
-// record plays a world and counts the kinds of facts, events and commands.
-func record(t *testing.T, s goldenSetting, seed int64, counts goldenCounts) string {
+// recordRun runs a harness and returns the recording. It counts the kinds of inputs, events and commands.
+func recordRun(t *testing.T, s goldenSetting, seed int64, counts goldenCounts) string {
 	t.Helper()
-	w, g, full := newGoldenWorld(s, seed), &goldenTape{}, goldenFull
-	if seed > 1 { // the first steps of one seed are enough in full
+	h, g, full := newGoldenHarness(s, seed), &goldenRecording{}, goldenFullSteps
+	if seed > 1 { // long full texts are recorded for the first seed only
 		full = 10
 	}
 	for i := range goldenSteps {
-		fact := w.fact(i)
-		counts.add("fact ", fact)
-		asked := w.queries()
-		out, words := w.drain(counts)
-		if err := w.table.Audit(); err != nil {
+		input := h.nextInput(i)
+		counts.add("input ", input)
+		queried := h.queries()
+		out, messages := h.drain(counts)
+		if err := h.table.Audit(); err != nil {
 			t.Fatal(err)
 		}
-		g.step(fmt.Sprintf("step %d at %s: %s => %s | %s", i, num(w.now), fact, strings.Join(out, "; "), asked), words, full)
+		g.step(fmt.Sprintf("step %d at %s: %s => %s | %s", i, num(h.now), input, strings.Join(out, "; "), queried), messages, full)
 	}
 	return g.text()
 }
 
-// drain drains the events and commands of a step, now and then the commands alone, and returns them as text. words are the texts
-// for people.
-func (w *goldenWorld) drain(counts goldenCounts) (out, words []string) {
+// drain drains the events and commands of a step, occasionally the commands alone, and returns them as text. messages are the
+// texts for people that the commands contain.
+func (h *goldenHarness) drain(counts goldenCounts) (out, messages []string) {
 	var events []scheduler.Event
 	var commands []Command
-	if w.chance(0.2) {
-		commands = w.table.DrainCommands() // events wait for the next step
+	if h.chance(0.2) {
+		commands = h.table.DrainCommands() // events wait for the next step
 	} else {
-		events, commands = w.table.Drain()
+		events, commands = h.table.Drain()
 	}
 	for _, event := range events {
 		text := eventText(event)
@@ -526,33 +527,33 @@
 		counts.add("event ", text)
 	}
 	for _, command := range commands {
-		text, said := commandText(command)
+		text, message := commandText(command)
 		out = append(out, text)
 		counts.add("command ", text)
-		if said != "" {
-			words = append(words, said)
+		if message != "" {
+			messages = append(messages, message)
 		}
-		w.keep(command, counts)
+		h.remember(command, counts)
 	}
-	return out, words
+	return out, messages
 }
 
-// keep remembers the attempts and releases that later facts refer to.
-func (w *goldenWorld) keep(command Command, counts goldenCounts) {
+// remember stores the attempts, checks and releases that later inputs refer to.
+func (h *goldenHarness) remember(command Command, counts goldenCounts) {
 	switch c := command.(type) {
 	case StartAttempt:
-		w.inFlight = append(w.inFlight, c)
+		h.inFlight = append(h.inFlight, c)
 	case CheckHeldState:
-		w.checks[c.ID] = c
+		h.checks[c.ID] = c
 	case ReleaseState:
-		w.releases = append(w.releases, c)
+		h.releases = append(h.releases, c)
 		if c.AtLimit {
 			counts["command release at limit"]++
 		}
 	}
 }
 
-// compareGolden compares a recording with its file, or writes the file.
+// compareGolden compares a recording with its golden file. With -update it writes the file.
 func compareGolden(t *testing.T, name string, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name+".txt")
@@ -580,29 +581,29 @@
 		}
 		if w != h {
 			t.Fatalf("%s (setting-seed), line %d differs (a hash covers the %d steps up to its own):\nwant %s\ngot  %s", name, i+1,
-				goldenEvery, w, h)
+				goldenHashInterval, w, h)
 		}
 	}
 }
 
-// The same facts lead to the same events and commands as when the golden files were recorded.
-func TestCommandsAreAsRecorded(t *testing.T) {
+// The same inputs lead to the same events and commands as in the golden files.
+func TestCommandsMatchGoldenFiles(t *testing.T) {
 	counts := goldenCounts{}
 	for _, s := range goldenSettings() {
 		for _, seed := range []int64{1, 2, 3} {
 			name := fmt.Sprintf("%s-%d", s.name, seed)
-			t.Run(name, func(t *testing.T) { compareGolden(t, name, record(t, s, seed, counts)) })
+			t.Run(name, func(t *testing.T) { compareGolden(t, name, recordRun(t, s, seed, counts)) })
 		}
 	}
-	for _, k := range []string{"fact request", "fact send", "fact ended", "fact first", "fact hangup", "fact overdue", "fact members",
-		"fact end", "fact move", "fact due", "fact heard", "fact wanted", "fact close;", "fact new;", "fact reconfigure",
-		"fact reserve", "fact refuse", "fact fail", "fact release", "fact cancel", "event request", "event outcome", "event first",
-		"event gone", "event members", "event probed", "command start", "command abort", "command grant ok=true",
-		"command grant ok=false", "event outcome status=served", "event outcome status=server-error", "event outcome status=turned-away",
-		"event outcome status=no-answer", "event outcome status=no-connection", "event outcome status=connection-lost",
-		"event outcome status=called-off", "event outcome status=not-sent", "event outcome status=parsed",
-		"command release", "command release at limit", "command check", "command answer", "command pass", "command forget",
-		"command fault"} {
+	for _, k := range []string{"input request", "input send", "input ended", "input first", "input hangup", "input overdue",
+		"input members", "input end", "input move", "input due", "input heard", "input wanted", "input close;", "input new;",
+		"input reconfigure", "input reserve", "input refuse", "input fail", "input release", "input cancel", "event request",
+		"event outcome", "event first", "event gone", "event members", "event probed", "command start", "command abort",
+		"command grant ok=true", "command grant ok=false", "event outcome status=served", "event outcome status=server-error",
+		"event outcome status=turned-away", "event outcome status=no-answer", "event outcome status=no-connection",
+		"event outcome status=connection-lost", "event outcome status=called-off", "event outcome status=not-sent",
+		"event outcome status=parsed", "command release", "command release at limit", "command check", "command answer",
+		"command pass", "command forget", "command fault"} {
 		if counts[k] == 0 {
 			t.Errorf("no recording has %q", k)
 		}
--- a/internal/decide/requesttable/heldstate.go
+++ b/internal/decide/requesttable/heldstate.go
@@ -9,63 +9,65 @@
 	"dillroute/scheduler"
 )
 
-// This file owns the limit on the time for which engines hold a state (rule 5). From the moment at which a state is held, or a release
-// is owed, a check is pending; the check releases what is due, whatever the scheduler or an attempt may still do about it. An
-// obligation that several parties could meet, and each left to another, was met by none.
+// This file enforces the limit on the time for which engines hold a state (rule 5). While a state is held, or a release is deferred, a
+// check is pending. The check releases what is due, whatever the scheduler or an attempt may still do about it. When several parts could
+// make such a release and each relied on another, the release was never made.
 //
-// A prefill in flight is not released beside, though its response may be lost and its state held: such a call takes away what the engine
-// is still at work on. It is in flight by the rule until it ends.
-
-// holdsState reports whether an engine holds a state of the request, or may hold one whose release is owed. A release that is owed for
-// what a cut prefill may yet leave, though an engine has acknowledged one, is not worth the prefill in flight that it would end.
-func (r *requestRecord) holdsState() bool {
-	cut := r.owed.cutAttempt
-	return r.state.isHeld() || r.owed.heldState != nil || cut != nil && !cut.Acknowledged
+// A prefill in flight does not start the limit, although its response may be lost and its engine may hold the state: a release call would
+// discard the state that the engine is still computing. By rule 5 the attempt is in flight until it ends.
+
+// mayHoldState reports whether an engine holds a state of the request, or may hold one whose release is deferred. The deferred release for
+// an interrupted prefill does not count once an engine has acknowledged a call: freeing the state that this prefill may still leave is not
+// worth ending another prefill that is in flight.
+func (r *requestRecord) mayHoldState() bool {
+	interrupted := r.deferred.interruptedAttempt
+	return r.state.isHeld() || r.deferred.heldState != nil || interrupted != nil && !interrupted.Acknowledged
 }
 
-// dueAt returns when the states that engines hold must be released.
-func (t *Table) dueAt(record *requestRecord, since float64) float64 {
-	attemptAt := record.hold.lastSend
+// dueAt returns when the states that engines hold must be released, if the limit began to run at limitStart.
+func (t *Table) dueAt(record *requestRecord, limitStart float64) float64 {
+	attemptAt := record.hold.lastSendAt
 	if record.inFlight == 0 {
 		attemptAt = 0
 	}
-	return staterelease.DueAt(since, t.config.StateReleaseLimit, attemptAt)
+	return staterelease.DueAt(limitStart, t.config.StateReleaseLimit, attemptAt)
 }
 
-// watchHeldState starts and ends the time of held states, and sees to it that a check is pending while there are any. It is called
-// after every change of what is held.
-func (t *Table) watchHeldState(now float64, id string, record *requestRecord) {
+// scheduleStateCheck starts or ends the hold time, and ensures that a check is pending while a state may be held. It is called after every
+// change of the held states and deferred releases.
+func (t *Table) scheduleStateCheck(now float64, id string, record *requestRecord) {
 	if t.config.StateReleaseLimit <= 0 || t.records[id] != record {
 		return
 	}
 	at := t.nextCheck(now, record)
 	if at == 0 || record.hold.checkAt > 0 && record.hold.checkAt <= at {
-		return // a pending check looks again if it comes too early
+		return // a pending check that comes too early schedules the next one
 	}
 	record.hold.checkAt = at
 	t.issue(CheckHeldState{ID: id, At: at})
 }
 
-// nextCheck returns when a check is due, and starts or ends the time of held states; 0 = none is.
+// nextCheck returns when the next check is due (0 = none is), and starts or ends the hold time.
 func (t *Table) nextCheck(now float64, record *requestRecord) float64 {
-	if !record.holdsState() {
-		record.hold.start = 0
+	if !record.mayHoldState() {
+		record.hold.heldSince = 0
 		return record.hold.repeatAt
 	}
-	if record.hold.start == 0 {
-		record.hold.start = now
+	if record.hold.heldSince == 0 {
+		record.hold.heldSince = now
 	}
-	at := max(t.dueAt(record, record.hold.since()), now+staterelease.CancelGrace)
+	at := max(t.dueAt(record, record.hold.limitStart()), now+staterelease.CancelGrace)
 	if record.hold.repeatAt > 0 {
 		at = min(at, record.hold.repeatAt)
 	}
 	return at
 }
 
-// Deliveries holds the numbers of the attempts in flight whose requests have left this machine.
+// Deliveries is the set of attempts in flight, by number, whose requests have left this machine.
 type Deliveries map[int]bool
 
-// HeldStateDue carries out a CheckHeldState.
+// HeldStateDue reports that the time of a CheckHeldState has come. It enforces the limit on states that are due, and repeats a release
+// that was made during decode attempts.
 func (t *Table) HeldStateDue(now float64, check CheckHeldState, delivered Deliveries) {
 	record := t.records[check.ID]
 	if record == nil {
@@ -74,20 +76,20 @@
 	if check.At == record.hold.checkAt {
 		record.hold.checkAt = 0
 	}
-	if record.holdsState() && now >= t.dueAt(record, record.hold.since()) {
+	if record.mayHoldState() && now >= t.dueAt(record, record.hold.limitStart()) {
 		t.enforceLimit(now, check.ID, record, delivered)
 	}
 	if repeatAt := record.hold.repeatAt; repeatAt > 0 && now >= repeatAt {
 		t.repeatRelease(now, record)
 	}
-	t.watchHeldState(now, check.ID, record)
+	t.scheduleStateCheck(now, check.ID, record)
 }
 
-// enforceLimit does what is due about held states.
+// enforceLimit takes the action that staterelease.AtLimit returns for held states that are due.
 func (t *Table) enforceLimit(now float64, id string, record *requestRecord, delivered Deliveries) {
 	switch staterelease.AtLimit(record.progress(delivered), record.state.isHeld()) {
 	case staterelease.Wait:
-		record.hold.start = now
+		record.hold.heldSince = now
 	case staterelease.Cancel:
 		t.cancelOthers(id, record, nil, outcome.CanceledByScheduler)
 	case staterelease.Release:
@@ -95,7 +97,7 @@
 	}
 }
 
-// progress returns how far the attempts in flight have come.
+// progress returns the progress of the attempt in flight that has come furthest.
 func (r *requestRecord) progress(delivered Deliveries) staterelease.Progress {
 	furthest := staterelease.NoneInFlight
 	for i := range r.attempts {
@@ -113,18 +115,18 @@
 	return furthest
 }
 
-// releaseAtLimit releases all that engines hold, and tells the scheduler, since what is released cannot be fetched any more.
+// releaseAtLimit releases all states that engines hold. The scheduler is notified, because a released state can no longer be fetched.
 func (t *Table) releaseAtLimit(id string, record *requestRecord) {
-	since := record.hold.since()
-	owed := record.owed
-	record.owed = owedReleases{}
+	limitStart := record.hold.limitStart()
+	deferred := record.deferred
+	record.deferred = deferredReleases{}
 	if record.state.isHeld() {
-		t.issueAtLimit(record, ReleaseState{ID: id, Engine: record.state.engine, Attempt: record.state.attempt, HeldSince: since})
+		t.issueAtLimit(record, ReleaseState{ID: id, Engine: record.state.engine, Attempt: record.state.attempt, HeldSince: limitStart})
 		record.state.clear()
 		t.emit(scheduler.StateReleased{ID: id})
-		return // the call frees what else is owed
+		return // the call also frees the states of the deferred releases
 	}
-	for _, release := range []*ReleaseState{owed.heldState, owed.cutAttempt} {
+	for _, release := range []*ReleaseState{deferred.heldState, deferred.interruptedAttempt} {
 		if release != nil {
 			t.issueAtLimit(record, *release)
 			return
@@ -132,81 +134,82 @@
 	}
 }
 
-// issueAtLimit issues a release at its limit, and keeps it in mind where a decode attempt in flight may wait for the state.
+// issueAtLimit issues a release at its limit, and records it if a decode attempt in flight may be waiting for the state.
 func (t *Table) issueAtLimit(record *requestRecord, release ReleaseState) {
 	release.AtLimit = true
-	release.Ended = record.ended
+	release.Ended = record.lastUnanswered
 	record.hold.repeatAt = 0
 	if record.decodeInFlight() {
-		release.Ended = EndedAttempt{} // calls follow the end of that attempt
-		record.besideAttempts = &release
+		release.Ended = EndedAttempt{} // the follow-up calls are made after the end of the decode attempt instead
+		record.releaseDuringDecode = &release
 	}
 	t.issue(release)
 }
 
-// ReleaseAcknowledged reports that a call of a release has been acknowledged. Beside an attempt that waits for the state it freed nothing;
-// the engine may lose that attempt at any moment without a word, so that the release is repeated for as long as the attempt is silent.
+// ReleaseAcknowledged reports that a call of a release has been acknowledged. If an attempt in flight is waiting for the state, the call
+// freed nothing. The engine may lose that attempt at any moment without reporting it, so the release is repeated until the attempt gets a
+// response or ends.
 func (t *Table) ReleaseAcknowledged(now float64, release ReleaseState) {
 	record := t.records[release.ID]
-	if record == nil || record.besideAttempts == nil || !release.AtLimit {
+	if record == nil || record.releaseDuringDecode == nil || !release.AtLimit {
 		return
 	}
 	record.hold.repeatAt = now + staterelease.RepeatInterval(t.config.StateReleaseLimit)
-	t.watchHeldState(now, release.ID, record)
+	t.scheduleStateCheck(now, release.ID, record)
 }
 
-// repeatRelease repeats the release that was made beside attempts in flight, unless another state is held or on its way, whose own limit
-// sees to both.
+// repeatRelease repeats the release that was made during decode attempts. It postpones the repeat if another state is held or a prefill is
+// in flight: the release at the limit of that state covers both.
 func (t *Table) repeatRelease(now float64, record *requestRecord) {
 	if record.state.isHeld() || record.prefillInFlight() {
 		record.hold.repeatAt = now + staterelease.RepeatInterval(t.config.StateReleaseLimit)
 		return
 	}
 	record.hold.repeatAt = 0
-	release := *record.besideAttempts
+	release := *record.releaseDuringDecode
 	release.Again = true
 	t.issue(release)
 }
 
-// isDue reports whether a release may not wait any longer.
+// isDue reports whether a release can no longer be deferred.
 func (t *Table) isDue(now float64, record *requestRecord, release ReleaseState) bool {
 	if release.Acknowledged || t.config.StateReleaseLimit <= 0 {
 		return false
 	}
-	return now >= t.dueAt(record, max(release.HeldSince, record.hold.lastResponse))
+	return now >= t.dueAt(record, max(release.HeldSince, record.hold.lastResponseAt))
 }
 
-// attemptsWaitFor reports whether the host holds back every attempt in flight until the call of a release has been made.
+// attemptsWaitFor reports whether the host delays every attempt in flight until the call of a release has been made.
 func (r *requestRecord) attemptsWaitFor(now float64, release ReleaseState) bool {
-	ended := staterelease.AttemptEnd{At: release.Ended.At}
-	if r.state.isHeld() || !ended.AttemptsWait(now) {
+	attemptEnd := staterelease.AttemptEnd{At: release.Ended.At}
+	if r.state.isHeld() || !attemptEnd.AttemptsWait(now) {
 		return false
 	}
-	startedBefore := func(a attempt) bool { return a.isInFlight() && a.sentAt < ended.At }
+	startedBefore := func(a attempt) bool { return a.isInFlight() && a.sentAt < attemptEnd.At }
 	return !slices.ContainsFunc(r.attempts, startedBefore)
 }
 
-// ReleaseAllowed reports whether a release call may be made that comes later than its command. If the call would free a state that
-// is needed now, and the released one is not due, it returns false and the table owes the release: it issues the command again later.
+// ReleaseAllowed reports whether a release call may be made some time after its command was issued. If the call would free a state that is
+// needed now, and the release is not due, it returns false, and the table defers the release and issues the command again later.
 func (t *Table) ReleaseAllowed(now float64, release ReleaseState) bool {
 	record := t.records[release.ID]
 	if record == nil || !t.config.ReleaseFreesAllStates || record.attemptsWaitFor(now, release) {
 		return true
 	}
-	request := permit.Release{
+	check := permit.Release{
 		AttemptsInFlight: record.inFlight,
 		StateNeeded:      record.state.isHeld(),
 		Due:              t.isDue(now, record, release),
 		Responding:       record.streamingAttempt() != nil,
 	}
-	if request.Reason() == permit.Allowed {
+	if check.Reason() == permit.Allowed {
 		return true
 	}
-	if !release.Acknowledged && (record.hold.start == 0 || release.HeldSince < record.hold.start) {
-		record.hold.start = release.HeldSince
+	if !release.Acknowledged && (record.hold.heldSince == 0 || release.HeldSince < record.hold.heldSince) {
+		record.hold.heldSince = release.HeldSince
 	}
 	release.AtLimit = false
-	t.releaseOrOwe(record, release)
-	t.watchHeldState(now, release.ID, record)
+	t.releaseOrDefer(record, release)
+	t.scheduleStateCheck(now, release.ID, record)
 	return false
 }
--- a/internal/decide/requesttable/heldstate_test.go
+++ b/internal/decide/requesttable/heldstate_test.go
@@ -10,95 +10,96 @@
 	"pgregory.net/rapid"
 )
 
-// heldStateWorld is a table with one request whose held states are checked when the table asks for it.
-type heldStateWorld struct {
-	table      *Table
-	now        float64
-	checkAt    float64 // when a check is pending; 0 = none is
-	deliveries Deliveries
-	inFlight   []StartAttempt
-	canceled   map[int]bool
-	releases   []ReleaseState
-	notices    int // scheduler.StateReleased events
+// heldStateHarness drives a table with one request, on simulated time. It calls HeldStateDue when the table has asked for it.
+type heldStateHarness struct {
+	table          *Table
+	now            float64
+	checkAt        float64 // time of the pending check; 0 = none
+	deliveries     Deliveries
+	inFlight       []StartAttempt
+	canceled       map[int]bool
+	releases       []ReleaseState
+	releasedEvents int // number of scheduler.StateReleased events
 }
 
-func newHeldStateWorld(all bool, class int) *heldStateWorld {
-	w := &heldStateWorld{table: newTableWithLimit(all), now: 1, deliveries: Deliveries{}, canceled: map[int]bool{}}
-	w.table.AddRequest(w.now, newRequest("a", class), 0)
-	w.collect()
-	return w
+func newHeldStateHarness(freesAll bool, class int) *heldStateHarness {
+	h := &heldStateHarness{table: newTableWithLimit(freesAll), now: 1, deliveries: Deliveries{}, canceled: map[int]bool{}}
+	h.table.AddRequest(h.now, newRequest("a", class), 0)
+	h.collect()
+	return h
 }
 
-// collect takes what the table has issued.
-func (w *heldStateWorld) collect() {
-	events, commands := w.table.Drain()
+// collect drains the table's events and commands and records them.
+func (h *heldStateHarness) collect() {
+	events, commands := h.table.Drain()
 	for _, event := range events {
 		if _, ok := event.(scheduler.StateReleased); ok {
-			w.notices++
+			h.releasedEvents++
 		}
 	}
 	for _, command := range commands {
 		switch c := command.(type) {
 		case StartAttempt:
-			w.inFlight = append(w.inFlight, c)
+			h.inFlight = append(h.inFlight, c)
 		case CancelAttempt:
-			w.canceled[c.Attempt] = true
+			h.canceled[c.Attempt] = true
 		case ReleaseState:
-			w.releases = append(w.releases, c)
+			h.releases = append(h.releases, c)
 		case CheckHeldState:
-			if w.checkAt == 0 || c.At < w.checkAt {
-				w.checkAt = c.At // a later one that is pending is left out, as one that the table need not have
+			if h.checkAt == 0 || c.At < h.checkAt {
+				h.checkAt = c.At // a later pending check is dropped: the table must not depend on it
 			}
 		}
 	}
 }
 
-// passTo lets the time pass, with the checks that come due.
-func (w *heldStateWorld) passTo(until float64) {
-	for w.checkAt > 0 && w.checkAt <= until {
-		check := CheckHeldState{ID: "a", At: w.checkAt}
-		w.now = max(w.now, w.checkAt)
-		w.checkAt = 0
-		w.table.HeldStateDue(w.now, check, w.deliveries)
-		w.collect()
+// advanceTo advances the time and makes the checks that become due.
+func (h *heldStateHarness) advanceTo(until float64) {
+	for h.checkAt > 0 && h.checkAt <= until {
+		check := CheckHeldState{ID: "a", At: h.checkAt}
+		h.now = max(h.now, h.checkAt)
+		h.checkAt = 0
+		h.table.HeldStateDue(h.now, check, h.deliveries)
+		h.collect()
 	}
-	w.now = until
+	h.now = until
 }
 
-func (w *heldStateWorld) send(engine string, delivered bool) int {
-	w.table.Apply(w.now, scheduler.Send{ID: "a", Engine: engine})
-	w.collect()
-	if len(w.inFlight) == 0 {
+func (h *heldStateHarness) send(engine string, delivered bool) int {
+	h.table.Apply(h.now, scheduler.Send{ID: "a", Engine: engine})
+	h.collect()
+	if len(h.inFlight) == 0 {
 		return -1
 	}
-	n := w.inFlight[len(w.inFlight)-1].Attempt
-	w.deliveries[n] = delivered
+	n := h.inFlight[len(h.inFlight)-1].Attempt
+	h.deliveries[n] = delivered
 	return n
 }
 
-func (w *heldStateWorld) end(n int, evidence outcome.Evidence) {
-	for i, start := range w.inFlight {
+func (h *heldStateHarness) end(n int, evidence outcome.Evidence) {
+	for i, start := range h.inFlight {
 		if start.Attempt == n {
-			w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
-			w.table.AttemptEnded(w.now, "a", n, evidence, nil)
-			w.collect()
+			h.inFlight = append(h.inFlight[:i:i], h.inFlight[i+1:]...)
+			h.table.AttemptEnded(h.now, "a", n, evidence, nil)
+			h.collect()
 			return
 		}
 	}
 }
 
-// Every row of what may stand behind a state has an owner at its limit: whatever the effect of the class, whether the attempt that is to
-// fetch it was delivered, how many attempts are left, whether another prefill is in flight, whether the first release call was answered,
-// and whether the canceled attempt ends. The scheduler does nothing here at all.
-func TestHeldStateIsReleasedAtItsLimitWhateverStandsBehindIt(t *testing.T) {
-	for _, all := range []bool{true, false} {
+// Guards against states that stay held because the table relies on the scheduler or on an attempt. The table alone releases a state at
+// its limit, whatever the effect of the class, whether or not the attempt that is to fetch the state was delivered, however many attempts
+// are left, and whether or not another prefill is in flight, the first release call was acknowledged, or the canceled attempt ends. The
+// scheduler takes no action here.
+func TestTableReleasesHeldStateAtItsLimitByItself(t *testing.T) {
+	for _, freesAll := range []bool{true, false} {
 		for class := range classes() {
 			for _, attempt := range []string{"none", "not delivered", "not delivered, does not end", "silent", "silent twice"} {
 				for _, prefills := range []int{1, 2} {
 					for _, secondPrefill := range []bool{false, true} {
-						name := fmt.Sprintf("all %v, class %d, attempt %s, %d prefills, one in flight %v",
-							all, class, attempt, prefills, secondPrefill)
-						requireReleaseAtLimit(t, name, all, class, attempt, prefills, secondPrefill)
+						name := fmt.Sprintf("one call frees all %v, class %d, attempt %s, %d prefills, another in flight %v",
+							freesAll, class, attempt, prefills, secondPrefill)
+						requireReleaseAtLimit(t, name, freesAll, class, attempt, prefills, secondPrefill)
 					}
 				}
 			}
@@ -106,191 +107,194 @@
 	}
 }
 
-func requireReleaseAtLimit(t *testing.T, name string, all bool, class int, attempt string, prefills int, secondPrefill bool) {
+func requireReleaseAtLimit(t *testing.T, name string, freesAll bool, class int, attempt string, prefills int, secondPrefill bool) {
 	t.Helper()
-	w := newHeldStateWorld(all, class)
+	h := newHeldStateHarness(freesAll, class)
 	for range prefills {
-		w.end(w.send("r0", true), prefillDone)
+		h.end(h.send("r0", true), prefillDone)
 	}
-	heldSince := w.now
-	w.releases = nil
-	w.passTo(heldSince + 0.1)
+	heldSince := h.now
+	h.releases = nil
+	h.advanceTo(heldSince + 0.1)
 	switch attempt {
 	case "not delivered", "not delivered, does not end":
-		w.send("w0", false)
+		h.send("w0", false)
 	case "silent":
-		w.send("w0", true)
+		h.send("w0", true)
 	case "silent twice":
-		n := w.send("w0", true)
-		w.passTo(heldSince + 0.3)
-		w.end(n, writtenCancel)
-		w.send("w0", true)
+		n := h.send("w0", true)
+		h.advanceTo(heldSince + 0.3)
+		h.end(n, writtenCancel)
+		h.send("w0", true)
 	}
 	if secondPrefill {
-		w.send("r1", true)
+		h.send("r1", true)
 	}
-	w.passTo(heldSince + releaseLimit)
-	if attempt == "not delivered" && len(w.canceled) > 0 { // it ends, as far as the table has canceled it
-		w.end(w.inFlight[0].Attempt, unsentBroken)
+	h.advanceTo(heldSince + releaseLimit)
+	if attempt == "not delivered" && len(h.canceled) > 0 { // the attempt ends if the table has canceled it
+		h.end(h.inFlight[0].Attempt, unsentBroken)
 	}
-	w.passTo(heldSince + releaseLimit + 0.05)
-	if len(w.releases) == 0 {
-		t.Errorf("%s: the state is held for %.2f s", name, w.now-heldSince)
+	h.advanceTo(heldSince + releaseLimit + 0.05)
+	if len(h.releases) == 0 {
+		t.Errorf("%s: the state is held for %.2f s", name, h.now-heldSince)
 		return
 	}
-	if w.notices != 1 {
-		t.Errorf("%s: the scheduler was notified %d times, want once", name, w.notices)
+	if h.releasedEvents != 1 {
+		t.Errorf("%s: the scheduler was notified %d times, want once", name, h.releasedEvents)
 	}
-	first := w.releases[0]
+	first := h.releases[0]
 	if first.Engine != "r0" || !first.AtLimit || first.HeldSince != heldSince {
 		t.Errorf("%s: got %+v, want the state at r0, held since %g", name, first, heldSince)
 	}
-	if !w.table.ReleaseAllowed(w.now, first) { // its call was not answered
+	if !h.table.ReleaseAllowed(h.now, first) { // its first call was not acknowledged
 		t.Errorf("%s: a second call is not allowed", name)
 	}
 }
 
-// An attempt whose response streams has fetched the state; a call that comes later would free what it uses.
-func TestNothingIsReleasedDuringAResponse(t *testing.T) {
-	w := newHeldStateWorld(true, idempotent)
-	w.end(w.send("r0", true), prefillDone)
-	n := w.send("w0", true)
-	w.passTo(w.now + 0.95)
-	w.releases = []ReleaseState{{ID: "a", Engine: "r0", HeldSince: 1, AtLimit: true}}
-	w.table.FirstToken(w.now, "a", n)
-	w.collect()
-	if w.table.ReleaseAllowed(w.now, w.releases[0]) {
-		t.Error("a call is allowed though the response streams")
+// An attempt whose response streams has fetched the state. A release call made during the stream would free what the attempt uses.
+func TestNoReleaseWhileResponseStreams(t *testing.T) {
+	h := newHeldStateHarness(true, idempotent)
+	h.end(h.send("r0", true), prefillDone)
+	n := h.send("w0", true)
+	h.advanceTo(h.now + 0.95)
+	h.releases = []ReleaseState{{ID: "a", Engine: "r0", HeldSince: 1, AtLimit: true}}
+	h.table.FirstToken(h.now, "a", n)
+	h.collect()
+	if h.table.ReleaseAllowed(h.now, h.releases[0]) {
+		t.Error("a call is allowed while the response streams")
 	}
-	w.collect()
-	w.passTo(w.now + 5)
-	if len(w.releases) != 1 {
-		t.Errorf("got %+v while the response streams, want none", w.releases[1:])
+	h.collect()
+	h.advanceTo(h.now + 5)
+	if len(h.releases) != 1 {
+		t.Errorf("got %+v while the response streams, want none", h.releases[1:])
 	}
-	w.end(n, outcome.Evidence{Progress: outcome.Streaming, Cause: outcome.ResponseComplete, ResponseKind: outcome.DecodeDone})
-	if len(w.releases) != 2 {
-		t.Errorf("got %+v after the response, want the release that was owed", w.releases[1:])
+	h.end(n, outcome.Evidence{Progress: outcome.Streaming, Cause: outcome.ResponseComplete, ResponseKind: outcome.DecodeDone})
+	if len(h.releases) != 2 {
+		t.Errorf("got %+v after the response, want the deferred release", h.releases[1:])
 	}
 }
 
-// A release after a cut prefill does not end the prefill in flight, once a call has been acknowledged; before, it does at its limit.
-func TestReleaseAfterCutPrefillSparesThePrefillInFlight(t *testing.T) {
+// The release after an interrupted prefill does not end another prefill in flight once a call has been acknowledged. If none has, it does
+// at its limit.
+func TestAcknowledgedReleaseDoesNotEndPrefillInFlight(t *testing.T) {
 	for _, acknowledged := range []bool{true, false} {
-		w := newHeldStateWorld(true, idempotent)
-		w.end(w.send("r0", true), writtenCancel)
-		if len(w.releases) != 1 || w.releases[0].AttemptCutAt == 0 {
-			t.Fatalf("got %+v, want one release of what was cut", w.releases)
+		h := newHeldStateHarness(true, idempotent)
+		h.end(h.send("r0", true), writtenCancel)
+		if len(h.releases) != 1 || h.releases[0].AttemptCutAt == 0 {
+			t.Fatalf("got %+v, want one release for the interrupted attempt", h.releases)
 		}
-		release := w.releases[0]
+		release := h.releases[0]
 		release.Acknowledged = acknowledged
-		n := w.send("r1", true)
-		w.passTo(w.now + attemptsBegunAfter)
-		if w.table.ReleaseAllowed(w.now, release) {
-			t.Errorf("acknowledged %v: a call is allowed beside the prefill", acknowledged)
+		n := h.send("r1", true)
+		h.advanceTo(h.now + attemptsBegunAfter)
+		if h.table.ReleaseAllowed(h.now, release) {
+			t.Errorf("acknowledged %v: a call is allowed during the prefill", acknowledged)
 		}
-		w.collect()
-		w.passTo(w.now + 3)
-		if atLimit := len(w.releases) - 1; (atLimit > 0) == acknowledged {
-			t.Errorf("acknowledged %v: %d releases beside the prefill", acknowledged, atLimit)
+		h.collect()
+		h.advanceTo(h.now + 3)
+		if atLimit := len(h.releases) - 1; (atLimit > 0) == acknowledged {
+			t.Errorf("acknowledged %v: got %d releases during the prefill", acknowledged, atLimit)
 		}
-		releases := len(w.releases)
-		w.end(n, writtenCancel)
-		if len(w.releases) == releases {
+		releases := len(h.releases)
+		h.end(n, writtenCancel)
+		if len(h.releases) == releases {
 			t.Errorf("acknowledged %v: nothing is released after the prefill", acknowledged)
 		}
 	}
 }
 
-// A release that is owed does not cancel an attempt that has not left this machine: the attempt needs nothing of what is released.
-func TestOwedReleaseSparesAttemptsOnTheirWay(t *testing.T) {
-	w := newHeldStateWorld(true, idempotent)
-	w.end(w.send("r0", true), writtenCancel)
-	w.send("w0", false)
-	w.passTo(w.now + attemptsBegunAfter)
-	w.table.ReleaseAllowed(w.now, w.releases[0]) // no call was acknowledged: it is owed
-	w.collect()
-	w.passTo(w.now + releaseLimit + 0.05)
-	if len(w.releases) != 2 || len(w.canceled) > 0 {
-		t.Errorf("got %+v, canceled %v, want one more release and nothing canceled", w.releases, w.canceled)
+// A deferred release does not cancel an attempt that has not left this machine: the attempt does not need the released state.
+func TestDeferredReleaseDoesNotCancelUndeliveredAttempt(t *testing.T) {
+	h := newHeldStateHarness(true, idempotent)
+	h.end(h.send("r0", true), writtenCancel)
+	h.send("w0", false)
+	h.advanceTo(h.now + attemptsBegunAfter)
+	h.table.ReleaseAllowed(h.now, h.releases[0]) // no call was acknowledged, so the release is deferred
+	h.collect()
+	h.advanceTo(h.now + releaseLimit + 0.05)
+	if len(h.releases) != 2 || len(h.canceled) > 0 {
+		t.Errorf("got %+v, canceled %v, want one more release and nothing canceled", h.releases, h.canceled)
 	}
 }
 
-// Only a response restarts the time of a state: a connection that breaks after the request was written shows no arrival.
-func TestTimeOfHeldStateRestartsAtResponsesAlone(t *testing.T) {
+// Only a response restarts the hold time of a state: a connection that breaks after the request was written does not prove that the request
+// arrived.
+func TestOnlyResponsesRestartHoldTime(t *testing.T) {
 	for _, c := range []struct {
 		evidence outcome.Evidence
 		want     float64
 	}{
 		{unsentBroken, 1}, {writtenBroken, 1}, {writtenTimeout, 1}, {writtenCancel, 1}, {engineRejected, 1.5}, {engineError, 1.5},
 	} {
-		w := newHeldStateWorld(true, idempotent)
-		w.end(w.send("r0", true), prefillDone)
-		n := w.send("w0", true)
-		w.passTo(1.5)
-		w.end(n, c.evidence)
-		w.passTo(5)
-		if len(w.releases) != 1 || w.releases[0].HeldSince != c.want {
-			t.Errorf("after %+v: got %+v, want one release of a state held since %g", c.evidence, w.releases, c.want)
+		h := newHeldStateHarness(true, idempotent)
+		h.end(h.send("r0", true), prefillDone)
+		n := h.send("w0", true)
+		h.advanceTo(1.5)
+		h.end(n, c.evidence)
+		h.advanceTo(5)
+		if len(h.releases) != 1 || h.releases[0].HeldSince != c.want {
+			t.Errorf("after %+v: got %+v, want one release of a state held since %g", c.evidence, h.releases, c.want)
 		}
 	}
 }
 
-// A decode engine that finds no state may have lost it itself: the prefill engine's is released, for either kind of release call.
-func TestStateThatADecodeEngineDoesNotFindIsReleased(t *testing.T) {
-	for _, all := range []bool{true, false} {
-		w := newHeldStateWorld(all, idempotent)
-		w.end(w.send("r0", true), prefillDone)
-		w.end(w.send("w0", true), complete(outcome.StateMissing))
-		if len(w.releases) != 1 || w.releases[0].Engine != "r0" {
-			t.Errorf("one call frees all %v: got %+v, want one release at r0", all, w.releases)
+// A decode engine that finds no state may have lost it itself, so the state at the prefill engine is released, with either kind of release
+// call.
+func TestStateNotFoundByDecodeEngineIsReleased(t *testing.T) {
+	for _, freesAll := range []bool{true, false} {
+		h := newHeldStateHarness(freesAll, idempotent)
+		h.end(h.send("r0", true), prefillDone)
+		h.end(h.send("w0", true), complete(outcome.StateMissing))
+		if len(h.releases) != 1 || h.releases[0].Engine != "r0" {
+			t.Errorf("one call frees all %v: got %+v, want one release at r0", freesAll, h.releases)
 		}
 	}
 }
 
-// Over all courses of a request with a scheduler that does anything: no state is held beyond its limit by an attempt that has not
-// responded, with what checks take.
-func TestNoStateOutlivesItsLimit(t *testing.T) {
+// Property test over random histories of a request with a scheduler that may do anything: no state is held beyond its limit, plus the time
+// that checks take, unless a response streams.
+func TestNoStateIsHeldBeyondItsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newHeldStateWorld(rapid.Bool().Draw(t, "one call frees all"), rapid.IntRange(0, 3).Draw(t, "class"))
+		h := newHeldStateHarness(rapid.Bool().Draw(t, "one call frees all"), rapid.IntRange(0, 3).Draw(t, "class"))
 		const checkTime = 0.1
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
-			w.passTo(w.now + rapid.Float64Range(0, 0.7).Draw(t, "seconds"))
-			record := w.table.records["a"]
+			h.advanceTo(h.now + rapid.Float64Range(0, 0.7).Draw(t, "seconds"))
+			record := h.table.records["a"]
 			if record == nil {
 				return
 			}
-			if record.holdsState() && record.streamingAttempt() == nil && w.now > record.hold.since()+releaseLimit+checkTime {
-				t.Fatalf("held since %g, now %g: %+v", record.hold.since(), w.now, record.state)
+			if record.mayHoldState() && record.streamingAttempt() == nil && h.now > record.hold.limitStart()+releaseLimit+checkTime {
+				t.Fatalf("held since %g, now %g: %+v", record.hold.limitStart(), h.now, record.state)
 			}
-			if record.holdsState() && w.checkAt == 0 {
+			if record.mayHoldState() && h.checkAt == 0 {
 				t.Fatal("a state may be held and no check is pending")
 			}
-			w.randomStep(t)
+			h.randomStep(t)
 		}
 	})
 }
 
-// randomStep does one thing.
-func (w *heldStateWorld) randomStep(t *rapid.T) {
+// randomStep performs one random operation.
+func (h *heldStateHarness) randomStep(t *rapid.T) {
 	switch rapid.IntRange(0, 5).Draw(t, "step") {
 	case 0, 1:
 		engine := rapid.SampledFrom([]string{"r0", "r1", "w0", "w1"}).Draw(t, "engine")
 		delivery := rapid.Bool().Draw(t, "delivered")
-		w.send(engine, delivery)
+		h.send(engine, delivery)
 	case 2, 3:
-		if len(w.inFlight) == 0 {
+		if len(h.inFlight) == 0 {
 			return
 		}
-		start := rapid.SampledFrom(w.inFlight).Draw(t, "attempt")
+		start := rapid.SampledFrom(h.inFlight).Draw(t, "attempt")
 		evidence := rapid.SampledFrom([]outcome.Evidence{prefillDone, unsentBroken, writtenBroken, writtenTimeout, writtenCancel,
 			engineRejected, engineError, complete(outcome.StateMissing)}).Draw(t, "evidence")
-		w.end(start.Attempt, evidence)
+		h.end(start.Attempt, evidence)
 	case 4:
-		w.table.Apply(w.now, scheduler.Release{ID: "a"})
+		h.table.Apply(h.now, scheduler.Release{ID: "a"})
 	case 5:
-		if len(w.releases) > 0 {
-			w.table.ReleaseAllowed(w.now, rapid.SampledFrom(w.releases).Draw(t, "release"))
+		if len(h.releases) > 0 {
+			h.table.ReleaseAllowed(h.now, rapid.SampledFrom(h.releases).Draw(t, "release"))
 		}
 	}
-	w.collect()
+	h.collect()
 }
--- a/internal/decide/requesttable/helpers_test.go
+++ b/internal/decide/requesttable/helpers_test.go
@@ -51,7 +51,7 @@
 	return table
 }
 
-// newTableReleasingAll returns a table for engines of which one release call frees every state of a request.
+// newTableReleasingAll returns a table where one release call frees every state of a request.
 func newTableReleasingAll() *Table {
 	table := newTable()
 	config := table.config
@@ -60,18 +60,18 @@
 	return table
 }
 
-// attemptsBegunAfter is a time after which attempts wait for no release any more (s).
+// attemptsBegunAfter is a time after which an attempt no longer waits for a release call (s).
 const attemptsBegunAfter = 0.05
 
-// releaseLimit is for how long newTableWithLimit lets a state be held (s).
+// releaseLimit is the limit on held states of newTableWithLimit (s).
 const releaseLimit = 1.0
 
-// newTableWithLimit returns a table that limits the time of held states; all says that one release call frees every state.
-func newTableWithLimit(all bool) *Table {
+// newTableWithLimit returns a table with a limit on held states; freesAll sets ReleaseFreesAllStates.
+func newTableWithLimit(freesAll bool) *Table {
 	table := newTable()
 	config := table.config
 	config.StateReleaseLimit = releaseLimit
-	config.ReleaseFreesAllStates = all
+	config.ReleaseFreesAllStates = freesAll
 	table.Reconfigure(config)
 	return table
 }
--- a/internal/decide/requesttable/record.go
+++ b/internal/decide/requesttable/record.go
@@ -10,29 +10,29 @@
 // requestRecord is one request, from AddRequest until it has ended and no attempt is in flight.
 type requestRecord struct {
 	class           *scheduler.Class
-	deadline        float64 // when the client gives up waiting for the response to begin
+	deadline        float64 // when the client stops waiting for the response to begin
 	wholeResponseBy float64 // when a response that is not streamed must be complete; 0 = the response is streamed
 	response        responseState
 
 	attempts []attempt // those that were started, in the order of their numbers
-	sends    int       // scheduler.Send actions so far, those included that were not allowed
+	sends    int       // scheduler.Send actions so far, including those that were not allowed
 	inFlight int       // attempts that have not ended
 
-	evidence attemptEvidence
-	effect   *possibleEffect // nil = no attempt that has ended may have run
-	state    heldState
-	hold     holdTime
-	owed     owedReleases
-	ended    EndedAttempt // the latest one before the response began
+	evidence       attemptEvidence
+	effect         *possibleEffect // nil = none of the ended attempts may have run
+	state          heldState
+	hold           holdTime
+	deferred       deferredReleases
+	lastUnanswered EndedAttempt // the latest attempt that ended without a response; zero once a response has begun
 
-	// besideAttempts is the release that was made at the limit beside decode attempts in flight, which may have freed nothing; nil = none
-	// was, or none of them is in flight any more.
-	besideAttempts *ReleaseState
+	// releaseDuringDecode is the release that was made at the limit while decode attempts were in flight, and that may therefore have freed
+	// nothing. nil = there was none, or none of these attempts is in flight any more.
+	releaseDuringDecode *ReleaseState
 
-	pendingResponse *Respond // final response that is given once the streaming attempt has ended; nil = none
+	pendingResponse *Respond // final response to issue once the streaming attempt has ended; nil = none
 }
 
-// responseState is how far the response of a request has come.
+// responseState is the state of the response to a request.
 type responseState int
 
 // States of a response.
@@ -65,7 +65,7 @@
 
 // attempt is one attempt of a request.
 type attempt struct {
-	number       int // among the scheduler's sends of this request
+	number       int // position among the scheduler.Send actions for this request, from 0
 	engine       string
 	stage        outcome.Stage
 	sentAt       float64
@@ -74,13 +74,13 @@
 	stateAttempt int // number of the attempt whose state this one fetches
 }
 
-// attemptState is where an attempt stands.
+// attemptState is the state of an attempt.
 type attemptState int
 
 // States of an attempt.
 const (
-	attemptRunning         attemptState = iota // no token has come
-	attemptCanceling                           // canceled before a token came; its end has not been reported
+	attemptRunning         attemptState = iota // no token has been received
+	attemptCanceling                           // canceled before the first token; its end has not been reported
 	attemptStreaming                           // its response is passed to the client
 	attemptCancelingStream                     // canceled while streaming; its end has not been reported
 	attemptEnded
@@ -94,7 +94,7 @@
 	return a.state == attemptCanceling || a.state == attemptCancelingStream
 }
 
-// markCanceling notes the cancellation of an attempt in flight.
+// markCanceling records the cancellation of an attempt in flight.
 func (a *attempt) markCanceling() {
 	if a.isStreaming() {
 		a.state = attemptCancelingStream
@@ -108,12 +108,12 @@
 	return a.fetchesState && a.stateAttempt == state.attempt
 }
 
-// attemptEvidence is what the attempts that have ended prove together.
+// attemptEvidence summarizes what the ended attempts of a request prove.
 type attemptEvidence struct {
 	outcomeUnknown     bool // an attempt was written completely and ended without a response
-	notRunUnproven     bool // the bytes of an attempt do not prove that it has not run
+	notRunUnproven     bool // for one attempt, the bytes exchanged do not prove that it has not run
 	unsentAttempts     int  // attempts that ended before their request was written
-	invalidRequestCode int  // code by which one engine has called the request invalid; 0 = none has
+	invalidRequestCode int  // code with which one engine has reported the request as invalid; 0 = none has
 }
 
 // possibleEffect is the first attempt that has ended and may have run.
@@ -122,8 +122,8 @@
 	sentAt float64
 }
 
-// heldState is the state that a prefill left at its engine. The number of the attempt is kept after the state is gone:
-// it identifies the latest state.
+// heldState is the state that a prefill left at its engine. The attempt number stays set after the state is gone, because it
+// identifies the latest state.
 type heldState struct {
 	engine  string // "" = no state is held
 	attempt int    // number of the prefill attempt that made the latest state
@@ -132,27 +132,27 @@
 func (s *heldState) isHeld() bool { return s.engine != "" }
 func (s *heldState) clear()       { s.engine = "" }
 
-// holdTime is what the limit on the time of held states (rule 5) runs from; see heldstate.go.
+// holdTime holds the times from which the limit on held states (rule 5) is computed; see heldstate.go.
 type holdTime struct {
-	start        float64 // since when engines hold, or may hold, a state without a break; 0 = they hold none
-	lastResponse float64 // when an engine last responded to an attempt of the request
-	lastSend     float64 // when the latest attempt was started
-	checkAt      float64 // time of the next CheckHeldState that has been issued; 0 = none is pending
-	repeatAt     float64 // when the release beside attempts is made again; 0 = its call has not been acknowledged, or there is none
+	heldSince      float64 // since when engines have held, or may have held, states without interruption; 0 = no state is held
+	lastResponseAt float64 // when an engine last responded to an attempt of the request
+	lastSendAt     float64 // when the latest attempt was started
+	checkAt        float64 // time of the next CheckHeldState that has been issued; 0 = none is pending
+	repeatAt       float64 // when releaseDuringDecode is repeated; 0 = its call has not been acknowledged, or there is none
 }
 
-// since returns when the limit began to run. Only a response shows that an attempt has reached a running engine and has stopped
-// the limit meanwhile: a written attempt that ended without one may have reached none.
-func (h *holdTime) since() float64 { return max(h.start, h.lastResponse) }
+// limitStart returns when the limit began to run. Only a response proves that an attempt reached a running engine, which suspends
+// the limit until that response. An attempt that was written and ended without a response may have reached no engine.
+func (h *holdTime) limitStart() float64 { return max(h.heldSince, h.lastResponseAt) }
 
-// owedReleases are the releases that wait until no attempt is in flight and no state is needed
-// (Config.ReleaseFreesAllStates); nil = none is owed.
-type owedReleases struct {
-	heldState  *ReleaseState // of a state that an engine holds
-	cutAttempt *ReleaseState // of what an attempt that was cut may have left
+// deferredReleases are the releases that wait until no attempt is in flight and no state is needed
+// (Config.ReleaseFreesAllStates); nil = none is deferred.
+type deferredReleases struct {
+	heldState          *ReleaseState // of a state that an engine holds
+	interruptedAttempt *ReleaseState // of the state that an interrupted attempt may have left
 }
 
-// attempt returns the attempt of a number, or nil if it was never started.
+// attempt returns the attempt with a number, or nil if it was never started.
 func (r *requestRecord) attempt(number int) *attempt {
 	for i := range r.attempts {
 		if r.attempts[i].number == number {
@@ -171,9 +171,9 @@
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.isInFlight() && a.stage == stage })
 }
 
-// releasesAreSettled notes that no attempt in flight may hold back a release that was made.
-func (r *requestRecord) releasesAreSettled() {
-	r.besideAttempts = nil
+// clearReleaseDuringDecode records that no attempt in flight can keep an earlier release from freeing its state.
+func (r *requestRecord) clearReleaseDuringDecode() {
+	r.releaseDuringDecode = nil
 	r.hold.repeatAt = 0
 }
 
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// possibleEffect returns the first attempt that has run or may run yet, or nil.
+// possibleEffect returns the first attempt that may have run or may still run, or nil.
 func (r *requestRecord) possibleEffect() *possibleEffect {
 	if r.effect != nil {
 		return r.effect
@@ -201,8 +201,8 @@
 }
 
 // provenNotRun reports whether the bytes of every attempt prove that it has not run: it has ended, and either its request was
-// not written completely or its engine responded that it did not run. That a prefill has no effect is no such proof: it
-// rests on which engine was reached at the address, and an engine that did not respond cannot tell.
+// not written completely or its engine responded that it did not run. That a prefill has no effect is no such proof: this
+// depends on which engine was reached at the address, and an engine that did not respond has not confirmed which one it is.
 func (r *requestRecord) provenNotRun() bool {
 	return r.effect == nil && !r.evidence.notRunUnproven && r.inFlight == 0
 }
--- a/internal/decide/requesttable/releases.go
+++ b/internal/decide/requesttable/releases.go
@@ -6,7 +6,7 @@
 	"dillroute/scheduler"
 )
 
-// recordState updates the held state after the end of an attempt and releases what no attempt will fetch.
+// recordState updates the held state after the end of an attempt and releases states that no attempt will fetch.
 func (t *Table) recordState(now float64, id string, record *requestRecord, a *attempt, class outcome.Classification) {
 	switch {
 	case class.Status == scheduler.Prefilled:
@@ -15,7 +15,7 @@
 		}
 		record.state = heldState{engine: a.engine, attempt: a.number}
 	case class.MayHoldState, t.mayHoldOwnPrefill(a, class):
-		t.releaseOrOwe(record, ReleaseState{
+		t.releaseOrDefer(record, ReleaseState{
 			ID:           id,
 			Engine:       a.engine,
 			Attempt:      a.number,
@@ -23,7 +23,7 @@
 			Ended:        EndedAttempt{Engine: a.engine, At: now},
 		})
 	case record.state.isHeld() && a.fetches(record.state) && stateIsGone(class):
-		// The decode engine found no state, but the prefill engine may still hold it: it may be the decode engine that has lost it.
+		// If the decode engine found no state, it may have lost it itself, so the prefill engine may still hold the state.
 		if class.Status == scheduler.Rejected {
 			t.releaseHeldState(id, record)
 		}
@@ -31,12 +31,13 @@
 	}
 }
 
-// mayHoldOwnPrefill reports whether an engine may keep the state of a prefill that it computed itself in a decode attempt.
+// mayHoldOwnPrefill reports whether an engine may still hold the state of a prefill that it computed itself in a decode attempt.
 func (t *Table) mayHoldOwnPrefill(a *attempt, class outcome.Classification) bool {
 	return t.config.ReleaseFreesAllStates && !a.fetchesState && class.MayHaveRun && class.Status != scheduler.Completed
 }
 
-// stateIsGone reports whether the end of an attempt that was to fetch a state shows that the state is no longer held.
+// stateIsGone reports whether the end of an attempt that was to fetch a state shows that no other attempt can fetch it: either the
+// attempt completed, or its engine found no state.
 func stateIsGone(class outcome.Classification) bool {
 	if class.Status == scheduler.Rejected {
 		return class.Info == outcome.InfoStateMissing
@@ -57,52 +58,52 @@
 	}
 	t.releaseHeldState(id, record)
 	record.state.clear()
-	t.issueOwedReleases(record)
+	t.issueDeferredReleases(record)
 	t.forgetIfDone(id, record)
-	t.watchHeldState(now, id, record)
+	t.scheduleStateCheck(now, id, record)
 }
 
 // releaseHeldState releases the state that the record holds; the caller clears it from the record.
 func (t *Table) releaseHeldState(id string, record *requestRecord) {
-	t.releaseOrOwe(record, ReleaseState{ID: id, Engine: record.state.engine, Attempt: record.state.attempt})
+	t.releaseOrDefer(record, ReleaseState{ID: id, Engine: record.state.engine, Attempt: record.state.attempt})
 }
 
-// releaseOrOwe issues a release at once. Where one release call frees every state of the request, it is owed until no
-// attempt is in flight and no state is needed.
-func (t *Table) releaseOrOwe(record *requestRecord, release ReleaseState) {
+// releaseOrDefer issues a release at once. If one release call frees every state of the request, it defers the release until
+// no attempt is in flight and no state is needed.
+func (t *Table) releaseOrDefer(record *requestRecord, release ReleaseState) {
 	if release.HeldSince == 0 {
-		release.HeldSince = max(record.hold.since(), release.AttemptCutAt)
+		release.HeldSince = max(record.hold.limitStart(), release.AttemptCutAt)
 	}
-	if release.Ended.At < record.ended.At {
-		release.Ended = record.ended
+	if release.Ended.At < record.lastUnanswered.At {
+		release.Ended = record.lastUnanswered
 	}
 	switch {
 	case !t.config.ReleaseFreesAllStates:
 		t.issue(release)
 	case release.AttemptCutAt > 0 || release.Acknowledged:
-		if earlier := record.owed.cutAttempt; earlier != nil && !earlier.Acknowledged {
+		if earlier := record.deferred.interruptedAttempt; earlier != nil && !earlier.Acknowledged {
 			release.Acknowledged = false
 		}
-		record.owed.cutAttempt = &release
+		record.deferred.interruptedAttempt = &release
 	default:
-		record.owed.heldState = &release
+		record.deferred.heldState = &release
 	}
 }
 
-// releaseAgain makes a release anew that was made beside a decode attempt which has ended now: while its engine let it wait for the
-// state, the call freed nothing, whatever the response to it was.
-func (t *Table) releaseAgain(now float64, record *requestRecord, ended *attempt) {
-	if record.besideAttempts == nil || ended.stage != outcome.Decode {
+// repeatReleaseAfterDecode repeats a release that was made while a decode attempt was in flight, now that the attempt has ended. While
+// its engine kept the attempt waiting for the state, the call freed nothing, whatever the response to the call was.
+func (t *Table) repeatReleaseAfterDecode(now float64, record *requestRecord, ended *attempt) {
+	if record.releaseDuringDecode == nil || ended.stage != outcome.Decode {
 		return
 	}
-	release := *record.besideAttempts
+	release := *record.releaseDuringDecode
 	release.HeldSince = now
 	release.AtLimit = false
 	release.Again = true
 	if !record.decodeInFlight() {
-		record.releasesAreSettled()
+		record.clearReleaseDuringDecode()
 	}
-	t.releaseOrOwe(record, release)
+	t.releaseOrDefer(record, release)
 }
 
 // releasePermit returns why a call that releases every state of the request may not be made yet.
@@ -110,18 +111,18 @@
 	return permit.Release{AttemptsInFlight: r.inFlight, StateNeeded: r.state.isHeld()}.Reason()
 }
 
-// issueOwedReleases issues the owed releases once no attempt is in flight and no state is needed. The release of a held
-// state comes first: it need not wait for the moment that the release after a cut attempt needs, and the next attempt may
-// start before that moment has passed.
-func (t *Table) issueOwedReleases(record *requestRecord) {
+// issueDeferredReleases issues the deferred releases once no attempt is in flight and no state is needed. The release of a
+// held state comes first: unlike the release for an interrupted attempt, it needs no delay, and the next attempt may start
+// before that delay has passed.
+func (t *Table) issueDeferredReleases(record *requestRecord) {
 	if record.releasePermit() != permit.Allowed {
 		return
 	}
-	for _, release := range []*ReleaseState{record.owed.heldState, record.owed.cutAttempt} {
+	for _, release := range []*ReleaseState{record.deferred.heldState, record.deferred.interruptedAttempt} {
 		if release != nil {
-			release.HeldSince = max(release.HeldSince, record.hold.lastResponse)
+			release.HeldSince = max(release.HeldSince, record.hold.lastResponseAt)
 			t.issue(*release)
 		}
 	}
-	record.owed = owedReleases{}
+	record.deferred = deferredReleases{}
 }
--- a/internal/decide/requesttable/releases_test.go
+++ b/internal/decide/requesttable/releases_test.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// A release of all states would free that of a prefill in flight: it waits until nothing is lost by it.
+// A release of all states would free the state of a prefill in flight, so it is deferred until no attempt is in flight and no state is
+// needed.
 func TestReleaseOfAllStatesWaitsForAttemptsInFlight(t *testing.T) {
 	table := newTableReleasingAll()
 	table.AddRequest(1, newRequest("a", idempotent), 0)
@@ -46,11 +47,11 @@
 	table.AttemptEnded(1.5, "a", n, done, nil)
 	releases := commandsOf[ReleaseState](table)
 	if len(releases) != 1 || releases[0].Engine != "r0" || releases[0].AttemptCutAt != 1.1 {
-		t.Fatalf("got %v, want one release at r0 of the attempt that was cut at 1.1", releases)
+		t.Fatalf("got %v, want one release at r0 of the attempt that was interrupted at 1.1", releases)
 	}
 }
 
-// A release that failed is not retried while the call would free a newer prefill; the table owes it instead.
+// A failed release call is not retried while it would free the state of a newer prefill; the table defers the release instead.
 func TestReleaseIsNotRetriedDuringNewPrefill(t *testing.T) {
 	table := newTableReleasingAll()
 	table.AddRequest(1, newRequest("a", idempotent), 0)
@@ -64,7 +65,7 @@
 	table.Apply(1.2, scheduler.Send{ID: "a", Engine: "r1"})
 	table.Drain()
 	if table.ReleaseAllowed(1.2, releases[0]) {
-		t.Fatal("a retry is allowed though it would free the new prefill")
+		t.Fatal("a retry is allowed although it would free the state of the new prefill")
 	}
 	table.Apply(1.3, scheduler.Reject{ID: "a"})
 	table.AttemptEnded(1.4, "a", 1, outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.RequestEnded}, nil)
@@ -73,7 +74,7 @@
 	}
 }
 
-// An engine that computed the prefill itself keeps its state when the attempt breaks.
+// An engine that computed the prefill itself still holds the state after the attempt has broken.
 func TestBrokenDecodeWithoutStateIsReleased(t *testing.T) {
 	table := newTableReleasingAll()
 	table.AddRequest(1, newRequest("a", idempotent), 0)
@@ -90,22 +91,23 @@
 	}
 }
 
-// The state of a prefill is released at once though a release after a cut attempt is owed too: the next attempt starts in the
-// same pass and would delay both. What is left of the other is owed until that attempt has ended.
+// The state of a prefill is released at once although a release after an interrupted attempt is deferred too: the scheduler
+// starts the next attempt together with the release, and that attempt would delay both. What remains of the other release is
+// deferred until that attempt has ended.
 func TestStateIsReleasedBeforeNextAttemptStarts(t *testing.T) {
 	table := newTableReleasingAll()
 	table.AddRequest(1, newRequest("a", idempotent), 0)
 	table.Apply(1, scheduler.Send{ID: "a", Engine: "r0"})
 	table.Drain()
 	table.AttemptEnded(1.1, "a", 0, writtenCancel, nil)
-	cut := commandsOf[ReleaseState](table)
-	if len(cut) != 1 || cut[0].AttemptCutAt != 1.1 {
-		t.Fatalf("got %v, want one release of the attempt that was cut at 1.1", cut)
+	interrupted := commandsOf[ReleaseState](table)
+	if len(interrupted) != 1 || interrupted[0].AttemptCutAt != 1.1 {
+		t.Fatalf("got %v, want one release of the attempt that was interrupted at 1.1", interrupted)
 	}
 	table.Apply(1.1, scheduler.Send{ID: "a", Engine: "r1"})
 	table.Drain()
-	if table.ReleaseAllowed(1.15, cut[0]) {
-		t.Fatal("a retry is allowed though it would free the prefill in flight")
+	if table.ReleaseAllowed(1.15, interrupted[0]) {
+		t.Fatal("a retry is allowed although it would free the state of the prefill in flight")
 	}
 	table.AttemptEnded(1.2, "a", 1, prefillDone, nil)
 	n := startAttempt(t, table, 1.2, "a", "w0")
@@ -119,89 +121,89 @@
 	}
 }
 
-// releaseWorld drives one request of a table where one call releases all its states.
-type releaseWorld struct {
+// releaseHarness drives one request of a table where one call releases all its states.
+type releaseHarness struct {
 	t         *rapid.T
 	table     *Table
 	now       float64
 	inFlight  map[int]StartAttempt
-	mayBeHeld bool // an engine may hold something
+	mayBeHeld bool // an engine may hold a state
 	forgotten bool
 }
 
 // checkCommands drains the commands and checks each.
-func (w *releaseWorld) checkCommands() {
-	for _, command := range w.table.DrainCommands() {
+func (h *releaseHarness) checkCommands() {
+	for _, command := range h.table.DrainCommands() {
 		switch c := command.(type) {
 		case StartAttempt:
-			w.inFlight[c.Attempt] = c
+			h.inFlight[c.Attempt] = c
 		case ReleaseState:
-			if len(w.inFlight) > 0 {
-				w.t.Fatal("released while an attempt is in flight")
+			if len(h.inFlight) > 0 {
+				h.t.Fatal("released while an attempt is in flight")
 			}
-			w.mayBeHeld = false
+			h.mayBeHeld = false
 		case ForgetRequest:
-			if w.mayBeHeld {
-				w.t.Fatal("forgotten while an engine may hold a state")
+			if h.mayBeHeld {
+				h.t.Fatal("forgotten while an engine may hold a state")
 			}
-			w.forgotten = true
+			h.forgotten = true
 		}
 	}
 }
 
 // endAttempt ends one attempt in flight, with or without a response.
-func (w *releaseWorld) endAttempt() {
-	if len(w.inFlight) == 0 {
+func (h *releaseHarness) endAttempt() {
+	if len(h.inFlight) == 0 {
 		return
 	}
-	n := rapid.SampledFrom(slices.Sorted(maps.Keys(w.inFlight))).Draw(w.t, "attempt")
-	start := w.inFlight[n]
-	delete(w.inFlight, n)
+	n := rapid.SampledFrom(slices.Sorted(maps.Keys(h.inFlight))).Draw(h.t, "attempt")
+	start := h.inFlight[n]
+	delete(h.inFlight, n)
 	causes := []outcome.Cause{outcome.ConnectionBroken, outcome.AttemptTimedOut, outcome.CanceledByScheduler}
 	kinds := []outcome.ResponseKind{outcome.PrefillDone, outcome.EngineRejected, outcome.StateMissing}
-	evidence := outcome.Evidence{Progress: outcome.RequestWritten, Cause: rapid.SampledFrom(causes).Draw(w.t, "cause")}
-	if rapid.Bool().Draw(w.t, "responded") {
-		evidence = complete(rapid.SampledFrom(kinds).Draw(w.t, "kind"))
+	evidence := outcome.Evidence{Progress: outcome.RequestWritten, Cause: rapid.SampledFrom(causes).Draw(h.t, "cause")}
+	if rapid.Bool().Draw(h.t, "responded") {
+		evidence = complete(rapid.SampledFrom(kinds).Draw(h.t, "kind"))
 	}
 	responded := evidence.Cause == outcome.ResponseComplete
 	mayHold := !responded && (start.Stage == outcome.Prefill || !start.FetchState)
 	prefilled := responded && evidence.ResponseKind == outcome.PrefillDone && start.Stage == outcome.Prefill
-	w.mayBeHeld = w.mayBeHeld || mayHold || prefilled
-	w.table.AttemptEnded(w.now, "a", n, evidence, nil)
+	h.mayBeHeld = h.mayBeHeld || mayHold || prefilled
+	h.table.AttemptEnded(h.now, "a", n, evidence, nil)
 }
 
-// Over all courses of one request: a release is never issued while an attempt is in flight, and whatever an engine may hold is
-// released before the request is forgotten.
-func TestReleaseOfAllStatesProperty(t *testing.T) {
+// Property test over random histories of one request: a release is never issued while an attempt is in flight, and every state
+// that an engine may hold is released before the request is forgotten.
+func TestReleaseOfAllStatesUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &releaseWorld{t: t, table: newTableReleasingAll(), now: 1, inFlight: map[int]StartAttempt{}}
-		w.table.AddRequest(1, newRequest("a", idempotent), 0)
-		w.table.Drain()
+		h := &releaseHarness{t: t, table: newTableReleasingAll(), now: 1, inFlight: map[int]StartAttempt{}}
+		h.table.AddRequest(1, newRequest("a", idempotent), 0)
+		h.table.Drain()
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
-			w.now += 0.01
+			h.now += 0.01
 			switch step := rapid.IntRange(0, 4).Draw(t, "step"); {
 			case step == 0:
 				engine := rapid.SampledFrom([]string{"r0", "r1", "w0"}).Draw(t, "engine")
-				w.table.Apply(w.now, scheduler.Send{ID: "a", Engine: engine})
+				h.table.Apply(h.now, scheduler.Send{ID: "a", Engine: engine})
 			case step == 1:
-				w.table.Apply(w.now, scheduler.Release{ID: "a"})
+				h.table.Apply(h.now, scheduler.Release{ID: "a"})
 			case step == 2 && rapid.Bool().Draw(t, "reject"):
-				w.table.Apply(w.now, scheduler.Reject{ID: "a"})
+				h.table.Apply(h.now, scheduler.Reject{ID: "a"})
 			default:
-				w.endAttempt()
+				h.endAttempt()
 			}
-			w.checkCommands()
+			h.checkCommands()
 		}
-		w.table.Apply(w.now, scheduler.Reject{ID: "a"})
-		w.checkCommands()
-		for n := range w.inFlight {
-			delete(w.inFlight, n)
+		h.table.Apply(h.now, scheduler.Reject{ID: "a"})
+		h.checkCommands()
+		for n := range h.inFlight {
+			delete(h.inFlight, n)
 			ended := outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.RequestEnded}
-			w.table.AttemptEnded(w.now, "a", n, ended, nil)
-			w.mayBeHeld = true
-			w.checkCommands()
+			h.table.AttemptEnded(h.now, "a", n, ended, nil)
+			h.mayBeHeld = true
+			h.checkCommands()
 		}
-		if !w.forgotten {
+		if !h.forgotten {
 			t.Fatal("the request is not forgotten")
 		}
 	})
--- a/internal/decide/requesttable/responses.go
+++ b/internal/decide/requesttable/responses.go
@@ -6,8 +6,8 @@
 	"dillroute/scheduler"
 )
 
-// respondForScheduler ends a request with the final response that the scheduler asks for. A rejection that tells the client
-// that a retry is safe becomes a failure where an effect is possible.
+// respondForScheduler ends a request with the final response that the scheduler asks for. A rejection that promises a safe
+// retry becomes a failure if that promise may not be made.
 func (t *Table) respondForScheduler(now float64, response Respond) {
 	record := t.records[response.ID]
 	if record == nil || record.response != responseQueued {
@@ -25,7 +25,7 @@
 	t.endRequest(response.ID, record, outcome.RequestEnded)
 }
 
-// rejectPermit returns why a client may not be told that a retry is safe.
+// rejectPermit returns why a response may not promise that a retry is safe.
 func (r *requestRecord) rejectPermit(now float64) permit.Reason {
 	return permit.Reject{
 		Effect:         r.class.Effect,
@@ -57,8 +57,8 @@
 	record.pendingResponse = nil
 }
 
-// respondAtAttemptEnd issues what the client receives at the end of an attempt, and reports whether the request ends by it. A
-// stream that broke ends the request: the client has a part of it.
+// respondAtAttemptEnd issues the response that the client receives at the end of an attempt, and reports whether the request
+// ends with the attempt. A broken stream ends the request, because the client has received a part of it.
 func (t *Table) respondAtAttemptEnd(id string, record *requestRecord, a *attempt, wasStreaming bool, class outcome.Classification) bool {
 	switch {
 	case record.response.ended():
@@ -109,8 +109,8 @@
 	t.endRequest(id, record, outcome.ClientDisconnected)
 }
 
-// DeadlineReached reports that the time returned by Deadline has come. The scheduler responds before it; the table responds
-// if the scheduler did not.
+// DeadlineReached reports that the time returned by Deadline has come. The scheduler is expected to have responded; if it has
+// not, the table responds.
 func (t *Table) DeadlineReached(now float64, id string) {
 	record := t.records[id]
 	if record == nil || record.response.ended() {
@@ -127,7 +127,7 @@
 	t.respondForTable(now, id, record, outcome.RejectedResponse(), "no answer in time")
 }
 
-// respondForTable ends a request by the table's own decision and tells the scheduler that the request is gone.
+// respondForTable ends a request by the table's own decision. The scheduler is notified with a ClientDisconnected event.
 func (t *Table) respondForTable(now float64, id string, record *requestRecord, response outcome.Response, reason string) {
 	if response.RetryIsSafe && record.rejectPermit(now) != permit.Allowed {
 		response = outcome.FailedResponse()
@@ -158,7 +158,7 @@
 	return streams
 }
 
-// stoppingResponse is given to the requests that a stopping node ends.
+// stoppingResponse is the response to requests that a stopping node ends.
 var stoppingResponse = outcome.Response{HTTPStatus: 503, Code: "node_stopping", RetryIsSafe: true}
 
 const stoppingReason = "the node is stopping"
@@ -176,7 +176,7 @@
 // RespondToAll ends every open request: as rejected where a retry is safe, else as failed. Streams end with an error.
 func (t *Table) RespondToAll(now float64) { t.respondWhere(now, responseState.open) }
 
-// respondWhere ends the requests that are chosen by the state of their response.
+// respondWhere ends the requests for whose response state chosen returns true.
 func (t *Table) respondWhere(now float64, chosen func(responseState) bool) {
 	for _, id := range sortedKeys(t.records) {
 		if record := t.records[id]; chosen(record.response) {
--- a/internal/decide/requesttable/responses_test.go
+++ b/internal/decide/requesttable/responses_test.go
@@ -7,9 +7,9 @@
 	"dillroute/scheduler"
 )
 
-// A rejection that calls a retry safe needs proof for every attempt from its bytes alone. That prefills have no effect is no
-// such proof, since an engine that did not respond as a prefill engine may be another one. Where every engine discards
-// repeats, such a rejection is true nevertheless, but of no use once the client's time is up.
+// A rejection that promises a safe retry needs proof from the bytes of every attempt that it has not run. That prefills have no
+// effect is no such proof, because an engine that did not respond as a prefill engine may be another one. If every engine
+// discards repeats, the promise is true without proof, but of no use once the client's time is up.
 func TestRetrySafeRejectionNeedsProofForEveryAttempt(t *testing.T) {
 	malformed := outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.MalformedResponse}
 	brokenWrite := outcome.Evidence{Progress: outcome.Connected, Cause: outcome.ConnectionBroken}
@@ -17,7 +17,7 @@
 		name     string
 		class    int
 		evidence outcome.Evidence
-		at       float64 // the client gives up at 6
+		at       float64 // the client's deadline is 6
 		retry    bool
 	}{
 		{"at most once, silent, time left", atMostOnce, writtenTimeout, 3, false},
@@ -35,7 +35,7 @@
 		for _, by := range []string{"the scheduler", "the table"} {
 			table := newTable()
 			table.AddRequest(1, newRequest("a", c.class), 0)
-			n := startAttempt(t, table, 1, "a", "r0") // a prefill engine: an attempt there has no effect by the protocol
+			n := startAttempt(t, table, 1, "a", "r0") // a prefill engine, where by the protocol an attempt has no effect
 			table.AttemptEnded(2, "a", n, c.evidence, nil)
 			if by == "the scheduler" {
 				table.Apply(c.at, scheduler.Reject{ID: "a"})
@@ -50,7 +50,7 @@
 	}
 }
 
-// While an attempt is in flight nothing proves that it has not run.
+// While an attempt is in flight, nothing proves that it has not run.
 func TestRejectionWhileAttemptIsInFlight(t *testing.T) {
 	for class, retry := range map[int]bool{idempotent: true, atMostOnce: false, keyedInCell: false, keyedInFleet: true} {
 		table := newTable()
--- a/internal/decide/requesttable/strictengines_test.go
+++ b/internal/decide/requesttable/strictengines_test.go
@@ -12,201 +12,205 @@
 )
 
 const (
-	// releaseSlack is for how long the pages let a state be held beyond its limit (s).
+	// releaseSlack is how long a state may be held beyond its limit (s).
 	releaseSlack = 0.3
-	// longestHang is for how long an engine of strictWorld may notice nothing (s).
+	// longestHang is the longest time for which an engine of strictHarness may fail to notice the end of an attempt (s).
 	longestHang = 9.0
 )
 
-// strictWorld drives one request of a table with engines that keep to the letter of the pages: a release call frees no state while an
-// attempt waits for it as its engine sees it, and is acknowledged all the same. Engines may notice the end of an attempt late, and lose
-// attempts without a word. A host makes the calls that staterelease schedules.
-type strictWorld struct {
-	*heldStateWorld
-	t          *rapid.T
-	waiting    map[int]float64 // decode attempts that their engines have taken: when the engine notices the end, of those that have ended
+// strictHarness drives one request of a table with engines that interpret the protocol strictly: a release call frees no state while, from
+// the engine's point of view, an attempt waits for it, and the call is acknowledged nevertheless. Engines may notice the end of an attempt
+// late, and may lose attempts silently. The harness plays the host and makes the calls that staterelease schedules.
+type strictHarness struct {
+	*heldStateHarness
+	t *rapid.T
+	// waiting holds the decode attempts that have reached their engines and wait there for the state, by number, with the time at which the
+	// engine notices their end (neverNoticed for those that have not ended).
+	waiting    map[int]float64
 	prefilling map[int]bool
 	streaming  bool // a response streams
 	stateHeld  bool
-	idleSince  float64     // since when a state is held and no attempt is out, as engines see it
-	calls      []hostCalls // releases under way
-	taken      int         // commands of the table that were taken as releases
+	idleSince  float64        // since when a state has been held with no attempt in flight from the engines' point of view
+	calls      []releaseCalls // releases with calls still to be made
+	scheduled  int            // number of elements of releases that have been moved to calls
 }
 
-// hostCalls are the calls of one release.
-type hostCalls struct {
+// releaseCalls are the calls of one release.
+type releaseCalls struct {
 	release  ReleaseState
 	schedule staterelease.RetrySchedule
-	at       float64 // of the next call
+	at       float64 // time of the next call
 }
 
-func newStrictWorld(t *rapid.T) *strictWorld {
+func newStrictHarness(t *rapid.T) *strictHarness {
 	class := rapid.IntRange(0, 3).Draw(t, "class")
-	return &strictWorld{heldStateWorld: newHeldStateWorld(true, class), t: t, waiting: map[int]float64{}, prefilling: map[int]bool{}}
+	return &strictHarness{heldStateHarness: newHeldStateHarness(true, class), t: t, waiting: map[int]float64{}, prefilling: map[int]bool{}}
 }
 
-// neverNoticed is the time at which an engine notices the end of an attempt that has not ended.
+// neverNoticed stands for the time at which an engine notices the end of an attempt that has not ended.
 const neverNoticed = 1e9
 
-// advance lets the time pass to a moment, in steps that are short beside every limit.
-func (w *strictWorld) advance(until float64) {
+// advanceInSteps advances the time in steps that are much shorter than every limit, and makes the calls that become due.
+func (h *strictHarness) advanceInSteps(until float64) {
 	const step = 0.005
-	for w.now < until {
-		w.passTo(min(until, w.now+step))
-		maps.DeleteFunc(w.waiting, func(_ int, noticedAt float64) bool { return noticedAt <= w.now })
-		w.makeCalls()
-		w.checkLimit()
+	for h.now < until {
+		h.advanceTo(min(until, h.now+step))
+		maps.DeleteFunc(h.waiting, func(_ int, noticedAt float64) bool { return noticedAt <= h.now })
+		h.makeDueCalls()
+		h.checkLimit()
 	}
 }
 
-// makeCalls makes the first calls of new releases at once, and those of earlier ones that are due.
-func (w *strictWorld) makeCalls() {
-	for ; w.taken < len(w.releases); w.taken++ {
-		release := w.releases[w.taken]
-		w.calls = append(w.calls, hostCalls{release: release, at: w.now, schedule: staterelease.RetrySchedule{
-			Deadline:  w.now + releaseLimit,
+// makeDueCalls makes the first call of each new release, and the calls of earlier releases that are due.
+func (h *strictHarness) makeDueCalls() {
+	for ; h.scheduled < len(h.releases); h.scheduled++ {
+		release := h.releases[h.scheduled]
+		h.calls = append(h.calls, releaseCalls{release: release, at: h.now, schedule: staterelease.RetrySchedule{
+			Deadline:  h.now + releaseLimit,
 			AnyEngine: true,
 			Allowed:   releaseLimit,
 			End:       staterelease.AttemptEnd{At: release.Ended.At},
 		}})
 	}
-	var left []hostCalls
-	for _, c := range w.calls {
-		if c.at > w.now {
+	var left []releaseCalls
+	for _, c := range h.calls {
+		if c.at > h.now {
 			left = append(left, c)
 			continue
 		}
-		if c.release.Acknowledged && !w.table.ReleaseAllowed(w.now, c.release) {
+		if c.release.Acknowledged && !h.table.ReleaseAllowed(h.now, c.release) {
 			continue
 		}
-		w.call(&c)
-		if at, again := c.schedule.Next(w.now, staterelease.Acknowledged); again {
+		h.makeCall(&c)
+		if at, again := c.schedule.Next(h.now, staterelease.Acknowledged); again {
 			c.at = at
 			left = append(left, c)
 		}
 	}
-	w.calls = left
-	w.collect()
+	h.calls = left
+	h.collect()
 }
 
-// call makes a call, which is acknowledged.
-func (w *strictWorld) call(c *hostCalls) {
-	if len(w.waiting) == 0 {
-		w.stateHeld = false
+// makeCall makes one release call, which is acknowledged. It frees the state only if no attempt waits for it.
+func (h *strictHarness) makeCall(c *releaseCalls) {
+	if len(h.waiting) == 0 {
+		h.stateHeld = false
 	}
-	w.table.ReleaseAcknowledged(w.now, c.release)
+	h.table.ReleaseAcknowledged(h.now, c.release)
 	c.release.Acknowledged = true
 }
 
-// checkLimit requires that no state is held beyond its limit while no attempt is out.
-func (w *strictWorld) checkLimit() {
-	if !w.stateHeld || len(w.waiting) > 0 || len(w.prefilling) > 0 || w.streaming {
-		w.idleSince = w.now
+// checkLimit requires that no state is held beyond its limit while no attempt is in flight.
+func (h *strictHarness) checkLimit() {
+	if !h.stateHeld || len(h.waiting) > 0 || len(h.prefilling) > 0 || h.streaming {
+		h.idleSince = h.now
 	}
-	if idle := w.now - w.idleSince; idle > releaseLimit+releaseSlack {
-		w.t.Fatalf("a state has been held for %.2f s with no attempt out, at %.2f", idle, w.now)
+	if idle := h.now - h.idleSince; idle > releaseLimit+releaseSlack {
+		h.t.Fatalf("a state has been held for %.2f s with no attempt in flight, at %.2f", idle, h.now)
 	}
 }
 
-// start starts an attempt; one that is to fetch a state may never arrive, on a connection that carries nothing.
-func (w *strictWorld) start() {
-	before := len(w.inFlight)
-	engine := rapid.SampledFrom([]string{"r0", "r1", "w0", "w1"}).Draw(w.t, "engine")
-	n := w.send(engine, true)
+// start starts an attempt. One that is to fetch a state may never reach its engine, on a connection that delivers nothing.
+func (h *strictHarness) start() {
+	before := len(h.inFlight)
+	engine := rapid.SampledFrom([]string{"r0", "r1", "w0", "w1"}).Draw(h.t, "engine")
+	n := h.send(engine, true)
 	switch {
-	case len(w.inFlight) == before:
-	case w.inFlight[before].Stage == outcome.Prefill:
-		w.prefilling[n] = true
-	case !w.inFlight[before].FetchState || rapid.Bool().Draw(w.t, "arrives"):
-		w.waiting[n] = neverNoticed
+	case len(h.inFlight) == before:
+	case h.inFlight[before].Stage == outcome.Prefill:
+		h.prefilling[n] = true
+	case !h.inFlight[before].FetchState || rapid.Bool().Draw(h.t, "arrives"):
+		h.waiting[n] = neverNoticed
 	}
 }
 
-// endOne ends one attempt in flight.
-func (w *strictWorld) endOne() {
-	if len(w.inFlight) == 0 {
+// endAttempt ends one attempt in flight.
+func (h *strictHarness) endAttempt() {
+	if len(h.inFlight) == 0 {
 		return
 	}
-	start := rapid.SampledFrom(w.inFlight).Draw(w.t, "attempt")
+	start := rapid.SampledFrom(h.inFlight).Draw(h.t, "attempt")
 	if start.Stage == outcome.Prefill {
-		delete(w.prefilling, start.Attempt)
-		w.stateHeld = true
-		w.idleSince = w.now
-		w.end(start.Attempt, rapid.SampledFrom([]outcome.Evidence{prefillDone, writtenBroken, writtenCancel}).Draw(w.t, "prefill ends"))
+		delete(h.prefilling, start.Attempt)
+		h.stateHeld = true
+		h.idleSince = h.now
+		h.end(start.Attempt, rapid.SampledFrom([]outcome.Evidence{prefillDone, writtenBroken, writtenCancel}).Draw(h.t, "prefill ends"))
 		return
 	}
 	ends := []outcome.Evidence{writtenBroken, writtenTimeout, writtenCancel}
-	if _, arrived := w.waiting[start.Attempt]; arrived {
+	if _, arrived := h.waiting[start.Attempt]; arrived {
 		ends = append(ends, engineError)
 	}
-	evidence := rapid.SampledFrom(ends).Draw(w.t, "decode ends")
-	if w.table.records["a"].attempt(start.Attempt).isStreaming() {
-		w.streaming = false
-		w.idleSince = w.now
-	} else if _, arrived := w.waiting[start.Attempt]; arrived {
-		w.idleSince = w.now
-		w.waiting[start.Attempt] = w.now + rapid.Float64Range(0, longestHang).Draw(w.t, "noticed after")
-		if evidence == engineError { // an engine that has responded knows
-			delete(w.waiting, start.Attempt)
+	evidence := rapid.SampledFrom(ends).Draw(h.t, "decode ends")
+	if h.table.records["a"].attempt(start.Attempt).isStreaming() {
+		h.streaming = false
+		h.idleSince = h.now
+	} else if _, arrived := h.waiting[start.Attempt]; arrived {
+		h.idleSince = h.now
+		h.waiting[start.Attempt] = h.now + rapid.Float64Range(0, longestHang).Draw(h.t, "noticed after")
+		if evidence == engineError { // an engine that has responded knows that the attempt has ended
+			delete(h.waiting, start.Attempt)
 		}
 	}
-	w.end(start.Attempt, evidence)
+	h.end(start.Attempt, evidence)
 }
 
-// respond begins the response of a decode attempt that has arrived: its state is fetched, and all others go by themselves.
-func (w *strictWorld) respond() {
-	for _, start := range w.inFlight {
-		if w.waiting[start.Attempt] != neverNoticed || !w.stateHeld || w.table.records["a"].response != responseQueued {
+// respond begins the response of a decode attempt that has reached its engine. The attempt fetches its state, and the engines free all
+// other states by themselves.
+func (h *strictHarness) respond() {
+	for _, start := range h.inFlight {
+		if h.waiting[start.Attempt] != neverNoticed || !h.stateHeld || h.table.records["a"].response != responseQueued {
 			continue
 		}
-		delete(w.waiting, start.Attempt)
-		w.stateHeld = false
-		w.streaming = true
-		w.table.FirstToken(w.now, "a", start.Attempt)
-		w.collect()
+		delete(h.waiting, start.Attempt)
+		h.stateHeld = false
+		h.streaming = true
+		h.table.FirstToken(h.now, "a", start.Attempt)
+		h.collect()
 		return
 	}
 }
 
-// loseAttempts makes engines lose the attempts in flight that they have taken, in silence.
-func (w *strictWorld) loseAttempts() {
-	maps.DeleteFunc(w.waiting, func(_ int, noticedAt float64) bool { return noticedAt == neverNoticed })
+// loseAttempts makes engines silently lose the attempts in flight that have reached them.
+func (h *strictHarness) loseAttempts() {
+	maps.DeleteFunc(h.waiting, func(_ int, noticedAt float64) bool { return noticedAt == neverNoticed })
 }
 
-// Guards against an incident in which an acknowledged release was taken for a state that is gone: over all courses of a request at engines
-// that keep states from calls, notice ends late and lose attempts, no state is held beyond its limit with no attempt out.
-func TestNoStateOutlivesItsLimitAtStrictEngines(t *testing.T) {
+// Guards against states that stay held because an acknowledged release call was taken as proof that the state is gone. Property test over
+// random histories of a request at engines that free no state while an attempt waits for it, notice ends late and lose attempts: no state
+// is held beyond its limit with no attempt in flight.
+func TestNoStateIsHeldBeyondItsLimitAtStrictEngines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newStrictWorld(t)
+		h := newStrictHarness(t)
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
-			if w.table.records["a"] == nil {
+			if h.table.records["a"] == nil {
 				break
 			}
 			switch rapid.IntRange(0, 8).Draw(t, "step") {
 			case 0, 1, 2:
-				w.start()
+				h.start()
 			case 3, 4:
-				w.endOne()
+				h.endAttempt()
 			case 5:
-				w.respond()
+				h.respond()
 			case 6, 7:
-				w.loseAttempts()
+				h.loseAttempts()
 			case 8:
-				w.table.Apply(w.now, scheduler.Release{ID: "a"})
-				w.collect()
+				h.table.Apply(h.now, scheduler.Release{ID: "a"})
+				h.collect()
 			}
-			w.makeCalls()
-			if err := w.table.Audit(); err != nil {
+			h.makeDueCalls()
+			if err := h.table.Audit(); err != nil {
 				t.Fatal(err)
 			}
-			w.advance(w.now + rapid.Float64Range(0, 4).Draw(t, "seconds"))
+			h.advanceInSteps(h.now + rapid.Float64Range(0, 4).Draw(t, "seconds"))
 		}
-		w.table.RespondToAll(w.now)
-		w.collect()
-		for len(w.inFlight) > 0 {
-			w.endOne()
+		h.table.RespondToAll(h.now)
+		h.collect()
+		for len(h.inFlight) > 0 {
+			h.endAttempt()
 		}
-		w.makeCalls()
-		w.advance(w.now + longestHang + 2*releaseLimit)
+		h.makeDueCalls()
+		h.advanceInSteps(h.now + longestHang + 2*releaseLimit)
 	})
 }
--- a/internal/decide/requesttable/table.go
+++ b/internal/decide/requesttable/table.go
@@ -1,8 +1,8 @@
 // Package requesttable is the node's table of requests and attempts: a state machine between the sockets and the
-// scheduler. Its caller, the event loop of internal/node, reports what happened on sockets (AddRequest, FirstToken,
-// AttemptEnded, ClientDisconnected) and passes on the scheduler's actions (Apply). The table returns the events that the
-// scheduler must receive and the commands that the host must carry out (Drain). It does no I/O, reads no clock, starts
-// no goroutine and is not safe for concurrent use. Times are in seconds.
+// scheduler. Its caller, the event loop of internal/node (the host), reports what happened on sockets (AddRequest,
+// FirstToken, AttemptEnded, ClientDisconnected) and passes on the scheduler's actions (Apply). The table returns the events
+// that the scheduler must receive and the commands that the host must carry out (Drain). It does no I/O, reads no clock,
+// starts no goroutine and is not safe for concurrent use. Times are in seconds.
 //
 // The table does not decide where or when a request is sent. It guarantees, whatever the scheduler asks for:
 //   - one final response for each request;
@@ -53,15 +53,15 @@
 	Classes         []scheduler.Class
 	MaxOpenRequests int
 	MaxAttempts     int // for one request
-	// UnsentAttemptsAreFree says that attempts which ended before their request was written do not count towards
-	// MaxAttempts, up to MaxAttempts of them.
+	// UnsentAttemptsAreFree excludes attempts that ended before their request was written from the count against
+	// MaxAttempts. At most MaxAttempts of them are excluded.
 	UnsentAttemptsAreFree bool
 	ResponseSlack         float64 // seconds after a client's deadline at which the table itself responds
 	DrainGrace            float64 // seconds after which nothing is sent to an engine that is draining or removed
-	// StateReleaseLimit is for how long a state may be held without being used (rule 5, s); 0 = there is no limit.
+	// StateReleaseLimit is the longest time for which a state may be held without being used (rule 5), in seconds; 0 = no limit.
 	StateReleaseLimit float64
-	// ReleaseFreesAllStates says that one release call frees every state that any engine holds for the request. Such a
-	// call waits until no attempt is in flight and no state is needed.
+	// ReleaseFreesAllStates means that one release call frees every state that any engine holds for the request. Such a
+	// call is deferred until no attempt is in flight and no state is needed.
 	ReleaseFreesAllStates bool
 }
 
@@ -110,10 +110,11 @@
 // OpenRequests returns the number of requests that have not ended.
 func (t *Table) OpenRequests() int { return t.openCount }
 
-// Len returns the number of records, those included whose request has ended while an attempt is in flight.
+// Len returns the number of records, including those whose request has ended while an attempt is in flight.
 func (t *Table) Len() int { return len(t.records) }
 
-// Deadline returns when the table itself would respond to a request; ok is false if the request is unknown.
+// Deadline returns the time at which the table itself responds to a request if the scheduler has not; ok is false if the
+// request is unknown.
 func (t *Table) Deadline(id string) (at float64, ok bool) {
 	record := t.records[id]
 	if record == nil {
@@ -133,7 +134,7 @@
 	t.issue(ReportFault{Text: fmt.Sprintf(format, args...)})
 }
 
-// AddRequest adds a request. If it is rejected, ok is false and the response tells the reason.
+// AddRequest adds a request. If it is rejected, ok is false and rejection is the response to the client.
 //
 // wholeResponseTimeout is how long the client waits for the end of a response that is not streamed (s). It is 0 for a
 // streamed response, whose duration has no bound.
@@ -161,15 +162,15 @@
 	return outcome.Response{}, true
 }
 
-// rejections holds the response to a request that may not be added, by the reason.
+// rejections holds the response for each reason for which a request may not be added.
 var rejections = map[permit.Reason]outcome.Response{
 	permit.NodeStopping: {HTTPStatus: 503, Code: "node_draining", RetryIsSafe: true},
 	permit.NodeFull:     {HTTPStatus: 429, Code: "node_full", RetryIsSafe: true},
 	permit.IDInUse:      {HTTPStatus: 409, Code: "id_in_use"},
 }
 
-// wholeResponseMargin is how long before the client's timeout a response that is not streamed is cut (s). The attempt
-// has to stop before the final response can be written.
+// wholeResponseMargin is how long before the client's timeout a response that is not streamed is cut short (s). The
+// attempt has to stop before the final response can be written.
 const wholeResponseMargin = 0.05
 
 // Apply carries out one action of the scheduler. It returns false for an action that concerns the host alone (timers,
@@ -195,7 +196,7 @@
 			Response: outcome.FailedResponse(),
 			Reason:   withReason("an engine may have run this; it was not tried again", a.Reason),
 		})
-	case scheduler.Reserve: // no protocol of this host has reservations
+	case scheduler.Reserve: // the host's protocols do not support reservations
 		t.reportFault("request %s: a place cannot be reserved by this protocol", a.ID)
 	default:
 		return false
@@ -221,7 +222,7 @@
 		t.releaseHeldState(id, record)
 		record.state.clear()
 	}
-	t.issueOwedReleases(record)
+	t.issueDeferredReleases(record)
 	delete(t.records, id)
 	t.issue(ForgetRequest{ID: id})
 }
@@ -232,5 +233,5 @@
 // Accepting reports whether AddRequest accepts requests.
 func (t *Table) Accepting() bool { return !t.stopping }
 
-// ProbeResult passes on a load report that came outside the end of an attempt.
+// ProbeResult passes the scheduler a load report that did not come with the end of an attempt.
 func (t *Table) ProbeResult(result scheduler.ProbeResult) { t.emit(result) }
