--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -9,7 +9,7 @@
 	"dillroute/internal/protocol"
 )
 
-// acceptRequest adds a request to the request table unless the node is overloaded or the table rejects it.
+// acceptRequest adds a request to the request table. It rejects the request if the node is overloaded or the table does not accept it.
 func (n *Node) acceptRequest(now float64, exchange *http1.Exchange, routed protocol.RoutedRequest) {
 	request := routed.Request
 	if n.owned.shutdownDeadline > 0 {
@@ -63,10 +63,10 @@
 	})
 }
 
-// rejection is the response to a request that is not accepted.
+// rejection describes the response to a request that is not accepted.
 type rejection struct {
 	response   outcome.Response
-	retryAfter float64 // seconds; 0 = no advice
+	retryAfter float64 // value of Retry-After (s); 0 = the field is not sent
 	reason     string  // for the log
 	text       string  // for the client
 }
@@ -79,7 +79,7 @@
 	n.jobs.start(func() { routed.Exchange.Respond(response) })
 }
 
-// register keeps an accepted request and watches its deadline and its client.
+// register records an accepted request, starts its deadline timer, and watches its client connection.
 func (n *Node) register(id string, exchange *http1.Exchange, client protocol.ClientExchange) {
 	request := &activeRequest{
 		id:             id,
@@ -95,7 +95,7 @@
 	exchange.OnDisconnect(func(halfClosed bool) { n.clientDisconnected(request, halfClosed) })
 }
 
-// clientDisconnected reports to the event loop that a client has closed its connection, or the sending side of it.
+// clientDisconnected reports to the event loop that a client has closed its connection or, if halfClosed, only its sending side.
 func (n *Node) clientDisconnected(request *activeRequest, halfClosed bool) {
 	at := n.loop.clock.Now()
 	n.loop.post(func(now float64) {
@@ -108,7 +108,8 @@
 	})
 }
 
-// watchDeadline reports to the request table each time its deadline for the request comes, as long as it knows the request.
+// watchDeadline starts a timer for the deadline of a request in the request table. When the timer fires, the deadline is reported to the
+// table, and another timer is started if the table has a later deadline for the request then.
 func (n *Node) watchDeadline(request *activeRequest) {
 	at, ok := n.table().Deadline(request.id)
 	if !ok {
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -6,10 +6,10 @@
 	"dillroute/internal/http1"
 )
 
-// Limits of the admin listener.
+// Limits on the admin listener.
 const (
 	maxAdminConnections = 100
-	maxAdminBytes       = 1 << 20 // of request bodies in memory
+	maxAdminBytes       = 1 << 20 // bytes of request bodies in memory
 )
 
 var adminTextType = http1.Field{Name: "Content-Type", Value: "text/plain; charset=utf-8"}
@@ -27,7 +27,7 @@
 	n.startLoop(func() { n.admin.Serve(l) })
 }
 
-// serveAdmin answers a request on the admin listener: liveness, readiness and metrics.
+// serveAdmin handles a request on the admin listener: liveness, readiness or metrics.
 func (n *Node) serveAdmin(x *http1.Exchange) {
 	text := []http1.Field{adminTextType}
 	switch {
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -15,7 +15,7 @@
 // startAttempt starts an attempt on a goroutine of its own.
 func (n *Node) startAttempt(now float64, command requesttable.StartAttempt) {
 	request := n.owned.requests[command.ID]
-	if request == nil { // the request table and the host disagree: report it and end the attempt as never sent
+	if request == nil { // the table and the host disagree: log it and report the attempt as never sent
 		n.log.Error("attempt of an unknown request not started", "request", command.ID)
 		n.table().AttemptEnded(now, command.ID, command.Attempt, outcome.Evidence{Cause: outcome.RequestEnded}, nil)
 		return
@@ -42,26 +42,27 @@
 	})
 }
 
-// attemptLimits returns the timeout of an attempt, at which the table would respond at the latest, and the time of its client's
-// deadline (s).
+// attemptLimits returns the timeout of an attempt, which does not extend beyond the deadline at which the request table itself responds,
+// and the time of the client's deadline, which is ResponseSlack before that deadline (s). The attempt's own timeout, if it has one, bounds
+// both.
 func (n *Node) attemptLimits(now float64, command requesttable.StartAttempt) (timeout, clientDeadline float64) {
 	at, ok := n.table().Deadline(command.ID)
 	if !ok {
 		return command.Timeout, now + command.Timeout
 	}
-	left := at - now
-	return shorterTimeout(command.Timeout, left), now + shorterTimeout(command.Timeout, left-n.config.table.ResponseSlack)
+	timeLeft := at - now
+	return shorterTimeout(command.Timeout, timeLeft), now + shorterTimeout(command.Timeout, timeLeft-n.config.table.ResponseSlack)
 }
 
-// shorterTimeout returns the shorter of a timeout, of which 0 or less is none, and the time that is left.
-func shorterTimeout(timeout, left float64) float64 {
+// shorterTimeout returns the shorter of a timeout and the time left. A timeout of 0 or less means that there is none.
+func shorterTimeout(timeout, timeLeft float64) float64 {
 	if timeout <= 0 {
-		return left
+		return timeLeft
 	}
-	return min(timeout, left)
+	return min(timeout, timeLeft)
 }
 
-// attemptSpec describes an attempt to the protocol.
+// attemptSpec returns the description of an attempt for the protocol.
 func (n *Node) attemptSpec(now float64, command requesttable.StartAttempt, timeout, clientDeadline float64) protocol.AttemptSpec {
 	spec := protocol.AttemptSpec{
 		Number:         command.Attempt,
@@ -78,10 +79,10 @@
 	return spec
 }
 
-// attemptEnded reports the end of an attempt to the event loop. It is called on the attempt's goroutine.
+// attemptEnded reports the end of an attempt to the event loop. It is called on the goroutine of the attempt.
 func (n *Node) attemptEnded(command requesttable.StartAttempt, startedAt float64, result protocol.Result) {
 	n.loop.post(func(now float64) {
-		n.recordContact(now, command.Engine, startedAt, result.Evidence.Cause)
+		n.recordAttemptResult(now, command.Engine, startedAt, result.Evidence.Cause)
 		request := n.owned.requests[command.ID]
 		if request == nil {
 			return
@@ -94,7 +95,8 @@
 		delete(request.responseGrants, command.Attempt)
 		evidence := result.Evidence
 		if evidence.Cause == outcome.ClientDisconnected {
-			// If no byte was written, the socket has only shown the end of the client's sending; it may wait for a response.
+			// Before any byte was written to the engine, the socket shows only that the client has stopped sending. The client may still
+			// wait for a response.
 			halfClosed := result.FirstByteAt.IsZero()
 			n.table().ClientDisconnected(now, command.ID, halfClosed)
 		}
@@ -106,8 +108,8 @@
 	})
 }
 
-// logAttemptEnd logs the end of an attempt; its arguments are only computed where the log shows them. The end of one beside which a
-// state was released is shown on call: the state may have been held until then.
+// logAttemptEnd logs the end of an attempt. The arguments are only computed if the level is enabled. If a state of the request was
+// released at its limit, the end is logged for operators: the engine may have held the state until the attempt ended.
 func (n *Node) logAttemptEnd(command requesttable.StartAttempt, request *activeRequest, result protocol.Result) {
 	level := slog.LevelDebug
 	if request.releasedAtLimit {
@@ -126,14 +128,14 @@
 		"error", text, "load_report", result.Report)
 }
 
-// checkDescriptors records a shortage if an error says that the process has no descriptor left.
+// checkDescriptors records a descriptor shortage if err says that the process has no file descriptor left.
 func (n *Node) checkDescriptors(err error) {
 	if err != nil && http1.IsProcessDescriptorLimit(err) {
 		n.descriptorShortage(n.server.Conns())
 	}
 }
 
-// attemptObserver reports to the event loop what comes of one attempt while it runs. It implements protocol.AttemptObserver.
+// attemptObserver reports the progress of one running attempt to the event loop. It implements protocol.AttemptObserver.
 type attemptObserver struct {
 	node    *Node
 	request *activeRequest
@@ -141,10 +143,10 @@
 	engine  string
 
 	startedAt float64   // (s)
-	grant     chan bool // receives the decision on the response; nil for a prefill
+	grant     chan bool // receives the decision whether the attempt may respond to the client; nil for a prefill
 }
 
-// LoadReported passes on the engine's load when its response begins, as the result of a health check.
+// LoadReported forwards the load report at the start of the engine's response to the request table, as the result of a health check.
 func (o *attemptObserver) LoadReported(report *scheduler.LoadReport) {
 	if report == nil {
 		return
@@ -154,9 +156,9 @@
 	})
 }
 
-// RequestGrant waits for the decision whether this attempt may write to the client.
+// RequestGrant waits for the decision whether this attempt may write to the client. It returns false once the event loop has ended.
 func (o *attemptObserver) RequestGrant() bool {
-	if !o.node.loop.post(o.firstToken) {
+	if !o.node.loop.post(o.reportFirstToken) {
 		return false
 	}
 	select {
@@ -171,9 +173,9 @@
 	return true
 }
 
-// firstToken reports the first token of the attempt to the request table.
-func (o *attemptObserver) firstToken(now float64) {
-	o.node.recordContact(now, o.engine, o.startedAt, outcome.ResponseComplete)
+// reportFirstToken reports the first token of the attempt to the request table.
+func (o *attemptObserver) reportFirstToken(now float64) {
+	o.node.recordAttemptResult(now, o.engine, o.startedAt, outcome.ResponseComplete)
 	if o.node.owned.requests[o.request.id] != o.request {
 		o.grant <- false
 		return
--- a/internal/node/audit.go
+++ b/internal/node/audit.go
@@ -8,16 +8,16 @@
 	"dillroute/internal/protocol"
 )
 
-// audit counts and logs the rules that were broken. It judges what was done by the times at which it was done, not by the
-// permits that were asked for before (internal/decide/permit).
-func (n *Node) audit(requestID string, broken []permit.Violation) {
-	for _, v := range broken {
+// audit counts and logs rule violations. They are determined afterwards, from the times at which things were done, and not from the
+// permits that were requested before (internal/decide/permit).
+func (n *Node) audit(requestID string, violations []permit.Violation) {
+	for _, v := range violations {
 		n.metrics.ruleViolations.WithLabelValues(strconv.Itoa(v.Rule), string(v.Reason)).Inc()
 		n.log.Error("rule violated", "rule", v.Rule, "reason", string(v.Reason), "request", requestID)
 	}
 }
 
-// auditAttempt judges an attempt that has ended, if a byte of it was written.
+// auditAttempt checks an attempt that has ended against the rules, if a byte of its request was written.
 func (n *Node) auditAttempt(request *activeRequest, attempt attemptInFlight, result protocol.Result) {
 	if result.FirstByteAt.IsZero() {
 		return
@@ -42,7 +42,7 @@
 	return request.Reason() == permit.Allowed
 }
 
-// connectionClosed counts, logs and judges the end of a client connection.
+// connectionClosed counts and logs a client connection that was closed, and checks it against the rules.
 func (n *Node) connectionClosed(conn http1.ConnClosed) {
 	n.metrics.connectionsClosed.WithLabelValues(string(conn.Reason)).Inc()
 	n.log.Debug("connection closed", "reason", string(conn.Reason), "requests", conn.Requests)
--- a/internal/node/chat.go
+++ b/internal/node/chat.go
@@ -17,14 +17,15 @@
 	"dillroute/internal/service"
 )
 
-// ChatNode is a node that speaks the published chat protocol.
+// ChatNode is a node that serves the OpenAI-style chat API (internal/openai).
 type ChatNode struct {
 	*Node
 	front    *openai.Front
-	settings atomic.Pointer[config.Config] // the settings in force; Reload replaces them
+	settings atomic.Pointer[config.Config] // current settings, which Reload replaces
 }
 
-// StartChat starts a node that speaks the published chat protocol. The endpoint list must be readable.
+// StartChat starts a node that serves the OpenAI-style chat API. It fails if the settings are invalid, a listener cannot be
+// opened, or the endpoint list cannot be read.
 func StartChat(cfg *config.Config, opts ...Option) (*ChatNode, error) {
 	o := applyOptions(opts)
 	n, err := newNode(chatHostConfig(cfg), o)
@@ -58,7 +59,7 @@
 	return c, nil
 }
 
-// newEngineClient returns the client of the engines. Its stall limit follows the settings in force.
+// newEngineClient returns the client for the engines. Its stall limit follows the current settings.
 func (c *ChatNode) newEngineClient(cfg *config.Config) *engine.Client {
 	return &engine.Client{
 		Node:     cfg.Node.Name,
@@ -74,7 +75,7 @@
 	}
 }
 
-// chatHostConfig returns the host's part of the configuration.
+// chatHostConfig returns the configuration of the host.
 func chatHostConfig(cfg *config.Config) hostConfig {
 	h := hostConfig{
 		scheduler:    cfg.Scheduler(),
@@ -102,7 +103,7 @@
 	return h
 }
 
-// chatTableConfig returns the settings of the request table, which Reload may change.
+// chatTableConfig returns the configuration of the request table, which Reload may change.
 func chatTableConfig(cfg *config.Config) requesttable.Config {
 	return requesttable.Config{
 		Classes:         cfg.Scheduler().Classes,
@@ -115,7 +116,7 @@
 	}
 }
 
-// savedListFile returns the file of the endpoint list in force; "" = it is not saved.
+// savedListFile returns the path where the endpoint list is saved; "" = it is not saved.
 func savedListFile(cfg *config.Config) string {
 	if cfg.StateDir == "" {
 		return ""
@@ -123,7 +124,8 @@
 	return filepath.Join(cfg.StateDir, "engines.json")
 }
 
-// listen opens the sockets that are not given and serves on them.
+// listen serves clients and the admin paths on the listeners given. It opens those that are nil; an admin listener is only opened if the
+// configuration has an address for it.
 func (n *Node) listen(cfg *config.Config, client, admin net.Listener) error {
 	var err error
 	shared := client != nil
@@ -145,8 +147,8 @@
 	return nil
 }
 
-// Reload applies the settings of a new configuration that may change in service. It returns which were applied and which
-// changes were refused, since they need a restart.
+// Reload applies the settings of a new configuration that can change at run time. It returns the JSON pointers of the changes that were
+// applied and of those that were refused because they require a restart.
 func (c *ChatNode) Reload(next *config.Config) (applied, refused []string) {
 	merged, applied, refused := c.Config().Merge(next)
 	c.settings.Store(merged)
@@ -155,5 +157,5 @@
 	return applied, refused
 }
 
-// Config returns the settings in force.
+// Config returns the current settings.
 func (c *ChatNode) Config() *config.Config { return c.settings.Load() }
--- a/internal/node/chat_harness_test.go
+++ b/internal/node/chat_harness_test.go
@@ -23,20 +23,21 @@
 
 const testKey = "test-key-0001"
 
-// chatHarness is a ChatNode with emulated engines and a client.
+// chatHarness runs a ChatNode with emulated engines and a client.
 type chatHarness struct {
 	t        testing.TB
 	log      *record.Log
 	fleet    *fleet.Fleet
 	node     *node.ChatNode
 	client   *client.Client
-	list     string
+	listFile string
 	requests int
 }
 
-// emulators returns engine emulators named by role and number.
+// emulators returns members for so many prefill, decode and mixed engines, named by role and number. change, if not nil, changes the
+// settings of each.
 func emulators(prefill, decode, mixed int, change func(*emulator.Settings)) []fleet.Member {
-	var ms []fleet.Member
+	var members []fleet.Member
 	for _, g := range []struct {
 		role string
 		n    int
@@ -47,22 +48,22 @@
 			if change != nil {
 				change(&s)
 			}
-			ms = append(ms, fleet.Member{Settings: s, Kind: g.role, Cell: "a"})
+			members = append(members, fleet.Member{Settings: s, Kind: g.role, Cell: "a"})
 		}
 	}
-	return ms
+	return members
 }
 
-// newChatHarness starts emulated engines and a node; set changes the node's configuration.
-func newChatHarness(t testing.TB, ms []fleet.Member, set func(map[string]any)) *chatHarness {
+// newChatHarness starts emulated engines and a node. change, if not nil, changes the node's configuration.
+func newChatHarness(t testing.TB, members []fleet.Member, change func(map[string]any)) *chatHarness {
 	t.Helper()
-	h := &chatHarness{t: t, log: &record.Log{}, list: filepath.Join(t.TempDir(), "engines.json")}
-	h.fleet = fleet.New(ms, h.log)
+	h := &chatHarness{t: t, log: &record.Log{}, listFile: filepath.Join(t.TempDir(), "engines.json")}
+	h.fleet = fleet.New(members, h.log)
 	if err := h.fleet.Start(); err != nil {
 		t.Fatal(err)
 	}
 	h.publishList()
-	n, err := node.StartChat(h.configuration(set), node.WithLogger(slog.New(slog.NewTextHandler(io.Discard, nil))), node.WithSeed(1))
+	n, err := node.StartChat(h.configuration(change), node.WithLogger(slog.New(slog.NewTextHandler(io.Discard, nil))), node.WithSeed(1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +78,7 @@
 	return h
 }
 
-func (h *chatHarness) configuration(set func(map[string]any)) *config.Config {
+func (h *chatHarness) configuration(change func(map[string]any)) *config.Config {
 	h.t.Helper()
 	m := map[string]any{"listen": "127.0.0.1:0", "admin": "127.0.0.1:0", "node": map[string]any{"name": "node-0"},
 		"kinds": []any{map[string]any{"name": "prefill", "role": "prefill", "memory_tokens": 200000},
@@ -88,9 +89,9 @@
 			map[string]any{"name": "commit", "effect": "once", "aim_s": 2, "patience_s": 4, "token_aim_s": 0.08}},
 		"models":  []any{map[string]any{"name": "chat", "class": "chat"}, map[string]any{"name": "commit", "class": "commit"}},
 		"tenants": []any{map[string]any{"name": "t", "keys": []string{testKey}}},
-		"engines": map[string]any{"file": h.list, "poll_s": 0.05}, "limits": map[string]any{}}
-	if set != nil {
-		set(m)
+		"engines": map[string]any{"file": h.listFile, "poll_s": 0.05}, "limits": map[string]any{}}
+	if change != nil {
+		change(m)
 	}
 	b, err := json.Marshal(m)
 	if err != nil {
@@ -103,19 +104,19 @@
 	return c
 }
 
-// withLimits returns a change that sets the limits of the configuration.
-func withLimits(set map[string]any) func(map[string]any) {
-	return func(m map[string]any) { m["limits"] = set }
+// withLimits returns a change for newChatHarness that sets the limits of the configuration.
+func withLimits(limits map[string]any) func(map[string]any) {
+	return func(m map[string]any) { m["limits"] = limits }
 }
 
 func (h *chatHarness) publishList() {
 	h.t.Helper()
-	if err := h.fleet.WriteListFile(h.fleet.List(), "node-0", h.list); err != nil {
+	if err := h.fleet.WriteListFile(h.fleet.List(), "node-0", h.listFile); err != nil {
 		h.t.Fatal(err)
 	}
 }
 
-// newRequest returns a request of a class whose response has so many tokens.
+// newRequest returns a request of a class for a response of the given number of tokens.
 func (h *chatHarness) newRequest(class string, tokens int) client.Request {
 	h.requests++
 	return client.Request{Model: class, Patience: 4 * time.Second, MaxTokens: 200,
@@ -124,8 +125,8 @@
 		Mark: emulator.Mark{Operation: fmt.Sprintf("op%d", h.requests), Class: class, ResponseTokens: tokens}}
 }
 
-func (h *chatHarness) send(a client.Request) client.Result {
-	return h.client.Do(context.Background(), "node-0", h.node.Addr().String(), a)
+func (h *chatHarness) send(request client.Request) client.Result {
+	return h.client.Do(context.Background(), "node-0", h.node.Addr().String(), request)
 }
 
 // countRecords counts the records of a kind for an operation.
@@ -139,7 +140,7 @@
 	return n
 }
 
-// eventually waits until f returns true. The bound is for broken code alone; no test relies on it.
+// eventually waits until f returns true. The timeout only ends the run of a failing test; no test relies on its length.
 func (h *chatHarness) eventually(what string, f func() bool) {
 	h.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -150,10 +151,10 @@
 	h.t.Fatalf("not seen within 10 s: %s", what)
 }
 
-// requireNoViolations waits until no engine holds a state and checks the rules against all records.
+// requireNoViolations waits until no engine holds a state and checks all records against the rules.
 func (h *chatHarness) requireNoViolations() {
 	h.t.Helper()
-	h.eventually("no state is held", func() bool {
+	h.eventually("no engine holds a state", func() bool {
 		heldStates := map[string]bool{}
 		for _, x := range h.log.All() {
 			switch x.Kind {
--- a/internal/node/chat_test.go
+++ b/internal/node/chat_test.go
@@ -35,18 +35,18 @@
 
 func TestChatAtMostOnceFailsWhenDecodeEngineDies(t *testing.T) {
 	const tokens = 6
-	for _, after := range []int{0, 1, 4, tokens, tokens + 1} { // events: the tokens, the reason, the mark of the end
-		for _, whole := range []bool{false, true} {
-			t.Run(fmt.Sprintf("after %d, whole %v", after, whole), func(t *testing.T) {
+	for _, after := range []int{0, 1, 4, tokens, tokens + 1} { // events: the tokens, the finish reason, the end marker
+		for _, unstreamed := range []bool{false, true} {
+			t.Run(fmt.Sprintf("engine crashes after %d events, unstreamed %v", after, unstreamed), func(t *testing.T) {
 				harness := newChatHarness(t, emulators(1, 2, 0, nil), nil)
 				for i := range 2 {
 					harness.fleet.Engine(fmt.Sprint("decode-", i+1)).SetFaults(emulator.Faults{CrashAfter: &after})
 				}
 				request := harness.newRequest("commit", tokens)
-				request.NoStream = whole
+				request.NoStream = unstreamed
 				result := harness.send(request)
 				if result.Outcome != record.Failed || result.Retry || !result.OK && result.Events > 0 {
-					t.Fatalf("got %+v, want a failure that does not call a retry safe", result)
+					t.Fatalf("got %+v, want a failure that does not declare a retry safe", result)
 				}
 				if n := harness.countRecords(record.Run, request.Mark.Operation); n != 1 {
 					t.Fatalf("ran %d times, want 1", n)
@@ -61,7 +61,7 @@
 	harness := newChatHarness(t, emulators(1, 2, 0, nil), withLimits(map[string]any{"max_attempts": 8}))
 	cut := 0
 	harness.fleet.Engine("decode-1").SetFaults(emulator.Faults{CloseAfter: &cut})
-	for range 8 { // another engine serves a request that was cut before its first token
+	for range 8 { // a request that was cut off before its first token is served by another engine
 		if result := harness.send(harness.newRequest("chat", 5)); result.Outcome != record.Served || !result.OK {
 			t.Fatalf("got %+v, want it served", result)
 		}
@@ -95,14 +95,14 @@
 	return c
 }
 
-func chatRequest(a client.Request, headers string) string {
-	b := a.Body()
+func chatRequest(request client.Request, headers string) string {
+	body := request.Body()
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n%sContent-Length: %d\r\n\r\n%s",
-		testKey, headers, len(b), b)
+		testKey, headers, len(body), body)
 }
 
 func TestChatHalfClosedClientReceivesFinalResponse(t *testing.T) {
-	harness := newChatHarness(t, emulators(1, 1, 0, func(harness *emulator.Settings) { harness.DecodeStepMS = 300 }), nil)
+	harness := newChatHarness(t, emulators(1, 1, 0, func(s *emulator.Settings) { s.DecodeStepMS = 300 }), nil)
 	request := harness.newRequest("commit", 5)
 	c := harness.dial()
 	io.WriteString(c, chatRequest(request, ""))
@@ -142,11 +142,11 @@
 }
 
 func TestChatMalformedEngineResponsesAreRetriedWhereSafe(t *testing.T) {
-	for name, f := range map[string]emulator.Faults{"garbage": {MalformedEvent: true}, "lying chunk": {ChunkSizeMismatch: true},
+	for name, faults := range map[string]emulator.Faults{"garbage": {MalformedEvent: true}, "lying chunk": {ChunkSizeMismatch: true},
 		"cut body": {TruncatedBody: true}, "half close": {HalfCloseAfter: 2}} {
 		t.Run(name, func(t *testing.T) {
 			harness := newChatHarness(t, emulators(1, 2, 0, nil), nil)
-			harness.fleet.Engine("decode-1").SetFaults(f)
+			harness.fleet.Engine("decode-1").SetFaults(faults)
 			for i := range 6 {
 				request := harness.newRequest([]string{"chat", "commit"}[i%2], 5)
 				result := harness.send(request)
@@ -165,14 +165,14 @@
 func TestChatInvalidRequestNeedsTwoEnginesToAgree(t *testing.T) {
 	harness := newChatHarness(t, emulators(1, 2, 0, nil), nil)
 	harness.fleet.Engine("decode-1").SetFaults(emulator.Faults{RejectStatus: 422})
-	for range 4 { // the opinion of a single engine is not passed through
+	for range 4 { // a rejection by one engine alone is not passed through
 		if result := harness.send(harness.newRequest("commit", 4)); result.Outcome != record.Served {
 			t.Fatalf("got %+v, want it served", result)
 		}
 	}
 	harness.fleet.Engine("decode-2").SetFaults(emulator.Faults{RejectStatus: 422})
 	if result := harness.send(harness.newRequest("commit", 4)); result.Status != 422 || result.Retry {
-		t.Fatalf("two engines that agree: got %+v, want status 422 without a safe retry", result)
+		t.Fatalf("rejected by two engines: got %+v, want status 422 without a safe retry", result)
 	}
 	harness.requireNoViolations()
 }
@@ -203,7 +203,7 @@
 
 func TestChatClientThatNeverReadsIsDisconnected(t *testing.T) {
 	harness := newChatHarness(t, emulators(1, 1, 0,
-		func(harness *emulator.Settings) { harness.DecodeStepMS = 0.01; harness.DecodeStepPerSequenceMS = 0.001 }),
+		func(s *emulator.Settings) { s.DecodeStepMS = 0.01; s.DecodeStepPerSequenceMS = 0.001 }),
 		withLimits(map[string]any{"write_s": 0.3}))
 	request := harness.newRequest("chat", 60000)
 	request.MaxTokens = 60000
@@ -221,14 +221,14 @@
 		harness.dial()
 	}
 	if result := harness.send(harness.newRequest("chat", 4)); result.Outcome != record.Served {
-		t.Fatalf("beside silent connections: got %+v, want it served", result)
+		t.Fatalf("with 1000 silent connections open: got %+v, want it served", result)
 	}
 	harness.client.Close()
 	harness.eventually("the silent connections are closed", func() bool { return harness.node.Connections() <= 1 })
 }
 
 func TestChatShutdownUnderLoad(t *testing.T) {
-	harness := newChatHarness(t, emulators(2, 2, 0, func(harness *emulator.Settings) { harness.DecodeStepMS = 20 }), nil)
+	harness := newChatHarness(t, emulators(2, 2, 0, func(s *emulator.Settings) { s.DecodeStepMS = 20 }), nil)
 	var wg sync.WaitGroup
 	for i := range 60 {
 		request := harness.newRequest([]string{"chat", "commit"}[i%2], 10+i)
@@ -249,7 +249,7 @@
 func TestChatInvalidEndpointListIsRejected(t *testing.T) {
 	harness := newChatHarness(t, emulators(1, 1, 0, nil), nil)
 	for _, text := range []string{"{", `{"engines":[{"id":"x","address":"127.0.0.1:1","kind":"nobody"}]}`, `{"engine":[]}`} {
-		if err := os.WriteFile(harness.list, []byte(text), 0o644); err != nil {
+		if err := os.WriteFile(harness.listFile, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		for range 3 {
@@ -262,7 +262,7 @@
 }
 
 func TestChatTwoRequestsWithOneClientID(t *testing.T) {
-	harness := newChatHarness(t, emulators(1, 1, 0, func(harness *emulator.Settings) { harness.DecodeStepMS = 10 }), nil)
+	harness := newChatHarness(t, emulators(1, 1, 0, func(s *emulator.Settings) { s.DecodeStepMS = 10 }), nil)
 	var wg sync.WaitGroup
 	for range 2 {
 		request := harness.newRequest("commit", 10)
@@ -274,7 +274,7 @@
 			text, _ := io.ReadAll(c)
 			if !strings.Contains(string(text), "data: [DONE]") || !strings.Contains(string(text),
 				emulator.TokenText(emulator.Digest(request.Messages), 9)) {
-				t.Errorf("got %q", text)
+				t.Errorf("got %q, want the complete stream", text)
 			}
 		}()
 	}
@@ -285,7 +285,7 @@
 	harness := newChatHarness(t, emulators(1, 2, 0, nil), nil)
 	harness.fleet.SetState("decode-1", "draining")
 	harness.publishList()
-	stop := time.Now().Add(1500 * time.Millisecond) // beyond the grace and the lag that the checker allows
+	stop := time.Now().Add(1500 * time.Millisecond) // beyond the drain grace period and the lag that the rule checker allows
 	for time.Now().Before(stop) {
 		if result := harness.send(harness.newRequest("chat", 2)); result.Outcome != record.Served {
 			t.Fatalf("got %+v, want it served", result)
@@ -296,10 +296,10 @@
 
 func TestChatPublishedClientLibraryStreams(t *testing.T) {
 	harness := newChatHarness(t, emulators(1, 1, 0, nil), nil)
-	tr := &http.Transport{}
-	defer tr.CloseIdleConnections()
+	transport := &http.Transport{}
+	defer transport.CloseIdleConnections()
 	c := openai.NewClient(option.WithBaseURL("http://"+harness.node.Addr().String()+"/v1"), option.WithAPIKey(testKey),
-		option.WithHTTPClient(&http.Client{Transport: tr}))
+		option.WithHTTPClient(&http.Client{Transport: transport}))
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	params := openai.ChatCompletionNewParams{Model: "chat", MaxCompletionTokens: openai.Int(7),
@@ -317,9 +317,9 @@
 		t.Fatalf("got %v, %+v, want %q", err, acc, want)
 	}
 	params.StreamOptions = openai.ChatCompletionStreamOptionsParam{}
-	whole, err := c.Chat.Completions.New(ctx, params)
-	if err != nil || whole.Choices[0].Message.Content != want || whole.Usage.CompletionTokens != 7 {
-		t.Fatalf("got %v, %+v, want the same response unstreamed", err, whole)
+	completion, err := c.Chat.Completions.New(ctx, params)
+	if err != nil || completion.Choices[0].Message.Content != want || completion.Usage.CompletionTokens != 7 {
+		t.Fatalf("got %v, %+v, want the same response unstreamed", err, completion)
 	}
 	if _, err := c.Models.Get(ctx, "commit"); err != nil {
 		t.Fatal(err)
@@ -330,7 +330,8 @@
 	}
 }
 
-// The state of an attempt that its decode engine never answers is released in time, whatever the class, while the client still waits.
+// The decode engine never responds to an attempt, while the client is still waiting. The state that the attempt was to fetch must be
+// released in time, for requests of every class.
 func TestChatStateOfSilentAttemptIsReleasedInTime(t *testing.T) {
 	h := newChatHarness(t, emulators(1, 1, 0, nil), nil)
 	h.fleet.Engine("decode-1").SetFaults(emulator.Faults{Silent: true})
@@ -348,14 +349,14 @@
 			return h.countRecords(record.StateReserved, operation) > 0 && h.heldFor(operation) > 0
 		})
 		if seconds := h.heldFor(operation); seconds > 1.3 {
-			t.Errorf("%s: the state was held for %.2f s, want at most the limit of 1 s and 0.3 s", class, seconds)
+			t.Errorf("%s: the state was held for %.2f s, want at most 1.3 s (the limit of 1 s and a slack of 0.3 s)", class, seconds)
 		}
 		cancel()
 		<-ended
 	}
 }
 
-// heldFor returns for how long the first state of an operation was held (s); 0 = it still is, or there was none.
+// heldFor returns for how long the first state of an operation was held (s); 0 = it is still held, or there was none.
 func (h *chatHarness) heldFor(op string) float64 {
 	reserved := record.Record{}
 	for _, r := range h.log.All() {
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -14,10 +14,10 @@
 	"dillroute/lab/record"
 )
 
-// From 0.1 s after a client has closed its connection no attempt starts for it, whatever its request waited for and whatever it
-// has sent after it, and the states held for it are released.
+// A client closes its connection while its request is in some phase, with and without further bytes sent after the request. From 0.1 s
+// after that, no attempt may start for the request, and the states held for it must be released.
 func TestRelayNoAttemptStartsAfterClientDisconnect(t *testing.T) {
-	for name, where := range map[string]func(harness *relayHarness, engines map[string]*platform.Engine){
+	for name, setUp := range map[string]func(harness *relayHarness, engines map[string]*platform.Engine){
 		"prefill in flight": func(harness *relayHarness, engines map[string]*platform.Engine) {
 			engines["r0"].SetStartDelay(150 * time.Millisecond)
 		},
@@ -28,21 +28,21 @@
 			harness.discovery.SetState("r0", "draining")
 		},
 	} {
-		for behind, text := range map[string]string{"": "",
+		for suffix, trailing := range map[string]string{"": "",
 			", pipelined bytes": strings.Repeat("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n", 500)} {
-			t.Run(name+behind, func(t *testing.T) {
+			t.Run(name+suffix, func(t *testing.T) {
 				harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
-				where(harness, engines)
-				time.Sleep(30 * time.Millisecond) // the node polls the endpoint list
-				harness.requireNoAttemptAfterDisconnect(text)
+				setUp(harness, engines)
+				time.Sleep(30 * time.Millisecond) // until the node has polled the endpoint list
+				harness.requireNoAttemptAfterDisconnect(trailing)
 			})
 		}
 	}
 }
 
-// requireNoAttemptAfterDisconnect sends a request, followed by more bytes, closes the connection, and requires that no attempt
-// starts from 0.1 s after that.
-func (h *relayHarness) requireNoAttemptAfterDisconnect(behind string) {
+// requireNoAttemptAfterDisconnect sends a request followed by trailing bytes, closes the connection, and requires that no attempt starts
+// from 0.1 s after that.
+func (h *relayHarness) requireNoAttemptAfterDisconnect(trailing string) {
 	h.t.Helper()
 	request := h.newRequest("chat")
 	request.ID = "1eff"
@@ -52,33 +52,33 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	io.WriteString(c, request.Encode()+behind)
+	io.WriteString(c, request.Encode()+trailing)
 	time.Sleep(60 * time.Millisecond)
 	c.Close()
-	disconnected := unixNow()
+	disconnectedAt := unixNow()
 	time.Sleep(500 * time.Millisecond)
 	for _, x := range h.log.All() {
-		if x.Kind == record.Arrive && x.Op == request.Operation && x.T > disconnected+0.1 {
+		if x.Kind == record.Arrive && x.Op == request.Operation && x.T > disconnectedAt+0.1 {
 			h.t.Errorf("got an attempt at %s %.3f s after the client disconnected, want none from 0.1 s on", x.Engine,
-				x.T-disconnected)
+				x.T-disconnectedAt)
 		}
 	}
 	h.eventually("the node has forgotten the request", func() bool { return h.node.UnfinishedRequests() == 0 })
 	h.requireNoViolations()
 }
 
-// rejectAttempts makes an engine reject the next 60 attempts.
-func rejectAttempts(e map[string]*platform.Engine, id string) {
+// rejectAttempts makes an engine reject its next 60 attempts.
+func rejectAttempts(engines map[string]*platform.Engine, id string) {
 	for range 60 {
-		e[id].QueueFaults(platform.Rejection)
+		engines[id].QueueFaults(platform.Rejection)
 	}
 }
 
-// A client that closes its sending side and waits receives a final response, also if an attempt is the first to notice it: the
-// client has sent so much after its request that its connection is only polled.
+// A client that closes its sending side and waits must receive a final response, even if an attempt is the first to notice the close.
+// That happens here because the client has sent so many bytes after its request that its connection is only polled.
 func TestRelayHalfClosedClientReceivesFinalResponse(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
-	behind := strings.Repeat("x", 1<<20+16<<10)
+	trailing := strings.Repeat("x", 1<<20+16<<10)
 	for i := range 5 {
 		rejectAttempts(engines, "r0")
 		request := harness.newRequest([]string{"chat", "commit"}[i%2])
@@ -90,7 +90,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, request.Encode()+behind)
+		io.WriteString(c, request.Encode()+trailing)
 		c.(*net.TCPConn).CloseWrite()
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
@@ -100,7 +100,7 @@
 	}
 }
 
-// A state whose release no engine acknowledged in time is released when an engine can be reached again.
+// No engine acknowledges the release of a state in time, because all engines hang. The state must be released once they respond again.
 func TestRelayStateIsReleasedAfterEngineOutage(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
 	rejectAttempts(engines, "w0")
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -6,7 +6,7 @@
 	"dillroute/internal/protocol"
 )
 
-// executeCommand implements host: it begins one command of the request table.
+// executeCommand implements host.
 func (n *Node) executeCommand(now float64, command requesttable.Command) {
 	switch c := command.(type) {
 	case requesttable.StartAttempt:
@@ -30,7 +30,7 @@
 	}
 }
 
-// cancelAttempt cancels an attempt in flight, whose end is reported as any other.
+// cancelAttempt cancels an attempt in flight. The end of the attempt is reported by attemptEnded like any other.
 func (n *Node) cancelAttempt(command requesttable.CancelAttempt) {
 	n.log.Debug("attempt canceled", "request", command.ID, "attempt", command.Attempt, "cause", command.Cause.String())
 	request := n.owned.requests[command.ID]
@@ -42,7 +42,7 @@
 	}
 }
 
-// grantResponse gives the decision to an attempt that waits for it (attemptObserver.RequestGrant).
+// grantResponse delivers the decision to the attempt that waits for it in attemptObserver.RequestGrant.
 func (n *Node) grantResponse(command requesttable.GrantResponse) {
 	n.log.Debug("response grant decided", "request", command.ID, "attempt", command.Attempt, "granted", command.Granted)
 	request := n.owned.requests[command.ID]
@@ -51,14 +51,14 @@
 	}
 	if command.Granted {
 		n.loop.owned.timers.Cancel(request.deadlineTimer)
-		n.watchDeadline(request) // the deadline is another one now, or there is none
+		n.watchDeadline(request) // the table has another deadline now, or none
 		request.responseGranted = true
 		request.client.ResponseGranted()
 	}
 	request.responseGrants[command.Attempt] <- command.Granted
 }
 
-// respond gives a client the node's own final response: a complete one, or the end of a stream that had begun.
+// respond sends the node's own final response to a client: a complete response, or the end of a stream that has begun.
 func (n *Node) respond(command requesttable.Respond) {
 	request := n.owned.requests[command.ID]
 	if request == nil {
@@ -75,7 +75,7 @@
 	n.writeResponse(request, request.client.NodeResponse(response, command.RetryAfter, command.Reason))
 }
 
-// passThrough gives a client the response by which an engine has called the request invalid.
+// passThrough sends a client the response with which an engine rejected the request as invalid.
 func (n *Node) passThrough(command requesttable.PassThrough) {
 	request := n.owned.requests[command.ID]
 	if request == nil {
@@ -85,16 +85,16 @@
 	n.metrics.countResponse(responseInvalidRequest)
 }
 
-// writeResponse writes a final response on a goroutine of its own, since the client may be slow to read it.
+// writeResponse writes a final response on a goroutine of its own, because the client may be slow to read it.
 func (n *Node) writeResponse(request *activeRequest, response protocol.Response) {
 	request.responded = true
-	if !request.responseGranted { // else this ends a stream, whose first piece was audited by its time
+	if !request.responseGranted { // otherwise this ends a stream, and dueBy was the deadline of its first piece
 		n.audit(request.id, permit.Responded{At: n.loop.clock.Now(), DueBy: request.dueBy}.Violations())
 	}
 	n.jobs.start(func() { request.client.Respond(response) })
 }
 
-// forgetRequest removes a request. The connection of a client that has received no final response is closed.
+// forgetRequest removes a request. If its client has received no final response, the client connection is closed.
 func (n *Node) forgetRequest(command requesttable.ForgetRequest) {
 	request := n.owned.requests[command.ID]
 	if request == nil {
@@ -109,8 +109,8 @@
 	}
 }
 
-// reportFault logs and counts an action or a fact that contradicts the request table.
+// reportFault logs and counts a scheduler action or a reported event that contradicts the request table.
 func (n *Node) reportFault(command requesttable.ReportFault) {
 	n.log.Error("request table reported a fault", "text", command.Text)
-	n.metrics.faults.Inc()
+	n.metrics.tableFaults.Inc()
 }
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -9,15 +9,15 @@
 	"dillroute/scheduler"
 )
 
-// engineEndpoint is where an engine is reached, and when it last responded to a call and when one last failed (s; 0 = never).
+// engineEndpoint is the address of an engine and the outcome of the latest calls to it. Times are in seconds; 0 = never.
 type engineEndpoint struct {
 	address     string
-	lastSuccess float64
-	lastFailure float64
-	servedAt    float64 // when the latest request was begun that the engine has responded to
+	lastSuccess float64 // when the engine last responded to a call
+	lastFailure float64 // when a call last failed
+	servedAt    float64 // when the latest of the requests that the engine has responded to was started
 }
 
-// updateEndpoints hands an endpoint list to the event loop. It is called on the goroutine of the endpoint source.
+// updateEndpoints posts an endpoint list to the event loop. It is called on the goroutine of the endpoint source.
 func (n *Node) updateEndpoints(list protocol.EndpointList) {
 	n.log.Debug("endpoint list received", "engines", len(list.Engines), "saved", list.Saved)
 	n.loop.post(func(now float64) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// forgetUnknownEngines removes the engines that the request table has forgotten.
+// forgetUnknownEngines removes the engines that the request table does not know any more.
 func (n *Node) forgetUnknownEngines() {
 	for id := range n.owned.engines {
 		if !n.table().EngineKnown(id) {
@@ -48,8 +48,8 @@
 	}
 }
 
-// cancelUnsentAttempts cancels attempts at engines that are no longer ready and to which no byte was written. The drain grace
-// is for requests on their way, not for connecting.
+// cancelUnsentAttempts cancels the attempts at engines that are no longer ready, unless a byte of their requests has been written. The
+// drain grace period is for requests in transit, not for connections that are still being established.
 func (n *Node) cancelUnsentAttempts() {
 	for _, request := range n.owned.requests {
 		for _, attempt := range request.attempts {
@@ -60,7 +60,7 @@
 	}
 }
 
-// endpoint returns what is known of an engine; the zero value if it is unknown.
+// endpoint returns the endpoint of an engine, or the zero value if the engine is unknown.
 func (n *Node) endpoint(id string) engineEndpoint {
 	if endpoint := n.owned.engines[id]; endpoint != nil {
 		return *endpoint
@@ -68,12 +68,12 @@
 	return engineEndpoint{}
 }
 
-// engineIDs returns the known engines in the order of their ids.
+// engineIDs returns the ids of the known engines in ascending order.
 func (n *Node) engineIDs() []string { return slices.Sorted(maps.Keys(n.owned.engines)) }
 
-// recordContact records whether an engine responded to a request that was begun at a time, which ranks engines where every engine can
-// release.
-func (n *Node) recordContact(now float64, id string, beganAt float64, cause outcome.Cause) {
+// recordAttemptResult records whether an engine responded to an attempt that was started at startedAt. Where every engine can release
+// any state, the engines for release calls are ranked by it (releaseTargets).
+func (n *Node) recordAttemptResult(now float64, id string, startedAt float64, cause outcome.Cause) {
 	endpoint := n.owned.engines[id]
 	if !n.config.anyEngineReleases || endpoint == nil || endpoint.address == "" {
 		return
@@ -81,7 +81,7 @@
 	switch cause {
 	case outcome.ResponseComplete:
 		endpoint.lastSuccess = now
-		endpoint.servedAt = max(endpoint.servedAt, beganAt)
+		endpoint.servedAt = max(endpoint.servedAt, startedAt)
 	case outcome.ConnectionBroken, outcome.AttemptTimedOut, outcome.StreamStalled:
 		endpoint.lastFailure = now
 	}
--- a/internal/node/engine_faults_test.go
+++ b/internal/node/engine_faults_test.go
@@ -9,8 +9,8 @@
 	"dillroute/lab/record"
 )
 
-// A second response that comes some milliseconds late is never taken for the response to the next request, of a prefill or of a
-// stream: the next request is sent before it has come.
+// An engine sends a second response some milliseconds after the first, of a prefill or of a stream. The next request is sent before the
+// second response arrives, which must not be taken for the response to that request.
 func TestRelayLateSecondResponsesAreDiscarded(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
 	for i := range 30 {
@@ -27,8 +27,8 @@
 	harness.requireNoViolations()
 }
 
-// A stream without its final event, or cut within its last chunk, or of comments alone from some point on, is not forwarded as
-// complete, and its client's connection is closed in time.
+// A stream ends without its final event or within its last chunk, or has only comments from some point on. It must not be forwarded as
+// complete, and the client's connection must be closed in time.
 func TestRelayIncompleteStreamsEndTheClientConnection(t *testing.T) {
 	for _, f := range []platform.Fault{platform.NoFinalEvent, platform.CloseInLastChunk, platform.EndlessComments} {
 		t.Run(string(f), func(t *testing.T) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// The header of a rejection, or of a prefill response, decides the outcome of the attempt; its body may be incomplete.
+// The header of a rejection or of a prefill response decides the outcome of the attempt. A retry must not wait for the rest of the body.
 func TestRelayIncompleteBodiesDoNotDelayRetries(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
 	for _, f := range []platform.Fault{platform.IncompleteRejection, platform.IncompletePrefillResponse} {
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -19,32 +19,33 @@
 // idleWait bounds the wait of an event loop that has no timer (s).
 const idleWait = 3600.0
 
-// host carries out what the event loop takes from the request table and the scheduler. Its methods run on the loop's goroutine
-// and never wait for a socket.
+// host executes the commands of the request table and the actions of the scheduler that the event loop passes on. Its methods run on
+// the loop's goroutine and never wait for a socket.
 type host interface {
-	// executeCommand begins a command of the request table.
+	// executeCommand starts the execution of a command of the request table.
 	executeCommand(now float64, command requesttable.Command)
-	// executeAction begins an action of the scheduler that concerns neither requests nor timers.
+	// executeAction starts the execution of a scheduler action that concerns neither requests nor timers.
 	executeAction(action scheduler.Action)
 	// schedulerFailed reports that the scheduler has panicked.
 	schedulerFailed(err error)
 }
 
-// lagObserver receives how late the event loop handled the oldest fact or timer of a turn (s).
+// lagObserver receives the delay of the oldest task or timer that an iteration of the event loop handles (s).
 type lagObserver interface {
 	observeLag(now, delay float64)
 }
 
-// stepObserver receives how long a scheduler step took (s).
+// stepObserver receives the duration of each scheduler step (s).
 type stepObserver interface {
 	observeStep(seconds float64)
 }
 
-// fact is something that happened, reported to the event loop; it runs on the loop's goroutine.
-type fact func(now float64)
+// task is a function that the event loop runs on its goroutine, mostly to report an event on a socket to the request table. now is the
+// current time (s).
+type task func(now float64)
 
-// eventLoop runs the scheduler and the request table on one goroutine. Facts reach the request table at once, in the order in
-// which they were posted; the scheduler is called at most once in a dispatch interval, with all events gathered meanwhile.
+// eventLoop runs the scheduler and the request table on one goroutine. Tasks run without delay, in the order in which they were posted.
+// The scheduler is called at most once per dispatch interval, with all events that the request table has collected since the last call.
 type eventLoop struct {
 	clock        clock.Clock
 	host         host
@@ -55,17 +56,17 @@
 	done         chan struct{} // closed when the loop has ended
 }
 
-// loopState belongs to the goroutine of eventLoop.run. Other goroutines reach it through eventLoop.post alone.
+// loopState is owned by the goroutine of eventLoop.run. Other goroutines access it only through eventLoop.post.
 type loopState struct {
 	scheduler   *scheduler.Scheduler
 	table       *requesttable.Table
 	timers      *timerwheel.Wheel[func(now float64)]
 	dispatch    batching.DispatchInterval
-	firedTimers []scheduler.Event // timers of the scheduler that have fired since the last step
+	firedTimers []scheduler.Event // scheduler timers that have fired since the last step
 	stopped     bool
 }
 
-// eventLoopOptions are what an event loop is made from.
+// eventLoopOptions are the arguments of newEventLoop.
 type eventLoopOptions struct {
 	clock        clock.Clock
 	scheduler    *scheduler.Scheduler
@@ -93,10 +94,10 @@
 	}
 }
 
-// post hands a fact to the loop. It never blocks, and reports whether the loop still runs.
-func (l *eventLoop) post(f fact) bool { return l.inbox.post(f) }
+// post queues a task for the loop. It never blocks. It returns false if the loop has ended and the task will not run.
+func (l *eventLoop) post(f task) bool { return l.inbox.post(f) }
 
-// query returns what f returns on the loop's goroutine; ok is false if the loop has ended.
+// query runs f on the loop's goroutine and returns its result; ok is false if the loop has ended.
 func query[T any](l *eventLoop, f func() T) (value T, ok bool) {
 	result := make(chan T, 1)
 	if !l.post(func(float64) { result <- f() }) {
@@ -110,30 +111,31 @@
 	}
 }
 
-// run runs the loop until stop is called on its goroutine.
+// run runs the loop until stop is called.
 func (l *eventLoop) run() {
 	sleepTimer := time.NewTimer(time.Hour)
 	defer sleepTimer.Stop()
 	for !l.owned.stopped {
-		l.turn(sleepTimer)
+		l.runOnce(sleepTimer)
 	}
 	l.inbox.close()
 	close(l.done)
 }
 
-// stop ends the loop after the fact that calls it; it is called on the loop's goroutine. No later fact is handled, so that no
-// attempt can start after a kill.
+// stop ends the loop after the task that calls it. It must be called on the loop's goroutine. No later task runs, so that no attempt can
+// start after the node was killed.
 func (l *eventLoop) stop() { l.owned.stopped = true }
 
-// turn handles the facts and timers that are due, calls the scheduler if it is due, and waits for the next turn.
-func (l *eventLoop) turn(sleepTimer *time.Timer) {
-	facts, waited := l.inbox.drain()
+// runOnce is one iteration of the loop: it runs the tasks and timers that are due, calls the scheduler if that is due, and waits until
+// there is more to do.
+func (l *eventLoop) runOnce(sleepTimer *time.Timer) {
+	tasks, waited := l.inbox.drain()
 	now := l.clock.Now()
 	if at, ok := l.owned.timers.Next(); ok {
 		waited = max(waited, now-at)
 	}
 	l.lagObserver.observeLag(now, waited)
-	l.handleFacts(now, facts)
+	l.runTasks(now, tasks)
 	if l.owned.stopped {
 		return
 	}
@@ -147,11 +149,11 @@
 	l.sleep(sleepTimer, now, pending)
 }
 
-// handleFacts handles facts in order, and the commands that each leads to before the next.
-func (l *eventLoop) handleFacts(now float64, facts []fact) {
-	for i, f := range facts {
+// runTasks runs tasks in order, and executes the commands that each task has caused before it runs the next one.
+func (l *eventLoop) runTasks(now float64, tasks []task) {
+	for i, f := range tasks {
 		f(now)
-		facts[i] = nil
+		tasks[i] = nil
 		l.executeCommands(now)
 		if l.owned.stopped {
 			return
@@ -159,7 +161,7 @@
 	}
 }
 
-// sleep waits for a fact, the next timer, or the next step if events are pending.
+// sleep waits for a task, the next timer or, if events are pending, the next scheduler step.
 func (l *eventLoop) sleep(sleepTimer *time.Timer, now float64, pending bool) {
 	wait := idleWait
 	if at, ok := l.owned.timers.Next(); ok {
@@ -178,7 +180,7 @@
 	}
 }
 
-// step calls the scheduler and carries out its actions in order.
+// step calls the scheduler and executes its actions in order.
 func (l *eventLoop) step(now float64) {
 	events, commands := l.owned.table.Drain()
 	for _, command := range commands {
@@ -201,7 +203,7 @@
 	l.executeCommands(now)
 }
 
-// apply carries out one action of the scheduler.
+// apply executes one action of the scheduler.
 func (l *eventLoop) apply(now float64, action scheduler.Action) {
 	if l.owned.table.Apply(now, action) {
 		return
@@ -216,7 +218,7 @@
 	})
 }
 
-// callScheduler turns a panic of the scheduler into an error.
+// callScheduler calls the scheduler and returns a panic of it as an error.
 func (l *eventLoop) callScheduler(now float64, events []scheduler.Event) (actions []scheduler.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -226,33 +228,33 @@
 	return l.owned.scheduler.Step(now, events), nil
 }
 
-// executeCommands begins the commands that the request table has issued.
+// executeCommands starts the execution of the commands that the request table has issued.
 func (l *eventLoop) executeCommands(now float64) {
 	for _, command := range l.owned.table.DrainCommands() {
 		l.host.executeCommand(now, command)
 	}
 }
 
-// inbox holds the facts that the event loop has not taken. It is safe for concurrent use.
+// inbox is the queue of tasks that the event loop has not taken yet. It is safe for concurrent use.
 type inbox struct {
-	wake chan struct{} // holds a value if a fact has come since the loop last woke
+	wake chan struct{} // holds a value if a task was posted since the loop last woke up
 
 	mu      sync.Mutex
-	facts   []fact
-	drained []fact    // backing array of the facts that were drained last
-	oldest  time.Time // when the first of the facts was posted
+	tasks   []task
+	drained []task    // backing array of the tasks that were drained last, for reuse
+	oldest  time.Time // when the first of tasks was posted
 	closed  bool
 }
 
-// post adds a fact; it reports false if the inbox is closed.
-func (b *inbox) post(f fact) bool {
+// post adds a task. It returns false if the inbox is closed.
+func (b *inbox) post(f task) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed {
 		return false
 	}
-	b.facts = append(b.facts, f)
-	if len(b.facts) == 1 {
+	b.tasks = append(b.tasks, f)
+	if len(b.tasks) == 1 {
 		b.oldest = time.Now()
 		select {
 		case b.wake <- struct{}{}:
@@ -262,22 +264,22 @@
 	return true
 }
 
-// drain takes all facts and returns how long the first of them has waited (s).
-func (b *inbox) drain() (facts []fact, waited float64) {
+// drain removes and returns all tasks, and for how long the first of them has waited (s). The slice is valid until the next call.
+func (b *inbox) drain() (tasks []task, waited float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	facts = b.facts
-	b.facts, b.drained = b.drained[:0], facts
-	if len(facts) > 0 {
+	tasks = b.tasks
+	b.tasks, b.drained = b.drained[:0], tasks
+	if len(tasks) > 0 {
 		waited = time.Since(b.oldest).Seconds()
 	}
-	return facts, waited
+	return tasks, waited
 }
 
 func (b *inbox) empty() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.facts) == 0
+	return len(b.tasks) == 0
 }
 
 func (b *inbox) close() {
--- a/internal/node/golden_chat_test.go
+++ b/internal/node/golden_chat_test.go
@@ -11,51 +11,51 @@
 	"dillroute/lab/fleet"
 )
 
-// newGoldenRig is newRig with a tap before each engine.
-func newGoldenRig(t *testing.T, ms []fleet.Member) (*chatHarness, goldenTaps) {
+// newGoldenChatHarness is newChatHarness with a tap in front of each engine.
+func newGoldenChatHarness(t *testing.T, members []fleet.Member) (*chatHarness, goldenTaps) {
 	t.Helper()
 	taps := goldenTaps{}
-	t.Cleanup(taps.close) // after the rig's own end
-	r := newChatHarness(t, ms, func(m map[string]any) {
+	t.Cleanup(taps.close) // after the cleanup of the harness
+	harness := newChatHarness(t, members, func(m map[string]any) {
 		engines := m["engines"].(map[string]any)
 		engines["file"] = tapList(t, engines["file"].(string), taps)
 	})
-	r.eventually("the node is ready", r.node.Ready)
-	return r, taps
+	harness.eventually("the node is ready", harness.node.Ready)
+	return harness, taps
 }
 
-// goldenBody is the body of a request whose answer has three tokens.
+// goldenBody returns the body of a request for a response of three tokens. more is further JSON members.
 func goldenBody(model, stream, more string) string {
 	return fmt.Sprintf(`{"model":%q,"messages":[{"role":"system","content":"You help."},{"role":"user","content":"Who covers?"}],`+
 		`"stream":%s,"max_completion_tokens":20%s,"x_lab":{"op":"op1","try":0,"class":%q,"answer":3}}`, model, stream, more, model)
 }
 
-// goldenChat is a request in good order with the body given, and further lines of its head.
-func goldenChat(body, lines string) string {
+// goldenChat returns a valid request with the given body and further header lines.
+func goldenChat(body, headerLines string) string {
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer %s\r\n"+
 		"Content-Type: application/json\r\n%sContent-Length: %d\r\n\r\n%s",
-		testKey, lines, len(body), body)
+		testKey, headerLines, len(body), body)
 }
 
-// goldenGet is a request without a body.
-func goldenGet(method, path, lines string) string {
-	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer %s\r\n%s\r\n", method, path, testKey, lines)
+// goldenGet returns a request without a body.
+func goldenGet(method, path, headerLines string) string {
+	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer %s\r\n%s\r\n", method, path, testKey, headerLines)
 }
 
 func init() {
 	goldenMasks = append(goldenMasks,
-		goldenMask{"id that the node gives", regexp.MustCompile(`node-0-[0-9a-z]+(-[0-9a-z]+)*`), `node-0-ID`},
-		goldenMask{"time left, as chat engines are told", regexp.MustCompile(`(?m)^(X-Request-Timeout-Ms: )\d+(\r?)$`),
+		goldenMask{"request id assigned by the node", regexp.MustCompile(`node-0-[0-9a-z]+(-[0-9a-z]+)*`), `node-0-ID`},
+		goldenMask{"time left, as sent to chat engines", regexp.MustCompile(`(?m)^(X-Request-Timeout-Ms: )\d+(\r?)$`),
 			`${1}MILLISECONDS${2}`})
 }
 
-// Requests that engines answer in good order.
+// Valid requests that engines serve.
 func TestGoldenChatServed(t *testing.T) {
-	r, taps := newGoldenRig(t, emulators(1, 1, 0, nil))
-	good := goldenBody("chat", "true", "")
+	harness, taps := newGoldenChatHarness(t, emulators(1, 1, 0, nil))
+	valid := goldenBody("chat", "true", "")
 	var b strings.Builder
-	goldenRun(t, &b, r.node.Addr().String(), taps, []goldenCase{
-		{name: "streamed", request: goldenChat(good, "")},
+	goldenRun(t, &b, harness.node.Addr().String(), taps, []goldenCase{
+		{name: "streamed", request: goldenChat(valid, "")},
 		{name: "streamed, with usage", request: goldenChat(goldenBody("chat", "true", `,"stream_options":{"include_usage":true}`), "")},
 		{name: "not streamed", request: goldenChat(goldenBody("chat", "false", ""), "")},
 		{name: "class that runs once", request: goldenChat(goldenBody("commit", "true", ""), "")},
@@ -63,12 +63,12 @@
 		{name: "further members", request: goldenChat(goldenBody("chat", "true",
 			`,"temperature":0.5,"seed":1,"x_more":{"a":[1, 2]}`), "")},
 		{name: "session", request: goldenChat(goldenBody("chat", "true", `,"prompt_cache_key":"abc"`), "")},
-		{name: "further fields", request: goldenChat(good,
+		{name: "further fields", request: goldenChat(valid,
 			"Traceparent: 00-1-2-3\r\nTracestate: a=b\r\nIdempotency-Key: k1\r\nX-Request-Id: mine\r\n"+
 				"X-Other: 1\r\nCookie: c=1\r\nX-Stainless-Retry-Count: 1\r\nX-Request-Timeout-Ms: 3000\r\n")},
-		{name: "connection that is to close", request: goldenChat(good, "Connection: close\r\n")},
-		{name: "HTTP 1.0", request: strings.Replace(goldenChat(good, ""), "HTTP/1.1", "HTTP/1.0", 1)},
-		{name: "chunked request", request: goldenChunked(goldenChat(good, ""))},
+		{name: "connection that is to close", request: goldenChat(valid, "Connection: close\r\n")},
+		{name: "HTTP 1.0", request: strings.Replace(goldenChat(valid, ""), "HTTP/1.1", "HTTP/1.0", 1)},
+		{name: "chunked request", request: goldenChunked(goldenChat(valid, ""))},
 		{name: "models", request: goldenGet("GET", "/v1/models", "")},
 		{name: "models, head alone", request: goldenGet("HEAD", "/v1/models", "")},
 		{name: "one model", request: goldenGet("GET", "/v1/models/commit", "")},
@@ -78,12 +78,12 @@
 	compareGolden(t, "chat_served", b.String())
 }
 
-// Requests that are not in order.
-func TestGoldenChatNotInOrder(t *testing.T) {
-	r, taps := newGoldenRig(t, emulators(1, 1, 0, nil))
-	good := goldenBody("chat", "true", "")
-	edit := func(old, new string) string { return strings.Replace(goldenChat(good, ""), old, new, 1) }
-	body := func(old, new string) string { return goldenChat(strings.Replace(good, old, new, 1), "") }
+// Requests that the node rejects as invalid.
+func TestGoldenChatInvalidRequests(t *testing.T) {
+	harness, taps := newGoldenChatHarness(t, emulators(1, 1, 0, nil))
+	valid := goldenBody("chat", "true", "")
+	edit := func(old, new string) string { return strings.Replace(goldenChat(valid, ""), old, new, 1) }
+	body := func(old, new string) string { return goldenChat(strings.Replace(valid, old, new, 1), "") }
 	var cases []goldenCase
 	for _, c := range [][2]string{
 		{"no key", edit("Authorization: Bearer "+testKey+"\r\n", "")},
@@ -107,7 +107,7 @@
 		{"a member of the engines' protocol", body(`"stream"`, `"kv_transfer_params":{"x":1},"stream"`)},
 		{"no JSON", body(`{"model"`, `<"model"`)},
 		{"JSON that ends early", goldenChat(`{"model":"chat","messages":[`, "")},
-		{"more after the JSON", goldenChat(good+"}", "")},
+		{"more after the JSON", goldenChat(valid+"}", "")},
 		{"a list", goldenChat("[]", "")},
 		{"an empty body", goldenChat("", "")},
 		{"a body that is not UTF-8", body("Who", "Wh\xff")},
@@ -120,9 +120,9 @@
 		{"unknown coding", edit("Content-Length:", "Transfer-Encoding: gzip\r\nX-Length:")},
 		{"negative length", edit("Content-Length: ", "Content-Length: -")},
 		{"body too large", "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 629145600\r\n\r\n"},
-		{"head of 100 kB", goldenChat(good, "X-Long: "+strings.Repeat("x", 100_000)+"\r\n")},
+		{"head of 100 kB", goldenChat(valid, "X-Long: "+strings.Repeat("x", 100_000)+"\r\n")},
 		{"target of 100 kB", goldenGet("GET", "/"+strings.Repeat("x", 100_000), "")},
-		{"bare LF", strings.ReplaceAll(goldenChat(good, ""), "\r\n", "\n")},
+		{"bare LF", strings.ReplaceAll(goldenChat(valid, ""), "\r\n", "\n")},
 		{"no host", edit("Host: h\r\n", "")},
 		{"version 2", edit("HTTP/1.1", "HTTP/2.0")},
 		{"unknown path", goldenGet("GET", "/v1/embeddings", "")},
@@ -135,11 +135,11 @@
 		cases = append(cases, goldenCase{name: c[0], request: c[1]})
 	}
 	var b strings.Builder
-	goldenRun(t, &b, r.node.Addr().String(), taps, cases)
+	goldenRun(t, &b, harness.node.Addr().String(), taps, cases)
 	compareGolden(t, "chat_not_in_order", b.String())
 }
 
-// Engines that fail: each case has a node and engines of its own.
+// Faults of engines. Each case has a node and engines of its own.
 func TestGoldenChatFaults(t *testing.T) {
 	var b strings.Builder
 	one, none := 1, 0
@@ -160,23 +160,23 @@
 		{"sending side closes after an event", "commit", "true", emulator.Faults{HalfCloseAfter: 1}},
 	} {
 		t.Run(c.class+" "+c.name, func(t *testing.T) {
-			r, taps := newGoldenRig(t, emulators(1, 1, 0, nil))
-			r.fleet.Engine("decode-1").SetFaults(c.faults)
-			goldenRun(t, &b, r.node.Addr().String(), taps, []goldenCase{{name: "engine fails, " + c.class + ": " + c.name,
+			harness, taps := newGoldenChatHarness(t, emulators(1, 1, 0, nil))
+			harness.fleet.Engine("decode-1").SetFaults(c.faults)
+			goldenRun(t, &b, harness.node.Addr().String(), taps, []goldenCase{{name: "engine fails, " + c.class + ": " + c.name,
 				request: goldenChat(goldenBody(c.class, c.stream, ""), "X-Request-Timeout-Ms: 3000\r\n")}})
 		})
 	}
 	compareGolden(t, "chat_faults", b.String())
 }
 
-// Requests for which there is no node any more. The answer where there is no engine is left out: beside load it may come from the
-// request table instead of the scheduler, with another text.
-func TestGoldenChatRefused(t *testing.T) {
+// Requests to a node that shuts down. The response without any engine is not covered: under load it may come from the request table
+// instead of the scheduler, with another text.
+func TestGoldenChatShutdown(t *testing.T) {
 	var b strings.Builder
 	t.Run("stop", func(t *testing.T) {
-		r, taps := newGoldenRig(t, emulators(1, 1, 0, nil))
-		goldenStop(t, &b, r.node.Addr().String(), goldenChat(goldenBody("chat", "true", ""), ""), taps,
-			func() { r.node.Shutdown(2 * time.Second) }, r.node.Ready)
+		harness, taps := newGoldenChatHarness(t, emulators(1, 1, 0, nil))
+		goldenShutdown(t, &b, harness.node.Addr().String(), goldenChat(goldenBody("chat", "true", ""), ""), taps,
+			func() { harness.node.Shutdown(2 * time.Second) }, harness.node.Ready)
 	})
 	compareGolden(t, "chat_refused", b.String())
 }
--- a/internal/node/golden_list_test.go
+++ b/internal/node/golden_list_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// tapList puts taps before the engines of a list file and returns the file that names the taps.
+// tapList starts a tap in front of each engine of a list file, adds them to taps, and returns the path of a list with the addresses of the
+// taps.
 func tapList(t *testing.T, file string, taps goldenTaps) string {
 	t.Helper()
 	content, err := os.ReadFile(file)
--- a/internal/node/golden_relay_test.go
+++ b/internal/node/golden_relay_test.go
@@ -17,10 +17,10 @@
 	"go.uber.org/goleak"
 )
 
-// newGoldenRelayHarness is newStage with a tap before each engine.
+// newGoldenRelayHarness is newRelayHarness with a tap in front of each engine.
 func newGoldenRelayHarness(t *testing.T, memoryMB int, engines ...string) (*relayHarness, map[string]*platform.Engine, goldenTaps) {
 	t.Helper()
-	h := &relayHarness{t: t, log: &record.Log{}, settings: platform.SettingsJSON, file: filepath.Join(t.TempDir(), "config.json")}
+	h := &relayHarness{t: t, log: &record.Log{}, settings: platform.SettingsJSON, configFile: filepath.Join(t.TempDir(), "config.json")}
 	h.platform = platform.New("n0", h.log)
 	byID, taps := map[string]*platform.Engine{}, goldenTaps{}
 	h.discovery = h.platform.StartDiscovery()
@@ -33,7 +33,7 @@
 		})
 	}
 	h.writeConfig(memoryMB, 256)
-	h.node = startGoldenRelay(t, h.file)
+	h.node = startGoldenRelay(t, h.configFile)
 	t.Cleanup(func() {
 		if !h.stopped {
 			h.node.Shutdown(0)
@@ -47,7 +47,7 @@
 	return h, byID, taps
 }
 
-// startGoldenRelay starts a node by its configuration file.
+// startGoldenRelay starts a node with a configuration file.
 func startGoldenRelay(t *testing.T, file string) *node.RelayNode {
 	t.Helper()
 	cfg, err := relay.Load(func(name string) string { return map[string]string{"RELAY_CONFIG": file}[name] })
@@ -61,36 +61,36 @@
 	return n
 }
 
-// goldenRelayRequest is a request in good order, whose id the platform knows.
+// goldenRelayRequest returns a valid request and registers its id with the platform.
 func (h *relayHarness) goldenRelayRequest(id, class string) string {
-	a := platform.Request{Operation: "op" + id, Class: class, Tenant: "branch", Session: "abc", ResponseTokens: 3,
+	request := platform.Request{Operation: "op" + id, Class: class, Tenant: "branch", Session: "abc", ResponseTokens: 3,
 		Timeout: 4 * time.Second, ID: id}
-	h.platform.RegisterCall(id, platform.Operation{Name: a.Operation, Class: class, ResponseTokens: a.ResponseTokens})
-	return a.Encode()
+	h.platform.RegisterCall(id, platform.Operation{Name: request.Operation, Class: class, ResponseTokens: request.ResponseTokens})
+	return request.Encode()
 }
 
-// Requests that engines answer in good order.
+// Valid requests that engines serve.
 func TestGoldenRelayServed(t *testing.T) {
 	harness, engines, taps := newGoldenRelayHarness(t, 64, "r0 read", "w0 write")
-	head := func(id, lines string) string {
+	withHeader := func(id, lines string) string {
 		return strings.Replace(harness.goldenRelayRequest(id, "chat"), "X-Caller", lines+"X-Caller", 1)
 	}
-	whole := strings.Replace(harness.goldenRelayRequest("a9", "chat"), `"stream":true`, `"stream":null`, 1)
+	unstreamed := strings.Replace(harness.goldenRelayRequest("a9", "chat"), `"stream":true`, `"stream":null`, 1)
 	var b strings.Builder
 	goldenRun(t, &b, harness.node.Addr().String(), taps, []goldenCase{
 		{name: "repeatable class", request: harness.goldenRelayRequest("a1", "chat")},
 		{name: "class that runs once", request: harness.goldenRelayRequest("a2", "commit")},
 		{name: "id that was taken before", request: harness.goldenRelayRequest("a1", "chat")},
-		{name: "again by the client", request: head("a3", "X-Again: 1\r\n")},
-		{name: "again after a node's end", request: head("a4", "X-Again: again\r\n")},
-		{name: "further fields", request: head("a5",
+		{name: "again by the client", request: withHeader("a3", "X-Again: 1\r\n")},
+		{name: "again after a node's end", request: withHeader("a4", "X-Again: again\r\n")},
+		{name: "further fields", request: withHeader("a5",
 			"Traceparent: 00-1-2-3\r\nX-Other: one\r\nX-Other: two\r\nCookie: c=1\r\nAuthorization: Bearer k\r\n")},
-		{name: "fields of the connection", request: head("a6",
+		{name: "fields of the connection", request: withHeader("a6",
 			"Connection: close, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: 5\r\nTE: trailers\r\n")},
 		{name: "path with a query", request: strings.Replace(harness.goldenRelayRequest("a7", "chat"), "completions HTTP",
 			"completions?x=1&y=%20 HTTP", 1)},
 		{name: "HTTP 1.0", request: strings.Replace(harness.goldenRelayRequest("a8", "chat"), "HTTP/1.1", "HTTP/1.0", 1)},
-		{name: "stream is not asked for", request: whole},
+		{name: "stream is not asked for", request: unstreamed},
 		{name: "chunked request", request: goldenChunked(harness.goldenRelayRequest("b1", "chat"))},
 		{name: "no session and no information", request: goldenWithout(harness.goldenRelayRequest("b2", "chat"), "X-Route-Hash",
 			"X-Call-Info")},
@@ -104,14 +104,14 @@
 	compareGolden(t, "relay_served", b.String())
 }
 
-// goldenChunked sends the body of a request in one chunk.
+// goldenChunked returns a request with its body in one chunk.
 func goldenChunked(request string) string {
 	head, body, _ := strings.Cut(request, "\r\n\r\n")
 	return contentLength.ReplaceAllString(head+"\r\n",
 		"Transfer-Encoding: chunked\r") + "\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 }
 
-// goldenWithout drops fields of a request.
+// goldenWithout returns a request without the given header fields.
 func goldenWithout(request string, fields ...string) string {
 	var remaining []string
 	for _, l := range strings.SplitAfter(request, "\r\n") {
@@ -127,15 +127,15 @@
 	return strings.Join(remaining, "")
 }
 
-// goldenRelayBody is a request in good order but for its body.
-func goldenRelayBody(text string) string {
+// goldenRelayBody returns a request with a valid header and the given body.
+func goldenRelayWithBody(text string) string {
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nX-Call-Id: l%d\r\n"+
 		"X-Call-Class: chat\r\nX-Caller: branch\r\nX-Budget: 1\r\n"+
 		"Content-Length: %d\r\n\r\n%s", len(text), len(text), text)
 }
 
-// Requests that are not in order.
-func TestGoldenRelayNotInOrder(t *testing.T) {
+// Requests that the node rejects as invalid.
+func TestGoldenRelayInvalidRequests(t *testing.T) {
 	harness, _, taps := newGoldenRelayHarness(t, 64, "r0 read", "w0 write")
 	n := 0
 	edit := func(old, new string) string {
@@ -167,8 +167,8 @@
 		{"info malformed", edit("prompt_len=20", "prompt_len")},
 		{"unknown retry mark", edit("X-Budget", "X-Again: perhaps\r\nX-Budget")},
 		{"no JSON", edit(`{"model"`, `<"model"`)},
-		{"a list", goldenRelayBody("[]")},
-		{"an empty body", goldenRelayBody("")},
+		{"a list", goldenRelayWithBody("[]")},
+		{"an empty body", goldenRelayWithBody("")},
 		{"two lengths", edit("Content-Length:", "Content-Length: 1\r\nContent-Length:")},
 		{"length and chunks", edit("Content-Length:", "Transfer-Encoding: chunked\r\nContent-Length:")},
 		{"unknown coding", edit("Content-Length:", "Transfer-Encoding: gzip\r\nX-Length:")},
@@ -196,7 +196,7 @@
 	compareGolden(t, "relay_not_in_order", b.String())
 }
 
-// Engines that fail: each case has a node and engines of its own.
+// Faults of engines. Each case has a node and engines of its own.
 func TestGoldenRelayFaults(t *testing.T) {
 	var b strings.Builder
 	for _, c := range []struct {
@@ -221,19 +221,19 @@
 	compareGolden(t, "relay_faults", b.String())
 }
 
-// Requests for which there is no node any more. The answer where there is no engine is left out: beside load it has one of two texts.
-func TestGoldenRelayRefused(t *testing.T) {
+// Requests to a node that shuts down. The response without any engine is not covered: under load it has one of two texts.
+func TestGoldenRelayShutdown(t *testing.T) {
 	var b strings.Builder
 	t.Run("stop", func(t *testing.T) {
 		harness, _, taps := newGoldenRelayHarness(t, 64, "r0 read", "w0 write")
 		harness.stopped = true
-		goldenStop(t, &b, harness.node.Addr().String(), harness.goldenRelayRequest("s1", "chat"), taps,
+		goldenShutdown(t, &b, harness.node.Addr().String(), harness.goldenRelayRequest("s1", "chat"), taps,
 			func() { harness.node.Shutdown(2 * time.Second) }, harness.node.Ready)
 	})
 	t.Run("short stop", func(t *testing.T) {
 		harness, _, taps := newGoldenRelayHarness(t, 64, "r0 read", "w0 write")
 		harness.stopped = true
-		goldenStop(t, &b, harness.node.Addr().String(), harness.goldenRelayRequest("s2", "chat"), taps,
+		goldenShutdown(t, &b, harness.node.Addr().String(), harness.goldenRelayRequest("s2", "chat"), taps,
 			func() { harness.node.Shutdown(200 * time.Millisecond) }, harness.node.Ready)
 	})
 	compareGolden(t, "relay_refused", b.String())
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -20,33 +20,33 @@
 
 var update = flag.Bool("update", false, "rewrite the files under testdata/golden")
 
-// goldenMask replaces what differs from run to run.
+// goldenMask replaces text that differs from run to run.
 type goldenMask struct {
-	name string
-	find *regexp.Regexp
-	put  string
+	name        string
+	pattern     *regexp.Regexp
+	replacement string
 }
 
-// goldenMasks are applied in this order to all bytes on the sockets.
+// goldenMasks are applied in this order to everything read from the sockets.
 var goldenMasks = []goldenMask{
-	{"date of an answer", regexp.MustCompile(`(?m)^(Date: ).*?(\r?)$`), `${1}DATE${2}`},
+	{"date of a response", regexp.MustCompile(`(?m)^(Date: ).*?(\r?)$`), `${1}DATE${2}`},
 	{"loopback port", regexp.MustCompile(`127\.0\.0\.1:\d+`), `127.0.0.1:PORT`},
 	{"port of a prefill engine's state", regexp.MustCompile(`("remote_port":)\d+`), `${1}PORT`},
 	{"Unix time of a completion", regexp.MustCompile(`("created":) ?[1-9]\d*`), `${1}TIME`},
-	{"time left, as engines are told", regexp.MustCompile(`(?m)^(X-Budget: )\d+(\.\d+)?(\r?)$`), `${1}SECONDS${3}`},
-	{"wait before a further try (s)", regexp.MustCompile(`(?mi)^(Retry-After: )[\d.]+(\r?)$`), `${1}SECONDS${2}`},
-	{"wait before a further try (ms)", regexp.MustCompile(`(?mi)^(Retry-After-Ms: )\d+(\r?)$`), `${1}MILLISECONDS${2}`},
+	{"time left, as sent to engines", regexp.MustCompile(`(?m)^(X-Budget: )\d+(\.\d+)?(\r?)$`), `${1}SECONDS${3}`},
+	{"time before a retry (s)", regexp.MustCompile(`(?mi)^(Retry-After: )[\d.]+(\r?)$`), `${1}SECONDS${2}`},
+	{"time before a retry (ms)", regexp.MustCompile(`(?mi)^(Retry-After-Ms: )\d+(\r?)$`), `${1}MILLISECONDS${2}`},
 }
 
 func maskGolden(text string) string {
 	for _, m := range goldenMasks {
-		text = m.find.ReplaceAllString(text, m.put)
+		text = m.pattern.ReplaceAllString(text, m.replacement)
 	}
 	return text
 }
 
-// maskMessage masks one request or answer. A length that fits a body of which something is masked is masked as well, and chunks
-// are joined: where one ends depends on time.
+// maskMessage masks one request or response. The content length is masked too if it is that of a body in which something is masked. Chunks
+// are joined, because where a chunk ends depends on timing.
 func maskMessage(raw string) string {
 	head, body, found := strings.Cut(raw, "\r\n\r\n")
 	if !found {
@@ -62,7 +62,7 @@
 	return maskGolden(head) + "\r\n\r\n" + masked
 }
 
-// joinChunks joins the chunks of a body; what is not a chunk in good order stays as it is, after a line that says so.
+// joinChunks joins the chunks of a body. Anything that is not a valid chunk is returned unchanged, after a line that says so.
 func joinChunks(body string) string {
 	var b strings.Builder
 	for body != "" {
@@ -81,8 +81,8 @@
 	return b.String() + "(no last chunk)\n"
 }
 
-// goldenWire writes bytes as lines of text: line ends as \r and \n, all bytes beyond ASCII escaped.
-func goldenWire(b *strings.Builder, prefix, bytes string) {
+// goldenWriteBytes writes bytes as lines of text, with line ends written as \r and \n and all bytes beyond ASCII escaped.
+func goldenWriteBytes(b *strings.Builder, prefix, bytes string) {
 	if bytes == "" {
 		fmt.Fprintf(b, "%s(nothing)\n", prefix)
 		return
@@ -96,64 +96,64 @@
 	}
 }
 
-// goldenTap stands between a node and an engine and keeps what the node sends.
+// goldenTap is a TCP proxy between a node and an engine that records what the node sends.
 type goldenTap struct {
-	l  net.Listener
-	to string
+	listener      net.Listener
+	engineAddress string
 
-	mu    sync.Mutex
-	conns []net.Conn
-	sent  []*strings.Builder // by connection
-	wg    sync.WaitGroup
+	mu         sync.Mutex
+	conns      []net.Conn
+	recordings []*strings.Builder // by connection
+	wg         sync.WaitGroup
 }
 
-func newGoldenTap(t *testing.T, to string) *goldenTap {
+func newGoldenTap(t *testing.T, engineAddress string) *goldenTap {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &goldenTap{l: l, to: to}
+	p := &goldenTap{listener: l, engineAddress: engineAddress}
 	p.wg.Add(1)
 	go p.accept()
 	return p
 }
 
-func (p *goldenTap) addr() string { return p.l.Addr().String() }
+func (p *goldenTap) addr() string { return p.listener.Addr().String() }
 
 func (p *goldenTap) accept() {
 	defer p.wg.Done()
 	for {
-		c, err := p.l.Accept()
+		c, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		e, err := net.Dial("tcp", p.to)
+		e, err := net.Dial("tcp", p.engineAddress)
 		if err != nil {
 			c.Close()
 			continue
 		}
 		p.mu.Lock()
-		text := &strings.Builder{}
-		p.conns, p.sent = append(p.conns, c, e), append(p.sent, text)
+		recording := &strings.Builder{}
+		p.conns, p.recordings = append(p.conns, c, e), append(p.recordings, recording)
 		p.mu.Unlock()
 		p.wg.Add(2)
-		go p.pass(e, c, text)
-		go p.pass(c, e, nil)
+		go p.forward(e, c, recording)
+		go p.forward(c, e, nil)
 	}
 }
 
-// pass passes bytes on until either side ends, and keeps them.
-func (p *goldenTap) pass(to, from net.Conn, keep *strings.Builder) {
+// forward copies bytes from one connection to the other until either ends. It also appends them to recording, if that is not nil.
+func (p *goldenTap) forward(to, from net.Conn, recording *strings.Builder) {
 	defer p.wg.Done()
 	defer to.Close()
 	defer from.Close()
 	b := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(b)
-		if n > 0 && keep != nil {
+		if n > 0 && recording != nil {
 			p.mu.Lock()
-			keep.Write(b[:n])
+			recording.Write(b[:n])
 			p.mu.Unlock()
 		}
 		if _, e := to.Write(b[:n]); err != nil || e != nil {
@@ -163,7 +163,7 @@
 }
 
 func (p *goldenTap) close() {
-	p.l.Close()
+	p.listener.Close()
 	p.mu.Lock()
 	for _, c := range p.conns {
 		c.Close()
@@ -172,32 +172,32 @@
 	p.wg.Wait()
 }
 
-// size is how many bytes were kept.
+// size returns the number of recorded bytes that take has not returned.
 func (p *goldenTap) size() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, s := range p.sent {
+	for _, s := range p.recordings {
 		n += s.Len()
 	}
 	return n
 }
 
-// take returns the requests that came since the last call, masked and in alphabetic order, since connections have no order.
+// take returns the requests that were recorded since the last call. They are masked, and sorted because connections have no order.
 func (p *goldenTap) take() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var all []string
-	for _, s := range p.sent {
-		all = append(all, splitRequests(s.String())...)
+	var requests []string
+	for _, s := range p.recordings {
+		requests = append(requests, splitRequests(s.String())...)
 		s.Reset()
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(requests)
+	return requests
 }
 
-// splitRequests splits the bytes of a connection into its requests.
+// splitRequests splits the bytes of a connection into masked requests.
 func splitRequests(raw string) []string {
-	var all []string
+	var requests []string
 	for raw != "" {
 		head, _, found := strings.Cut(raw, "\r\n\r\n")
 		size := len(raw)
@@ -208,20 +208,20 @@
 				size = min(len(raw), size+n)
 			}
 		}
-		all = append(all, maskMessage(raw[:size]))
+		requests = append(requests, maskMessage(raw[:size]))
 		raw = raw[size:]
 	}
-	return all
+	return requests
 }
 
 var contentLength = regexp.MustCompile(`(?mi)^Content-Length: (\d+)\r?$`)
 
-// goldenTaps are the taps of a node's engines, by engine.
+// goldenTaps are the taps of a node's engines, by engine id.
 type goldenTaps map[string]*goldenTap
 
-// settle waits until no engine has been sent anything for a while.
-func (ts goldenTaps) settle() {
-	for last, since := -1, time.Now(); time.Since(since) < goldenQuiet; time.Sleep(5 * time.Millisecond) {
+// awaitQuiet waits until nothing has been sent to any engine for goldenQuietTime.
+func (ts goldenTaps) awaitQuiet() {
+	for last, since := -1, time.Now(); time.Since(since) < goldenQuietTime; time.Sleep(5 * time.Millisecond) {
 		n := 0
 		for _, p := range ts {
 			n += p.size()
@@ -232,8 +232,8 @@
 	}
 }
 
-// goldenQuiet is how long engines must be sent nothing to count as settled.
-const goldenQuiet = 150 * time.Millisecond
+// goldenQuietTime is for how long nothing must have been sent to any engine before the recordings count as complete.
+const goldenQuietTime = 150 * time.Millisecond
 
 func (ts goldenTaps) close() {
 	for _, p := range ts {
@@ -241,24 +241,25 @@
 	}
 }
 
-// goldenCase is a named request and what is done before it.
+// goldenCase is a named request, and a function that is called before it is sent.
 type goldenCase struct {
 	name, request string
 	before        func() // nil = nothing
 }
 
-// goldenAsk sends a request on a connection of its own and returns all bytes that come back, and what became of the connection.
-func goldenAsk(t *testing.T, address, request string) (answer, end string) {
+// goldenSend sends a request on a connection of its own. It returns all bytes that are received, and the state of the connection after
+// that.
+func goldenSend(t *testing.T, address, request string) (response, connState string) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return "", "refused"
 	}
 	defer c.Close()
-	return goldenAskOn(c, request)
+	return goldenSendOn(c, request)
 }
 
-func goldenAskOn(c net.Conn, request string) (answer, end string) {
+func goldenSendOn(c net.Conn, request string) (response, connState string) {
 	c.SetDeadline(time.Now().Add(15 * time.Second))
 	io.WriteString(c, request)
 	var got strings.Builder
@@ -283,9 +284,9 @@
 	return got.String(), "closed"
 }
 
-// goldenStop sends the first half of a request, has the node told to stop, sends the other half once the node takes no more,
-// and waits for the node's end.
-func goldenStop(t *testing.T, b *strings.Builder, address, request string, taps goldenTaps, stop func(), ready func() bool) {
+// goldenShutdown sends the first part of a request, starts the shutdown of the node, sends the rest once the node is no longer ready, and
+// waits until the node has stopped.
+func goldenShutdown(t *testing.T, b *strings.Builder, address, request string, taps goldenTaps, shutdown func(), ready func() bool) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -294,43 +295,43 @@
 	defer c.Close()
 	half := len(request) - 20
 	io.WriteString(c, request[:half])
-	time.Sleep(100 * time.Millisecond) // it has begun
+	time.Sleep(100 * time.Millisecond) // until the node has begun to read the request
 	done := make(chan struct{})
-	go func() { defer close(done); stop() }()
+	go func() { defer close(done); shutdown() }()
 	for end := time.Now().Add(10 * time.Second); ready() && time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 	}
-	answer, end := goldenAskOn(c, request[half:])
-	taps.settle()
-	goldenWrite(b, "request that ends when the node takes no more", request, answer, end, taps)
+	response, connState := goldenSendOn(c, request[half:])
+	taps.awaitQuiet()
+	goldenWriteCase(b, "request that ends when the node takes no more", request, response, connState, taps)
 	<-done
-	answer, end = goldenAsk(t, address, request)
-	goldenWrite(b, "after the stop", request, answer, end, taps)
+	response, connState = goldenSend(t, address, request)
+	goldenWriteCase(b, "after the stop", request, response, connState, taps)
 }
 
-// goldenRun makes the requests of a table one after another and writes what passed on all sockets. After a refusal engines are
-// not waited for, other than after the last request: what comes late then is seen beside a later request.
+// goldenRun sends the requests of a table one after another and writes what was sent on all sockets. It does not wait for the engines to
+// become quiet after a rejection, unless that is the last request: anything sent late is then written with a later request.
 func goldenRun(t *testing.T, b *strings.Builder, address string, taps goldenTaps, cases []goldenCase) {
 	t.Helper()
 	for i, c := range cases {
 		if c.before != nil {
 			c.before()
 		}
-		answer, end := goldenAsk(t, address, c.request)
-		if i == len(cases)-1 || !strings.HasPrefix(answer, "HTTP/1.1 4") {
-			taps.settle()
+		response, connState := goldenSend(t, address, c.request)
+		if i == len(cases)-1 || !strings.HasPrefix(response, "HTTP/1.1 4") {
+			taps.awaitQuiet()
 		}
-		goldenWrite(b, c.name, c.request, answer, end, taps)
+		goldenWriteCase(b, c.name, c.request, response, connState, taps)
 	}
 }
 
-func goldenWrite(b *strings.Builder, name, request, answer, end string, taps goldenTaps) {
+func goldenWriteCase(b *strings.Builder, name, request, response, connState string, taps goldenTaps) {
 	fmt.Fprintf(b, "=== %s\n", name)
 	if len(request) > 2000 {
 		request = fmt.Sprintf("%s...%d bytes in all", request[:200], len(request))
 	}
-	goldenWire(b, "> ", request)
-	goldenWire(b, "< ", maskMessage(answer))
-	fmt.Fprintf(b, "connection: %s\n", end)
+	goldenWriteBytes(b, "> ", request)
+	goldenWriteBytes(b, "< ", maskMessage(response))
+	fmt.Fprintf(b, "connection: %s\n", connState)
 	var names []string
 	for name := range taps {
 		names = append(names, name)
@@ -338,12 +339,13 @@
 	slices.Sort(names)
 	for _, name := range names {
 		for _, r := range taps[name].take() {
-			goldenWire(b, name+" > ", r)
+			goldenWriteBytes(b, name+" > ", r)
 		}
 	}
 }
 
-// compareGolden compares a text with the file of the name given, and prints the first line that differs.
+// compareGolden compares a text with the golden file of the given name and fails the test at the first line that differs. With -update it
+// writes the file.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name+".txt")
@@ -357,21 +359,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wants, gots := strings.Split(string(content), "\n"), strings.Split(got, "\n")
+	wantLines, gotLines := strings.Split(string(content), "\n"), strings.Split(got, "\n")
 	section := ""
-	for i := range max(len(wants), len(gots)) {
+	for i := range max(len(wantLines), len(gotLines)) {
 		w, g := "(no line)", "(no line)"
-		if i < len(wants) {
-			w = wants[i]
+		if i < len(wantLines) {
+			w = wantLines[i]
 		}
-		if i < len(gots) {
-			g = gots[i]
+		if i < len(gotLines) {
+			g = gotLines[i]
 		}
 		if strings.HasPrefix(w, "=== ") {
 			section = w
 		}
 		if w != g {
-			t.Fatalf("%s line %d differs, after %q\nwant %s\ngot  %s", path, i+1, section, w, g)
+			t.Fatalf("%s:%d, in the section %q:\nwant %s\ngot  %s", path, i+1, section, w, g)
 		}
 	}
 }
--- a/internal/node/header_fields_test.go
+++ b/internal/node/header_fields_test.go
@@ -7,8 +7,8 @@
 	"dillroute/lab/record"
 )
 
-// Header fields that the node does not interpret reach every attempt as they were sent: an engine recognizes a repeat by its
-// idempotency key alone.
+// Header fields that the node does not interpret must be sent unchanged with every attempt: an engine recognizes a repeated request only by
+// its idempotency key.
 func TestRelayForwardsClientHeaderFields(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write", "w1 write")
 	engines["w0"].QueueFaults(platform.Rejection)
--- a/internal/node/isolation_test.go
+++ b/internal/node/isolation_test.go
@@ -10,7 +10,8 @@
 	"dillroute/lab/record"
 )
 
-// A client that does not read its stream delays no other: its socket is blocked by a gate while others are served completely.
+// A client that does not read its stream must not delay other clients. Its socket is blocked by a write gate while others are served
+// completely.
 func TestRelaySlowClientDoesNotDelayOtherStreams(t *testing.T) {
 	g := newWriteGate(t, "op1.2 ")
 	harness, engines := newRelayHarnessOn(t, g, platform.SettingsJSON, 64, 256, "r0 read", "w0 write")
@@ -24,7 +25,7 @@
 		request := harness.newRequest("chat")
 		request.ResponseTokens = 20
 		if result := harness.send(request); result.Outcome != record.Served || !result.Complete {
-			t.Errorf("got %+v, want it served beside a slow client", result)
+			t.Errorf("got %+v, want it served while another client does not read", result)
 		}
 	}
 	select {
@@ -35,12 +36,12 @@
 	close(g.opened)
 	if result := <-slowResult; result.Outcome != record.Served || result.Text != platform.ResponseText(slow.Operation,
 		slow.ResponseTokens) {
-		t.Errorf("got %+v, want its complete stream once it is read", result)
+		t.Errorf("got %+v, want the complete stream after its socket is unblocked", result)
 	}
 	harness.requireNoViolations()
 }
 
-// Nodes that start together while discovery does not respond become ready by the endpoint list in their configuration.
+// Nodes that start together while discovery does not respond must become ready with the endpoint list in their configuration.
 func TestRelayNodesBecomeReadyWithoutDiscovery(t *testing.T) {
 	const nodes = 300
 	p := platform.New("n0", &record.Log{})
@@ -80,7 +81,7 @@
 	}
 	wg.Wait()
 	if len(all) < nodes || startedLate > nodes/10 {
-		t.Errorf("got %d of %d nodes started, %d of them later than 10 s", len(all), nodes, startedLate)
+		t.Errorf("got %d of %d nodes started, %d of them after more than 10 s", len(all), nodes, startedLate)
 	}
 	for _, n := range all {
 		wg.Add(1)
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// jobGroup counts the goroutines that it starts. Unlike a sync.WaitGroup it may be waited for while more are started.
+// jobGroup starts goroutines and waits for them. Unlike with a sync.WaitGroup, goroutines may be started while another one waits.
 type jobGroup struct {
 	mu      sync.Mutex
 	running int
-	idle    chan struct{} // closed when running falls to zero; nil while nobody waits
+	idle    chan struct{} // closed when running falls to zero; nil = no goroutine waits
 }
 
 // start runs f on a goroutine of its own.
@@ -30,14 +30,14 @@
 	}
 }
 
-// wait returns when no goroutine of the group runs.
+// wait blocks until no goroutine of the group is running.
 func (g *jobGroup) wait() {
 	if idle := g.idleSignal(); idle != nil {
 		<-idle
 	}
 }
 
-// idleSignal returns a channel that is closed when no goroutine runs; nil if none runs now.
+// idleSignal returns a channel that is closed as soon as no goroutine of the group is running, or nil if none is running now.
 func (g *jobGroup) idleSignal() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -8,28 +8,28 @@
 	"github.com/prometheus/common/expfmt"
 )
 
-// Kinds of final responses, the values of the label kind.
+// Kinds of final responses: the values of the label kind.
 const (
-	responseCompleted      = "completed"       // the response of an engine was passed on completely
-	responseFailed         = "failed"          // an effect is possible; the client is promised nothing
-	responseRejected       = "rejected"        // the client is told that a retry is safe
+	responseCompleted      = "completed"       // the response of an engine was forwarded completely
+	responseFailed         = "failed"          // the request may have had an effect; a retry is not declared safe
+	responseRejected       = "rejected"        // the response declares a retry safe
 	responseNotAdmitted    = "not_admitted"    // rejected before the request entered the request table
-	responseInvalidRequest = "invalid_request" // the response of engines that call the request invalid
+	responseInvalidRequest = "invalid_request" // the response with which engines rejected the request as invalid
 )
 
-// Reasons of state releases, the values of the label reason.
+// Reasons for state releases: the values of the label reason.
 const (
-	releaseUnneeded = "unneeded" // no attempt is to fetch the state any more
-	releaseAtLimit  = "limit"    // no attempt had used the state when it was due
-	releaseAgain    = "again"    // the call at the limit was made beside an attempt that may have waited for the state
-	releaseAfterCut = "cut"      // an attempt that was cut may have left a state
+	releaseUnneeded = "unneeded" // no attempt will fetch the state
+	releaseAtLimit  = "limit"    // no attempt had used the state when its release was due
+	releaseRepeated = "again"    // repeated: at the limit, an attempt in flight may have been waiting for the state
+	releaseAfterCut = "cut"      // an attempt that was cut off may have left a state
 )
 
-// metrics are the node's metrics, in a registry of their own.
+// metrics are the metrics of one node, in a registry of their own.
 type metrics struct {
 	registry            *prometheus.Registry
 	responses           *prometheus.CounterVec
-	faults              prometheus.Counter
+	tableFaults         prometheus.Counter
 	overloadRejections  *prometheus.CounterVec
 	descriptorShortages prometheus.Counter
 	ruleViolations      *prometheus.CounterVec
@@ -45,9 +45,9 @@
 		registry: prometheus.NewRegistry(),
 		responses: newCounterVec("dillroute_responses_total",
 			"Final responses, by kind.", "kind"),
-		faults: prometheus.NewCounter(prometheus.CounterOpts{
+		tableFaults: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "dillroute_request_table_faults_total",
-			Help: "Actions and facts that contradicted the request table and were not carried out.",
+			Help: "Scheduler actions and reported events that contradicted the request table and were not carried out.",
 		}),
 		overloadRejections: newCounterVec("dillroute_overload_rejections_total",
 			"Requests rejected because the node itself was overloaded, by reason.", "reason"),
@@ -56,13 +56,13 @@
 			Help: "Sockets that could not be opened because no file descriptor was left.",
 		}),
 		ruleViolations: newCounterVec("dillroute_rule_violations_total",
-			"Rules that were broken, by rule and reason; 0 is expected.", "rule", "reason"),
+			"Rule violations, by rule and reason; expected to stay 0.", "rule", "reason"),
 		connectionsClosed: newCounterVec("dillroute_client_connections_closed_total",
 			"Client connections closed, by reason.", "reason"),
 		stateReleases: newCounterVec("dillroute_state_releases_total",
-			"States whose release was begun, by reason.", "reason"),
+			"State releases started, by reason.", "reason"),
 		releaseCalls: newCounterVec("dillroute_state_release_calls_total",
-			"Calls by which engines were asked to release a state, by result.", "result"),
+			"State release calls to engines, by result.", "result"),
 		timeToFirstToken: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "dillroute_time_to_first_token_seconds",
 			Help:    "Time from the arrival of a request to its first token.",
@@ -74,7 +74,7 @@
 			Buckets: prometheus.ExponentialBuckets(1e-5, 2, 14),
 		}),
 	}
-	m.registry.MustRegister(m.responses, m.faults, m.overloadRejections, m.descriptorShortages, m.ruleViolations,
+	m.registry.MustRegister(m.responses, m.tableFaults, m.overloadRejections, m.descriptorShortages, m.ruleViolations,
 		m.connectionsClosed, m.stateReleases, m.releaseCalls, m.timeToFirstToken, m.stepSeconds)
 	return m
 }
@@ -86,7 +86,7 @@
 // countResponse counts a final response of a kind.
 func (m *metrics) countResponse(kind string) { m.responses.WithLabelValues(kind).Inc() }
 
-// countStateRelease counts a state whose release was begun, by its reason.
+// countStateRelease counts a state release that has started, by its reason.
 func (m *metrics) countStateRelease(reason string) { m.stateReleases.WithLabelValues(reason).Inc() }
 
 // countReleaseCall counts a release call that has ended, by its result.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,15 +1,14 @@
-// Package node is the host of the scheduler: it turns what happens on sockets into facts for the request table
-// (internal/decide/requesttable), and carries out the table's commands and the scheduler's actions. It decides nothing itself.
+// Package node is the host of the scheduler. It reports events on sockets to the request table (internal/decide/requesttable), and
+// executes the commands of the table and the actions of the scheduler. It makes no decisions itself.
 //
-// One goroutine, that of eventLoop.run, owns the scheduler, the request table and hostState. Each client connection and each
-// attempt has a goroutine of its own, which reports to the event loop by posting facts. Nothing on the event loop waits for a
-// socket.
+// One goroutine, that of eventLoop.run, owns the scheduler, the request table and hostState. Each client connection and each attempt
+// has a goroutine of its own, which reports to the event loop by posting tasks. Nothing on the event loop waits for a socket.
 //
-// The way of a request: http1.Server reads it, protocol.Front parses it, acceptRequest adds it to the table, the scheduler
-// decides (eventLoop.step), startAttempt sends it, attemptObserver and attemptEnded report what came of it, and respond or the
-// attempt itself writes to the client.
+// A request is processed in these steps: http1.Server reads it, protocol.Front parses it, acceptRequest adds it to the table, the
+// scheduler decides (eventLoop.step), startAttempt sends it to an engine, attemptObserver and attemptEnded report the progress and the
+// result of the attempt, and respond or the attempt itself writes to the client.
 //
-// internal/cli starts a node by StartChat or StartRelay and ends it by Shutdown, ShutdownBy or Stop.
+// internal/cli starts a node with StartChat or StartRelay and ends it with Shutdown, ShutdownBy or Stop.
 package node
 
 import (
@@ -30,7 +29,7 @@
 	"dillroute/scheduler"
 )
 
-// Node is a running router.
+// Node is a running router: the part of it that does not depend on the protocol.
 type Node struct {
 	log       *slog.Logger
 	config    hostConfig
@@ -48,23 +47,23 @@
 	adminAddr net.Addr
 
 	jobs       jobGroup       // goroutines of attempts, release calls and responses
-	loops      sync.WaitGroup // goroutines that run as long as the node: event loop and listeners
+	loops      sync.WaitGroup // goroutines that run until the node stops: event loop and listeners
 	failed     chan error
-	respondNow atomic.Bool // a Shutdown that waits must respond at once
+	respondNow atomic.Bool // a Shutdown that is waiting must respond at once
 	stopOnce   sync.Once
 }
 
-// hostState is the part of the node that belongs to the event loop's goroutine. Other goroutines reach it through
-// eventLoop.post alone.
+// hostState is the part of the node that is owned by the event loop's goroutine. Other goroutines access it only through
+// eventLoop.post.
 type hostState struct {
 	requests         map[string]*activeRequest
 	engines          map[string]*engineEndpoint
-	shutdownDeadline float64 // when a stopping node must have responded to what it accepts (s); 0 = the node is not stopping
+	shutdownDeadline float64 // by when a node that shuts down must have responded to what it accepts (s); 0 = no deadline
 	pendingReleases  int     // states that are being released
 }
 
-// activeRequest is one client's request, from its acceptance until the request table forgets it. It belongs to the event loop,
-// except exchange: that belongs to the attempt which was granted the response.
+// activeRequest is a client's request, from its acceptance until the request table forgets it. It is owned by the event loop, except
+// exchange, which is owned by the attempt that was granted the response.
 type activeRequest struct {
 	id              string
 	exchange        *http1.Exchange
@@ -72,24 +71,24 @@
 	attempts        map[int]attemptInFlight // by number
 	responseGrants  map[int]chan bool       // by the number of the attempt that waits for the decision
 	deadlineTimer   *timerwheel.Timer[func(float64)]
-	release         releaseWait // for the latest release that started, which attempts wait for
-	releasedAtLimit bool        // a state was released at its limit, perhaps beside an attempt
-	responseGranted bool        // the response belongs to an attempt
-	responded       bool        // the final response has been given to a goroutine of its own
+	release         releaseWait // the latest release that has started, for which new attempts wait
+	releasedAtLimit bool        // a state was released at its limit, perhaps while an attempt was in flight
+	responseGranted bool        // an attempt was granted the response
+	responded       bool        // a goroutine has been started that writes the final response
 	startedAt       time.Time
 	dueBy           float64 // when the response is due, with slack (s)
-	disconnectedAt  float64 // when the client was seen to disconnect (s); 0 = it has not
+	disconnectedAt  float64 // when the client's disconnect was noticed (s); 0 = it has not disconnected
 }
 
-// attemptInFlight is an attempt that has not ended, with the times that the audit judges it by (s).
+// attemptInFlight is an attempt that has not ended, with the time limits against which it is audited (s).
 type attemptInFlight struct {
 	protocol.Attempt
 	engine         string
-	writeBy        float64 // 0 = no limit
+	writeBy        float64 // end of the deduplication window; 0 = no limit
 	clientDeadline float64
 }
 
-// hostConfig is what the host needs of the settings, whatever protocol it speaks.
+// hostConfig is the configuration of the host, independent of the protocol.
 type hostConfig struct {
 	scheduler         scheduler.Config
 	table             requesttable.Config
@@ -97,13 +96,13 @@
 	overload          overload.Limits
 	timeouts          http1.Timeouts
 	limits            http1.Limits
-	rejectionQueue    int   // connections that are being rejected at a time; 0 = default of the server
+	rejectionQueue    int   // connections over the limit that are being rejected at a time; 0 = default of http1.Server
 	maxHeldBytes      int64 // of request bodies in memory; 0 = no bound
-	anyEngineReleases bool  // every engine can release what any engine holds
-	clientsMayResume  bool  // clients resume a stream that was cut at another node
+	anyEngineReleases bool  // every engine can release the states that any engine holds
+	clientsMayResume  bool  // a client whose stream was cut off resumes it at another node
 }
 
-// Option changes a node from its default.
+// Option changes a default of a node.
 type Option func(*options)
 
 type options struct {
@@ -111,7 +110,7 @@
 	seed          uint64
 	listener      net.Listener
 	adminListener net.Listener
-	dial          http1.DialFunc // of a RelayNode to engines and discovery; nil = the network
+	dial          http1.DialFunc // for a RelayNode's connections to engines and discovery; nil = the network
 }
 
 // WithLogger sets the logger of the node; the default is slog.Default.
@@ -136,7 +135,8 @@
 
 // newNode returns a node that has no sockets yet and whose event loop does not run.
 func newNode(config hostConfig, o options) (*Node, error) {
-	config.scheduler.Limits.StateTimeRunsUntilResponse = true // on sockets (PROTOCOL, the rules)
+	// On sockets, an attempt that ended without a response may never have reached its engine (PROTOCOL, the rules).
+	config.scheduler.Limits.StateTimeRunsUntilResponse = true
 	sched, err := scheduler.New(config.scheduler, o.seed)
 	if err != nil {
 		return nil, err
@@ -162,10 +162,10 @@
 	return n, nil
 }
 
-// table returns the request table; it is called on the event loop's goroutine.
+// table returns the request table. It must be called on the event loop's goroutine.
 func (n *Node) table() *requesttable.Table { return n.loop.owned.table }
 
-// schedule calls f on the event loop's goroutine at a time; it is called there too.
+// schedule calls f on the event loop's goroutine at the given time (s). It must be called on that goroutine.
 func (n *Node) schedule(at float64, f func(now float64)) *timerwheel.Timer[func(float64)] {
 	return n.loop.owned.timers.Add(at, f)
 }
@@ -181,7 +181,7 @@
 	}()
 }
 
-// serveOn serves clients on a listener. shared says that other processes accept from the same socket.
+// serveOn serves clients on a listener. shared says whether other processes accept connections from the same socket.
 func (n *Node) serveOn(l net.Listener, shared bool) {
 	n.addr = l.Addr()
 	n.server = &http1.Server{
@@ -207,7 +207,7 @@
 	})
 }
 
-// errorBody returns the response to a request that could not be read, or for which there is no capacity.
+// errorBody returns the header fields and the body of the response to a request that could not be read or for which there is no capacity.
 func (n *Node) errorBody(status int, reason string) ([]http1.Field, []byte) {
 	retryAfter := 0.0
 	if status == 503 {
@@ -225,41 +225,42 @@
 // idleSweepInterval is the time between two sweeps of idle engine connections (s).
 const idleSweepInterval = 1
 
-// closeExpiredConnections closes engine connections that have been idle for too long, now and at each interval.
+// closeExpiredConnections closes engine connections that have been idle for too long, and schedules its next call.
 func (n *Node) closeExpiredConnections(now float64) {
 	n.jobs.start(n.engines.CloseExpired)
 	n.schedule(now+idleSweepInterval, n.closeExpiredConnections)
 }
 
-// Addr returns the address where clients connect.
+// Addr returns the address of the listener for clients.
 func (n *Node) Addr() net.Addr { return n.addr }
 
 // Admin returns the address of the admin listener, or nil if there is none.
 func (n *Node) Admin() net.Addr { return n.adminAddr }
 
-// Failed receives an error if the scheduler fails. The node has responded to every request then and should be stopped.
+// Failed returns a channel that receives an error if the scheduler panics. The node has responded to every open request by then, and the
+// caller should stop it.
 func (n *Node) Failed() <-chan error { return n.failed }
 
-// Ready reports whether the node may receive requests.
+// Ready reports whether the node can serve requests. It returns false once the node has stopped.
 func (n *Node) Ready() bool {
 	ready, _ := query(n.loop, func() bool { return n.table().Ready() })
 	return ready
 }
 
-// openRequests returns how many requests have no final response yet; 0 once the node has stopped.
+// openRequests returns the number of requests without a final response; 0 once the node has stopped.
 func (n *Node) openRequests() int {
 	open, _ := query(n.loop, func() int { return n.table().OpenRequests() })
 	return open
 }
 
-// unfinishedRequests returns how many requests the node has not forgotten, including those that have ended while an attempt is
-// in flight, plus how many states are being released; 0 once the node has stopped.
+// unfinishedRequests returns the number of requests that the node has not forgotten, including those that have ended while an attempt
+// is in flight, plus the number of states that are being released; 0 once the node has stopped.
 func (n *Node) unfinishedRequests() int {
 	unfinished, _ := query(n.loop, func() int { return n.table().Len() + n.owned.pendingReleases })
 	return unfinished
 }
 
-// Stop closes everything at once and waits for all goroutines. Open requests get no response and are not retried.
+// Stop closes all connections at once and waits for all goroutines. Open requests receive no response and are not retried.
 func (n *Node) Stop() { n.stopOnce.Do(n.stop) }
 
 func (n *Node) stop() {
@@ -284,8 +285,7 @@
 	n.engines.Close()
 }
 
-// schedulerFailed implements host: every open request gets its response by the rules of the request table, and no further
-// request is accepted.
+// schedulerFailed implements host. The request table responds to every open request by its own rules, and accepts no further request.
 func (n *Node) schedulerFailed(err error) {
 	n.log.Error("scheduler failed; the node stops", "error", err.Error())
 	n.table().StopAccepting()
@@ -302,7 +302,7 @@
 	switch a := action.(type) {
 	case scheduler.Log:
 		n.log.Info("scheduler message", "text", a.Text)
-	case scheduler.Probe: // the settings tell the scheduler that no protocol of this host has health checks
+	case scheduler.Probe: // not expected: the scheduler is configured for protocols without health checks
 		n.log.Error("health check not supported; action ignored", "engine", a.Engine)
 	}
 }
--- a/internal/node/overload.go
+++ b/internal/node/overload.go
@@ -8,8 +8,8 @@
 	"dillroute/internal/decide/overload"
 )
 
-// overloadMonitor makes the overload controller safe for concurrent use: the event loop, the accepting goroutine and those of
-// attempts report to it. Each call is short, so a lock suffices.
+// overloadMonitor makes the overload controller safe for concurrent use: it is called by the event loop and by the goroutines that accept
+// connections and run attempts. Each call is short, so a mutex is sufficient.
 type overloadMonitor struct {
 	clock clock.Clock
 
@@ -28,21 +28,21 @@
 	m.controller.ObserveLag(now, delay)
 }
 
-// observeDescriptorShortage records that no descriptor was left while so many client connections were open.
+// observeDescriptorShortage records that no file descriptor was left while the given number of client connections was open.
 func (m *overloadMonitor) observeDescriptorShortage(connections int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.controller.ObserveDescriptorShortage(m.clock.Now(), connections)
 }
 
-// maxConnections returns how many clients may be connected now.
+// maxConnections returns the current limit on client connections.
 func (m *overloadMonitor) maxConnections() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.controller.Connections(m.clock.Now())
 }
 
-// retryAfter returns after how long a client that was rejected should retry (s).
+// retryAfter returns the time after which a rejected client should retry (s).
 func (m *overloadMonitor) retryAfter() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -57,8 +57,8 @@
 	return m.controller.Admit(now, request)
 }
 
-// descriptorShortage records that no descriptor was left, and closes idle engine connections to free some, above all for state
-// releases.
+// descriptorShortage records that no file descriptor was left, and closes the idle engine connections so that descriptors become
+// available, above all for state releases.
 func (n *Node) descriptorShortage(clientConnections int) {
 	n.overload.observeDescriptorShortage(clientConnections)
 	n.engines.CloseIdle()
--- a/internal/node/overload_test.go
+++ b/internal/node/overload_test.go
@@ -7,8 +7,8 @@
 	"dillroute/lab/record"
 )
 
-// Many clients at a node with few descriptors: some are served, the others receive a rejection with Retry-After, no connection is
-// cut, and no rule is broken. Without the connection limit the file table of a fleet ran full.
+// Many clients connect to a node with few file descriptors. Some must be served and the others rejected with Retry-After; no connection may
+// be cut and no rule violated. Without the connection limit the file table of a fleet became full.
 func TestChatOverloadWithFewDescriptorsIsRejected(t *testing.T) {
 	harness := newChatHarness(t, emulators(1, 1, 0, nil), withLimits(map[string]any{"files": 64}))
 	var mu sync.Mutex
@@ -35,7 +35,7 @@
 	wg.Wait()
 	t.Log(seen)
 	if seen[record.Served] == 0 || seen[record.Served]+seen[record.Rejected] != 300 || withoutRetryAfter > 0 {
-		t.Errorf("got %v, %d rejections without Retry-After", seen, withoutRetryAfter)
+		t.Errorf("got %v and %d rejections without Retry-After, want all served or rejected, and none without", seen, withoutRetryAfter)
 	}
 	harness.requireNoViolations()
 }
--- a/internal/node/race_test.go
+++ b/internal/node/race_test.go
@@ -2,5 +2,5 @@
 
 package node_test
 
-// raceEnabled says that the race detector runs, which makes a day about ten times as long.
+// raceEnabled reports whether the race detector is enabled, with which a simulated day takes about ten times as long.
 const raceEnabled = true
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -10,16 +10,16 @@
 	"dillroute/internal/relay"
 )
 
-// MaxStreamDrain is how long a shutdown may wait for streams to complete.
+// MaxStreamDrain is the longest time for which a shutdown waits until streams are complete.
 const MaxStreamDrain = time.Minute
 
-// RelayNode is a node that speaks the protocol of the users' platform.
+// RelayNode is a node that speaks the relay protocol of the users' platform (internal/relay).
 type RelayNode struct {
 	*Node
 	discovery *relay.Discovery
 }
 
-// StartRelay starts a node on the users' platform.
+// StartRelay starts a node that speaks the relay protocol. It fails if the settings are invalid or its listener cannot be opened.
 func StartRelay(cfg *relay.Config, opts ...Option) (*RelayNode, error) {
 	o := applyOptions(append([]Option{WithSeed(cfg.Seed)}, opts...))
 	n, err := newNode(relayHostConfig(cfg), o)
@@ -43,10 +43,10 @@
 	return r, nil
 }
 
-// Reload applies a new configuration: the address of discovery may change.
+// Reload applies a new configuration. Only the address of discovery can change at run time.
 func (r *RelayNode) Reload(next *relay.Config) { r.discovery.SetAddress(next.Discovery) }
 
-// relayHostConfig returns the host's part of the configuration.
+// relayHostConfig returns the configuration of the host.
 func relayHostConfig(cfg *relay.Config) hostConfig {
 	settings := cfg.Settings
 	budget := cfg.Limits.Parts()
@@ -78,6 +78,6 @@
 		limits:         relay.RequestLimits,
 		rejectionQueue: budget.RejectionQueue,
 	}
-	h.scheduler.Limits.UnsentAttemptsAreFree = true // an attempt counts once its last byte was sent (PROTOCOL, nodes to engines)
+	h.scheduler.Limits.UnsentAttemptsAreFree = true // attempts count once their last byte was sent (PROTOCOL, nodes to engines)
 	return h
 }
--- a/internal/node/relay_clients_test.go
+++ b/internal/node/relay_clients_test.go
@@ -12,7 +12,7 @@
 	"dillroute/lab/record"
 )
 
-// A request with the id of an open one is rejected and leaves the open one unaffected.
+// A request with the id of an open request must be rejected and must not affect the open one.
 func TestRelayDuplicateIDIsRejected(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
 	engines["r0"].SetStartDelay(300 * time.Millisecond)
@@ -36,15 +36,15 @@
 	harness.requireNoViolations()
 }
 
-// Invalid requests receive an error and reach no engine.
+// Invalid requests must receive an error and reach no engine.
 func TestRelayInvalidRequestsAreRejected(t *testing.T) {
 	harness, _ := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
-	good := func() platform.Request {
+	valid := func() platform.Request {
 		request := harness.newRequest("chat")
 		request.ID = fmt.Sprintf("ab%d", harness.requests)
 		return request
 	}
-	edit := func(old, new string) string { return strings.Replace(good().Encode(), old, new, 1) }
+	edit := func(old, new string) string { return strings.Replace(valid().Encode(), old, new, 1) }
 	for name, text := range map[string]string{
 		"no id":               edit("X-Call-Id:", "X-Other:"),
 		"two ids":             edit("X-Caller", "X-Call-Id: 77\r\nX-Caller"),
@@ -72,7 +72,7 @@
 		"negative length":   edit("Content-Length: ", "Content-Length: -"),
 		"huge length":       edit("Content-Length: ", "Content-Length: 99999999999999999999"),
 		"60 MB":             "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 62914560\r\n\r\n",
-		"bare LF":           strings.ReplaceAll(good().Encode(), "\r\n", "\n"),
+		"bare LF":           strings.ReplaceAll(valid().Encode(), "\r\n", "\n"),
 		"other path":        "GET /v1/servers HTTP/1.1\r\nHost: h\r\n\r\n",
 		"other method":      edit("POST", "PUT"),
 		"noise":             "\x16\x03\x01\x02\x00\x01\x00\r\n\r\n",
@@ -91,7 +91,7 @@
 	}
 }
 
-// Connections that send nothing, and headers and bodies without end, are closed within 3 s and block no other client meanwhile,
+// Connections that send nothing, or a header or body that does not end, must be closed within 3 s. Other clients must be served meanwhile,
 // at the smallest limits.
 func TestRelaySilentConnectionsAreClosed(t *testing.T) {
 	harness, _ := newRelayHarness(t, 32, 256, "r0 read", "w0 write")
--- a/internal/node/relay_endpoints_test.go
+++ b/internal/node/relay_endpoints_test.go
@@ -15,14 +15,14 @@
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
 	for i := range 8 {
-		asks := make([]platform.Request, 200)
-		for k := range asks {
-			asks[k] = harness.newRequest([]string{"chat", "commit"}[i%2])
+		requests := make([]platform.Request, 200)
+		for k := range requests {
+			requests[k] = harness.newRequest([]string{"chat", "commit"}[i%2])
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for _, request := range asks {
+			for _, request := range requests {
 				select {
 				case <-stop:
 					return
@@ -38,7 +38,7 @@
 	time.Sleep(500 * time.Millisecond)
 	harness.discovery.SetState("w0", "removed")
 	engines["w0"].Stop()
-	// A new engine under a new id, at an address that another engine may have had.
+	// A new engine gets a new id, and an address that another engine may have had.
 	n := harness.platform.StartEngine("w2", "write")
 	harness.discovery.Update("w2", func(x *platform.Endpoint) {
 		*x = platform.Endpoint{ID: "w2", Address: n.Address(), Zone: "z", Kind: "write", State: "up", Weight: 1,
@@ -50,10 +50,11 @@
 	harness.requireNoViolations()
 }
 
-// Whatever discovery sends or fails to send, the node serves by the latest valid list; a removal takes effect at once.
+// Discovery sends invalid lists, does not respond, or refuses connections. The node must serve with the latest valid list, and a
+// removal must take effect at once.
 func TestRelayServesDuringDiscoveryFaults(t *testing.T) {
 	harness, _ := newRelayHarness(t, 64, 256, "r0 read", "w0 write", "w1 write")
-	served := func(what string) {
+	requireServed := func(what string) {
 		t.Helper()
 		for range 3 {
 			if result := harness.send(harness.newRequest("chat")); result.Outcome != record.Served {
@@ -61,22 +62,22 @@
 			}
 		}
 	}
-	served("at first")
-	for _, bad := range []string{"{", `{"version":"x"}`, `{"version":-1,"full":true,"servers":[]}`,
+	requireServed("healthy")
+	for _, invalidList := range []string{"{", `{"version":"x"}`, `{"version":-1,"full":true,"servers":[]}`,
 		`{"version":9,"full":true,"servers":[{"id":"","state":"up"}]}`,
 		`{"version":9,"full":true,"servers":[{"id":"w0","state":"sideways"}]}`} {
-		harness.discovery.SetFault(bad, false)
+		harness.discovery.SetFault(invalidList, false)
 		time.Sleep(20 * time.Millisecond)
-		served(bad)
+		requireServed(invalidList)
 	}
 	harness.discovery.SetFault("", true)
-	served("silent")
+	requireServed("not responding")
 	harness.discovery.Close()
-	served("gone")
+	requireServed("down")
 	harness.discovery.SetFault("", false)
 	harness.discovery.Listen()
 	harness.writeConfig(64, 256)
-	cfg, err := relay.Load(func(name string) string { return map[string]string{"RELAY_CONFIG": harness.file}[name] })
+	cfg, err := relay.Load(func(name string) string { return map[string]string{"RELAY_CONFIG": harness.configFile}[name] })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/relay_harness_test.go
+++ b/internal/node/relay_harness_test.go
@@ -23,21 +23,21 @@
 	"go.uber.org/goleak"
 )
 
-// relayHarness is a RelayNode on an emulation of the users' platform.
+// relayHarness runs a RelayNode on the emulated platform (lab/platform).
 type relayHarness struct {
-	t         *testing.T
-	log       *record.Log
-	platform  *platform.Platform
-	discovery *platform.Discovery
-	node      *node.RelayNode
-	file      string
-	settings  string
-	requests  int
-	stopped   bool
-	nodeLog   *logBuffer // what the node logs at the level that operators read
+	t          *testing.T
+	log        *record.Log
+	platform   *platform.Platform
+	discovery  *platform.Discovery
+	node       *node.RelayNode
+	configFile string
+	settings   string
+	requests   int
+	stopped    bool
+	nodeLog    *logBuffer // log of the node at info level, which operators read
 }
 
-// logBuffer keeps what is logged. It is safe for concurrent use.
+// logBuffer stores log lines. It is safe for concurrent use.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -49,7 +49,7 @@
 	return b.text.Write(line)
 }
 
-// linesWith returns the lines that hold all of the texts.
+// linesWith returns the lines that contain all of the texts.
 func (b *logBuffer) linesWith(texts ...string) (found []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -61,24 +61,25 @@
 	return found
 }
 
-// newRelayHarness starts engines by id and role ("r0 read") and a node with the limits given.
+// newRelayHarness starts engines, each given by id and role ("r0 read"), and a node with the given limits.
 func newRelayHarness(t *testing.T, memoryMB, sockets int, engines ...string) (*relayHarness, map[string]*platform.Engine) {
 	t.Helper()
 	return newRelayHarnessWith(t, platform.SettingsJSON, memoryMB, sockets, engines...)
 }
 
-// newRelayHarnessWith is newRelayHarness with settings of the test's own.
+// newRelayHarnessWith is newRelayHarness with other settings.
 func newRelayHarnessWith(t *testing.T, settings string, memoryMB, sockets int, engines ...string) (*relayHarness,
 	map[string]*platform.Engine) {
 	t.Helper()
 	return newRelayHarnessOn(t, nil, settings, memoryMB, sockets, engines...)
 }
 
-// newRelayHarnessOn is newRelayHarnessWith on a listener of the test's own; nil = the node opens one.
+// newRelayHarnessOn is newRelayHarnessWith with a listener for clients; nil = the node opens one.
 func newRelayHarnessOn(t *testing.T, l net.Listener, settings string, memoryMB, sockets int, engines ...string) (*relayHarness,
 	map[string]*platform.Engine) {
 	t.Helper()
-	h := &relayHarness{t: t, log: &record.Log{}, nodeLog: &logBuffer{}, settings: settings, file: filepath.Join(t.TempDir(), "config.json")}
+	h := &relayHarness{t: t, log: &record.Log{}, nodeLog: &logBuffer{}, settings: settings,
+		configFile: filepath.Join(t.TempDir(), "config.json")}
 	h.platform = platform.New("n0", h.log)
 	byID := map[string]*platform.Engine{}
 	var all []*platform.Engine
@@ -91,7 +92,7 @@
 	h.writeConfig(memoryMB, sockets)
 	cfg, err := relay.Load(func(name string) string {
 		if name == "RELAY_CONFIG" {
-			return h.file
+			return h.configFile
 		}
 		return ""
 	})
@@ -116,8 +117,8 @@
 
 func (h *relayHarness) writeConfig(memoryMB, sockets int) {
 	h.t.Helper()
-	if err := platform.WriteConfig(h.file, platform.ConfigText(h.settings, "127.0.0.1:0", h.discovery.Address(), h.discovery.Snapshot(),
-		memoryMB, sockets)); err != nil {
+	if err := platform.WriteConfig(h.configFile, platform.ConfigText(h.settings, "127.0.0.1:0", h.discovery.Address(),
+		h.discovery.Snapshot(), memoryMB, sockets)); err != nil {
 		h.t.Fatal(err)
 	}
 }
@@ -138,8 +139,8 @@
 		Timeout: 4 * time.Second}
 }
 
-func (h *relayHarness) send(a platform.Request) platform.Response {
-	return h.platform.Send(h.node.Addr().String(), a)
+func (h *relayHarness) send(request platform.Request) platform.Response {
+	return h.platform.Send(h.node.Addr().String(), request)
 }
 
 func (h *relayHarness) countRecords(kind record.Kind, op string) (n int) {
@@ -151,7 +152,7 @@
 	return n
 }
 
-// requireNoViolations waits until no engine holds a state and checks the rules against what passed on the sockets.
+// requireNoViolations waits until no engine holds a state and checks all records of the sockets against the rules.
 func (h *relayHarness) requireNoViolations() {
 	h.t.Helper()
 	h.eventually("no engine holds a state", func() bool { return h.platform.CallsWithState() == 0 })
@@ -168,8 +169,7 @@
 	}
 }
 
-// sendRaw sends bytes on a connection of their own and returns the status of the response; 0 = the connection was closed
-// without one.
+// sendRaw sends bytes on a new connection and returns the status of the response; 0 = the connection was closed without a response.
 func (h *relayHarness) sendRaw(text string) int {
 	h.t.Helper()
 	c, err := net.Dial("tcp", h.node.Addr().String())
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -28,8 +28,8 @@
 	harness.requireNoViolations()
 }
 
-// Each fault before the first event: an attempt is retried where that is safe, and an at-most-once request that may have run is
-// not.
+// An engine fails before the first event of a response. The attempt must be retried where that is safe. An at-most-once request that may
+// have run must fail and not be retried.
 func TestRelayFaultsBeforeFirstEvent(t *testing.T) {
 	for _, c := range []struct {
 		fault platform.Fault
@@ -44,7 +44,7 @@
 				engines["w0"].QueueFaults(c.fault)
 				engines["w1"].QueueFaults(c.fault)
 				harness.requireFaultHandled(class, class == "commit" && c.ran)
-				harness.send(harness.newRequest("chat")) // consumes the faults that are left
+				harness.send(harness.newRequest("chat")) // consumes the remaining faults
 				harness.send(harness.newRequest("chat"))
 			}
 			harness.requireNoViolations()
@@ -52,8 +52,8 @@
 	}
 }
 
-// requireFaultHandled sends a request whose first attempts meet a fault. It must fail if it may have run and must not be repeated;
-// otherwise it is served, or rejected where a retry is safe.
+// requireFaultHandled sends a request whose first attempts meet a fault. With mustFail, the request may have run and must fail without a
+// repeat. Otherwise it must be served; an idempotent request may also be rejected.
 func (h *relayHarness) requireFaultHandled(class string, mustFail bool) {
 	h.t.Helper()
 	request := h.newRequest(class)
@@ -71,7 +71,7 @@
 	}
 }
 
-// A stream that is malformed or cut after its first events closes the client's connection soon, without the last chunk.
+// A stream is malformed or cut off after its first events. The client's connection must be closed soon, without the last chunk.
 func TestRelayFaultsMidStreamEndTheClientConnection(t *testing.T) {
 	for _, f := range []platform.Fault{platform.MalformedChunkSize, platform.ChunkSizeMismatch, platform.HugeChunk,
 		platform.CloseMidStream, platform.StallMidStream} {
@@ -97,7 +97,8 @@
 	}
 }
 
-// Bytes beyond a response affect neither it nor the next one on that connection.
+// Interim responses, malformed load reports and extra bytes after a response must affect neither that response nor the next one on the
+// connection.
 func TestRelayExtraBytesDoNotAffectResponses(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
 	engines["r0"].QueueFaults(platform.MalformedLoadReport)
@@ -112,8 +113,8 @@
 	harness.requireNoViolations()
 }
 
-// A prefill that completed just as its connection broke leaves a state, which is released, by any engine: the holder may be
-// removed.
+// A prefill that completes when its connection breaks leaves a state, which must be released. The call may go to any engine, because the
+// engine that holds the state may have been removed.
 func TestRelayStatesOfCutPrefillsAreReleased(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "r1 read", "w0 write")
 	for range 6 {
--- a/internal/node/release_test.go
+++ b/internal/node/release_test.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// connectTime is how long a connection to a decode engine takes to fail.
+	// connectTime is the time after which a connection to a decode engine fails.
 	connectTime = 250 * time.Millisecond
-	// releaseTime is how long a release call takes.
+	// releaseTime is the duration of a release call.
 	releaseTime = 5 * time.Millisecond
 )
 
-// failingDecodes is a protocol double on which prefills end at once and connections to decode engines fail after connectTime.
-// It implements protocol.ClientExchange, protocol.EngineClient and protocol.EndpointSource.
+// failingDecodes is a fake protocol whose prefills complete at once and whose connections to decode engines fail after connectTime. It
+// implements protocol.ClientExchange, protocol.EngineClient and protocol.EndpointSource.
 type failingDecodes struct {
 	responded chan struct{} // closed at the final response
 
-	mu            sync.Mutex
-	cutFirst      bool      // the first prefill is to be cut
-	prefilledAt   time.Time // when the first prefill was done
-	releasedAt    time.Time // when the first release after that was made
-	nextAttemptAt time.Time // when the first attempt after that began
+	mu               sync.Mutex
+	breakNextPrefill bool      // the next prefill ends with a broken connection
+	prefilledAt      time.Time // when the first prefill completed
+	releasedAt       time.Time // when the first release call after that ended
+	nextAttemptAt    time.Time // when the first attempt after that started
 }
 
 func (f *failingDecodes) Attempt(spec protocol.AttemptSpec) protocol.Attempt {
@@ -67,7 +67,7 @@
 }
 
 func (a *failingAttempt) Run(protocol.AttemptObserver) protocol.Result {
-	a.protocol.attemptBegan()
+	a.protocol.attemptStarted()
 	if a.spec.Stage == outcome.Prefill {
 		return protocol.Result{Evidence: a.protocol.prefill()}
 	}
@@ -75,7 +75,7 @@
 	return protocol.Result{Evidence: outcome.Evidence{Progress: outcome.Connecting, Cause: outcome.ConnectionBroken}}
 }
 
-func (f *failingDecodes) attemptBegan() {
+func (f *failingDecodes) attemptStarted() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.releasedAt.IsZero() && f.nextAttemptAt.IsZero() {
@@ -83,12 +83,12 @@
 	}
 }
 
-// prefill ends a prefill: the first one broken if it is to be cut.
+// prefill returns the result of a prefill, which is complete unless breakNextPrefill is set.
 func (f *failingDecodes) prefill() outcome.Evidence {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.cutFirst {
-		f.cutFirst = false
+	if f.breakNextPrefill {
+		f.breakNextPrefill = false
 		return outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.ConnectionBroken}
 	}
 	if f.prefilledAt.IsZero() {
@@ -97,27 +97,28 @@
 	return outcome.Evidence{Progress: outcome.HeaderReceived, Cause: outcome.ResponseComplete, ResponseKind: outcome.PrefillDone}
 }
 
-// A state is released as soon as the scheduler releases it, though the next attempt starts in the same pass and takes long to
-// fail: the limit on the hold time runs on meanwhile. The attempt waits for the release call, which would free what it brings.
+// The scheduler releases a state and starts the next attempt in the same step, and the attempt takes long to fail. The release must not
+// wait for the attempt, because the hold time of the state runs on. The attempt must wait for the release call, which would otherwise also
+// release the state that the attempt brings.
 func TestReleaseDoesNotWaitForNextAttempt(t *testing.T) {
 	t.Run("one prefill", func(t *testing.T) { requireReleaseInTime(t, &failingDecodes{}) })
-	t.Run("a prefill cut before", func(t *testing.T) { requireReleaseInTime(t, &failingDecodes{cutFirst: true}) })
+	t.Run("after a broken prefill", func(t *testing.T) { requireReleaseInTime(t, &failingDecodes{breakNextPrefill: true}) })
 }
 
-// startFailingNode starts a node on a protocol double, with two prefill and three decode engines.
-func startFailingNode(t *testing.T, double *failingDecodes) *Node {
+// startFailingNode starts a node on a fake protocol, with two prefill and three decode engines.
+func startFailingNode(t *testing.T, fake *failingDecodes) *Node {
 	t.Helper()
 	const releaseLimit = 0.3
 	kinds := []scheduler.Kind{{Role: scheduler.Prefill, Memory: 2e5}, {Role: scheduler.Decode, Memory: 2e5}}
 	classes := []scheduler.Class{{Effect: scheduler.Idempotent, FirstTokenObjective: 1, ClientTimeout: 4, OutputTokenObjective: 0.06,
 		PriorityWeight: 1, LateValue: 0.3}}
-	decisions := scheduler.Config{NodeCount: 1, ZoneCount: 1, Tick: 0.002, Classes: classes, Kinds: kinds, Tenants: []scheduler.Tenant{{}},
-		Limits: scheduler.Limits{MaxAttempts: 6, Cancel: true},
+	schedulerConfig := scheduler.Config{NodeCount: 1, ZoneCount: 1, Tick: 0.002, Classes: classes, Kinds: kinds,
+		Tenants: []scheduler.Tenant{{}}, Limits: scheduler.Limits{MaxAttempts: 6, Cancel: true},
 		Rules: scheduler.Rules{SlowStartShare: 0.25, SlowStartDuration: 1, OverloadMultiple: 4, SlowStartWindow: 1,
 			StateReleaseLimit: releaseLimit, PollInterval: 10, DrainGrace: 0.25}}
 	config := hostConfig{
-		scheduler:         decisions,
-		tick:              decisions.Tick,
+		scheduler:         schedulerConfig,
+		tick:              schedulerConfig.Tick,
 		anyEngineReleases: true,
 		overload:          overload.Limits{Connections: 10},
 		table: requesttable.Config{Classes: classes, MaxOpenRequests: 8, MaxAttempts: 6, ResponseSlack: 0.05, DrainGrace: 0.25,
@@ -127,7 +128,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.engines, n.endpoints = double, double
+	n.engines, n.endpoints = fake, fake
 	n.startLoop(n.loop.run)
 	t.Cleanup(func() {
 		n.loop.post(func(float64) { n.loop.stop() })
@@ -144,29 +145,29 @@
 	return n
 }
 
-func requireReleaseInTime(t *testing.T, double *failingDecodes) {
+func requireReleaseInTime(t *testing.T, fake *failingDecodes) {
 	t.Helper()
-	double.responded = make(chan struct{})
-	n := startFailingNode(t, double)
+	fake.responded = make(chan struct{})
+	n := startFailingNode(t, fake)
 	n.loop.post(func(now float64) {
 		n.table().AddRequest(now, scheduler.Request{ID: "a", ClientTimeLeft: 4, PromptTokens: 1000, MaxOutputTokens: 100}, 0)
-		n.owned.requests["a"] = &activeRequest{id: "a", client: double, attempts: map[int]attemptInFlight{},
+		n.owned.requests["a"] = &activeRequest{id: "a", client: fake, attempts: map[int]attemptInFlight{},
 			responseGrants: map[int]chan bool{}}
 	})
 	select {
-	case <-double.responded:
+	case <-fake.responded:
 	case <-time.After(10 * time.Second):
 		t.Fatal("got no final response within 10 s")
 	}
 	time.Sleep(50 * time.Millisecond)
-	double.mu.Lock()
-	defer double.mu.Unlock()
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
 	// The first attempt at a decode engine ends after connectTime, and the scheduler releases the state then.
-	released := double.releasedAt.Sub(double.prefilledAt)
-	if double.releasedAt.IsZero() || released > connectTime+150*time.Millisecond {
-		t.Fatalf("got the state released %v after the prefill, want at most %v", released, connectTime+150*time.Millisecond)
+	released := fake.releasedAt.Sub(fake.prefilledAt)
+	if fake.releasedAt.IsZero() || released > connectTime+150*time.Millisecond {
+		t.Fatalf("state was released %v after the prefill, want at most %v", released, connectTime+150*time.Millisecond)
 	}
-	if double.nextAttemptAt.IsZero() {
-		t.Fatal("no attempt followed the release, or it overtook it")
+	if fake.nextAttemptAt.IsZero() {
+		t.Fatal("got no attempt after the release, want one that starts once the release call has ended")
 	}
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -13,34 +13,34 @@
 	"dillroute/lab/record"
 )
 
-// Settings with missing, zero or unusual values give a node that responds to each request in time, or a clear error at the start.
+// With missing, zero or unusual values in its settings, a node must either respond to requests in time or fail to start with a clear error.
 func TestRelayUnusualSettings(t *testing.T) {
 	for name, edit := range map[string][2]string{
-		"no attempts":           {`"max_attempts":4`, `"max_attempts":0`},
-		"negative attempts":     {`"max_attempts":4`, `"max_attempts":-1`},
-		"one attempt":           {`"max_attempts":4`, `"max_attempts":1`},
-		"no time to connect":    {`"connect_timeout_s":0.25`, `"connect_timeout_s":0`},
-		"no idle time":          {`"keepalive_s":30`, `"keepalive_s":0`},
-		"a moment of idle time": {`"keepalive_s":30`, `"keepalive_s":0.001`},
-		"no grace":              {`"drain_grace_s":0.25`, `"drain_grace_s":0`},
-		"no time to release":    {`"let_go_by_s":1`, `"let_go_by_s":0`},
-		"no tick":               {`"tick_s":0.002`, `"tick_s":0`},
-		"negative tick":         {`"tick_s":0.002`, `"tick_s":-1`},
-		"no window":             {`"tip_after_s":1.5`, `"tip_after_s":0`},
-		"no cold share":         {`"cold_share":0.25`, `"cold_share":0`},
-		"no nodes":              {`"balancers":1`, `"balancers":0`},
-		"a rank beyond":         {`"rank":0`, `"rank":7`},
-		"no classes":            {`"classes":[`, `"classes":[],"was":[`},
-		"no kinds":              {`"machine_types":["read","write","both"]`, `"machine_types":[]`},
-		"no tenants":            {`"accounts":[`, `"accounts":[],"were":[`},
-		"no deadline":           {`"hard_limit_s":4`, `"hard_limit_s":0`},
-		"a token in no time":    {`"token_aim_s":[0.06,0.08]`, `"token_aim_s":[0,0]`},
-		"no token aims":         {`"token_aim_s":[0.06,0.08]`, `"token_aim_s":[]`},
-		"no reports":            {`"how":"inline"`, `"how":"off"`},
-		"unknown effect":        {`"effect":"once"`, `"effect":"twice"`},
-		"asked for":             {`"registry_mode":"pushed"`, `"registry_mode":"on_request"`},
-		"asked for, no period":  {`"ask_every_s":10`, `"ask_every_s":0`},
-		"no memory told":        {`"tokens_by_kind":[200000,150000,200000]`, `"tokens_by_kind":[]`},
+		"zero attempts":          {`"max_attempts":4`, `"max_attempts":0`},
+		"negative attempts":      {`"max_attempts":4`, `"max_attempts":-1`},
+		"one attempt":            {`"max_attempts":4`, `"max_attempts":1`},
+		"zero connect timeout":   {`"connect_timeout_s":0.25`, `"connect_timeout_s":0`},
+		"zero idle timeout":      {`"keepalive_s":30`, `"keepalive_s":0`},
+		"1 ms idle timeout":      {`"keepalive_s":30`, `"keepalive_s":0.001`},
+		"zero drain grace":       {`"drain_grace_s":0.25`, `"drain_grace_s":0`},
+		"zero release limit":     {`"let_go_by_s":1`, `"let_go_by_s":0`},
+		"zero tick":              {`"tick_s":0.002`, `"tick_s":0`},
+		"negative tick":          {`"tick_s":0.002`, `"tick_s":-1`},
+		"zero slow start window": {`"tip_after_s":1.5`, `"tip_after_s":0`},
+		"zero slow start share":  {`"cold_share":0.25`, `"cold_share":0`},
+		"zero nodes":             {`"balancers":1`, `"balancers":0`},
+		"rank out of range":      {`"rank":0`, `"rank":7`},
+		"no classes":             {`"classes":[`, `"classes":[],"was":[`},
+		"no kinds":               {`"machine_types":["read","write","both"]`, `"machine_types":[]`},
+		"no tenants":             {`"accounts":[`, `"accounts":[],"were":[`},
+		"zero client timeout":    {`"hard_limit_s":4`, `"hard_limit_s":0`},
+		"zero token objectives":  {`"token_aim_s":[0.06,0.08]`, `"token_aim_s":[0,0]`},
+		"no token objectives":    {`"token_aim_s":[0.06,0.08]`, `"token_aim_s":[]`},
+		"no load reports":        {`"how":"inline"`, `"how":"off"`},
+		"unknown effect":         {`"effect":"once"`, `"effect":"twice"`},
+		"endpoint list polled":   {`"registry_mode":"pushed"`, `"registry_mode":"on_request"`},
+		"zero poll interval":     {`"ask_every_s":10`, `"ask_every_s":0`},
+		"no memory sizes":        {`"tokens_by_kind":[200000,150000,200000]`, `"tokens_by_kind":[]`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			settings := strings.Replace(platform.SettingsJSON, edit[0], edit[1], 1)
@@ -52,7 +52,8 @@
 	}
 }
 
-// requireServedOrClearError starts a node with the settings. It must respond to a request in time, or not start and say why.
+// requireServedOrClearError starts a node with the settings. It must respond to a request in time, or fail to start with an error that says
+// why.
 func requireServedOrClearError(t *testing.T, settings string) {
 	t.Helper()
 	p := platform.New("n0", &record.Log{})
@@ -77,7 +78,7 @@
 	}
 }
 
-// loadAndStart starts a node by a configuration file.
+// loadAndStart starts a node with a configuration file.
 func loadAndStart(file string) (*node.RelayNode, error) {
 	cfg, err := relay.Load(func(string) string { return file })
 	if err != nil {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// shutdownPoll is how often a shutdown checks what it waits for.
+	// shutdownPoll is the interval at which a shutdown checks the condition that it waits for.
 	shutdownPoll = 5 * time.Millisecond
 	// finishGrace bounds the wait for final responses and state releases after the last request has ended.
 	finishGrace = 2 * time.Second
@@ -15,7 +15,7 @@
 	connectionGrace = time.Second
 )
 
-// Shutdown stops accepting requests, lets open ones continue for the time given, rejects or fails the rest, and stops the node.
+// Shutdown stops accepting requests, lets open requests continue for up to wait, rejects or fails those that are left, and stops the node.
 func (n *Node) Shutdown(wait time.Duration) {
 	deadline := time.Now().Add(wait)
 	n.stopAccepting(deadline)
@@ -24,19 +24,19 @@
 	n.finish()
 }
 
-// ShutdownBy is Shutdown for a process that will be killed. A request whose response has not begun gets a final response by the
-// time given (by); streams may continue for up to streamWait after that. A request that arrives meanwhile is accepted only if
-// its response can begin in time. Where clients resume streams elsewhere, streams are cut one by one before that time instead.
-func (n *Node) ShutdownBy(by, streamWait time.Duration) {
-	deadline := time.Now().Add(by)
-	n.loop.post(func(now float64) { n.owned.shutdownDeadline = now + by.Seconds() })
+// ShutdownBy is Shutdown for a process that will be killed. A request whose response has not begun receives a final response within the
+// given time; streams may continue for up to streamWait after that. A request that arrives meanwhile is accepted only if its response can
+// begin in time. Where clients resume streams at other nodes, streams are cut off one by one within that time instead.
+func (n *Node) ShutdownBy(within, streamWait time.Duration) {
+	deadline := time.Now().Add(within)
+	n.loop.post(func(now float64) { n.owned.shutdownDeadline = now + within.Seconds() })
 	if n.config.clientsMayResume {
-		early := time.AfterFunc(n.config.timeouts.DrainAccept, func() { n.loop.post(n.scheduleCutoffs) })
-		defer early.Stop()
+		cutoffTimer := time.AfterFunc(n.config.timeouts.DrainAccept, func() { n.loop.post(n.scheduleCutoffs) })
+		defer cutoffTimer.Stop()
 	}
 	n.stopAccepting(deadline)
 	if n.config.clientsMayResume {
-		n.loop.post(n.scheduleCutoffs) // of streams that have begun since
+		n.loop.post(n.scheduleCutoffs) // for streams that have begun since
 	}
 	n.awaitResponses(deadline)
 	if !n.config.clientsMayResume {
@@ -47,7 +47,7 @@
 	n.finish()
 }
 
-// scheduleCutoffs schedules the end of each stream that runs.
+// scheduleCutoffs schedules the cutoff of each stream that is running.
 func (n *Node) scheduleCutoffs(now float64) {
 	var streams []shutdown.Stream
 	for _, stream := range n.table().Streams() {
@@ -59,7 +59,7 @@
 	}
 }
 
-// stopAccepting drains the server. Requests that are on their way are still accepted, up to the deadline.
+// stopAccepting drains the server. Requests in transit are still accepted, until the deadline at the latest.
 func (n *Node) stopAccepting(deadline time.Time) {
 	n.server.Drain()
 	acceptUntil := earlier(time.Now().Add(n.config.timeouts.AcceptsFor()), deadline)
@@ -69,14 +69,14 @@
 	n.loop.post(func(float64) { n.table().StopAccepting() })
 }
 
-// awaitResponses waits until no request is open, or until the deadline.
+// awaitResponses waits until no request is open, the deadline has passed, or RespondNow was called.
 func (n *Node) awaitResponses(deadline time.Time) {
 	for time.Now().Before(deadline) && !n.respondNow.Load() && n.openRequests() > 0 {
 		time.Sleep(shutdownPoll)
 	}
 }
 
-// finish waits for the final responses to be written and the states to be released, and stops the node.
+// finish waits until the final responses are written and the states are released, and stops the node.
 func (n *Node) finish() {
 	deadline := time.Now().Add(finishGrace)
 	for time.Now().Before(deadline) && n.unfinishedRequests() > 0 {
@@ -95,8 +95,8 @@
 	return b
 }
 
-// StopSavingState stops the writing of the state directory, so that a successor process can own it.
+// StopSavingState stops writes to the state directory, so that a successor process can own it.
 func (n *Node) StopSavingState() { n.endpoints.SaveState(false) }
 
-// RespondNow makes a Shutdown that waits give its final responses now.
+// RespondNow ends the waiting of a Shutdown or ShutdownBy in progress, which then responds to the open requests at once.
 func (n *Node) RespondNow() { n.respondNow.Store(true) }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -15,7 +15,7 @@
 	"dillroute/lab/record"
 )
 
-// openConnection is a client connection on which requests follow one another.
+// openConnection is a client connection for several requests, one after another.
 type openConnection struct {
 	harness *relayHarness
 	conn    net.Conn
@@ -32,13 +32,13 @@
 	return &openConnection{h, c, bufio.NewReader(c)}
 }
 
-// send sends a request for so many tokens and reads the response to its end; status is 0 if none came.
-func (k *openConnection) send(id string, tokens int) (status int, whole bool) {
+// send sends a request for a response of so many tokens and reads the response to its end; status is 0 if there is none.
+func (k *openConnection) send(id string, tokens int) (status int, complete bool) {
 	k.harness.t.Helper()
-	a := k.harness.newRequest("chat")
-	a.ID, a.ResponseTokens = id, tokens
-	k.harness.platform.RegisterCall(id, platform.Operation{Name: a.Operation, Class: a.Class, ResponseTokens: tokens})
-	io.WriteString(k.conn, a.Encode())
+	request := k.harness.newRequest("chat")
+	request.ID, request.ResponseTokens = id, tokens
+	k.harness.platform.RegisterCall(id, platform.Operation{Name: request.Operation, Class: request.Class, ResponseTokens: tokens})
+	io.WriteString(k.conn, request.Encode())
 	k.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 	resp, err := http.ReadResponse(k.reader, nil)
 	if err != nil {
@@ -48,16 +48,16 @@
 	return resp.StatusCode, err == nil
 }
 
-// Where clients cannot resume streams, a node that shuts down cuts no running stream and accepts no request that SIGKILL could
-// cut: a request that comes on an open connection later than 0.7 s is rejected.
+// Where clients cannot resume streams, a node that shuts down must not cut a running stream, and must not accept a request that SIGKILL
+// could cut off: a request that arrives on an open connection after more than 0.7 s is rejected.
 func TestRelayShutdownWithoutResume(t *testing.T) {
 	settings := strings.Replace(platform.SettingsJSON, `"resume":true`, `"resume":false`, 1)
 	harness, engines := newRelayHarnessWith(t, settings, 64, 256, "r0 read", "w0 write")
 	engines["w0"].TokenInterval = 40 * time.Millisecond
 	earlyConn, lateConn := harness.openConnection(), harness.openConnection()
 	for i, k := range []*openConnection{earlyConn, lateConn} {
-		if status, whole := k.send("a"+string(rune('0'+i)), 1); status != 200 || !whole {
-			t.Fatalf("before the shutdown: got status %d, complete %v", status, whole)
+		if status, complete := k.send("a"+string(rune('0'+i)), 1); status != 200 || !complete {
+			t.Fatalf("before the shutdown: got status %d, complete %v", status, complete)
 		}
 	}
 	harness.stopped = true
@@ -65,8 +65,8 @@
 	go func() { defer close(done); harness.node.ShutdownBy(relay.StopBy(4), 10*time.Second) }()
 	streamed := make(chan bool, 1)
 	go func() {
-		status, whole := earlyConn.send("b0", 100) // beyond the time at which queued requests are ended
-		streamed <- status == 200 && whole
+		status, complete := earlyConn.send("b0", 100) // beyond the time at which requests without a response are ended
+		streamed <- status == 200 && complete
 	}()
 	harness.eventually("the early stream is running", func() bool { return harness.countRecords(record.Run, "op3") == 1 })
 	time.Sleep(time.Until(start.Add(750 * time.Millisecond)))
@@ -83,8 +83,8 @@
 	harness.requireNoViolations()
 }
 
-// A node that shuts down gives every request a final response in time, and cuts its streams so that their clients resume them at
-// another node.
+// A node that shuts down must give every request a final response in time, and cut off its streams one by one, so that their clients resume
+// them at another node.
 func TestRelayShutdownCutsStreamsInTime(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
 	engines["w0"].TokenInterval = 200 * time.Millisecond
@@ -113,21 +113,21 @@
 	}
 	wg.Wait()
 	close(results)
-	spread := map[int64]bool{}
+	tenths := map[int64]bool{}
 	for result := range results {
 		if result.Outcome != record.Failed || result.Complete {
 			t.Errorf("got %+v, want a stream that was cut", result)
 		}
-		spread[result.Duration.Milliseconds()/100] = true
+		tenths[result.Duration.Milliseconds()/100] = true
 	}
-	if len(spread) < 5 {
-		t.Errorf("got the cutoffs in the tenths of a second %v, want them spread over at least 5", spread)
+	if len(tenths) < 5 {
+		t.Errorf("got cutoffs in the tenths of a second %v, want them spread over at least 5", tenths)
 	}
 	harness.requireNoViolations()
 }
 
-// A node that shuts down still serves on the connections that clients have open, and every request that it accepts then has
-// ended before the process could be killed.
+// A node that shuts down must still serve requests on open connections, and every request that it accepts then must end before the process
+// could be killed.
 func TestRelayShutdownServesOpenConnections(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
 	engines["w0"].TokenInterval = 30 * time.Millisecond
@@ -137,7 +137,7 @@
 	}
 	defer c.Close()
 	br := bufio.NewReader(c)
-	ask := func(id string, tokens int) (status int, whole bool) {
+	send := func(id string, tokens int) (status int, complete bool) {
 		request := harness.newRequest("chat")
 		request.ID, request.ResponseTokens = id, tokens
 		harness.platform.RegisterCall(id, platform.Operation{Name: request.Operation, Class: "chat", ResponseTokens: tokens})
@@ -153,19 +153,19 @@
 		}
 		return resp.StatusCode, err == nil
 	}
-	if status, whole := ask("c1", 2); status != 200 || !whole {
-		t.Fatalf("before the shutdown: got status %d, complete %v", status, whole)
+	if status, complete := send("c1", 2); status != 200 || !complete {
+		t.Fatalf("before the shutdown: got status %d, complete %v", status, complete)
 	}
 	start := time.Now()
 	harness.stopped = true
 	done := make(chan struct{})
 	go func() { defer close(done); harness.node.ShutdownBy(relay.StopBy(4), time.Second) }()
 	time.Sleep(time.Second)
-	if status, whole := ask("c2", 2); status != 200 || !whole {
-		t.Errorf("on an open connection, 1 s after the shutdown began: got status %d, complete %v, want it served", status, whole)
+	if status, complete := send("c2", 2); status != 200 || !complete {
+		t.Errorf("on an open connection, 1 s after the shutdown began: got status %d, complete %v, want it served", status, complete)
 	}
-	if status, whole := ask("c3", 300); status != 200 || whole { // 9 s: its client resumes it elsewhere
-		t.Errorf("long stream: got status %d, complete %v, want it cut", status, whole)
+	if status, complete := send("c3", 300); status != 200 || complete { // 9 s: its client resumes it at another node
+		t.Errorf("long stream: got status %d, complete %v, want it cut", status, complete)
 	}
 	if took := time.Since(start); took > 3500*time.Millisecond {
 		t.Errorf("the long stream ended %v after the shutdown began, want at most 3.5s", took)
--- a/internal/node/simulated_days_test.go
+++ b/internal/node/simulated_days_test.go
@@ -18,14 +18,14 @@
 	"dillroute/lab/simulation"
 )
 
-// relayProcess adapts a RelayNode to simulation.Node.
+// relayProcess is a RelayNode as a simulation.Node.
 type relayProcess struct {
 	*node.RelayNode
-	patience float64
+	longestClientTimeout float64
 }
 
 func (p relayProcess) Terminate() {
-	p.ShutdownBy(relay.StopBy(p.patience), 10*time.Second)
+	p.ShutdownBy(relay.StopBy(p.longestClientTimeout), 10*time.Second)
 }
 
 func (p relayProcess) Kill() { p.Stop() }
@@ -48,33 +48,33 @@
 	return relayProcess{n, cfg.Settings.LongestClientTimeout}, nil
 }
 
-// playBoth plays a day with the product and with the baseline policy, each with a clock of its own.
-func playBoth(t *testing.T, d simulation.Day) (got, plain *simulation.Report) {
+// playBoth plays a day with the product and with the baseline policy, each with its own virtual clock.
+func playBoth(t *testing.T, d simulation.Day) (got, baseline *simulation.Report) {
 	t.Helper()
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // events of one instant happen in one order
-	synctest.Test(t, func(t *testing.T) { plain = d.PlayBaseline(simulation.Policy{}) })
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // events at the same instant occur in the same order in each run
+	synctest.Test(t, func(t *testing.T) { baseline = d.PlayBaseline(simulation.Policy{}) })
 	synctest.Test(t, func(t *testing.T) { got = d.Play(startRelayNode) })
-	return got, plain
+	return got, baseline
 }
 
-// requireDay fails the test if the day breaks a rule or serves too little compared with the baseline policy.
+// requireDay plays a day and fails the test if a rule is violated or the service falls short of the baseline policy's.
 func requireDay(t *testing.T, d simulation.Day) {
 	t.Helper()
-	got, plain := playBoth(t, d)
-	red := append(got.Violations[:min(maxBreaches, len(got.Violations))], simulation.Shortfalls(got, plain)...)
-	if len(red) > 0 || testing.Verbose() {
-		t.Log("\n" + got.Summary(plain))
+	got, baseline := playBoth(t, d)
+	problems := append(got.Violations[:min(maxReportedViolations, len(got.Violations))], simulation.Shortfalls(got, baseline)...)
+	if len(problems) > 0 || testing.Verbose() {
+		t.Log("\n" + got.Summary(baseline))
 	}
-	for _, x := range red {
+	for _, x := range problems {
 		t.Error(x)
 	}
 	traceRecords(t, got)
 }
 
-// maxBreaches bounds the violations of one day that are reported.
-const maxBreaches = 8
+// maxReportedViolations is how many violations of one day are reported at most.
+const maxReportedViolations = 8
 
-// traceRecords logs what COLLAPSE_TRACE names: a request's id, or a node and an engine.
+// traceRecords logs the records that COLLAPSE_TRACE selects: those of a request id, or of a node and an engine ("NODE ENGINE").
 func traceRecords(t *testing.T, r *simulation.Report) {
 	t.Helper()
 	name := os.Getenv("COLLAPSE_TRACE")
@@ -89,26 +89,27 @@
 	}
 }
 
-// Days on which service collapsed or a rule was broken before a repair; without the repair each fails again.
+// TestCollapsedDays plays days on which a fault in the product once made service collapse or violated a rule. Each day fails again if its
+// fix is removed.
 func TestCollapsedDays(t *testing.T) {
 	for _, x := range []struct {
 		seed  uint64
 		nodes int
 		what  string
 	}{
-		{327, 1, "an aim that is little longer than a read, two requests a second: a third refused"},
-		{186, 1, "all engines return cold: a fifth served for 5 s where all could be"},
-		{312, 1, "errors and lost states at once: what was learned kept all away"},
-		{276, 1, "discovery that is asked, at its limit: a drain was heard late"},
-		{149, 24, "an aim that is little longer than a read, on 34 engines that are idle"},
-		{167, 24, "the same, while nodes are killed"},
-		{122, 24, "a node that turned away all it got for 27 s"},
-		{257, 24, "discovery that is asked, at its limit: gone engines were sent to"},
-		{119, 24, "the same, while all engines return cold"},
+		{327, 1, "first-token objective barely longer than a prefill, 2 requests per second: a third of them were rejected"},
+		{186, 1, "all engines restart and are in slow start: a fifth of the requests was served for 5 s, though all could have been"},
+		{312, 1, "engine errors and lost states at the same time: what was learned from them kept requests away from all engines"},
+		{276, 1, "discovery is polled, at the limit of its capacity: a node learned of a drain too late"},
+		{149, 24, "first-token objective barely longer than a prefill, with 34 idle engines"},
+		{167, 24, "first-token objective barely longer than a prefill, while nodes are killed"},
+		{122, 24, "a node rejected all requests that it received for 27 s"},
+		{257, 24, "discovery is polled, at the limit of its capacity: attempts were sent to removed engines"},
+		{119, 24, "discovery is polled, at the limit of its capacity, while all engines restart: attempts were sent to removed engines"},
 	} {
 		t.Run(fmt.Sprintf("seed %d with %d nodes", x.seed, x.nodes), func(t *testing.T) {
 			if raceEnabled && x.nodes > 3 {
-				t.Skip("played without the race detector (.ci/run)")
+				t.Skip("too slow with the race detector; .ci/run plays this day without it")
 			}
 			t.Log(x.what)
 			requireDay(t, simulation.DrawDay(x.seed, x.nodes, drawnRate))
@@ -116,11 +117,10 @@
 	}
 }
 
-// drawnRate is the maximum request rate of a drawn day (1/s).
+// drawnRate is the maximum request rate of a drawn day (requests per second).
 const drawnRate = 150
 
-// TestDrawnDays plays days drawn from seeds. COLLAPSE_SEEDS=FIRST:COUNT chooses other seeds, COLLAPSE_NODES another number of
-// nodes.
+// TestDrawnDays plays days that are drawn from seeds. COLLAPSE_SEEDS=FIRST:COUNT selects other seeds, COLLAPSE_NODES the number of nodes.
 func TestDrawnDays(t *testing.T) {
 	first, count, nodes := 1, 9, 0
 	if raceEnabled {
--- a/internal/node/staterelease.go
+++ b/internal/node/staterelease.go
@@ -11,22 +11,21 @@
 	"dillroute/internal/decide/staterelease"
 )
 
-// stateRelease is the release of one state, from its command until a call is acknowledged or no further call is of use. It
-// belongs to the event loop.
+// stateRelease is the release of one state, from its command until no further call is useful. It is owned by the event loop.
 type stateRelease struct {
 	command  requesttable.ReleaseState
 	schedule staterelease.RetrySchedule
 	dueBy    float64 // when the state must be released (s)
-	reason   string  // the label under which it is counted
-	audited  bool    // the time at which the state was released, or that it was not in time, is known
-	pending  bool    // it counts among the releases that a stop waits for
+	reason   string  // value of the metric label reason
+	audited  bool    // whether the state was released in time is known
+	pending  bool    // counted in hostState.pendingReleases, for which a shutdown waits
 
-	letAttemptsBegin func() // is called once the calls have ended that come before the next attempt
+	unblockAttempts func() // called when the calls that must precede the next attempt have ended
 }
 
-// releaseState releases a state by calls to the engine that may hold it, or where every engine can release, to whichever
-// responds. The first call starts at once, in the order of the table's commands: an attempt that starts in the same pass may
-// take long to connect, and the hold time runs meanwhile. Later calls need the table's permission.
+// releaseState releases a state by calls to the engine that may hold it or, where every engine can release any state, to engines that
+// respond. The first call starts at once, in the order of the table's commands. It does not wait for an attempt that starts in the same
+// scheduler step, which may take long to connect while the hold time runs on. Each later call is made only if the table allows it.
 func (n *Node) releaseState(now float64, command requesttable.ReleaseState) {
 	release := &stateRelease{
 		command: command,
@@ -39,41 +38,42 @@
 			End:       staterelease.AttemptEnd{At: command.Ended.At},
 		},
 	}
-	if command.Again || command.Acknowledged { // it was released before, as far as can be known
+	if command.Again || command.Acknowledged { // as far as can be known, the state was released before; its limit starts again
 		release.dueBy = now + n.config.table.StateReleaseLimit
 	}
 	n.setReleasePending(release, true)
-	n.releaseStarted(now, release)
+	n.recordReleaseStart(now, release)
 	done := make(chan struct{})
-	release.letAttemptsBegin = sync.OnceFunc(func() { close(done) })
+	release.unblockAttempts = sync.OnceFunc(func() { close(done) })
 	if request := n.owned.requests[command.ID]; request != nil {
-		request.release = releaseWait{done: done, atMost: seconds(release.schedule.End.AttemptWait(now))}
+		request.release = releaseWait{done: done, maxWait: seconds(release.schedule.End.AttemptWait(now))}
 	}
-	n.callRelease(now, release)
+	n.startReleaseRound(now, release)
 }
 
-// releaseWait is what the next attempt of a request waits for: a release call made later than the attempt would release what it brings.
+// releaseWait is the release for which the next attempt of a request waits. A release call made after the start of the attempt would also
+// release the state that the attempt brings to an engine.
 type releaseWait struct {
-	done   <-chan struct{} // closed when the calls that come before the attempt have ended; nil = there are none
-	atMost time.Duration
+	done    <-chan struct{} // closed when the calls that must precede the attempt have ended; nil = there are none
+	maxWait time.Duration
 }
 
-// await waits for the release calls, for a short time at most.
+// await waits for the release calls, for maxWait at most.
 func (w releaseWait) await() {
 	if w.done == nil {
 		return
 	}
 	select {
 	case <-w.done:
-	case <-time.After(w.atMost):
+	case <-time.After(w.maxWait):
 	}
 }
 
-// releaseReason returns the label under which a release is counted.
+// releaseReason returns the value of the metric label reason for a release.
 func releaseReason(command requesttable.ReleaseState) string {
 	switch {
 	case command.Again:
-		return releaseAgain
+		return releaseRepeated
 	case command.AtLimit:
 		return releaseAtLimit
 	case command.AttemptCutAt > 0:
@@ -82,8 +82,8 @@
 	return releaseUnneeded
 }
 
-// releaseStarted counts and logs a release.
-func (n *Node) releaseStarted(now float64, release *stateRelease) {
+// recordReleaseStart counts and logs a release that starts.
+func (n *Node) recordReleaseStart(now float64, release *stateRelease) {
 	n.metrics.countStateRelease(release.reason)
 	command := release.command
 	attempts := 0
@@ -99,8 +99,8 @@
 		"reason", release.reason, "held_s", now-command.HeldSince, "attempts_in_flight", attempts)
 }
 
-// logLevel is the level of the lines about a release. One at the limit is worth its lines on call, as is the one that follows it when the
-// attempt has ended; the calls between, while that attempt is silent, are many.
+// logLevel returns the level of the log lines about a release. Operators see the release at the limit, and the one that follows when the
+// attempt in flight has ended. The repeated releases in between, while that attempt is silent, are many and are logged at debug level.
 func (r *stateRelease) logLevel() slog.Level {
 	if r.command.AtLimit != r.command.Again {
 		return slog.LevelInfo
@@ -108,7 +108,8 @@
 	return slog.LevelDebug
 }
 
-// checkHeldState has the request table look at a state whose limit is near, and tells it which attempts have left this machine.
+// checkHeldState has the request table check a state that may be due for its release. It passes on which attempts in flight have been
+// delivered to their engines, as far as can be seen (protocol.Attempt).
 func (n *Node) checkHeldState(now float64, check requesttable.CheckHeldState) {
 	delivered := requesttable.Deliveries{}
 	if request := n.owned.requests[check.ID]; request != nil {
@@ -119,7 +120,7 @@
 	n.table().HeldStateDue(now, check, delivered)
 }
 
-// setReleasePending counts a release among those that a node which stops waits for, or no longer.
+// setReleasePending sets whether a shutdown waits for a release.
 func (n *Node) setReleasePending(release *stateRelease, pending bool) {
 	if pending == release.pending {
 		return
@@ -132,49 +133,49 @@
 	}
 }
 
-// retryRelease makes a call later than its command, unless the call would release a state that is needed now.
+// retryRelease makes a later call of a release, unless the call would release a state that is needed now.
 func (n *Node) retryRelease(now float64, release *stateRelease) {
 	if !n.table().ReleaseAllowed(now, release.command) {
 		n.setReleasePending(release, false)
-		release.letAttemptsBegin()
+		release.unblockAttempts()
 		return
 	}
-	n.callRelease(now, release)
+	n.startReleaseRound(now, release)
 }
 
-// releaseRound is a set of release calls that are made at once, until the first is acknowledged or all have failed. It belongs to the
-// event loop, but for done.
+// releaseRound is a set of simultaneous release calls. It ends when the first one is acknowledged or all have failed. It is owned by the
+// event loop, except done, which any goroutine may call.
 type releaseRound struct {
 	startedAt float64 // (s)
-	pending   int     // calls that have not ended
+	pending   int     // number of calls that have not ended
 	ended     bool
-	done      func() // lets attempts begin that wait for these calls
+	unblock   func() // unblocks the attempts that wait for these calls
 }
 
-// callRelease makes the calls of one round on goroutines of their own, and lets attempts begin when the round has ended, unless another
-// round comes before them.
-func (n *Node) callRelease(now float64, release *stateRelease) {
-	done := release.letAttemptsBegin
+// startReleaseRound makes the calls of one round on goroutines of their own. The end of the round unblocks the attempts that wait for it,
+// unless another round must precede them.
+func (n *Node) startReleaseRound(now float64, release *stateRelease) {
+	unblock := release.unblockAttempts
 	if release.schedule.End.SettleCallAhead(now) {
-		done = func() {}
+		unblock = func() {}
 	}
 	targets := n.releaseTargets(release)
-	round := &releaseRound{startedAt: now, pending: len(targets), done: done}
+	round := &releaseRound{startedAt: now, pending: len(targets), unblock: unblock}
 	timeout := seconds(release.schedule.CallTimeout(now))
 	for _, engine := range targets {
 		address := n.endpoint(engine).address
 		n.jobs.start(func() {
 			err := n.engines.Release(address, release.command.ID, release.command.Attempt, timeout)
 			if err == nil {
-				round.done()
+				round.unblock()
 			}
 			n.loop.post(func(now float64) { n.releaseCallEnded(now, release, round, engine, err) })
 		})
 	}
 }
 
-// releaseTargets returns the engines that are called in the next round: the one that may hold the state, or where every engine can
-// release, those most likely to respond.
+// releaseTargets returns the ids of the engines for the next round of calls: the engine that may hold the state or, where every engine can
+// release any state, those that are most likely to respond.
 func (n *Node) releaseTargets(release *stateRelease) []string {
 	holder := release.command.Engine
 	if !n.config.anyEngineReleases {
@@ -197,26 +198,26 @@
 	return release.schedule.NextEngines(candidates)
 }
 
-// releaseCallEnded records the result of a release call, and that of its round once it is known.
+// releaseCallEnded records the result of a release call, and the result of its round as soon as that is known.
 func (n *Node) releaseCallEnded(now float64, release *stateRelease, round *releaseRound, engine string, err error) {
 	result := staterelease.Acknowledged
 	if err != nil {
 		result = staterelease.Unacknowledged
 		n.checkDescriptors(err)
 	}
-	n.recordReleaseContact(now, engine, round.startedAt, result)
-	n.releaseCallLogged(release, engine, result, err)
+	n.recordReleaseResult(now, engine, round.startedAt, result)
+	n.recordReleaseCall(release, engine, result, err)
 	round.pending--
 	if round.ended || result == staterelease.Unacknowledged && round.pending > 0 {
 		return
 	}
 	round.ended = true
-	round.done()
+	round.unblock()
 	n.releaseRoundEnded(now, release, result)
 }
 
-// releaseCallLogged counts and logs a release call that has ended.
-func (n *Node) releaseCallLogged(release *stateRelease, engine string, result staterelease.CallResult, err error) {
+// recordReleaseCall counts and logs a release call that has ended.
+func (n *Node) recordReleaseCall(release *stateRelease, engine string, result staterelease.CallResult, err error) {
 	n.metrics.countReleaseCall(result.String())
 	text := ""
 	if err != nil {
@@ -226,26 +227,26 @@
 		"attempt", release.command.Attempt, "engine", engine, "round", release.schedule.Attempts, "result", result.String(), "error", text)
 }
 
-// releaseRoundEnded records the result of a round and schedules the next one if one is needed.
+// releaseRoundEnded records the result of a round and schedules the next round if one is needed.
 func (n *Node) releaseRoundEnded(now float64, release *stateRelease, result staterelease.CallResult) {
 	n.auditRelease(now, release, result)
 	if result == staterelease.Acknowledged {
 		n.table().ReleaseAcknowledged(now, release.command)
-		release.command.HeldSince = now // what is left after this round has been held for no longer
+		release.command.HeldSince = now // a state that is left after this round has been held since now at the earliest
 		release.command.Acknowledged = true
 	}
 	release.schedule.End.EngineServedAt = n.endpoint(release.command.Ended.Engine).servedAt
 	at, again := release.schedule.Next(now, result)
 	n.setReleasePending(release, again && !release.schedule.OnlyDelayedCallsLeft())
 	if !again {
-		release.letAttemptsBegin()
+		release.unblockAttempts()
 		return
 	}
 	n.schedule(at, func(now float64) { n.retryRelease(now, release) })
 }
 
-// recordReleaseContact records whether an engine acknowledged a release call.
-func (n *Node) recordReleaseContact(now float64, engine string, startedAt float64, result staterelease.CallResult) {
+// recordReleaseResult records whether an engine acknowledged a release call that was started at startedAt.
+func (n *Node) recordReleaseResult(now float64, engine string, startedAt float64, result staterelease.CallResult) {
 	endpoint := n.owned.engines[engine]
 	if !n.config.anyEngineReleases || endpoint == nil || endpoint.address == "" {
 		return
@@ -258,8 +259,8 @@
 	}
 }
 
-// auditRelease reports, once, a state that was not released within the limit. Rounds after one that was acknowledged are for what a
-// cut attempt may have left meanwhile; nothing is known to be held then.
+// auditRelease reports a state that was not released within the limit, once per release. Rounds after an acknowledged one are not audited:
+// they are for a state that a cut attempt may have left meanwhile, and none is known to be held.
 func (n *Node) auditRelease(now float64, release *stateRelease, result staterelease.CallResult) {
 	if release.audited || n.config.table.StateReleaseLimit <= 0 {
 		return
@@ -269,7 +270,7 @@
 		At:       now,
 		By:       release.dueBy + permit.HeldStateSlack,
 	}
-	broken := state.Violations()
-	release.audited = state.Answered || len(broken) > 0
-	n.audit(release.command.ID, broken)
+	violations := state.Violations()
+	release.audited = state.Answered || len(violations) > 0
+	n.audit(release.command.ID, violations)
 }
--- a/internal/node/staterelease_test.go
+++ b/internal/node/staterelease_test.go
@@ -13,10 +13,10 @@
 	"dillroute/lab/record"
 )
 
-// A state is released in time though its holder and every engine of the other role hang, with the attempt that was to fetch it
-// still in flight: when the client disconnects, and when its deadline passes.
+// The engine that holds a state and all engines of the other role hang, while the attempt that was to fetch the state is in flight. The
+// state must be released in time, both when the client disconnects and when its deadline passes.
 func TestRelayStateIsReleasedWhenOneRoleIsSilent(t *testing.T) {
-	for _, leaves := range []bool{true, false} {
+	for _, disconnect := range []bool{true, false} {
 		harness, engines := newRelayHarness(t, 64, 256, "r0 read", "r1 read", "w0 write", "w1 write", "w2 write")
 		for _, id := range []string{"w0", "w1", "w2"} {
 			engines[id].SetHung(true)
@@ -30,7 +30,7 @@
 				engines[id].SetHung(true)
 			}
 		}
-		if leaves {
+		if disconnect {
 			time.Sleep(20 * time.Millisecond) // the decode attempt is in flight
 			c.Close()
 		}
@@ -52,9 +52,9 @@
 	return ""
 }
 
-// Guards against an incident in which the log of a node told that a state was released, but neither whether the call was acknowledged,
-// and by whom, nor how the attempt beside it ended.
-func TestLogTellsWhatCameOfAReleaseAtTheLimit(t *testing.T) {
+// When a state is released at its limit, the log at info level must show whether the release call was acknowledged and by which engine, and
+// how the attempt in flight ended. In an incident it showed only that the state was released.
+func TestLogShowsOutcomeOfReleaseAtLimit(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
 	engines["w0"].SetHung(true)
 	request := harness.newRequest("commit")
@@ -67,13 +67,13 @@
 		{`"attempt ended"`, "attempt=1", "engine=w0", "progress=request_written", "cause="},
 	} {
 		if len(harness.nodeLog.linesWith(append(texts, "request=", "attempt=")...)) == 0 {
-			t.Errorf("no line has %v", texts)
+			t.Errorf("no log line contains all of %v", texts)
 		}
 	}
 	engines["w0"].SetHung(false)
 }
 
-// States that are held when a node shuts down are released before it ends, though the engine called first does not respond.
+// States that are held when a node shuts down must be released before it stops, even if the engine that is called first does not respond.
 func TestRelayShutdownReleasesStates(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "r1 read", "w0 write")
 	engines["w0"].SetHung(true)
@@ -84,7 +84,7 @@
 	harness.stopped = true
 	harness.node.Shutdown(0)
 	if n := harness.platform.CallsWithState(); n > 0 {
-		t.Errorf("the node ended with %d states held, want 0", n)
+		t.Errorf("the node stopped while %d states were held, want 0", n)
 	}
 	for _, x := range engines {
 		x.SetHung(false)
@@ -92,20 +92,20 @@
 	harness.requireNoViolations()
 }
 
-// A state is released in time though the attempt that was to fetch it is in flight: its request lies in the kernel, for the decode
-// engine's machine accepts no more bytes. An attempt that is not delivered does not stop the limit on the hold time.
+// The attempt that was to fetch a state is in flight, but its request stays in the kernel's send buffer because the decode engine's machine
+// accepts no more bytes. The state must still be released in time: an undelivered attempt does not extend the limit on the hold time.
 func TestRelayStateIsReleasedWhenAttemptIsNotDelivered(t *testing.T) {
 	harness, _ := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
 	full := unreadListener(t)
 	harness.discovery.Update("w0", func(x *platform.Endpoint) { x.Address = full.Addr().String() })
-	time.Sleep(100 * time.Millisecond) // the node polls the endpoint list
+	time.Sleep(100 * time.Millisecond) // until the node has polled the endpoint list
 	request := harness.newRequest("commit")
 	request.Operation = strings.Repeat("x", 60<<10)
 	harness.send(request)
 	harness.requireNoViolations()
 }
 
-// unreadListener accepts connections and reads nothing from them; its kernel buffers only a few bytes for each.
+// unreadListener returns a listener whose connections are accepted and never read. The kernel buffers only a few bytes for each.
 func unreadListener(t *testing.T) net.Listener {
 	t.Helper()
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
--- a/internal/node/write_gate_test.go
+++ b/internal/node/write_gate_test.go
@@ -10,11 +10,11 @@
 	"dillroute/lab/platform"
 )
 
-// writeGate is a listener that blocks the node's writes which contain a text, until it is opened.
+// writeGate is a listener on whose connections the node's writes that contain a text block until opened is closed.
 type writeGate struct {
 	net.Listener
 	text    []byte
-	reached chan struct{} // closed when such a write is held
+	reached chan struct{} // closed when the first such write blocks
 	once    sync.Once
 	opened  chan struct{}
 }
@@ -28,7 +28,7 @@
 	return &writeGate{Listener: l, text: []byte(text), reached: make(chan struct{}), opened: make(chan struct{})}
 }
 
-// Accept returns a TCP connection whose writes pass the gate.
+// Accept returns a TCP connection whose writes go through the gate.
 func (g *writeGate) Accept() (net.Conn, error) {
 	c, err := g.Listener.Accept()
 	if err != nil {
@@ -50,8 +50,8 @@
 	return c.TCPConn.Write(p)
 }
 
-// A stream whose engine has finished is forwarded completely, though the node cuts all streams while its bytes still lie in a
-// buffer: the client's socket blocks the writer, the engine writes its last chunk, the node shuts down, the socket unblocks.
+// A client's socket blocks the node's writes, the engine sends its last chunk, the node shuts down and cuts off all streams, and then the
+// socket unblocks. The stream has been received completely and must be forwarded completely.
 func TestRelayShutdownForwardsReceivedBytes(t *testing.T) {
 	for range 10 {
 		g := newWriteGate(t, "op1.3 ")
@@ -66,7 +66,7 @@
 		done := make(chan struct{})
 		go func() { defer close(done); harness.node.Shutdown(0) }()
 		harness.eventually("the stream was cut", func() bool { return harness.node.OpenRequests() == 0 })
-		time.Sleep(50 * time.Millisecond) // the grace for bytes that are on their way has passed as well
+		time.Sleep(50 * time.Millisecond) // beyond the time for which a cut stream still forwards what has arrived
 		close(g.opened)
 		if result := <-got; !result.Complete || result.Text != platform.ResponseText(request.Operation, request.ResponseTokens) {
 			t.Fatalf("got %+v, want the complete stream", result)
