--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -44,8 +44,8 @@
 // current time (s).
 type task func(now float64)
 
-// eventLoop runs the scheduler and the request table on one goroutine. Tasks run without delay, in the order in which they were posted.
-// The scheduler is called at most once per dispatch interval, with all events that the request table has collected since the last call.
+// eventLoop runs the scheduler and the request table on one goroutine. Tasks run as soon as the loop takes them, in the order in which
+// they were posted. The scheduler is called at most once per dispatch interval, with all events collected since its last call.
 type eventLoop struct {
 	clock        clock.Clock
 	host         host
@@ -94,7 +94,8 @@
 	}
 }
 
-// post queues a task for the loop. It never blocks. It returns false if the loop has ended and the task will not run.
+// post queues a task for the loop. It never blocks. It returns false if the loop has ended; a queued task does not run if the loop is
+// stopped before.
 func (l *eventLoop) post(f task) bool { return l.inbox.post(f) }
 
 // query runs f on the loop's goroutine and returns its result; ok is false if the loop has ended.
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -285,7 +285,7 @@
 }
 
 // goldenShutdown sends the first part of a request, starts the shutdown of the node, sends the rest once the node is no longer ready, and
-// waits until the node has stopped.
+// sends the whole request again when the node has stopped.
 func goldenShutdown(t *testing.T, b *strings.Builder, address, request string, taps goldenTaps, shutdown func(), ready func() bool) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -293,14 +293,14 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	half := len(request) - 20
-	io.WriteString(c, request[:half])
+	splitAt := len(request) - 20
+	io.WriteString(c, request[:splitAt])
 	time.Sleep(100 * time.Millisecond) // until the node has begun to read the request
 	done := make(chan struct{})
 	go func() { defer close(done); shutdown() }()
 	for end := time.Now().Add(10 * time.Second); ready() && time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 	}
-	response, connState := goldenSendOn(c, request[half:])
+	response, connState := goldenSendOn(c, request[splitAt:])
 	taps.awaitQuiet()
 	goldenWriteCase(b, "request that ends when the node takes no more", request, response, connState, taps)
 	<-done
--- a/internal/node/simulated_days_test.go
+++ b/internal/node/simulated_days_test.go
@@ -93,9 +93,9 @@
 // fix is removed.
 func TestCollapsedDays(t *testing.T) {
 	for _, x := range []struct {
-		seed  uint64
-		nodes int
-		what  string
+		seed    uint64
+		nodes   int
+		problem string
 	}{
 		{327, 1, "first-token objective barely longer than a prefill, 2 requests per second: a third of them were rejected"},
 		{186, 1, "all engines restart and are in slow start: a fifth of the requests was served for 5 s, though all could have been"},
@@ -111,7 +111,7 @@
 			if raceEnabled && x.nodes > 3 {
 				t.Skip("too slow with the race detector; .ci/run plays this day without it")
 			}
-			t.Log(x.what)
+			t.Log(x.problem)
 			requireDay(t, simulation.DrawDay(x.seed, x.nodes, drawnRate))
 		})
 	}
--- a/internal/node/staterelease.go
+++ b/internal/node/staterelease.go
@@ -42,7 +42,7 @@
 		release.dueBy = now + n.config.table.StateReleaseLimit
 	}
 	n.setReleasePending(release, true)
-	n.recordReleaseStart(now, release)
+	n.logReleaseStart(now, release)
 	done := make(chan struct{})
 	release.unblockAttempts = sync.OnceFunc(func() { close(done) })
 	if request := n.owned.requests[command.ID]; request != nil {
@@ -82,8 +82,8 @@
 	return releaseUnneeded
 }
 
-// recordReleaseStart counts and logs a release that starts.
-func (n *Node) recordReleaseStart(now float64, release *stateRelease) {
+// logReleaseStart counts and logs the start of a release.
+func (n *Node) logReleaseStart(now float64, release *stateRelease) {
 	n.metrics.countStateRelease(release.reason)
 	command := release.command
 	attempts := 0
@@ -144,7 +144,7 @@
 }
 
 // releaseRound is a set of simultaneous release calls. It ends when the first one is acknowledged or all have failed. It is owned by the
-// event loop, except done, which any goroutine may call.
+// event loop, except unblock, which any goroutine may call.
 type releaseRound struct {
 	startedAt float64 // (s)
 	pending   int     // number of calls that have not ended
@@ -206,7 +206,7 @@
 		n.checkDescriptors(err)
 	}
 	n.recordReleaseResult(now, engine, round.startedAt, result)
-	n.recordReleaseCall(release, engine, result, err)
+	n.logReleaseCall(release, engine, result, err)
 	round.pending--
 	if round.ended || result == staterelease.Unacknowledged && round.pending > 0 {
 		return
@@ -216,8 +216,8 @@
 	n.releaseRoundEnded(now, release, result)
 }
 
-// recordReleaseCall counts and logs a release call that has ended.
-func (n *Node) recordReleaseCall(release *stateRelease, engine string, result staterelease.CallResult, err error) {
+// logReleaseCall counts and logs a release call that has ended.
+func (n *Node) logReleaseCall(release *stateRelease, engine string, result staterelease.CallResult, err error) {
 	n.metrics.countReleaseCall(result.String())
 	text := ""
 	if err != nil {
