--- a/internal/cli/convert.go
+++ b/internal/cli/convert.go
@@ -15,8 +15,8 @@
 	c := &cobra.Command{
 		Use:   "convert DAY.json",
 		Short: "Convert a day file of the bench into a scenario script",
-		Long: `Convert a day that the bench has drawn into a script on standard output, so that its faults replay on sockets. Load is
-scaled down to --rate sessions a second and time to --length seconds; speeds and sizes of engines are kept.`,
+		Long: `Convert a day file of the bench into a scenario script on standard output, so that its faults can be replayed on sockets.
+Load is scaled down to --rate sessions per second and time to --length seconds; engine speeds and sizes stay the same.`,
 		Example: "  dillroute scenario convert DAY.json --rate 30 --length 20 > day.json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -36,7 +36,7 @@
 			return nil
 		},
 	}
-	c.Flags().Float64Var(&rate, "rate", 25, "sessions a second")
-	c.Flags().Float64Var(&length, "length", 0, "seconds that the day is to last; 0 = as long as it is")
+	c.Flags().Float64Var(&rate, "rate", 25, "sessions per second")
+	c.Flags().Float64Var(&length, "length", 0, "length of the scenario in seconds; 0 = that of the day")
 	return c
 }
--- a/internal/cli/engine.go
+++ b/internal/cli/engine.go
@@ -17,10 +17,10 @@
 	var file string
 	c := &cobra.Command{
 		Use:   "engine --config FILE",
-		Short: "Run one emulated engine, for trials",
-		Long: `Run one emulated engine until SIGTERM or SIGINT. It speaks the protocol of separate prefill and decode serving and
-makes up its answers. POST /lab/fault with a JSON object breaks it on command, as {"errors":0.5} or {"silent":true};
-{} mends it.`,
+		Short: "Run one emulated engine, for experiments",
+		Long: `Run one emulated engine until SIGTERM or SIGINT. It speaks the protocol of separate prefill and decode engines and
+returns synthetic responses. POST /lab/fault with a JSON object, such as {"errors":0.5} or {"silent":true}, injects faults;
+{} clears them.`,
 		Example: "  dillroute engine --config examples/engine-prefill.json",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/internal/cli/logwriter.go
+++ b/internal/cli/logwriter.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// logWriter passes lines on to a writer without ever waiting for it: the reader of a service's log may be stuck, and whoever writes
-// a line may be the one goroutine on which all else waits. What finds no room is dropped and counted. It is safe for concurrent use.
+// logWriter queues lines for another writer and never blocks its callers: the reader of a service's log may be stuck, and the caller
+// may be the one goroutine that everything else waits for. A line that finds the queue full is dropped and counted. It is safe for
+// concurrent use.
 type logWriter struct {
-	to      io.Writer
+	dst     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 	stop    chan struct{}
@@ -21,19 +22,20 @@
 
 // Bounds of a logWriter.
 const (
-	logLines = 4096                   // that wait to be written
-	logFlush = 200 * time.Millisecond // for what waits when the program ends
+	logQueueSize    = 4096                   // queued lines
+	logFlushTimeout = 200 * time.Millisecond // limit for writing the queue when the program ends
 )
 
-// newLogWriter starts a writer. From then on a log that nobody reads does not end the process (SIGPIPE) either.
-func newLogWriter(to io.Writer) *logWriter {
+// newLogWriter starts a logWriter. From then on SIGPIPE is ignored, so that a log whose reader has exited does not end the process
+// either.
+func newLogWriter(dst io.Writer) *logWriter {
 	signal.Ignore(syscall.SIGPIPE)
-	w := &logWriter{to: to, lines: make(chan []byte, logLines), stop: make(chan struct{}), done: make(chan struct{})}
+	w := &logWriter{dst: dst, lines: make(chan []byte, logQueueSize), stop: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes a line. It never waits and never fails.
+// Write queues a line. It never blocks and never fails.
 func (w *logWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -43,12 +45,12 @@
 	return len(line), nil
 }
 
-// Close writes what waits, if it can be written within a moment.
+// Close writes the queued lines, but waits for that no longer than logFlushTimeout.
 func (w *logWriter) Close() {
 	close(w.stop)
 	select {
 	case <-w.done:
-	case <-time.After(logFlush):
+	case <-time.After(logFlushTimeout):
 	}
 }
 
@@ -57,7 +59,7 @@
 	for {
 		select {
 		case line := <-w.lines:
-			w.pass(line)
+			w.writeLine(line)
 		case <-w.stop:
 			w.flush()
 			return
@@ -65,22 +67,22 @@
 	}
 }
 
-// flush writes what waits and returns.
+// flush writes the queued lines.
 func (w *logWriter) flush() {
 	for {
 		select {
 		case line := <-w.lines:
-			w.pass(line)
+			w.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-// pass writes a line, behind a word on those that were dropped before it. A log that cannot be written is nobody's concern.
-func (w *logWriter) pass(line []byte) {
+// writeLine writes a line, after a note about lines that were dropped before it. Errors are ignored: a caller can do nothing about them.
+func (w *logWriter) writeLine(line []byte) {
 	if n := w.dropped.Swap(0); n > 0 {
-		fmt.Fprintf(w.to, "%d lines of the log were dropped: they were not read in time\n", n)
+		fmt.Fprintf(w.dst, "%d lines of the log were dropped: they were not read in time\n", n)
 	}
-	w.to.Write(line)
+	w.dst.Write(line)
 }
--- a/internal/cli/overhead.go
+++ b/internal/cli/overhead.go
@@ -21,47 +21,47 @@
 )
 
 func overheadCommand() *cobra.Command {
-	var report string
+	var reportFile string
 	plan := overhead.DefaultPlan
 	c := &cobra.Command{
 		Use:   "overhead",
-		Short: "Measure what the node adds, against a plain reverse proxy",
-		Long: `Start an emulated engine, a node and a plain httputil.ReverseProxy, each in a process of its own on loopback, load each in
-turn with the same requests, and print latency, rates for each core and memory. It takes about a minute.`,
+		Short: "Measure the overhead of the node, compared with a plain reverse proxy",
+		Long: `Start an emulated engine, a node and a plain httputil.ReverseProxy, each in its own process on loopback, send the same
+requests to each in turn, and print latency, rates per core and memory. This takes about a minute.`,
 		Example: "  dillroute overhead\n  dillroute overhead --streams 1000 --report out.json",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			return withExitCode(ExitRun, measureOverhead(ctx, plan, report, cmd.OutOrStdout()))
+			return withExitCode(ExitRun, measureOverhead(ctx, plan, reportFile, cmd.OutOrStdout()))
 		},
 	}
-	c.Flags().IntVar(&plan.Streams, "streams", plan.Streams, "connections and streams held open for the memory figures")
-	c.Flags().IntVar(&plan.Requests, "requests", plan.Requests, "requests of the closed loop")
-	c.Flags().StringVar(&report, "report", "", "write the figures as JSON to this file")
-	for _, part := range []*cobra.Command{
+	c.Flags().IntVar(&plan.Streams, "streams", plan.Streams, "open connections and streams while memory is measured")
+	c.Flags().IntVar(&plan.Requests, "requests", plan.Requests, "requests of the closed-loop load")
+	c.Flags().StringVar(&reportFile, "report", "", "write the figures as JSON to this file")
+	for _, subcommand := range []*cobra.Command{
 		{Use: "engine", Hidden: true, RunE: func(cmd *cobra.Command, _ []string) error {
-			l, err := announce(cmd.OutOrStdout())
+			l, err := listenLoopback(cmd.OutOrStdout())
 			if err != nil {
 				return err
 			}
 			return overhead.Engine(l)
 		}},
 		{Use: "proxy BACKEND", Hidden: true, Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			l, err := announce(cmd.OutOrStdout())
+			l, err := listenLoopback(cmd.OutOrStdout())
 			if err != nil {
 				return err
 			}
 			return overhead.Proxy(l, args[0])
 		}},
 	} {
-		c.AddCommand(part)
+		c.AddCommand(subcommand)
 	}
 	return c
 }
 
-// announce opens a free loopback port and prints it for the parent.
-func announce(out io.Writer) (net.Listener, error) {
+// listenLoopback listens on a free loopback port and prints the address for the parent process.
+func listenLoopback(out io.Writer) (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err == nil {
 		fmt.Fprintf(out, "listening on http://%s\n", l.Addr())
@@ -69,8 +69,8 @@
 	return l, err
 }
 
-// child starts this program with other arguments and reads the addresses that it prints.
-func child(ctx context.Context, lines int, args ...string) (*exec.Cmd, []string, error) {
+// startChild starts this program with other arguments and reads the addresses that it prints; lines is their number.
+func startChild(ctx context.Context, lines int, args ...string) (*exec.Cmd, []string, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, nil, err
@@ -105,9 +105,9 @@
 	commands []*exec.Cmd
 }
 
-// start starts this program with other arguments; it returns its process id and the addresses that it prints.
+// start starts this program with other arguments and returns its process id and the addresses that it prints.
 func (c *overheadChildren) start(lines int, args ...string) (pid int, addresses []string, err error) {
-	cmd, addresses, err := child(c.ctx, lines, args...)
+	cmd, addresses, err := startChild(c.ctx, lines, args...)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -115,15 +115,15 @@
 	return cmd.Process.Pid, addresses, nil
 }
 
-// wait returns once all have ended; the context ends them.
+// wait returns when all processes have ended; canceling the context ends them.
 func (c *overheadChildren) wait() {
 	for _, cmd := range c.commands {
 		cmd.Wait()
 	}
 }
 
-// measureOverhead starts an engine, a proxy and two nodes, measures each of them, and prints and reports the figures.
-func measureOverhead(ctx context.Context, plan overhead.Plan, report string, out io.Writer) error {
+// measureOverhead starts an engine, a proxy and two nodes, measures each of them, and prints the results or writes them to a file too.
+func measureOverhead(ctx context.Context, plan overhead.Plan, reportFile string, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "dillroute-overhead-")
 	if err != nil {
 		return err
@@ -150,17 +150,17 @@
 		results = append(results, result)
 	}
 	printOverhead(out, results)
-	if report == "" {
+	if reportFile == "" {
 		return nil
 	}
 	text, err := json.MarshalIndent(results, "", " ")
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(report, append(text, '\n'), 0o644)
+	return os.WriteFile(reportFile, append(text, '\n'), 0o644)
 }
 
-// overheadTargets starts what is measured: the engine alone, a plain reverse proxy, and a node on one hop and on two.
+// overheadTargets starts the processes to measure: the engine alone, a plain reverse proxy, and a node with one hop and with two.
 func overheadTargets(children *overheadChildren, dir string) ([]overhead.Target, error) {
 	_, engine, err := children.start(1, "overhead", "engine")
 	if err != nil {
@@ -188,14 +188,15 @@
 	return targets, nil
 }
 
-// The two paths of a request that are measured.
+// The two measured paths of a request.
 const (
-	oneHop  = "one hop"            // a mixed engine prefills and decodes
-	twoHops = "prefill and decode" // on engines of their own
+	oneHop  = "one hop"            // one mixed engine does both prefill and decode
+	twoHops = "prefill and decode" // separate prefill and decode engines
 )
 
-// overheadConfig writes the configuration of a node before the engine. On one hop the engine is listed as many mixed
-// ones, for the module has each read one prompt of ours at a time; on two, as prefill and decode engines.
+// overheadConfig writes the configuration of a node in front of the engine and returns its file. With one hop, the engine is listed
+// as many mixed engines, because the scheduler has each engine prefill only one of the node's prompts at a time. With two hops, it is
+// listed as prefill and decode engines.
 func overheadConfig(dir, hops, engine string) (string, error) {
 	var engines []any
 	for i := range 32 {
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -7,61 +7,61 @@
 	"dillroute/internal/service"
 )
 
-// reloadTimeout is for how long a configuration that cannot be read is retried: the descriptor table may be full in the moment of
-// SIGHUP, or the file be half written. It is no longer than it takes until a change at discovery counts as notified (the
+// reloadTimeout limits the retries of a configuration that cannot be read: at the moment of SIGHUP the descriptor table may be full
+// or the file half written. It is no longer than the time after which nodes count as notified of a change at discovery (the
 // platform's page of days, new configurations).
 const reloadTimeout = 4 * time.Second
 
-// reloader applies new configurations, and retries where one cannot be read. Each is read on a goroutine of its own, one at a time:
-// a file system may hang, and the goroutine that receives signals must not wait for it. All else belongs to that goroutine.
+// reloader applies new configurations and retries those that cannot be read. Each is read on its own goroutine, one at a time: a
+// file system may hang, and the goroutine that receives signals must not block on it. All other state belongs to the latter goroutine.
 type reloader struct {
-	log      *slog.Logger
-	apply    func() error // reads the configuration and applies it
-	done     chan error   // the result of the reload that runs
-	running  bool
-	newer    bool // a newer configuration was requested while one is applied
-	timer    *time.Timer
-	backoff  time.Duration
-	deadline time.Time
+	log            *slog.Logger
+	apply          func() error // reads the configuration and applies it
+	done           chan error   // the result of the running reload
+	running        bool
+	requestedAgain bool // another reload was requested while one runs
+	timer          *time.Timer
+	backoff        time.Duration
+	deadline       time.Time
 }
 
-// newReloader returns a reloader that has nothing to do.
+// newReloader returns an idle reloader.
 func newReloader(log *slog.Logger, apply func() error) *reloader {
 	r := &reloader{log: log, apply: apply, done: make(chan error, 1), timer: time.NewTimer(time.Hour)}
 	r.timer.Stop()
 	return r
 }
 
-// RetryDue fires when Try is due again.
+// RetryDue delivers a value when Try is due again.
 func (r *reloader) RetryDue() <-chan time.Time { return r.timer.C }
 
-// Done gives the result of a reload; it is for Finish.
+// Done delivers the result of each reload; the caller passes it to Finish.
 func (r *reloader) Done() <-chan error { return r.done }
 
-// Request begins to reload, with the whole of the timeout for retries.
+// Request starts a reload, which is retried for up to reloadTimeout from now.
 func (r *reloader) Request() {
 	r.backoff = service.MinBackoff
 	r.deadline = time.Now().Add(reloadTimeout)
 	r.Try()
 }
 
-// Try begins to apply the configuration as it is now.
+// Try starts to apply the current configuration. While a reload runs, another one is scheduled to follow it.
 func (r *reloader) Try() {
 	r.timer.Stop()
 	if r.running {
-		r.newer = true
+		r.requestedAgain = true
 		return
 	}
 	r.running = true
 	go func() { r.done <- r.apply() }()
 }
 
-// Finish files the result of a reload, and schedules a retry where the configuration cannot be read yet.
+// Finish handles the result of a reload, and schedules a retry if the configuration cannot be read yet.
 func (r *reloader) Finish(err error) {
 	r.running = false
 	switch {
-	case r.newer:
-		r.newer = false
+	case r.requestedAgain:
+		r.requestedAgain = false
 		r.Request()
 	case err == nil:
 	case time.Now().Add(r.backoff).After(r.deadline):
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of dillroute, a file for each sub-command.
+// Package cli implements the command line of dillroute, with one file per sub-command.
 package cli
 
 import (
@@ -13,15 +13,15 @@
 // Exit codes.
 const (
 	ExitOK       = 0
-	ExitRun      = 1 // the command could not do its work
+	ExitRun      = 1 // the command failed
 	ExitUsage    = 2 // wrong flags or arguments
-	ExitConfig   = 3 // a file is not what it should be
-	ExitRules    = 4 // a rule was broken
-	exitCodesDoc = `Exit codes: 0 done; 1 the command could not do its work; 2 wrong flags or arguments;
-3 a configuration, list or script is not what it should be; 4 a rule was broken.`
+	ExitConfig   = 3 // a file is invalid
+	ExitRules    = 4 // a rule was violated
+	exitCodesDoc = `Exit codes: 0 success; 1 the command failed; 2 wrong flags or arguments;
+3 a configuration, list or script is invalid; 4 a rule was violated.`
 )
 
-// exitError is an error with an exit code.
+// exitError is an error that sets the exit code of the program.
 type exitError struct {
 	code int
 	err  error
@@ -59,8 +59,8 @@
 	root := &cobra.Command{
 		Use:   "dillroute",
 		Short: "A router for language-model serving with separate prefill and decode engines",
-		Long: "dillroute takes OpenAI-style chat requests, has their prompts prefilled and their answers decoded on separate\n" +
-			"engines, and streams the answers back.\n\n" + exitCodesDoc,
+		Long: "dillroute accepts OpenAI-style chat requests, routes them to separate prefill and decode engines, and streams\n" +
+			"the responses back.\n\n" + exitCodesDoc,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -70,5 +70,5 @@
 	return root
 }
 
-// Main runs the program.
+// Main runs the command line of the process and exits.
 func Main() { os.Exit(Run(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -16,11 +16,11 @@
 	"github.com/spf13/cobra"
 )
 
-// startTimeout is for how long a start is retried that fails for a reason which may pass: a node is to be ready within 10 s
-// (the platform's standing test).
+// startTimeout limits the retries of a start that fails for a transient reason: a node must be ready within 10 s (the platform's
+// standing test).
 const startTimeout = 8 * time.Second
 
-// readyPollInterval is how often a starting node is asked whether it may serve.
+// readyPollInterval is the interval at which the readiness of a starting node is checked.
 const readyPollInterval = 10 * time.Millisecond
 
 // serveOptions are the flags of serve.
@@ -28,7 +28,7 @@
 	file     string
 	takeover time.Duration
 	relay    bool
-	logLevel string // with relay
+	logLevel string // used only with relay
 }
 
 func serveCommand() *cobra.Command {
@@ -36,16 +36,16 @@
 	c := &cobra.Command{
 		Use:   "serve --config FILE | --relay",
 		Short: "Run a node",
-		Long: `Run a node until SIGTERM or SIGINT. The first one begins a graceful shutdown: no request is admitted any more and those
-in flight may end, for limits.shutdown_s at most; a second one answers them at once. SIGHUP reloads the configuration and
+		Long: `Run a node until SIGTERM or SIGINT. The first one starts a graceful shutdown: no more requests are admitted, and those in
+flight have up to limits.shutdown_s to finish; a second one responds to them at once. SIGHUP reloads the configuration and
 logs what was applied and what requires a restart.
 
-Sockets inherited from a service manager (LISTEN_FDS, names client and admin) are used in place of listen and admin, and
-readiness is reported to it (sd_notify). With state_dir, one process at a time holds that directory; --takeover waits for a
-predecessor, which releases it as soon as its shutdown begins.
+Sockets inherited from a service manager (LISTEN_FDS, names client and admin) are used instead of listen and admin, and
+readiness is reported to it (sd_notify). With state_dir, that directory is locked by one process at a time; --takeover waits for
+a predecessor, which releases it as soon as its shutdown begins.
 
-With --relay the node speaks the relay protocol of the users' platform, and takes its configuration from there (RELAY_CONFIG,
-RELAY_NAME, RELAY_LISTEN, RELAY_DISCOVERY). Admin listener, state directory and inherited sockets are off then.
+With --relay, the node speaks the relay protocol of the users' platform and takes its configuration from there (RELAY_CONFIG,
+RELAY_NAME, RELAY_LISTEN, RELAY_DISCOVERY). The admin listener, state directory and inherited sockets are then not used.
 
 ` + exitCodesDoc,
 		Example: "  dillroute serve --config examples/node.json\n" +
@@ -69,18 +69,18 @@
 	return c
 }
 
-// check returns an error for flags that do not go together.
+// check returns an error if flags are missing or exclude each other.
 func (o serveOptions) check() error {
 	switch {
 	case o.relay && (o.file != "" || o.takeover > 0):
-		return errors.New("--relay takes its configuration from the platform: --config and --takeover do not go with it")
+		return errors.New("--relay takes its configuration from the platform: --config and --takeover cannot be combined with it")
 	case !o.relay && o.file == "":
 		return errors.New("serve needs --config FILE, or --relay")
 	}
 	return nil
 }
 
-// newLogger logs as the configuration says; the level can be changed in service.
+// newLogger returns a logger with the configured format and its level, which can be changed at run time.
 func newLogger(w io.Writer, l config.Log) (*slog.Logger, *slog.LevelVar) {
 	level := &slog.LevelVar{}
 	setLevel(level, l)
@@ -91,7 +91,7 @@
 }
 
 func setLevel(level *slog.LevelVar, l config.Log) {
-	level.UnmarshalText([]byte(l.Level)) // the schema allows only the four names
+	level.UnmarshalText([]byte(l.Level)) // cannot fail: the schema allows only the four names
 }
 
 // serveChat runs a node that speaks the OpenAI-style chat API, until it is stopped by a signal or the scheduler fails.
@@ -105,7 +105,7 @@
 	log, level := newLogger(logWriter, cfg.Log)
 	signals := notifySignals()
 	defer signals.stop()
-	releaseState, err := holdStateDir(cfg.StateDir, options.takeover)
+	releaseState, err := acquireStateDir(cfg.StateDir, options.takeover)
 	if err != nil {
 		return withExitCode(ExitRun, err)
 	}
@@ -135,7 +135,7 @@
 	return withExitCode(ExitRun, failure)
 }
 
-// loadConfig reads the configuration, again for a while where a system call fails for a moment.
+// loadConfig loads the configuration. It retries system calls that fail for a transient reason, for up to startTimeout.
 func loadConfig(file string) (cfg *config.Config, err error) {
 	err = service.RetryTransient(startTimeout, func() (err error) {
 		cfg, err = config.Load(file)
@@ -144,8 +144,8 @@
 	return cfg, err
 }
 
-// holdStateDir acquires the state directory, if there is one, and returns the function that releases it. It may be called twice.
-func holdStateDir(dir string, takeover time.Duration) (release func(), err error) {
+// acquireStateDir acquires the state directory, if one is configured, and returns a function that releases it, which may be called twice.
+func acquireStateDir(dir string, takeover time.Duration) (release func(), err error) {
 	if dir == "" {
 		return func() {}, nil
 	}
@@ -156,7 +156,8 @@
 	return func() { state.Release() }, nil
 }
 
-// startChat starts the node on inherited listeners, where there are any, again for a while where a system call fails for a moment.
+// startChat starts the node, on inherited listeners if there are any. It retries system calls that fail for a transient reason, for up
+// to startTimeout.
 func startChat(cfg *config.Config, log *slog.Logger) (n *node.ChatNode, err error) {
 	client, admin, err := service.InheritedListeners()
 	if err != nil {
@@ -176,7 +177,7 @@
 	}
 }
 
-// notifyReady reports readiness to the service manager once the node may serve: with no engine listed it may not.
+// notifyReady reports readiness to the service manager once the node is ready. A node without any listed engine is not ready.
 func notifyReady(n *node.ChatNode, ended <-chan struct{}) {
 	tick := time.NewTicker(readyPollInterval)
 	defer tick.Stop()
@@ -190,7 +191,7 @@
 	service.Notify(service.Ready)
 }
 
-// reloadChat applies what may change in service of the file, and logs what requires a restart.
+// reloadChat applies those settings of the file that may change at run time, and logs which changes require a restart.
 func reloadChat(n *node.ChatNode, file string, log *slog.Logger, level *slog.LevelVar) error {
 	next, err := config.Load(file)
 	if err != nil {
@@ -202,5 +203,5 @@
 	return nil
 }
 
-// isInterrupt tells SIGINT from SIGTERM: on the platform only the former cuts a graceful shutdown short.
+// isInterrupt reports whether a signal is SIGINT: on the platform, SIGINT cuts a graceful shutdown short and SIGTERM does not.
 func isInterrupt(s os.Signal) bool { return s == syscall.SIGINT }
--- a/internal/cli/supervisor.go
+++ b/internal/cli/supervisor.go
@@ -9,39 +9,39 @@
 	"dillroute/internal/service"
 )
 
-// stopQueue is how many stop signals may wait to be received.
-const stopQueue = 4
+// stopQueueSize is the number of stop signals that may be pending.
+const stopQueueSize = 4
 
-// signalQueues are the signals that a node receives. Each kind has a queue of its own: many reloads in a row must not displace a
-// stop.
+// signalQueues are the signals that a node receives. Stops and reloads have separate queues, because many reloads in a row must not
+// displace a stop.
 type signalQueues struct {
 	stops   chan os.Signal
-	reloads chan os.Signal // one that waits stands for all: the file is read as it is then
+	reloads chan os.Signal // one pending signal is enough: the file is read when it is handled
 }
 
-// notifySignals has SIGTERM, SIGINT and SIGHUP no longer end the process, but wait to be received.
+// notifySignals queues SIGTERM, SIGINT and SIGHUP, which then no longer end the process.
 func notifySignals() *signalQueues {
-	s := &signalQueues{stops: make(chan os.Signal, stopQueue), reloads: make(chan os.Signal, 1)}
+	s := &signalQueues{stops: make(chan os.Signal, stopQueueSize), reloads: make(chan os.Signal, 1)}
 	signal.Notify(s.stops, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.reloads, syscall.SIGHUP)
 	return s
 }
 
-// stop gives the signals back their effect.
+// stop restores the signals' default effect.
 func (s *signalQueues) stop() {
 	signal.Stop(s.stops)
 	signal.Stop(s.reloads)
 }
 
-// supervisor reacts to signals and reloads while a node serves and while it shuts down.
+// supervisor handles signals and reloads while a node serves and while it shuts down.
 type supervisor struct {
 	signals *signalQueues
 	reload  *reloader
-	failed  <-chan error           // the scheduler has failed
+	failed  <-chan error           // delivers the error if the scheduler fails
 	notify  func(states ...string) // reports the state to a service manager
 }
 
-// serve returns when the node is to stop: the signal, or the error with which the scheduler failed.
+// serve handles events until the node must stop. It returns the stop signal, or the error with which the scheduler failed.
 func (s *supervisor) serve() (os.Signal, error) {
 	for {
 		select {
@@ -61,14 +61,14 @@
 	}
 }
 
-// shutdownHooks are what differs between the graceful shutdowns of the two protocols.
+// shutdownHooks are the parts of a graceful shutdown that differ between the two protocols.
 type shutdownHooks struct {
 	run     func()          // returns when the node has stopped
-	signal  func(os.Signal) // a further stop signal was received
+	signal  func(os.Signal) // called for each further stop signal
 	reloads bool            // configurations are still reloaded
 }
 
-// shutdown runs the graceful shutdown, and reacts to signals until it has ended.
+// shutdown runs the graceful shutdown and handles signals until it has ended.
 func (s *supervisor) shutdown(hooks shutdownHooks) {
 	var reloads <-chan os.Signal
 	var retryDue <-chan time.Time
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -8,7 +8,7 @@
 	"github.com/spf13/cobra"
 )
 
-// Version is the program's version; releases set it when they are built.
+// Version is the version of the program. Release builds set it.
 var Version = "0.1.0-dev"
 
 func versionCommand() *cobra.Command {
