--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// Defaults of a class.
+// Defaults of classes.
 const (
 	defaultDedupScope     = "all"
 	defaultMaxTokens      = 800
 	defaultPriorityWeight = 1
 )
 
-// setClassDefaults fills the members of classes that the file leaves out. The schema's defaults do not reach into lists.
+// setClassDefaults sets the fields of classes that the file omits. The schema's defaults do not apply to list entries.
 func (c *Config) setClassDefaults() {
 	for i := range c.Classes {
 		class := &c.Classes[i]
@@ -29,8 +29,8 @@
 	}
 }
 
-// check finds what a schema cannot: names that stand twice or refer to nothing, and figures that contradict each other. The error is
-// Problems.
+// check finds problems that a schema cannot: duplicate names, unresolved names, and values that contradict each other. The error is
+// of type Problems.
 func (c *Config) check() error {
 	k := &checker{config: c, classes: map[string]int{}}
 	k.checkClasses()
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// checker gathers the problems of a configuration.
+// checker collects the problems of a configuration.
 type checker struct {
 	config   *Config
 	classes  map[string]int // index by name
@@ -56,10 +56,10 @@
 	k.problems = append(k.problems, Problem{Pointer: pointer, Text: fmt.Sprintf(format, args...)})
 }
 
-// addName records the name of a list's entry. list is the pointer of the list.
+// addName records the name of a list entry and reports a duplicate. list is the JSON pointer of the list.
 func (k *checker) addName(names map[string]int, list string, index int, name string) {
 	if first, twice := names[name]; twice {
-		k.add(fmt.Sprintf("%s/%d/name", list, index), "%q is %s/%d already", name, list, first)
+		k.add(fmt.Sprintf("%s/%d/name", list, index), "the name %q is already used by %s/%d", name, list, first)
 	}
 	names[name] = index
 }
@@ -68,10 +68,11 @@
 	for i, class := range k.config.Classes {
 		k.addName(k.classes, "/classes", i, class.Name)
 		if class.Effect == "by_key" && class.DedupWindow == 0 {
-			k.add(fmt.Sprintf("/classes/%d/key_window_s", i), "a by_key class needs it above 0")
+			k.add(fmt.Sprintf("/classes/%d/key_window_s", i), "must be above 0 for a by_key class")
 		}
 		if class.ClientTimeout < class.FirstTokenObjective {
-			k.add(fmt.Sprintf("/classes/%d/patience_s", i), "%g is less than aim_s, %g", class.ClientTimeout, class.FirstTokenObjective)
+			k.add(fmt.Sprintf("/classes/%d/patience_s", i), "%g is less than aim_s, which is %g", class.ClientTimeout,
+				class.FirstTokenObjective)
 		}
 	}
 }
@@ -83,7 +84,7 @@
 	}
 }
 
-// checkClassName reports a name that no class has.
+// checkClassName reports a class name that is not defined.
 func (k *checker) checkClassName(pointer, class string) {
 	if _, ok := k.classes[class]; !ok {
 		k.add(pointer, "no class is named %q", class)
@@ -112,7 +113,7 @@
 	for i, tenant := range k.config.Tenants {
 		for j, key := range tenant.Keys {
 			if first, twice := owners[key]; twice {
-				k.add(fmt.Sprintf("/tenants/%d/keys/%d", i, j), "the key belongs to /tenants/%d already", first)
+				k.add(fmt.Sprintf("/tenants/%d/keys/%d", i, j), "the key is already used by /tenants/%d", first)
 			}
 			owners[key] = i
 		}
@@ -122,10 +123,10 @@
 func (k *checker) checkNode() {
 	node := k.config.Node
 	if node.Index >= node.Count {
-		k.add("/node/rank", "%d is not under nodes, %d", node.Index, node.Count)
+		k.add("/node/rank", "%d is not less than nodes, which is %d", node.Index, node.Count)
 	}
 	if _, ok := indexOf(k.config.Zones, node.Zone); !ok && node.Zone != "" {
-		k.add("/node/zone", "%q is not one of zones", node.Zone)
+		k.add("/node/zone", "%q is not in zones", node.Zone)
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,7 +30,7 @@
 	Log                  Log      `json:"log"`
 }
 
-// Node identifies this node.
+// Node identifies this node among all nodes.
 type Node struct {
 	Name  string `json:"name"`
 	Index int    `json:"rank"`
@@ -38,14 +38,14 @@
 	Zone  string `json:"zone"`
 }
 
-// Kind is one kind of engine.
+// Kind is a kind of engine: its role and its memory in tokens.
 type Kind struct {
 	Name   string  `json:"name"`
 	Role   string  `json:"role"`
 	Memory float64 `json:"memory_tokens"`
 }
 
-// Class is one class of request.
+// Class is a class of requests.
 type Class struct {
 	Name                     string  `json:"name"`
 	Effect                   string  `json:"effect"`
@@ -75,7 +75,7 @@
 	Class  string  `json:"class"`
 }
 
-// Tenant is an account, identified by its keys.
+// Tenant is an account, identified by its API keys.
 type Tenant struct {
 	Name       string   `json:"name"`
 	Keys       []string `json:"keys"`
@@ -106,7 +106,7 @@
 	Shutdown        float64 `json:"shutdown_s"`
 }
 
-// Rules are the figures of the operators' rules.
+// Rules are the parameters of the five rules.
 type Rules struct {
 	AnswerSlack       float64 `json:"answer_slack_s"`
 	DrainGrace        float64 `json:"drain_grace_s"`
@@ -135,7 +135,7 @@
 
 var nodeSchema = MustSchema(api.ConfigSchema)
 
-// defaults are those of the schema; a test compares the two.
+// defaults returns the defaults that the schema states; a test compares the two.
 func defaults() Config {
 	return Config{
 		Node: Node{Count: 1}, SessionHeader: "X-Session-Id", DecodeEnginesPrefill: true, Reports: "inline", Tick: 0.0005,
@@ -148,7 +148,7 @@
 	}
 }
 
-// Load reads and checks a node's configuration. Relative paths in it start from its directory.
+// Load reads and checks a node's configuration file. Relative paths in it are resolved against its directory.
 func Load(file string) (*Config, error) {
 	c := defaults()
 	if err := nodeSchema.DecodeFile(file, &c); err != nil {
@@ -166,7 +166,7 @@
 	return &c, nil
 }
 
-// Parse checks the text of a configuration; its paths stay as they are.
+// Parse checks and decodes the text of a configuration. Relative paths in it are not resolved.
 func Parse(text []byte) (*Config, error) {
 	c := defaults()
 	if err := nodeSchema.Decode(text, &c); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,13 +10,13 @@
 	"dillroute/api"
 )
 
-const good = `{"listen":"127.0.0.1:0","node":{"name":"n"},"kinds":[{"name":"p","role":"prefill"}],
+const validConfig = `{"listen":"127.0.0.1:0","node":{"name":"n"},"kinds":[{"name":"p","role":"prefill"}],
  "classes":[{"name":"c","effect":"once","aim_s":1,"patience_s":5,"token_aim_s":0.06}],
  "models":[{"name":"m","class":"c"}],"tenants":[{"name":"t","keys":["long-enough"]}],"engines":{"file":"l.json"}}`
 
 func TestAllProblemsAreReportedAtOnce(t *testing.T) {
 	text := strings.NewReplacer(`"listen"`, `"lisen"`, `"once"`, `"twice"`, `"aim_s":1`, `"aim_s":-1`,
-		`"class":"c"`, `"klass":"c"`).Replace(good)
+		`"class":"c"`, `"klass":"c"`).Replace(validConfig)
 	_, err := Parse([]byte(text))
 	for _, want := range []string{"/lisen: unknown field; did you mean \"listen\"?", "/listen: is missing", "/classes/0/effect:",
 		"/classes/0/aim_s:", "/models/0/klass: unknown field; did you mean \"class\"?", "/models/0/class: is missing"} {
@@ -36,7 +36,7 @@
 		`"keys":["long-enough"]}`:       {`"keys":["long-enough"]},{"name":"u","keys":["long-enough"]}`, "/tenants/1/keys/0:"},
 		`{"name":"p","role":"prefill"}`: {`{"name":"p","role":"prefill"},{"name":"p","role":"decode"}`, "/kinds/1/name:"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, old, c[0], 1)))
+		_, err := Parse([]byte(strings.Replace(validConfig, old, c[0], 1)))
 		if err == nil || !strings.Contains(err.Error(), c[1]) {
 			t.Errorf("%s: %v, want %s", c[0], err, c[1])
 		}
@@ -50,13 +50,13 @@
 	}
 }
 
-// The schema states the defaults to readers; the code applies them. They must be the same.
+// The schema documents the defaults and the code applies its own copy. The two must be equal.
 func TestSchemaStatesTheDefaults(t *testing.T) {
 	var schema any
 	if err := json.Unmarshal(api.ConfigSchema, &schema); err != nil {
 		t.Fatal(err)
 	}
-	c, err := Parse([]byte(good))
+	c, err := Parse([]byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,10 +69,10 @@
 		if d, ok := s["default"]; ok {
 			n++
 			if path == "/classes/worth" || path == "/classes/late_value" || path == "/classes/max_tokens" || path == "/classes/group" {
-				return // filled in settle, below
+				return // set by setClassDefaults; checked below
 			}
 			if v != d {
-				t.Errorf("%s: the schema says %v, the code %v", path, d, v)
+				t.Errorf("%s: default %v in the schema, %v in the code", path, d, v)
 			}
 		}
 		m, _ := v.(map[string]any)
@@ -87,37 +87,37 @@
 		t.Fatalf("only %d defaults were compared", n)
 	}
 	if k := c.Classes[0]; k.PriorityWeight != 1 || k.MaxTokens != 800 || k.DedupScope != "all" {
-		t.Errorf("%+v", k)
+		t.Errorf("defaults of a class: %+v", k)
 	}
 }
 
 func TestMergeReportsAppliedAndRestartRequired(t *testing.T) {
-	old, err := Parse([]byte(good))
+	old, err := Parse([]byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, err := Parse([]byte(strings.NewReplacer(`"long-enough"`, `"another-key"`, `"127.0.0.1:0"`, `"127.0.0.1:1"`).Replace(good)))
+	next, err := Parse([]byte(strings.NewReplacer(`"long-enough"`, `"another-key"`, `"127.0.0.1:0"`, `"127.0.0.1:1"`).Replace(validConfig)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, taken, refused := old.Merge(next)
-	if len(taken) != 1 || taken[0] != "/tenants" || len(refused) != 1 || refused[0] != "/listen" ||
+	m, applied, restartRequired := old.Merge(next)
+	if len(applied) != 1 || applied[0] != "/tenants" || len(restartRequired) != 1 || restartRequired[0] != "/listen" ||
 		m.Tenants[0].Keys[0] != "another-key" || m.Listen != old.Listen {
-		t.Fatal(taken, refused, m.Tenants, m.Listen)
+		t.Fatal(applied, restartRequired, m.Tenants, m.Listen)
 	}
-	next, err = Parse([]byte(strings.Replace(good, `"once"`, `"repeatable"`, 1)))
+	next, err = Parse([]byte(strings.Replace(validConfig, `"once"`, `"repeatable"`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, taken, refused := old.Merge(next); len(taken) != 0 || len(refused) != 1 || refused[0] != "/classes" {
-		t.Fatal(taken, refused)
+	if _, applied, restartRequired := old.Merge(next); len(applied) != 0 || len(restartRequired) != 1 || restartRequired[0] != "/classes" {
+		t.Fatal(applied, restartRequired)
 	}
 }
 
 func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../examples/node*.json")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no examples", err)
+		t.Fatal("no examples found", err)
 	}
 	for _, f := range files {
 		if _, err := Load(f); err != nil {
@@ -125,6 +125,6 @@
 		}
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none.json")); !os.IsNotExist(err) && err == nil {
-		t.Error("a file that is not there")
+		t.Error("a missing file was loaded")
 	}
 }
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -5,7 +5,7 @@
 )
 
 // Merge returns the configuration of a running node after a reload, and the JSON pointers of the changes that were applied and of those
-// that require a restart.
+// that require a restart. If the merged configuration is invalid, c stays in force and all changes require a restart.
 func (c *Config) Merge(next *Config) (merged *Config, applied, restartRequired []string) {
 	m := *c
 	apply := func(pointer string, old, new any, set func()) {
@@ -50,13 +50,13 @@
 	needsRestart("/engines", c.Engines, next.Engines)
 	needsRestart("/state_dir", c.StateDir, next.StateDir)
 	m.setClassDefaults()
-	if err := m.check(); err != nil { // models and rules may name classes that this node does not have yet
+	if err := m.check(); err != nil { // models and match rules may name classes that this node does not have before a restart
 		return c, nil, append(applied, restartRequired...)
 	}
 	return &m, applied, restartRequired
 }
 
-// sameTenants tells whether two lists differ at most in keys: the scheduler gets names and quotas of tenants at its start only.
+// sameTenants reports whether two lists differ only in keys: the scheduler receives the tenants and their quotas only when it starts.
 func sameTenants(a, b []Tenant) bool {
 	if len(a) != len(b) {
 		return false
--- a/internal/config/scheduler.go
+++ b/internal/config/scheduler.go
@@ -4,7 +4,7 @@
 	"dillroute/scheduler"
 )
 
-// Words of the configuration and what they mean to the scheduler.
+// The scheduler's values for the words of the configuration.
 var (
 	effects = map[string]scheduler.Effect{"repeatable": scheduler.Idempotent, "by_key": scheduler.IdempotentByKey,
 		"once": scheduler.AtMostOnce}
@@ -13,7 +13,7 @@
 	reports     = map[string]scheduler.ReportStyle{"off": scheduler.ReportOff, "inline": scheduler.ReportInline}
 )
 
-// Scheduler returns the configuration of the scheduler.
+// Scheduler returns the configuration of the node's scheduler.
 func (c *Config) Scheduler() scheduler.Config {
 	zone, _ := indexOf(c.Zones, c.Node.Zone)
 	s := scheduler.Config{NodeIndex: c.Node.Index, NodeCount: c.Node.Count, Zone: zone, ZoneCount: len(c.Zones),
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -1,5 +1,5 @@
-// Package config reads the JSON files of the program and checks them against their published schemas (package api). It reports all
-// problems of a file at once, each with its JSON pointer. The command line and the chat node use it.
+// Package config reads the JSON files of the program and validates them against their published schemas (package api). It reports
+// all problems of a file at once, each with its JSON pointer. The command line and the chat node use it.
 package config
 
 import (
@@ -17,16 +17,16 @@
 	"golang.org/x/text/message"
 )
 
-// Problem is one thing that is wrong with a file.
+// Problem is one error in a file.
 type Problem struct {
-	Pointer string // JSON pointer (RFC 6901); "" = the whole
+	Pointer string // JSON pointer (RFC 6901); "" = the whole file
 	Text    string
 }
 
-// Problems are all that is wrong with a file; they are an error.
+// Problems are all errors in a file. They implement error.
 type Problems []Problem
 
-// Error lists the problems, one a line.
+// Error lists the problems, one per line.
 func (ps Problems) Error() string {
 	var b strings.Builder
 	for i, p := range ps {
@@ -42,10 +42,10 @@
 	return b.String()
 }
 
-// Schema is a compiled schema.
+// Schema is a compiled JSON Schema.
 type Schema struct{ compiled *jsonschema.Schema }
 
-// MustSchema compiles an embedded schema.
+// MustSchema compiles an embedded schema and panics if it is invalid.
 func MustSchema(text []byte) *Schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -62,7 +62,7 @@
 	return &Schema{s}
 }
 
-// Decode checks a text against the schema and decodes it. The error is Problems.
+// Decode validates a text against the schema and decodes it. The error is of type Problems.
 func (s *Schema) Decode(text []byte, into any) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// DecodeFile reads, checks and decodes a file.
+// DecodeFile reads, validates and decodes a file. The error is of type Problems unless the file cannot be read.
 func (s *Schema) DecodeFile(path string, into any) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -93,7 +93,7 @@
 	return s.Decode(text, into)
 }
 
-// syntaxErrorPlace adds the line and column of a JSON syntax error.
+// syntaxErrorPlace returns the text of an error, with the line and column if it is a JSON syntax error.
 func syntaxErrorPlace(text []byte, err error) string {
 	var e *json.SyntaxError
 	if !errors.As(err, &e) {
@@ -107,7 +107,7 @@
 
 var printer = message.NewPrinter(language.English)
 
-// flatten appends the causes that have no further cause.
+// flatten appends the innermost causes of an error as problems.
 func (s *Schema) flatten(v *jsonschema.ValidationError, ps *Problems) {
 	if len(v.Causes) > 0 {
 		for _, c := range v.Causes {
@@ -121,10 +121,10 @@
 		known := s.knownFields(v)
 		for _, name := range k.Properties {
 			text := "unknown field"
-			if near := nearest(name, known); near != "" {
-				text += fmt.Sprintf("; did you mean %q?", near)
+			if suggestion := nearest(name, known); suggestion != "" {
+				text += fmt.Sprintf("; did you mean %q?", suggestion)
 			} else if len(known) > 0 {
-				text += "; known are " + strings.Join(known, ", ")
+				text += "; known fields are " + strings.Join(known, ", ")
 			}
 			*ps = append(*ps, Problem{Pointer: at + pointer([]string{name}), Text: text})
 		}
@@ -137,7 +137,7 @@
 	}
 }
 
-// knownFields lists the fields that the schema allows at the place of an error.
+// knownFields returns the names, sorted, of the fields that the schema allows at the location of an error.
 func (s *Schema) knownFields(v *jsonschema.ValidationError) []string {
 	var names []string
 	if at := locate(s.compiled, v.InstanceLocation); at != nil {
@@ -149,7 +149,7 @@
 	return names
 }
 
-// locate walks the schema along a pointer.
+// locate returns the subschema for a location in a document, or nil if there is none.
 func locate(s *jsonschema.Schema, path []string) *jsonschema.Schema {
 	for s != nil && s.Ref != nil {
 		s = s.Ref
@@ -166,7 +166,7 @@
 	return locate(s.Items2020, path[1:])
 }
 
-// pointer returns the JSON pointer of a path (RFC 6901).
+// pointer encodes a path as a JSON pointer (RFC 6901).
 func pointer(path []string) string {
 	escape := strings.NewReplacer("~", "~0", "/", "~1")
 	p := ""
--- a/internal/config/suggest.go
+++ b/internal/config/suggest.go
@@ -1,17 +1,18 @@
 package config
 
-// nearest returns the known name within two edits, or a third of its length.
+// nearest returns the known name with the smallest edit distance, which may be at most 2 or a third of the name's length, whichever is
+// larger; "" if there is none.
 func nearest(name string, known []string) string {
-	best, least := "", max(2, len(name)/3)+1
+	best, bestDistance := "", max(2, len(name)/3)+1
 	for _, k := range known {
-		if d := editDistance(name, k); d < least {
-			best, least = k, d
+		if d := editDistance(name, k); d < bestDistance {
+			best, bestDistance = k, d
 		}
 	}
 	return best
 }
 
-// editDistance is the Levenshtein distance.
+// editDistance returns the Levenshtein distance of two names in bytes.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// consulConnectTimeout bounds the connect to the list server.
+	// consulConnectTimeout limits connecting to the list server.
 	consulConnectTimeout = 5 * time.Second
-	// consulResponseTime is allowed for a response, beyond the time for which the server holds a call.
+	// consulResponseTime is the time allowed for a response beyond the time for which the server may hold a call.
 	consulResponseTime = 5 * time.Second
-	// consulWaitJitter is the part of the wait that the server may add to it ("Blocking Queries": up to wait/16).
+	// consulWaitJitter is the divisor of the jitter: the server may add up to wait/16 to the wait ("Blocking Queries").
 	consulWaitJitter = 16
-	// consulIndexHeader holds the index of a response.
+	// consulIndexHeader is the header field with the index of a response.
 	consulIndexHeader = "X-Consul-Index"
 )
 
-// errStopped means that the source was stopped during a call.
+// errStopped is returned by a call during which the source was stopped.
 var errStopped = errors.New("stopped")
 
-// consulSource polls a list server by Consul's blocking queries (health endpoint, "Blocking Queries" and "Health HTTP
-// Endpoint" of its documentation).
+// consulSource polls a list server with Consul's blocking queries of the health endpoint ("Blocking Queries" and "Health HTTP
+// Endpoint" in its documentation).
 type consulSource struct {
 	address string // host:port
 	service string
@@ -43,7 +43,7 @@
 	stopped bool
 }
 
-// run polls the list server whenever the poller schedules a call.
+// run polls the list server at the times that the poller schedules.
 func (s *consulSource) run(responses chan<- response, stop <-chan struct{}) {
 	ended := make(chan struct{})
 	defer close(ended)
@@ -75,8 +75,8 @@
 	}
 }
 
-// poll makes one call and returns the response and the index for the next call: 0 after the server's index fell, as the
-// documentation asks, and the same one after a failure.
+// poll makes one call and returns the response and the index for the next call. That is 0 after the server's index fell, as the
+// documentation requires, and unchanged after a failure.
 func (s *consulSource) poll(index uint64) (response, uint64) {
 	list, err := s.fetch(index)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return response{list: list}, list.Index
 }
 
-// abort closes the connection of a call in flight, and keeps further calls from starting.
+// abort closes the connection of the call in flight and prevents further calls.
 func (s *consulSource) abort() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// setConn records the connection of a call; false = the source was stopped.
+// setConn records the connection of a call. It returns false if the source was stopped.
 func (s *consulSource) setConn(conn *http1.ClientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +106,7 @@
 	return !s.stopped
 }
 
-// fetch makes one call and reads its list.
+// fetch makes one call and returns its list.
 func (s *consulSource) fetch(index uint64) (list endpoints.List, err error) {
 	pool := &http1.Pool{Limits: http1.DefaultLimits}
 	conn, err := pool.Get(context.Background(), s.address, consulConnectTimeout)
@@ -128,26 +128,26 @@
 	}
 	body, err := resp.ReadAll(maxListBytes)
 	if err != nil {
-		return list, fmt.Errorf("body cut short: %w", err)
+		return list, fmt.Errorf("incomplete body: %w", err)
 	}
 	return s.readResponse(resp, body)
 }
 
-// target returns the target of a blocking query for changes after an index.
+// target returns the request target of a blocking query for changes after an index.
 func (s *consulSource) target(index uint64) string {
 	return "/v1/health/service/" + url.PathEscape(s.service) + "?index=" + strconv.FormatUint(index, 10) +
 		"&wait=" + strconv.Itoa(int(s.wait.Milliseconds())) + "ms"
 }
 
-// readResponse reads the list and the index of a response.
+// readResponse returns the list of a response, with its index.
 func (s *consulSource) readResponse(resp *http1.Response, body []byte) (list endpoints.List, err error) {
 	if resp.Status != 200 {
-		return list, fmt.Errorf("answered %d", resp.Status)
+		return list, fmt.Errorf("response status %d", resp.Status)
 	}
 	header := resp.Header.Get(consulIndexHeader)
 	index, err := strconv.ParseUint(header, 10, 64)
 	if err != nil || index == 0 {
-		return list, fmt.Errorf("%s is %q", consulIndexHeader, header)
+		return list, fmt.Errorf("header field %s is %q, want a positive integer", consulIndexHeader, header)
 	}
 	listed, err := s.parser.ParseConsul(body)
 	if err != nil {
--- a/internal/discovery/consul_parser.go
+++ b/internal/discovery/consul_parser.go
@@ -12,7 +12,7 @@
 // maxPort is the highest port of TCP.
 const maxPort = 65535
 
-// consulInstance is one entry of Consul's health endpoint, as far as it is read.
+// consulInstance is an entry of a response of Consul's health endpoint, with the fields that are used.
 type consulInstance struct {
 	Node struct {
 		Node, Address, Datacenter string
@@ -27,8 +27,8 @@
 	Checks []struct{ Status string }
 }
 
-// ParseConsul reads a response of the health endpoint. Kind, cell, zone, state and start time are in Service.Meta under the
-// names of the list file; an instance with a critical check gets no new work.
+// ParseConsul parses a response of the health endpoint. Kind, cell, zone, state and start time are in Service.Meta under the
+// names of the list file. An instance with a critical check is draining: it gets no new work.
 func (p *Parser) ParseConsul(text []byte) ([]endpoints.Endpoint, error) {
 	var instances []consulInstance
 	if err := json.Unmarshal(text, &instances); err != nil {
@@ -37,7 +37,7 @@
 	var problems config.Problems
 	parsed := []endpoints.Endpoint{}
 	for i, instance := range instances {
-		listed, problem := instance.engine()
+		listed, problem := instance.listedEngine()
 		if problem != nil {
 			problems = appendProblems(problems, fmt.Sprintf("/%d", i), config.Problems{*problem})
 			continue
@@ -55,8 +55,8 @@
 	return parsed, nil
 }
 
-// listedEngine turns an instance into an engine of a list file.
-func (x *consulInstance) engine() (ListedEngine, *config.Problem) {
+// listedEngine converts an instance to an engine of a list file.
+func (x *consulInstance) listedEngine() (ListedEngine, *config.Problem) {
 	meta := x.Service.Meta
 	address := x.Service.Address
 	if address == "" {
@@ -92,7 +92,7 @@
 	return engine, nil
 }
 
-// critical tells whether a check of the instance has failed.
+// critical reports whether a check of the instance is critical.
 func (x *consulInstance) critical() bool {
 	for _, check := range x.Checks {
 		if check.Status == "critical" {
--- a/internal/discovery/consul_test.go
+++ b/internal/discovery/consul_test.go
@@ -18,7 +18,7 @@
 	return xs
 }
 
-// followListServer starts a list server and follows it.
+// followListServer starts a list server with the given engines, follows it, and waits for the first list.
 func followListServer(t *testing.T, ids ...string) (*emulator.ConsulServer, chan protocol.EndpointList, chan string) {
 	t.Helper()
 	s := emulator.NewConsulServer(100)
@@ -37,7 +37,7 @@
 	return s, lists, problems
 }
 
-// awaitEngines reads lists until one names just these engines; draining ones carry a mark.
+// awaitEngines reads lists until one contains exactly the given engines; a draining one is marked with "*".
 func awaitEngines(t *testing.T, lists chan protocol.EndpointList, want string) protocol.EndpointList {
 	t.Helper()
 	got := ""
@@ -120,10 +120,10 @@
 	s.SetFaults(emulator.ConsulFaults{Empty: true})
 	start := time.Now()
 	s.SetInstances(instances("a", "b", "c", "d", "e"))
-	// The empty answer stands until its confirmation is due; the full one before that wins.
+	// The empty list is not applied before it is confirmed; the complete list that comes before that takes precedence.
 	s.SetFaults(emulator.ConsulFaults{})
 	if l := awaitEngines(t, lists, "a b c d e"); len(l.Engines) == 0 || time.Since(start) > 15*time.Second {
-		t.Fatal("the list came late, or empty")
+		t.Fatal("the list was late or empty")
 	}
 }
 
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -12,7 +12,7 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// minFileInterval is the shortest interval at which a list file is polled.
+// minFileInterval is the minimum interval between polls of a list file.
 const minFileInterval = 10 * time.Millisecond
 
 // fileSource reads a list file that is replaced by rename.
@@ -20,12 +20,12 @@
 	path     string
 	interval time.Duration // poll interval
 	parser   *Parser
-	lastText []byte      // content of the last list that was read; nil = none
+	lastText []byte      // content of the last valid list; nil = none yet
 	lastInfo os.FileInfo // of that file
 }
 
-// run watches the directory, because a rename replaces the file itself, and polls the file as well: the poll notices a
-// change without an event, or after the watcher has lost events.
+// run watches the directory, because a rename replaces the file itself. It also polls the file, to detect a change that caused
+// no event or whose event the watcher lost.
 func (s *fileSource) run(responses chan<- response, stop <-chan struct{}) {
 	var events chan fsnotify.Event
 	var watchErrors chan error
@@ -62,7 +62,7 @@
 	}
 }
 
-// read returns the list, and whether it differs from the last one read.
+// read returns the list if it differs from the last one that was read, and whether it does.
 func (s *fileSource) read() (list endpoints.List, changed bool, err error) {
 	info, err := os.Stat(s.path)
 	if err != nil {
@@ -72,7 +72,7 @@
 		return list, false, nil // most polls end here
 	}
 	if info.Size() > maxListBytes {
-		return list, false, fmt.Errorf("%s: %d bytes exceed the %d that a list may have", s.path, info.Size(), maxListBytes)
+		return list, false, fmt.Errorf("%s: %d bytes exceed the limit of %d for a list", s.path, info.Size(), maxListBytes)
 	}
 	text, err := os.ReadFile(s.path)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return endpoints.List{Endpoints: listed}, true, nil
 }
 
-// unchanged tells whether a file is the one that was last read, with the same time and size.
+// unchanged reports whether a file is the one that was last read, with the same modification time and size.
 func (s *fileSource) unchanged(info os.FileInfo) bool {
 	last := s.lastInfo
 	return last != nil && os.SameFile(last, info) && last.ModTime().Equal(info.ModTime()) && last.Size() == info.Size()
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -11,23 +11,23 @@
 	"dillroute/scheduler"
 )
 
-// closeTimeout bounds how long Close waits for a list that is being written: a disk may hang.
+// closeTimeout limits how long Close waits for a list that is being saved: a disk may hang.
 const closeTimeout = time.Second
 
-// idleWait is the wait of a timer that has nothing to wait for.
+// idleWait is the duration of the timer while the view has no time at which it changes.
 const idleWait = time.Hour
 
-// FollowOptions say where lists come from and what is called with them.
+// FollowOptions are the sources and the callbacks of a Follower.
 type FollowOptions struct {
 	Config    *config.Config
-	SavedList string                      // file of the last list that was used, read at the start; "" = none
-	OnUpdate  func(protocol.EndpointList) // called with each new list, on the follower's goroutine
-	OnProblem func(string)                // called with the reason when a list is not used as it came, once for each cause
-	Clock     clock.Clock                 // of the node, in whose time start times are given; the zero clock = one of its own
-	Random    func() float64              // numbers from 0 up to 1 that spread calls; nil = the system's
+	SavedList string                      // file to which the list in use is saved and from which it is restored at the start; "" = none
+	OnUpdate  func(protocol.EndpointList) // called with each new list, by Follow itself or on the follower's goroutine
+	OnProblem func(string)                // called with the reason when a list is not used as received, once for each cause
+	Clock     clock.Clock                 // of the node, for the start times of engines; the zero clock = a new one
+	Random    func() float64              // returns numbers in [0, 1) that spread calls over time; nil = rand.Float64
 }
 
-// Follower follows a source of lists and hands on each change of the endpoint view. The view belongs to its goroutine.
+// Follower follows a source of lists and publishes each change of the endpoint view. The view belongs to its goroutine.
 type Follower struct {
 	options      FollowOptions
 	view         *endpoints.View
@@ -37,12 +37,12 @@
 	saver        *listSaver // nil = lists are not saved
 	stop         chan struct{}
 	done         chan struct{}
-	lastProblem  string  // of the source; "" = its last response was good
-	lastResponse float64 // when the source last responded (s); 0 = not yet
+	lastProblem  string  // of the source; "" = its last response was valid
+	lastResponse float64 // time of the last valid response of the source (s); 0 = none yet
 }
 
-// Follow starts to follow the source that the configuration names. Where no list was saved, a list file that cannot be read
-// is an error; a list server that does not respond is waited for.
+// Follow starts to follow the configured source. If no saved list was restored, a list file that cannot be read is an error.
+// Follow does not wait for a list server, which is polled until it responds.
 func Follow(o FollowOptions) (*Follower, error) {
 	if o.Clock == (clock.Clock{}) {
 		o.Clock = clock.New()
@@ -70,8 +70,8 @@
 	return f, nil
 }
 
-// openSource opens the configured source. It applies the content of a list file at once; one that cannot be read is an
-// error where no list was saved.
+// openSource opens the configured source. It applies the content of a list file at once. If no saved list was restored, a file
+// that cannot be read is an error.
 func (f *Follower) openSource() error {
 	o := f.options
 	engines := o.Config.Engines
@@ -105,7 +105,7 @@
 	}
 }
 
-// Close stops the follower. It waits for a list that is being written, but only for closeTimeout.
+// Close stops the follower. It waits up to closeTimeout for a list that is being saved.
 func (f *Follower) Close() {
 	close(f.stop)
 	<-f.done
@@ -118,7 +118,8 @@
 	}
 }
 
-// run applies responses and the passage of time until the follower stops. It ends the source's goroutine, which it starts.
+// run starts the source's goroutine and applies responses and timed changes to the view until the follower stops. It returns after
+// the source's goroutine has ended.
 func (f *Follower) run() {
 	defer close(f.done)
 	responses := make(chan response)
@@ -150,7 +151,7 @@
 	}
 }
 
-// handle applies a response and publishes the list that it leads to.
+// handle applies a response to the view and publishes the new list if the view changed.
 func (f *Follower) handle(r response) {
 	now := f.options.Clock.Now()
 	if r.err != nil {
@@ -173,7 +174,7 @@
 	}
 }
 
-// publish hands the view's list on, and saves it once a source has responded.
+// publish passes the view's list to OnUpdate, and saves it once a source has responded. Until then it rests on the saved list.
 func (f *Follower) publish(now float64) {
 	snapshot := f.view.Snapshot(now)
 	f.options.OnUpdate(f.endpointList(now, snapshot))
@@ -188,7 +189,7 @@
 	f.saver.save(text)
 }
 
-// endpointList turns a snapshot into the host's form, and forgets the start times of engines that it lacks.
+// endpointList converts a snapshot to the host's form, and removes the start times of engines that are not in it.
 func (f *Follower) endpointList(now float64, snapshot endpoints.Snapshot) protocol.EndpointList {
 	list := protocol.EndpointList{Form: scheduler.UpdateComplete, Addresses: map[string]string{}, Saved: snapshot.Saved}
 	for _, endpoint := range snapshot.Endpoints {
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -11,7 +11,7 @@
 	"dillroute/internal/protocol"
 )
 
-// follow follows a source and collects its lists and problems.
+// follow follows a source and returns channels of its lists and problems.
 func follow(t *testing.T, c *config.Config, saved string) (chan protocol.EndpointList, chan string, error) {
 	t.Helper()
 	lists, problems := make(chan protocol.EndpointList, 100), make(chan string, 100)
@@ -40,7 +40,7 @@
 
 func TestListFileIsFollowedAndProblemsReportedOnce(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "l.json")
-	put := func(text string) {
+	replaceList := func(text string) {
 		t.Helper()
 		if err := ReplaceFile(path, []byte(text)); err != nil {
 			t.Fatal(err)
@@ -51,7 +51,7 @@
 	if _, _, err := follow(t, c, ""); !os.IsNotExist(err) {
 		t.Fatal(err)
 	}
-	put(`{"engines":[{"id":"b","address":"h:1","kind":"p"}]}`)
+	replaceList(`{"engines":[{"id":"b","address":"h:1","kind":"p"}]}`)
 	lists, problems, err := follow(t, c, "")
 	if err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 	if l := receive(t, lists); len(l.Engines) != 1 {
 		t.Fatal(l)
 	}
-	put(`{"engines":`)
+	replaceList(`{"engines":`)
 	if text := receive(t, problems); !strings.Contains(text, "not valid JSON") {
 		t.Fatal(text)
 	}
@@ -67,7 +67,7 @@
 	if text := receive(t, problems); !strings.Contains(text, "no such file") {
 		t.Fatal(text)
 	}
-	put(`{"engines":[{"id":"b","address":"h:1","kind":"p"},{"id":"a","address":"h:1","kind":"p","cell":"y","boot_time":3}]}`)
+	replaceList(`{"engines":[{"id":"b","address":"h:1","kind":"p"},{"id":"a","address":"h:1","kind":"p","cell":"y","boot_time":3}]}`)
 	if l := receive(t, lists); len(l.Engines) != 2 || l.Engines[0].ID != "a" || l.Addresses["a"] != "h:1" {
 		t.Fatal(l)
 	}
--- a/internal/discovery/parser.go
+++ b/internal/discovery/parser.go
@@ -1,8 +1,8 @@
-// Package discovery brings the engine list from its source to the node.
+// Package discovery delivers the engine list from its source to the node.
 //
-// A source is a list file that is replaced by rename, or a list server that speaks Consul's health API. A Follower polls it,
-// decides by an endpoint view (internal/decide/endpoints) which list the node uses, hands each change to its caller, and
-// saves the list for the next start.
+// A source is a list file that is replaced by rename, or a list server with Consul's health API. A Follower polls it, decides by an
+// endpoint view (internal/decide/endpoints) which list the node uses, passes each change to its caller, and saves the list for the
+// next start.
 package discovery
 
 import (
@@ -15,7 +15,7 @@
 	"dillroute/internal/decide/endpoints"
 )
 
-// ListedEngine is one engine of a list file; api/list.schema.json describes it.
+// ListedEngine is an engine of a list file; api/list.schema.json describes its fields.
 type ListedEngine struct {
 	ID       string   `json:"id"`
 	Address  string   `json:"address"`
@@ -27,23 +27,24 @@
 	BootTime float64  `json:"boot_time,omitempty"`
 }
 
-// stateDraining is the state of an engine that gets no new work; all other states of the schema are ready.
+// stateDraining is the state of an engine that gets no new work. All other states of the schema mean that it is ready.
 const stateDraining = "draining"
 
-// ListFile is a list file.
+// ListFile is the content of a list file.
 type ListFile struct {
 	Engines []ListedEngine `json:"engines"`
 }
 
 var schema = config.MustSchema(api.ListSchema)
 
-// Parser turns lists into endpoints. Cells are numbered in the order in which lists name them, and keep their number.
+// Parser converts lists to endpoints. It numbers cells in the order in which they first appear, and a cell's number never changes. A
+// Parser is not safe for concurrent use.
 type Parser struct {
 	Config *config.Config
 	cells  map[string]int
 }
 
-// ParseFile reads a complete list file. It returns all problems of the file at once, and then no endpoints.
+// ParseFile parses a complete list file. On errors, it returns all problems of the file and no endpoints.
 func (p *Parser) ParseFile(text []byte) ([]endpoints.Endpoint, error) {
 	var file ListFile
 	if err := schema.Decode(text, &file); err != nil {
@@ -65,7 +66,7 @@
 	return parsed, nil
 }
 
-// appendProblems adds the problems of one engine, whose pointers are relative to the prefix.
+// appendProblems appends the problems of one engine, whose pointers are relative to prefix.
 func appendProblems(problems config.Problems, prefix string, found config.Problems) config.Problems {
 	for _, problem := range found {
 		problems = append(problems, config.Problem{Pointer: prefix + problem.Pointer, Text: problem.Text})
@@ -73,7 +74,8 @@
 	return problems
 }
 
-// endpoint reads one engine. The caller numbers its cell, once the whole list is known to be valid.
+// endpoint converts one engine. The caller sets its cell once the whole list is known to be valid, so that invalid lists number no
+// cells.
 func (p *Parser) endpoint(listed ListedEngine) (endpoints.Endpoint, config.Problems) {
 	var problems config.Problems
 	kind, ok := p.Config.KindIndex(listed.Kind)
@@ -104,7 +106,7 @@
 	return endpoint, problems
 }
 
-// zoneNumber returns the number of a zone of the node; no name means the first one.
+// zoneNumber returns the index of a zone in the node's configuration; "" is the first zone.
 func (p *Parser) zoneNumber(name string) (number int, ok bool) {
 	if name == "" {
 		return 0, true
@@ -113,7 +115,7 @@
 	return max(0, number), number >= 0
 }
 
-// cellNumber returns the number of a cell, a new one where the cell has none.
+// cellNumber returns the number of a cell and assigns the next number to a new cell.
 func (p *Parser) cellNumber(name string) int {
 	if p.cells == nil {
 		p.cells = map[string]int{}
@@ -126,7 +128,7 @@
 	return number
 }
 
-// cellName returns the name of a cell's number.
+// cellName returns the name of the cell with a number; "" if there is none.
 func (p *Parser) cellName(cell int) string {
 	for name, number := range p.cells {
 		if number == cell {
@@ -136,7 +138,7 @@
 	return ""
 }
 
-// encode returns the list file that ParseFile reads as these endpoints.
+// encode returns the content of a list file that ParseFile parses to these endpoints.
 func (p *Parser) encode(parsed []endpoints.Endpoint) ([]byte, error) {
 	file := ListFile{Engines: []ListedEngine{}}
 	for _, endpoint := range parsed {
--- a/internal/discovery/parser_test.go
+++ b/internal/discovery/parser_test.go
@@ -42,6 +42,6 @@
 	again, err := p.ParseFile([]byte(`{"engines":[{"id":"c","address":"h:1","kind":"p","cell":"y"},
  {"id":"d","address":"h:1","kind":"p","cell":"z"}]}`))
 	if err != nil || again[0].Cell != 1 || again[1].Cell != 2 {
-		t.Errorf("cells keep their numbers: %+v, %v", again, err)
+		t.Errorf("the cells' numbers changed: %+v, %v", again, err)
 	}
 }
--- a/internal/discovery/replace.go
+++ b/internal/discovery/replace.go
@@ -6,10 +6,10 @@
 	"path/filepath"
 )
 
-// partialFilePattern matches the names under which ReplaceFile writes.
+// partialFilePattern matches the names of the temporary files of ReplaceFile.
 const partialFilePattern = ".list-*"
 
-// ReplaceFile writes a file in one step, so that no reader sees a part of it, and returns when it is durable.
+// ReplaceFile replaces a file atomically, so that no reader sees a partial one, and returns when it is durable.
 func ReplaceFile(path string, text []byte) error {
 	dir := filepath.Dir(path)
 	f, err := os.CreateTemp(dir, partialFilePattern)
@@ -37,13 +37,13 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// removePartialFiles removes what a process that was killed had written in part.
+// removePartialFiles removes the temporary files of a process that was killed while it wrote them.
 func removePartialFiles(dir string) {
 	names, err := filepath.Glob(filepath.Join(dir, partialFilePattern))
 	if err != nil {
 		return // the pattern is a valid constant
 	}
 	for _, name := range names {
-		os.Remove(name) // a file that cannot be removed does no harm
+		os.Remove(name) // ignore errors: a remaining file does no harm
 	}
 }
--- a/internal/discovery/saved.go
+++ b/internal/discovery/saved.go
@@ -12,38 +12,38 @@
 	"dillroute/internal/service"
 )
 
-// saveWait is the time for which save waits until its list is written, so that a list lasts from the moment that it is used
-// where the disk allows it.
+// saveWait limits how long save waits until its list is written. Unless the disk is slower, a list is thus durable from the moment
+// it is used.
 const saveWait = 100 * time.Millisecond
 
-// Backoff before a list that could not be saved is written again: it doubles from the first to the longest.
+// Backoff before a failed save is retried. It doubles from the initial to the maximum value.
 const (
 	initialSaveBackoff = 250 * time.Millisecond
 	maxSaveBackoff     = 10 * time.Second
 )
 
-// restoreTimeout bounds how long a saved list is read again that cannot be read for a transient reason.
+// restoreTimeout limits the retries of reading a saved list that fails for a transient reason.
 const restoreTimeout = time.Second
 
-// listSaver writes the newest list to a file, again and again where it cannot be written: a disk may be full for a while. It
-// writes on a goroutine of its own, because a disk that hangs must not delay the endpoint view.
+// listSaver writes the newest list to a file and retries failed writes, because a disk may be full for a while. It writes on its
+// own goroutine, because a disk that hangs must not delay the endpoint view.
 type listSaver struct {
 	path      string
 	enabled   atomic.Bool
 	pending   chan pendingSave // the newest list that is still to be written
 	stop      <-chan struct{}
-	done      chan struct{} // closed when nothing is written any more
+	done      chan struct{} // closed when the saver's goroutine has ended
 	onProblem func(string)
 }
 
-// pendingSave is a list that is to be written.
+// pendingSave is a list to write.
 type pendingSave struct {
 	text      []byte
-	attempted chan struct{} // closed when it was written, or when the first attempt failed
+	attempted chan struct{} // closed after the first attempt to write it, or when saving is disabled
 }
 
-// newListSaver returns a saver and starts its goroutine, which ends after stop is closed. A list that is pending then is
-// still written.
+// newListSaver returns a saver and starts its goroutine, which ends after stop is closed. One attempt is still made to write a
+// list that is pending then.
 func newListSaver(path string, stop <-chan struct{}, onProblem func(string)) *listSaver {
 	s := &listSaver{
 		path:      path,
@@ -57,8 +57,8 @@
 	return s
 }
 
-// save hands a list to the goroutine in place of an older one that is still pending, and waits for the first attempt, but
-// only for saveWait. One goroutine calls it.
+// save passes a list to the goroutine, replacing an older one that is still pending, and waits for the first attempt to write it, but
+// at most for saveWait. It must be called by one goroutine at a time.
 func (s *listSaver) save(text []byte) {
 	select {
 	case <-s.pending:
@@ -89,7 +89,7 @@
 	}
 }
 
-// write writes a list, or a newer one, until it is written, saving is switched off, or the saver stops.
+// write retries until the list, or a newer one that replaces it, is written, saving is disabled, or the saver stops.
 func (s *listSaver) write(next pendingSave) {
 	for backoff := initialSaveBackoff; s.enabled.Load(); backoff = min(2*backoff, maxSaveBackoff) {
 		err := ReplaceFile(s.path, next.text)
@@ -110,7 +110,7 @@
 	next.markAttempted()
 }
 
-// markAttempted ends the wait of save.
+// markAttempted unblocks the call of save that waits for the first attempt.
 func (p pendingSave) markAttempted() {
 	select {
 	case <-p.attempted:
@@ -119,8 +119,8 @@
 	}
 }
 
-// restore applies the list that an earlier run saved, and removes files that were written in part. A list that cannot be read
-// is no reason not to start.
+// restore applies the list that an earlier run saved, and removes partially written files. A saved list that cannot be read is
+// reported but does not prevent the start.
 func (f *Follower) restore() {
 	path := f.options.SavedList
 	if path == "" {
@@ -140,7 +140,7 @@
 	f.publish(now)
 }
 
-// readSavedList reads a saved list, again for a while where it cannot be read for a transient reason.
+// readSavedList reads a saved list. It retries reads that fail for a transient reason, for up to restoreTimeout.
 func readSavedList(path string, parser *Parser) ([]endpoints.Endpoint, error) {
 	var text []byte
 	err := service.RetryTransient(restoreTimeout, func() (err error) {
--- a/internal/discovery/saved_test.go
+++ b/internal/discovery/saved_test.go
@@ -30,7 +30,7 @@
 	if l := receive(t, lists); !l.Saved || len(l.Engines) != 1 || l.Engines[0] != want.Engines[0] {
 		t.Fatalf("%+v, want %+v", l, want)
 	}
-	receive(t, problems) // that the file is not there
+	receive(t, problems) // the list file is missing
 	if err := os.WriteFile(saved, []byte("{\"engines\":[{"), 0o644); err != nil {
 		t.Fatal(err)
 	}
@@ -39,8 +39,8 @@
 	}
 }
 
-// A list that could not be saved at first is saved once the folder can be written. A file that a killed process had written in
-// part is removed.
+// A list whose first save failed is saved once the directory is writable. A partial file that a killed process left behind is
+// removed.
 func TestListIsSavedOnceFolderIsWritable(t *testing.T) {
 	dir := t.TempDir()
 	path, state := filepath.Join(dir, "l.json"), filepath.Join(dir, "state")
@@ -49,7 +49,7 @@
 	if err := ReplaceFile(path, []byte(`{"engines":[{"id":"a","address":"h:1","kind":"d"}]}`)); err != nil {
 		t.Fatal(err)
 	}
-	lists, problems, err := follow(t, c, filepath.Join(state, "saved.json")) // the folder is not there yet
+	lists, problems, err := follow(t, c, filepath.Join(state, "saved.json")) // the directory does not exist yet
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the list is not saved, though the folder can be written")
+			t.Fatal("the list is not saved, although the directory is writable")
 		}
 	}
 	partial := filepath.Join(state, ".list-123")
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -2,18 +2,18 @@
 
 import "dillroute/internal/decide/endpoints"
 
-// maxListBytes bounds the bytes of a list.
+// maxListBytes is the maximum size of a list.
 const maxListBytes = 64 << 20
 
-// response is what a source gave, or why it gave nothing.
+// response is a list from a source, or the error with which reading it failed.
 type response struct {
 	list       endpoints.List
-	indexReset bool // the source's index fell: it started anew
+	indexReset bool // the source's index fell, because its server started anew
 	err        error
 }
 
-// source reads lists until it is stopped.
+// source is a source of lists.
 type source interface {
-	// run sends responses until stop closes. It returns only then.
+	// run sends responses until stop is closed, and returns only then.
 	run(responses chan<- response, stop <-chan struct{})
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,5 +1,5 @@
-// Package service lets the program run like any other background service: it takes over sockets from a service manager,
-// notifies it of readiness, locks a state directory, and retries system calls that failed for a transient reason.
+// Package service contains what a program needs to run as a background service: it inherits sockets from a service manager,
+// notifies it of readiness, locks a state directory, and retries system calls that fail for a transient reason.
 package service
 
 import (
@@ -15,5 +15,6 @@
 	Reloading = daemon.SdNotifyReloading
 )
 
-// Notify sends states to the service manager (sd_notify), if there is one. A notification that fails must not fail the program.
+// Notify sends states to the service manager (sd_notify), if there is one. Errors are ignored: a failed notification must not stop
+// the program.
 func Notify(states ...string) { daemon.SdNotify(false, strings.Join(states, "\n")) }
--- a/internal/service/sockets.go
+++ b/internal/service/sockets.go
@@ -11,15 +11,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Names of sockets that a service manager may hand over (LISTEN_FDNAMES). Without names the first one is for clients and the
-// second for the admin listener.
+// Names of sockets that a service manager may pass to the program (LISTEN_FDNAMES). Without names, the first socket is for clients
+// and the second for the admin listener.
 const (
 	ClientSocket = "client"
 	AdminSocket  = "admin"
 )
 
-// InheritedListeners returns the listeners that were handed over by LISTEN_FDS, by name. It removes the variables from the
-// environment, so that a child process does not use them.
+// InheritedListeners returns the listeners that were passed by LISTEN_FDS; nil where there is none. It removes the variables from
+// the environment, so that a child process does not use them.
 func InheritedListeners() (client, admin net.Listener, err error) {
 	named, err := activation.ListenersWithNames()
 	if err != nil {
@@ -33,18 +33,18 @@
 		case admin == nil:
 			admin = listener
 		default:
-			return nil, nil, errors.New("LISTEN_FDS: more sockets than the program has listeners")
+			return nil, nil, errors.New("LISTEN_FDS: more sockets than listeners")
 		}
 	}
 	return client, admin, nil
 }
 
-// assignByName returns the listeners whose names say what they are for, and all others.
+// assignByName returns the listeners named for clients and for the admin listener, and all others.
 func assignByName(named map[string][]net.Listener) (client, admin net.Listener, unnamed []net.Listener) {
 	for name, listeners := range named {
 		for _, listener := range listeners {
 			switch {
-			case listener == nil: // the descriptor is no stream socket
+			case listener == nil: // the descriptor is not a stream socket
 			case name == ClientSocket && client == nil:
 				client = listener
 			case name == AdminSocket && admin == nil:
@@ -57,8 +57,8 @@
 	return client, admin, unnamed
 }
 
-// Listen opens a socket. With shared set, several processes may listen at one address (SO_REUSEPORT), so that a successor can
-// open it before its predecessor has closed it.
+// Listen opens a TCP listener. If shared is set, several processes may listen on the same address (SO_REUSEPORT), so that a
+// successor can open it before its predecessor has closed it.
 func Listen(address string, shared bool) (net.Listener, error) {
 	config := net.ListenConfig{}
 	if shared {
@@ -79,10 +79,10 @@
 	return optionErr
 }
 
-// maxKnownDescriptors is the number of descriptors above which a limit counts as none.
+// maxKnownDescriptors is the value above which a descriptor limit counts as unlimited.
 const maxKnownDescriptors = 1 << 30
 
-// DescriptorLimit returns how many descriptors the process may hold; 0 = unknown, or no limit.
+// DescriptorLimit returns the number of descriptors that the process may have open; 0 = unknown or unlimited.
 func DescriptorLimit() int {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil || limit.Cur > maxKnownDescriptors {
--- a/internal/service/statedir.go
+++ b/internal/service/statedir.go
@@ -14,8 +14,8 @@
 
 const (
 	lockFile           = "lock"               // name in the state directory
-	lockRetryInterval  = 2 * time.Millisecond // between attempts to lock a directory that another process holds
-	maxProcessIDDigits = 20                   // bytes of the lock file that are read for an error
+	lockRetryInterval  = 2 * time.Millisecond // between attempts to lock a directory that another process has locked
+	maxProcessIDDigits = 20                   // bytes of the lock file that are read for an error message
 )
 
 // StateDir is a state directory that this process has locked.
@@ -24,7 +24,7 @@
 	lock *os.File
 }
 
-// AwaitStateDir acquires a directory as AcquireStateDir does, but waits for its present holder to release it.
+// AwaitStateDir acquires a directory like AcquireStateDir, but retries for up to wait until the present holder has released it.
 func AwaitStateDir(dir string, wait time.Duration) (*StateDir, error) {
 	for end := time.Now().Add(wait); ; time.Sleep(lockRetryInterval) {
 		stateDir, err := AcquireStateDir(dir)
@@ -34,8 +34,8 @@
 	}
 }
 
-// AcquireStateDir makes the directory if need be and locks it. The lock ends with the process, however it ends, so that a killed
-// process leaves nothing to clear for its successor; the process id in the file is for people.
+// AcquireStateDir creates the directory if necessary and locks it. The lock ends with the process, however it ends, so that a killed
+// process leaves nothing to clean up. The process id in the lock file is only information for operators.
 func AcquireStateDir(dir string) (*StateDir, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -54,11 +54,11 @@
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := file.Truncate(0); err == nil { // a full disk is no reason not to start
+	if err := file.Truncate(0); err == nil { // ignore errors: a full disk must not prevent the start
 		file.WriteAt([]byte(strconv.Itoa(os.Getpid())+"\n"), 0)
 	}
 	return &StateDir{Dir: dir, lock: file}, nil
 }
 
-// Release lets another process acquire the directory.
+// Release unlocks the directory, so that another process can acquire it.
 func (s *StateDir) Release() error { return s.lock.Close() }
--- a/internal/service/statedir_test.go
+++ b/internal/service/statedir_test.go
@@ -27,6 +27,6 @@
 		t.Fatal(err)
 	}
 	if _, err := AcquireStateDir(filepath.Join(dir, "file")); err == nil {
-		t.Fatal("a file was acquired as a directory")
+		t.Fatal("a regular file was acquired as a state directory")
 	}
 }
--- a/internal/service/transient.go
+++ b/internal/service/transient.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Transient tells whether a system call failed for a reason that may pass by itself: a descriptor table or a disk that is full, a
-// lack of memory, an address that a predecessor still holds or that the machine does not have yet.
+// Transient reports whether a system call failed for a reason that may end without intervention: a full descriptor table or disk, a
+// lack of memory, an address that a predecessor still uses or that the machine does not have yet.
 func Transient(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
@@ -22,13 +22,14 @@
 	return false
 }
 
-// Backoff between attempts: it doubles from the first to the longest.
+// Backoff between attempts. It doubles from the minimum to the maximum.
 const (
 	MinBackoff = 20 * time.Millisecond
 	MaxBackoff = 200 * time.Millisecond
 )
 
-// RetryTransient calls do, and again with backoff while it fails for a transient reason, within a time.
+// RetryTransient calls do, and repeats it with backoff while it fails for a transient reason, for up to the time within. It returns the
+// last error.
 func RetryTransient(within time.Duration, do func() error) error {
 	backoff := MinBackoff
 	for end := time.Now().Add(within); ; backoff = min(2*backoff, MaxBackoff) {
--- a/internal/timerwheel/timerwheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -1,4 +1,4 @@
-// Package timerwheel keeps many timers in one hierarchical timing wheel (Varghese and Lauck, "Hashed and Hierarchical Timing
+// Package timerwheel implements a hierarchical timing wheel for many timers (Varghese and Lauck, "Hashed and Hierarchical Timing
 // Wheels", 1987). It reads no clock and starts no goroutine: the owner advances it.
 //
 // Adding and canceling take constant time. A timer fires in the first Advance at or after its time, never before it, and at
@@ -12,13 +12,13 @@
 
 const (
 	slotBits      = 6
-	slotsPerLevel = 1 << slotBits // one bit of a word each, which tells whether the slot is in use
+	slotsPerLevel = 1 << slotBits // each has one bit of a 64-bit word, which is set if the slot is in use
 	slotMask      = slotsPerLevel - 1
 	levels        = 6 // 64^6 ticks: over two years at a millisecond
 )
 
-// maxSpan is the longest time ahead for which a timer is placed (ticks); a later one is placed there and moved on when its slot
-// comes up. It leaves one slot of the coarsest level free, so that no timer is placed a full turn ahead.
+// maxSpan is the maximum distance (ticks) from the current tick at which a timer is placed. A later timer is placed there and placed
+// again when its slot is reached. One slot of the coarsest level stays free, so that no timer is placed a full turn ahead.
 const maxSpan = 1<<(levels*slotBits) - 1<<((levels-1)*slotBits) - 1
 
 // firedLevel is the level of a timer that is in no slot: it has fired or was canceled.
@@ -27,13 +27,13 @@
 // Timer is one timer of a Wheel. Its fields belong to the wheel.
 type Timer[T any] struct {
 	next, prev *Timer[T]
-	due        int64 // tick in which it fires
+	due        int64 // tick at which it fires
 	level      int8
 	slot       uint8
 	value      T
 }
 
-// Wheel holds timers with a value each. It is not safe for concurrent use.
+// Wheel holds timers, each with a value. It is not safe for concurrent use.
 type Wheel[T any] struct {
 	resolution  float64 // seconds per tick
 	currentTick int64   // all timers due up to it have fired
@@ -42,7 +42,7 @@
 	count       int
 }
 
-// New returns an empty wheel whose clock shows now (s), with a resolution in seconds, which must be above zero.
+// New returns an empty wheel whose time is now (s). It panics unless resolution (s) is above zero.
 func New[T any](now, resolution float64) *Wheel[T] {
 	if !(resolution > 0) { // the comparison is false for a NaN too
 		panic("timerwheel: resolution must be above zero")
@@ -50,10 +50,10 @@
 	return &Wheel[T]{resolution: resolution, currentTick: int64(math.Floor(now / resolution))}
 }
 
-// Len returns the number of timers that have not fired.
+// Len returns the number of timers that have neither fired nor been canceled.
 func (w *Wheel[T]) Len() int { return w.count }
 
-// Add returns a new timer that fires at a time (s). One in the past fires at the next Advance that moves the clock.
+// Add adds a timer that fires at the given time (s). A time in the past fires at the next Advance that moves the wheel's time.
 func (w *Wheel[T]) Add(at float64, value T) *Timer[T] {
 	t := &Timer[T]{value: value}
 	t.due = max(w.currentTick+1, int64(math.Ceil(at/w.resolution)))
@@ -62,7 +62,7 @@
 	return t
 }
 
-// Cancel removes a timer and tells whether it had not fired yet. A nil timer has.
+// Cancel removes a timer and reports whether it was pending. It returns false for nil and for a timer that has fired or was canceled.
 func (w *Wheel[T]) Cancel(t *Timer[T]) bool {
 	if t == nil || t.level == firedLevel {
 		return false
@@ -71,8 +71,8 @@
 	return true
 }
 
-// Advance moves the clock to now (s) and calls fire for each timer that has come due, in order of time; those of one tick fire
-// in no particular order. fire may add and cancel timers.
+// Advance moves the wheel's time to now (s) and calls fire for each timer that is due, in order of time. Timers of the same tick
+// fire in no particular order. fire may add and cancel timers.
 func (w *Wheel[T]) Advance(now float64, fire func(T)) {
 	target := int64(math.Floor(now / w.resolution))
 	for w.currentTick < target {
@@ -97,8 +97,8 @@
 	}
 }
 
-// Next returns the time (s) at which the next Advance is due: that of the earliest timer, or of the moment at which a coarse
-// slot has to be spread over finer ones, which is never later. ok is false where there is no timer.
+// Next returns the time (s) at which the next Advance is due: the time of the earliest timer, or an earlier time at which a coarse
+// slot must be distributed over finer levels. ok is false if there is no timer.
 func (w *Wheel[T]) Next() (at float64, ok bool) {
 	if w.count == 0 {
 		return 0, false
@@ -106,7 +106,7 @@
 	return float64(w.nextTick()) * w.resolution, true
 }
 
-// nextTick returns the first tick after the current one at which a used slot of any level comes up.
+// nextTick returns the first tick after the current one at which a used slot of any level is reached.
 func (w *Wheel[T]) nextTick() int64 {
 	earliest := int64(math.MaxInt64)
 	for level := range levels {
@@ -114,17 +114,17 @@
 			continue
 		}
 		current := w.currentTick >> shift(level)
-		fromNext := bits.RotateLeft64(w.usedSlots[level], -int((current+1)&slotMask)) // bit 0 is the slot after the current one
-		turns := current + 1 + int64(bits.TrailingZeros64(fromNext))
-		earliest = min(earliest, turns<<shift(level))
+		rotated := bits.RotateLeft64(w.usedSlots[level], -int((current+1)&slotMask)) // bit 0 is the slot after the current one
+		slot := current + 1 + int64(bits.TrailingZeros64(rotated))
+		earliest = min(earliest, slot<<shift(level))
 	}
 	return earliest
 }
 
-// shift returns the number of bits of a tick below a level's slot.
+// shift returns the number of low bits of a tick that do not count for the slot of a level.
 func shift(level int) uint { return uint(level * slotBits) }
 
-// cascade spreads the coarse slots that have come up over the finer levels.
+// cascade distributes the timers of the coarse slots that have been reached over the finer levels.
 func (w *Wheel[T]) cascade() {
 	for level := levels - 1; level > 0; level-- {
 		current := w.currentTick >> shift(level)
@@ -139,7 +139,7 @@
 	}
 }
 
-// place puts a timer into a slot of the finest level whose span reaches its time.
+// place inserts a timer into a slot of the finest level that covers its time.
 func (w *Wheel[T]) place(t *Timer[T]) {
 	due := min(t.due, w.currentTick+maxSpan)
 	level := 0
@@ -158,14 +158,14 @@
 	w.usedSlots[level] |= 1 << slot
 }
 
-// remove takes a timer out of the wheel for good.
+// remove removes a timer from the wheel and marks it as fired or canceled.
 func (w *Wheel[T]) remove(t *Timer[T]) {
 	w.unlink(t)
 	t.level = firedLevel
 	w.count--
 }
 
-// unlink takes a timer out of its slot.
+// unlink removes a timer from its slot.
 func (w *Wheel[T]) unlink(t *Timer[T]) {
 	if t.prev != nil {
 		t.prev.next = t.next
--- a/internal/timerwheel/timerwheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -11,7 +11,7 @@
 
 const resolution = 0.001 // s
 
-// listedTimer is a timer of a wheel, as a list keeps it.
+// listedTimer is a timer of a wheel in the list with which the wheel is compared.
 type listedTimer struct {
 	at    float64
 	timer *Timer[int]
@@ -85,7 +85,7 @@
 	}
 }
 
-// Compared with a list: every timer fires once, not early, in the first Advance at or after its tick, and never after it was
+// Compared with a list, every timer fires once, in the first Advance at or after its tick, never early, and never after it was
 // canceled.
 func TestWheelMatchesListOfTimers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -123,7 +123,7 @@
 	}
 }
 
-// waitingTimers is the number of timers that wait during a benchmark.
+// waitingTimers is the number of pending timers during a benchmark.
 const waitingTimers = 100_000
 
 func delays() []float64 {
@@ -135,8 +135,7 @@
 	return xs
 }
 
-// Each operation of these benchmarks adds one timer and cancels another, with 100,000 waiting: what a request
-// does to its deadline.
+// Each operation of these benchmarks adds one timer and cancels another while 100,000 are pending, like the deadlines of requests.
 func BenchmarkWheel100k(b *testing.B) {
 	ds, w := delays(), New[int](0, 0.001)
 	ring := make([]*Timer[int], waitingTimers)
