--- a/internal/architecture_test.go
+++ b/internal/architecture_test.go
@@ -12,11 +12,11 @@
 	"testing"
 )
 
-// declaredNames are the names that the module declares: tests by their names, and all else as package.Name or
+// declaredNames are the functions, methods and types that the module declares: tests by name, and all others as package.Name or
 // package.Type.Method.
 type declaredNames struct{ code, tests map[string]bool }
 
-// readDeclaredNames parses all Go files of the module.
+// readDeclaredNames returns the names that are declared in the Go files of the module.
 func readDeclaredNames(t *testing.T) declaredNames {
 	t.Helper()
 	names := declaredNames{code: map[string]bool{}, tests: map[string]bool{}}
@@ -55,7 +55,7 @@
 	}
 }
 
-// receiverPrefix is the receiver's type and a dot; "" for a function.
+// receiverPrefix returns the receiver's type and a dot; "" for a function.
 func receiverPrefix(f *ast.FuncDecl) string {
 	if f.Recv == nil || len(f.Recv.List) == 0 {
 		return ""
@@ -73,7 +73,7 @@
 	return ""
 }
 
-// Pages whose code in backquotes, where it is package.Name or a test, must exist.
+// checkedPages are pages in which each package.Name and each test in backquotes must exist.
 var checkedPages = []string{"../docs/architecture.md", "../docs/design/endings.md"}
 
 func TestPagesNameCodeThatExists(t *testing.T) {
@@ -107,7 +107,7 @@
 	}
 }
 
-// Each of the five rules names who decides it and a test that fails without it.
+// For each of the five rules, the page must name the code that decides it and a test that fails without it.
 func TestArchitectureNamesATestForEachRule(t *testing.T) {
 	text, err := os.ReadFile("../docs/architecture.md")
 	if err != nil {
@@ -119,7 +119,7 @@
 	}
 	for _, row := range rows {
 		if !strings.Contains(row, "`Test") || !regexp.MustCompile("`(scheduler|permit|requesttable)\\.").MatchString(row) {
-			t.Errorf("no test or no decision is named in %s", row)
+			t.Errorf("the row lacks a test or the code that decides: %s", row)
 		}
 	}
 }
--- a/internal/clock_test.go
+++ b/internal/clock_test.go
@@ -9,10 +9,11 @@
 	"testing"
 )
 
-// dayTime is the time of day as a number: what is measured by it changes when the wall clock is stepped.
-var dayTime = regexp.MustCompile(`\.Unix(Nano|Micro|Milli)?\(\)`)
+// wallClockNumber matches conversions of a wall-clock time to a number. A duration measured by such numbers changes when the wall clock is
+// stepped.
+var wallClockNumber = regexp.MustCompile(`\.Unix(Nano|Micro|Milli)?\(\)`)
 
-// Spans are measured by the monotonic clock: the product turns the time of day into a number in one place alone.
+// Durations must be measured by the monotonic clock, so only one place outside the lab may convert the wall clock to a number.
 func TestSpansAreNotMeasuredByTheWallClock(t *testing.T) {
 	looked := 0
 	for _, root := range []string{"../scheduler", "../internal", "../cmd"} {
@@ -23,7 +24,7 @@
 			text, err := os.ReadFile(path)
 			looked++
 			for i, line := range strings.Split(string(text), "\n") {
-				if dayTime.MatchString(line) && path != filepath.Join("..", "internal", "clock", "clock.go") {
+				if wallClockNumber.MatchString(line) && path != filepath.Join("..", "internal", "clock", "clock.go") {
 					t.Errorf("%s:%d: %s", path, i+1, strings.TrimSpace(line))
 				}
 			}
@@ -34,6 +35,6 @@
 		}
 	}
 	if looked < 50 {
-		t.Fatalf("only %d files were looked at", looked)
+		t.Fatalf("only %d files were checked", looked)
 	}
 }
--- a/internal/endings_test.go
+++ b/internal/endings_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// The tests that docs/design/endings.md names exist, and each row of its table names one.
+// Each test that docs/design/endings.md names must exist, and each row of its table must name one.
 func TestEndingsNameTestsThatExist(t *testing.T) {
 	page, err := os.ReadFile("../docs/design/endings.md")
 	if err != nil {
@@ -39,11 +39,11 @@
 		rows++
 		names := named.FindAllStringSubmatch(line, -1)
 		if len(names) == 0 {
-			t.Errorf("no test is named: %s", line)
+			t.Errorf("the row names no test: %s", line)
 		}
 		for _, m := range names {
 			if !tests[m[1]] {
-				t.Errorf("%s does not exist, which is named in: %s", m[1], line)
+				t.Errorf("%s does not exist, but is named in: %s", m[1], line)
 			}
 		}
 	}
--- a/internal/style_test.go
+++ b/internal/style_test.go
@@ -12,16 +12,17 @@
 	"unicode"
 )
 
-// Bounds of a finished package (docs/design/style.md).
+// Limits for finished packages (docs/design/style.md).
 const (
 	maxFileLines     = 400
 	maxFunctionLines = 60
-	maxColumns       = 140 // a tab counts as four
+	maxColumns       = 140 // a tab counts as four columns
 	longFunctionMark = "Long because"
 )
 
-// withdrawnNames are identifiers that the readers asked to replace (docs/glossary.md); withdrawnWords are words that may not be
-// part of one either. Words that a wire format or a settings key fixes stand in string literals and struct tags, which do not count.
+// withdrawnNames are identifiers that must not be used (docs/glossary.md); readers asked to replace them. withdrawnWords and
+// withdrawnPairs must not be part of an identifier either. String literals and struct tags are not checked: there, a wire format or a
+// settings key may require such a word.
 var (
 	withdrawnNames = set("say", "word", "book", "spare", "room", "blind", "keeping", "far", "cold", "homes", "sin", "kept", "held",
 		"pace", "trusted", "judge", "late", "rested")
@@ -40,7 +41,7 @@
 	return m
 }
 
-// finishedPackages reads .ci/finished: one directory a line, relative to the root.
+// finishedPackages returns the directories listed in .ci/finished, which are one per line and relative to the root.
 func finishedPackages(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("../.ci/finished")
@@ -77,7 +78,7 @@
 	}
 }
 
-// styleProblems returns what a file has beyond the bounds. The lengths of files and functions are bounded for the product alone:
+// styleProblems returns the violations of the limits in a file. The lengths of files and functions are not limited in tests, because
 // tables of test cases may be longer.
 func styleProblems(t *testing.T, file, text string) []string {
 	t.Helper()
@@ -85,11 +86,11 @@
 	isTest := strings.HasSuffix(file, "_test.go")
 	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 	if len(lines) > maxFileLines && !isTest {
-		problems = append(problems, fmt.Sprintf("%s has %d lines, %d are the most", file, len(lines), maxFileLines))
+		problems = append(problems, fmt.Sprintf("%s has %d lines; the limit is %d", file, len(lines), maxFileLines))
 	}
 	for i, line := range lines {
 		if n := len([]rune(strings.ReplaceAll(line, "\t", "    "))); n > maxColumns {
-			problems = append(problems, fmt.Sprintf("%s:%d has %d columns, %d are the most", file, i+1, n, maxColumns))
+			problems = append(problems, fmt.Sprintf("%s:%d has %d columns; the limit is %d", file, i+1, n, maxColumns))
 		}
 	}
 	fset := token.NewFileSet()
@@ -104,13 +105,14 @@
 		}
 		n := fset.Position(f.End()).Line - fset.Position(f.Pos()).Line + 1
 		if n > maxFunctionLines && !strings.Contains(f.Doc.Text(), longFunctionMark) {
-			problems = append(problems, fmt.Sprintf("%s: %s has %d lines, %d are the most", file, f.Name.Name, n, maxFunctionLines))
+			problems = append(problems, fmt.Sprintf("%s: %s has %d lines; the limit is %d", file, f.Name.Name, n, maxFunctionLines))
 		}
 	}
 	ast.Inspect(parsed, func(n ast.Node) bool {
 		if id, ok := n.(*ast.Ident); ok {
 			if why := withdrawn(id.Name); why != "" {
-				problems = append(problems, fmt.Sprintf("%s: %s: %s is withdrawn (docs/glossary.md)", fset.Position(id.Pos()), id.Name, why))
+				problems = append(problems,
+					fmt.Sprintf("%s: %s: %s is withdrawn (docs/glossary.md)", fset.Position(id.Pos()), id.Name, why))
 			}
 		}
 		return true
@@ -118,7 +120,7 @@
 	return problems
 }
 
-// withdrawn returns the part of an identifier that is withdrawn; "" = none is.
+// withdrawn returns the part of an identifier that must not be used; "" = none.
 func withdrawn(identifier string) string {
 	if withdrawnNames[strings.ToLower(identifier)] {
 		return identifier
@@ -164,7 +166,8 @@
 		identifier string
 		found      bool
 	}{
-		{"letGo", true}, {"LetGoBy", true}, {"weighHomes", true}, {"spt", true}, {"Believer", true}, {"newAsker", true}, {"turnedAway", true},
+		{"letGo", true}, {"LetGoBy", true}, {"weighHomes", true}, {"spt", true}, {"Believer", true}, {"newAsker", true},
+		{"turnedAway", true},
 		{"book", true}, {"bookkeeping", false}, {"releaseState", false}, {"HTTPServer", false}, {"spareCapacity", false}, {"reader", false},
 		{"sinceReport", false}, {"coldRoom", true}, {"RejectionQueue", false}, {"timeout", false},
 	} {
@@ -174,7 +177,7 @@
 	}
 }
 
-// A file that breaks each bound is reported for each of them.
+// Files that each exceed one limit must be reported for it.
 func TestStyleProblemsAreReported(t *testing.T) {
 	long := "package p\n\nfunc f() {\n" + strings.Repeat("\tg()\n", maxFunctionLines) + "}\n\nfunc g() {}\n"
 	for _, c := range []struct {
