--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -196,7 +196,7 @@
 // Addr returns the address of the client listener.
 func (p *nodeProcess) Addr() net.Addr { return p.addr }
 
-// Ready reports whether the node accepts requests, by its admin listener.
+// Ready reports whether the node accepts requests, according to its admin listener.
 func (p *nodeProcess) Ready() bool {
 	resp, err := p.client.Get("http://" + p.admin + "/readyz")
 	if err != nil {
--- a/internal/cli/overhead.go
+++ b/internal/cli/overhead.go
@@ -122,7 +122,8 @@
 	}
 }
 
-// measureOverhead starts an engine, a proxy and two nodes, measures each of them, and prints the results or writes them to a file too.
+// measureOverhead starts an engine, a proxy and two nodes, measures each of them, and prints the results. It also writes them to a file if
+// one is given.
 func measureOverhead(ctx context.Context, plan overhead.Plan, reportFile string, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "dillroute-overhead-")
 	if err != nil {
--- a/internal/cli/relay.go
+++ b/internal/cli/relay.go
@@ -49,7 +49,7 @@
 				n.RespondNow()
 			}
 		},
-		reloads: true, // attempts are still made, and discovery's new address tells which engines drain
+		reloads: true, // attempts are still made, and discovery's new address lists the draining engines
 	})
 	log.Info("shutdown completed")
 	return withExitCode(ExitRun, failure)
--- a/internal/service/transient.go
+++ b/internal/service/transient.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Transient reports whether a system call failed for a reason that may end without intervention: a full descriptor table or disk, a
+// IsTransient reports whether a system call failed for a reason that may end without intervention: a full descriptor table or disk, a
 // lack of memory, an address that a predecessor still uses or that the machine does not have yet.
-func Transient(err error) bool {
+func IsTransient(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
 		return false
@@ -34,7 +34,7 @@
 	backoff := MinBackoff
 	for end := time.Now().Add(within); ; backoff = min(2*backoff, MaxBackoff) {
 		err := do()
-		if err == nil || !Transient(err) || time.Now().Add(backoff).After(end) {
+		if err == nil || !IsTransient(err) || time.Now().Add(backoff).After(end) {
 			return err
 		}
 		time.Sleep(backoff)
--- a/internal/service/transient_test.go
+++ b/internal/service/transient_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func TestTransient(t *testing.T) {
+func TestIsTransient(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		want bool
@@ -23,7 +23,7 @@
 		{errors.New("an invalid configuration"), false},
 		{nil, false},
 	} {
-		if got := Transient(c.err); got != c.want {
+		if got := IsTransient(c.err); got != c.want {
 			t.Errorf("%v: got %v, want %v", c.err, got, c.want)
 		}
 	}
