--- a/internal/http1/accept.go
+++ b/internal/http1/accept.go
@@ -32,42 +32,43 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case s.draining.Load() && errors.Is(err, os.ErrDeadlineExceeded):
-			s.acceptWaiting(l)
+			s.acceptPending(l)
 			return l.Close()
 		default:
-			s.acceptFailed(err)
+			s.handleAcceptError(err)
 		}
 	}
 }
 
-// acceptFailed handles a failed accept. Whatever the reason (a full descriptor table, a shortage of memory, a network error of that
-// one connection), it may pass and further connections wait, so that the server goes on accepting.
-func (s *Server) acceptFailed(err error) {
+// handleAcceptError handles a failed accept. Every cause (a full descriptor table, a shortage of memory, a network error of one
+// connection) may be temporary and further connections may be waiting, so the server continues to accept after a delay.
+func (s *Server) handleAcceptError(err error) {
 	if IsDescriptorShortage(err) {
-		s.CloseIdle(1) // others may close meanwhile
+		s.CloseIdle(1) // frees a descriptor; other connections may close by themselves in the meantime
 	}
 	if IsProcessDescriptorLimit(err) && s.OnDescriptorShortage != nil {
 		s.OnDescriptorShortage(s.Conns())
 	}
-	time.Sleep(acceptRetryPause)
+	time.Sleep(acceptRetryDelay)
 }
 
-// Intervals of accepting.
+// Durations of the accept loop.
 const (
-	acceptRetryPause = 5 * time.Millisecond   // after a failed accept
-	acceptPoll       = time.Millisecond       // for one accept, once the listener is to stop
-	acceptTail       = 100 * time.Millisecond // for all connections that wait when the listener is to stop
+	acceptRetryDelay     = 5 * time.Millisecond   // after a failed accept
+	acceptPendingPoll    = time.Millisecond       // timeout of one accept by acceptPending
+	acceptPendingTimeout = 100 * time.Millisecond // for all accepts by acceptPending together
 )
 
-// acceptWaiting accepts the connections that wait in the listen queue when a drain stops accepting: an accept whose deadline has passed
-// fails whatever the queue holds, and what the queue holds when the listener closes is reset with all that it has sent.
-func (s *Server) acceptWaiting(l net.Listener) {
+// acceptPending accepts the connections that are still in the listen queue when a drain stops accepting. An accept after the deadline
+// fails even if connections are queued, and closing the listener resets queued connections, so that the requests already sent on them
+// are lost.
+func (s *Server) acceptPending(l net.Listener) {
 	d, ok := l.(interface{ SetDeadline(time.Time) error })
 	if !ok {
 		return
 	}
-	for end := time.Now().Add(acceptTail); time.Now().Before(end); {
-		d.SetDeadline(time.Now().Add(acceptPoll))
+	for end := time.Now().Add(acceptPendingTimeout); time.Now().Before(end); {
+		d.SetDeadline(time.Now().Add(acceptPendingPoll))
 		nc, err := l.Accept()
 		switch {
 		case err == nil:
@@ -75,52 +76,52 @@
 		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, net.ErrClosed):
 			return
 		default:
-			s.acceptFailed(err)
+			s.handleAcceptError(err)
 		}
 	}
 }
 
-// startConn gives a connection its goroutine. Over the connection limit it goes to the rejection queue, for no longer than it takes to
-// read a head and to reject the request: a rejection written before the request was read would be lost to a reset. Where the
-// rejection queue is full too, nothing more is accepted until one of its connections has ended.
+// startConn starts the goroutine of a connection. A connection over the limit enters the rejection queue and stays there until its
+// first request head is read and rejected: a rejection that is written before the request is read would be lost to a reset. While the
+// rejection queue is full too, startConn blocks, so that nothing more is accepted until a connection leaves the queue.
 func (s *Server) startConn(nc net.Conn) {
 	c := &conn{server: s, netConn: nc, ahead: &readAhead{netConn: nc, heldBytes: &s.heldBytes}}
 	s.mu.Lock()
-	full := s.MaxConns != nil && len(s.conns)-s.rejecting >= s.MaxConns()
-	if full {
-		full = s.closeIdle(1) == 0 // an idle connection is evicted for the new one
+	overLimit := s.MaxConns != nil && len(s.conns)-s.rejecting >= s.MaxConns()
+	if overLimit {
+		overLimit = s.closeIdle(1) == 0 // evict an idle connection in favor of the new one
 	}
-	if full {
+	if overLimit {
 		for s.rejecting >= s.rejectionQueueSize() && !s.draining.Load() {
 			s.queueFree.Wait()
 		}
 		s.rejecting++
 	}
 	if s.closed {
-		if full {
+		if overLimit {
 			s.rejecting--
 		}
 		s.mu.Unlock()
 		nc.Close()
 		return
 	}
-	c.idle, c.idleSince = !full, sinceStart() // one in the rejection queue is not evicted
+	c.idle, c.idleSince = !overLimit, sinceStart() // connections in the rejection queue are not evicted
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
 	go func() {
-		if full {
+		if overLimit {
 			c.rejectOverLimit()
 		} else {
 			c.serve()
 		}
 		nc.Close()
-		c.ahead.drop()
+		c.ahead.discard()
 		if s.OnClose != nil {
 			s.OnClose(c.closed)
 		}
 		s.mu.Lock()
 		delete(s.conns, c)
-		if full {
+		if overLimit {
 			s.rejecting--
 			s.queueFree.Signal()
 		}
@@ -129,11 +130,11 @@
 	}()
 }
 
-// IsDescriptorShortage tells whether an error means that the process, or the machine, has no descriptor left.
+// IsDescriptorShortage reports whether an error means that the process or the machine has no file descriptors left.
 func IsDescriptorShortage(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// IsProcessDescriptorLimit tells whether an error means that the process has as many descriptors as it may. A shortage of the whole
-// machine is none: fewer connections of this process would change little.
+// IsProcessDescriptorLimit reports whether an error means that the process has reached its own limit of file descriptors. A shortage
+// of the whole machine does not count: closing connections of this process would change little.
 func IsProcessDescriptorLimit(err error) bool { return errors.Is(err, syscall.EMFILE) }
--- a/internal/http1/accept_test.go
+++ b/internal/http1/accept_test.go
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// failingListener fails so many accepts with an error, and may be held up before each.
+// failingListener fails the next accepts, as many as failures, with err. beforeAccept, if set, is called before each accept.
 type failingListener struct {
 	*net.TCPListener
-	failures atomic.Int32
-	err      syscall.Errno
-	hold     func()
+	failures     atomic.Int32
+	err          syscall.Errno
+	beforeAccept func()
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
-	if l.hold != nil {
-		l.hold()
+	if l.beforeAccept != nil {
+		l.beforeAccept()
 	}
 	if l.failures.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", l.err)}
@@ -41,14 +41,14 @@
 	return f
 }
 
-// get makes one request on a connection of its own.
+// get sends one request on a new connection.
 func get(address string) (status int, err error) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return 0, err
 	}
 	defer c.Close()
-	if _, err := c.Write([]byte(ok + "\r\n")); err != nil {
+	if _, err := c.Write([]byte(getHead + "\r\n")); err != nil {
 		return 0, err
 	}
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -59,26 +59,26 @@
 	return resp.StatusCode, nil
 }
 
-var answersOK = HandlerFunc(func(x *Exchange) { x.Reply(200, nil, nil) })
+var okHandler = HandlerFunc(func(x *Exchange) { x.Reply(200, nil, nil) })
 
-// An accept that fails, for whatever reason, is made again; only a process that has spent its own descriptors is told so.
+// Serve retries a failed accept whatever its error. Only EMFILE, the limit of the process itself, is reported to OnDescriptorShortage.
 func TestAcceptRetriesAfterFailures(t *testing.T) {
 	for _, c := range []struct {
-		err   syscall.Errno
-		short bool
+		err              syscall.Errno
+		shortageReported bool
 	}{{syscall.EMFILE, true}, {syscall.ENFILE, false}, {syscall.ENOBUFS, false}, {syscall.EPROTO, false}, {syscall.EPERM, false},
 		{syscall.ENETDOWN, false}} {
 		l := newFailingListener(t, 3, c.err)
-		var short atomic.Bool
-		s := &Server{Handler: answersOK, Limits: DefaultLimits, Timeouts: DefaultTimeouts,
-			OnDescriptorShortage: func(int) { short.Store(true) }}
+		var shortageReported atomic.Bool
+		s := &Server{Handler: okHandler, Limits: DefaultLimits, Timeouts: DefaultTimeouts,
+			OnDescriptorShortage: func(int) { shortageReported.Store(true) }}
 		done := make(chan error, 1)
 		go func() { done <- s.Serve(l) }()
 		if status, err := get(l.Addr().String()); status != 200 {
 			t.Errorf("%v: got status %d, %v", c.err, status, err)
 		}
-		if short.Load() != c.short {
-			t.Errorf("%v: taken for a process without descriptors: %v, want %v", c.err, short.Load(), c.short)
+		if shortageReported.Load() != c.shortageReported {
+			t.Errorf("%v: descriptor shortage reported: got %v, want %v", c.err, shortageReported.Load(), c.shortageReported)
 		}
 		s.Drain()
 		if err := <-done; err != nil {
@@ -88,24 +88,25 @@
 	}
 }
 
-// What waits to be accepted when a drain stops accepting is answered, though the process was held up, or accept failed, until then.
+// Connections that are in the listen queue when a drain stops accepting get a response. The accept loop is delayed past the deadline of
+// the drain, as on a busy machine, and in one case its next accepts fail too.
 func TestDrainServesConnectionsWaitingToBeAccepted(t *testing.T) {
 	for _, failures := range []int32{0, 3} {
-		gated, release := make(chan struct{}), make(chan struct{})
+		accepting, release := make(chan struct{}), make(chan struct{})
 		var once sync.Once
 		l := newFailingListener(t, 0, syscall.ENFILE)
-		s := &Server{Handler: answersOK, Limits: DefaultLimits, Timeouts: Timeouts{Head: time.Second, Body: time.Second, Idle: time.Second,
+		s := &Server{Handler: okHandler, Limits: DefaultLimits, Timeouts: Timeouts{Head: time.Second, Body: time.Second, Idle: time.Second,
 			Write: time.Second, DrainAccept: 20 * time.Millisecond, DrainIdle: 200 * time.Millisecond}}
-		l.hold = func() {
+		l.beforeAccept = func() {
 			once.Do(func() {
-				close(gated)
+				close(accepting)
 				<-release
 				l.failures.Store(failures)
 			})
 		}
 		done := make(chan error, 1)
 		go func() { done <- s.Serve(l) }()
-		<-gated
+		<-accepting
 		const clients = 8
 		statuses := make(chan int, clients)
 		var connected sync.WaitGroup
@@ -115,7 +116,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.Write([]byte(ok + "\r\n"))
+			c.Write([]byte(getHead + "\r\n"))
 			go func() {
 				connected.Done()
 				defer c.Close()
@@ -131,7 +132,7 @@
 		}
 		connected.Wait()
 		s.Drain()
-		time.Sleep(50 * time.Millisecond) // the time to accept is over
+		time.Sleep(50 * time.Millisecond) // DrainAccept has passed
 		close(release)
 		for range clients {
 			if got := <-statuses; got != 200 {
--- a/internal/http1/clientconn.go
+++ b/internal/http1/clientconn.go
@@ -13,29 +13,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// ClientConn is a connection to a server. It belongs to one goroutine, but for Close.
+// ClientConn is a connection to a server. Only one goroutine may use it, except for Close and ReadOnFor, which any goroutine may call.
 type ClientConn struct {
 	address   string
 	pool      *Pool
-	once      sync.Once // of Close
+	closeOnce sync.Once // of Close
 	netConn   net.Conn
 	buffered  *bufio.Reader
 	limits    Limits
 	idleSince time.Time
-	deadline  time.Time // of reads and writes; zero = none
+	deadline  time.Time // of reads and writes, as set by SetDeadline; zero = none
 
-	deadlineMu  sync.Mutex // guards readOnUntil and the order in which deadlines are set
-	readOnUntil time.Time  // the latest deadline that may be set; zero = ReadOnFor was not called
+	deadlineMu    sync.Mutex // guards finalDeadline and the order in which deadlines are set
+	finalDeadline time.Time  // no later deadline can be set; zero = ReadOnFor was not called
 
-	readPastDeadline int // bytes read after readOnUntil
-	// Reused tells that the connection has carried an exchange before.
+	readPastDeadline int // bytes read after finalDeadline
+	// Reused states that the connection carried an exchange before.
 	Reused bool
-	// IdleFor is for how long it was idle before this use.
+	// IdleFor is how long the connection was idle before this use.
 	IdleFor time.Duration
 }
 
-// isReusable looks, without waiting, for a close or for unexpected bytes. Without it a request would be written to a connection that
-// the server has closed, and whether the request ran would be unknown.
+// isReusable checks, without blocking, that the server has neither closed the connection nor sent unexpected bytes. Without this check
+// a request could be written to a connection that the server has closed, and whether the request ran would be unknown.
 func (c *ClientConn) isReusable() bool {
 	if prober, ok := c.netConn.(interface{ Unread() bool }); ok {
 		return !prober.Unread()
@@ -58,13 +58,14 @@
 	return err == nil && open
 }
 
-// Close closes the connection; it may be called from any goroutine and ends a read or write that waits.
+// Close closes the connection and unblocks a pending read or write. Any goroutine may call it.
 func (c *ClientConn) Close() error {
-	c.once.Do(c.pool.release)
+	c.closeOnce.Do(c.pool.release)
 	return c.netConn.Close()
 }
 
-// Delivered tells whether the peer's machine has taken all that was written. A connection that cannot tell counts as one that has.
+// Delivered reports whether the peer's kernel has acknowledged all bytes that were written. If this cannot be determined, it returns
+// true.
 func (c *ClientConn) Delivered() bool {
 	sc, ok := c.netConn.(syscall.Conn)
 	if !ok {
@@ -76,13 +77,13 @@
 	}
 	delivered := true
 	raw.Control(func(fd uintptr) {
-		waiting, err := unix.IoctlGetInt(int(fd), unix.SIOCOUTQ)
-		delivered = err != nil || waiting == 0
+		unacknowledged, err := unix.IoctlGetInt(int(fd), unix.SIOCOUTQ)
+		delivered = err != nil || unacknowledged == 0
 	})
 	return delivered
 }
 
-// Discard closes the connection and drops what has not been delivered, so that a request that was given up does not arrive later.
+// Discard closes the connection and drops bytes that were not delivered, so that an abandoned request does not reach the server later.
 func (c *ClientConn) Discard() {
 	if tc, ok := c.netConn.(interface{ SetLinger(int) error }); ok && !c.Delivered() {
 		tc.SetLinger(0)
@@ -90,62 +91,62 @@
 	c.Close()
 }
 
-// SetDeadline sets the deadline of reads and writes; the zero time removes it.
+// SetDeadline sets the deadline of reads and writes; the zero time removes it. It cannot extend the limit set by ReadOnFor.
 func (c *ClientConn) SetDeadline(t time.Time) {
 	c.deadline = t
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
-	if !c.readOnUntil.IsZero() && (t.IsZero() || t.After(c.readOnUntil)) {
-		t = c.readOnUntil
+	if !c.finalDeadline.IsZero() && (t.IsZero() || t.After(c.finalDeadline)) {
+		t = c.finalDeadline
 	}
 	c.netConn.SetDeadline(t)
 }
 
-// Within sets the deadline of reads and writes to a time from now, unless an earlier one is set.
+// Within sets the deadline of reads and writes to d from now, unless an earlier deadline is set.
 func (c *ClientConn) Within(d time.Duration) {
-	if by := time.Now().Add(d); c.deadline.IsZero() || by.Before(c.deadline) {
-		c.SetDeadline(by)
+	if deadline := time.Now().Add(d); c.deadline.IsZero() || deadline.Before(c.deadline) {
+		c.SetDeadline(deadline)
 	}
 }
 
-// ReadOnFor ends the use of the connection: what has arrived, and what arrives within the time given, is still read. Like Close it may
-// be called from any goroutine.
-func (c *ClientConn) ReadOnFor(within time.Duration) {
+// ReadOnFor limits the remaining use of the connection to d; the connection is not reused afterwards. Bytes that have arrived, or that
+// arrive within d, can still be read. Later calls have no effect. Any goroutine may call it.
+func (c *ClientConn) ReadOnFor(d time.Duration) {
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
-	if c.readOnUntil.IsZero() {
-		c.readOnUntil = time.Now().Add(within)
-		c.netConn.SetDeadline(c.readOnUntil)
+	if c.finalDeadline.IsZero() {
+		c.finalDeadline = time.Now().Add(d)
+		c.netConn.SetDeadline(c.finalDeadline)
 	}
 }
 
-// readingOn tells whether ReadOnFor was called.
-func (c *ClientConn) readingOn() bool {
+// isFinishing reports whether ReadOnFor was called.
+func (c *ClientConn) isFinishing() bool {
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
-	return !c.readOnUntil.IsZero()
+	return !c.finalDeadline.IsZero()
 }
 
-// maxReadPastDeadline bounds what is read of a connection after readOnUntil, in bytes: what the kernel held by then.
+// maxReadPastDeadline is the maximum number of bytes read after finalDeadline, which the kernel had buffered by then.
 const maxReadPastDeadline = 256 << 10
 
-// deadlineReader reads a connection. After readOnUntil it returns what has arrived, which a read whose deadline has passed does not.
-// It belongs to the connection's goroutine.
+// deadlineReader reads a connection. After finalDeadline it still returns bytes that have arrived, which a read of the net.Conn does not
+// do after its deadline. Only the connection's goroutine may use it.
 type deadlineReader struct{ c *ClientConn }
 
-func (a deadlineReader) Read(p []byte) (int, error) {
-	n, err := a.c.netConn.Read(p)
-	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !a.c.readingOn() || a.c.readPastDeadline >= maxReadPastDeadline {
+func (r deadlineReader) Read(p []byte) (int, error) {
+	n, err := r.c.netConn.Read(p)
+	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !r.c.isFinishing() || r.c.readPastDeadline >= maxReadPastDeadline {
 		return n, err
 	}
-	if n = readNonBlocking(a.c.netConn, p); n > 0 {
-		a.c.readPastDeadline += n
+	if n = readNonBlocking(r.c.netConn, p); n > 0 {
+		r.c.readPastDeadline += n
 		return n, nil
 	}
 	return 0, err
 }
 
-// readNonBlocking reads what a connection holds, without waiting; 0 = nothing, or the connection has no file descriptor.
+// readNonBlocking reads buffered bytes without blocking. It returns 0 if there are none or the connection has no file descriptor.
 func readNonBlocking(nc net.Conn, p []byte) (n int) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -165,8 +166,8 @@
 	return max(0, n)
 }
 
-// Send writes a request with a body. It returns how many bytes were handed to the connection, and how many the request has.
-func (c *ClientConn) Send(method, path string, fields []Field, body []byte) (sent, all int, err error) {
+// Send writes a request with a body. It returns the number of bytes written and the size of the whole request, in bytes.
+func (c *ClientConn) Send(method, path string, fields []Field, body []byte) (sent, total int, err error) {
 	b := make([]byte, 0, 256+len(body))
 	b = append(b, method...)
 	b = append(b, ' ')
--- a/internal/http1/clientconn_test.go
+++ b/internal/http1/clientconn_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// FuzzBoundedChunks: what is read of chunks is what the plain reader reads, or less and an error; never more.
+// FuzzBoundedChunks checks that boundedChunks returns the same data as httputil.NewChunkedReader or fails, and never returns more data than
+// it was given.
 func FuzzBoundedChunks(f *testing.F) {
 	for _, s := range []string{"3\r\nabc\r\n0\r\n\r\n", "3;x=y\r\nabc\r\n0\r\n\r\n", "zz\r\n", "4\r\nabcdef\r\n",
 		"c0000000\r\nabc", "0\r\n\r\n",
@@ -24,15 +25,15 @@
 		got, err := io.ReadAll(&boundedChunks{buffered: bufio.NewReader(bytes.NewReader(text)), max: 1 << 10})
 		want, werr := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(text)))
 		if err == nil && (werr != nil || !bytes.Equal(got, want)) {
-			t.Fatalf("%q: %q, the plain reader %q, %v", text, got, want, werr)
+			t.Fatalf("%q: got %q, want %q as httputil.NewChunkedReader, %v", text, got, want, werr)
 		}
 		if len(got) > len(text) {
-			t.Fatalf("%q: more than came", text)
+			t.Fatalf("%q: returned more bytes than the input has", text)
 		}
 	})
 }
 
-// dialedConn returns a connection of a pool and its far end.
+// dialedConn returns a connection of a pool and its server side.
 func dialedConn(t *testing.T, p *Pool) (*ClientConn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,9 +53,9 @@
 	return c, peer
 }
 
-// What cannot be the opening of an answer is told at once, though the connection stays open and says no more; a head that
-// has begun and does not end, soon.
-func TestMalformedStatusLinesFailAtOnce(t *testing.T) {
+// A response that cannot be valid fails immediately, although the connection stays open without further bytes. A head that is valid so
+// far but incomplete fails after Pool.Head.
+func TestMalformedResponseHeadsFailWithoutWaiting(t *testing.T) {
 	for text, limit := range map[string]time.Duration{
 		"\x16\x03\x01": 100 * time.Millisecond, "HTTP/2 200": 100 * time.Millisecond, "HTTP/1.1 999 x\r\n": 100 * time.Millisecond,
 		"HTTP/1.1 200 OK\r\nno colon\r\n": 100 * time.Millisecond, "HT": 400 * time.Millisecond,
@@ -68,12 +69,12 @@
 		_, err := c.ReadResponse()
 		var e *Error
 		if !errors.As(err, &e) || time.Since(start) > limit+time.Second {
-			t.Errorf("%.40q: %v after %v", text, err, time.Since(start))
+			t.Errorf("%.40q: got %v after %v, want an *Error", text, err, time.Since(start))
 		}
 	}
 }
 
-// A head in time leaves the rest of the answer the connection's own bound.
+// Pool.Head limits only the head: after a head in time, the body is read until the connection's own deadline.
 func TestHeadTimeoutEndsWithTheHead(t *testing.T) {
 	c, peer := dialedConn(t, &Pool{Limits: DefaultLimits, Head: 50 * time.Millisecond, Chunk: 1 << 10})
 	c.SetDeadline(time.Now().Add(5 * time.Second))
@@ -87,12 +88,12 @@
 		io.WriteString(peer, "2\r\nok\r\n0\r\n\r\n")
 	}()
 	if b, err := resp.ReadAll(10); string(b) != "ok" || err != nil {
-		t.Errorf("%q, %v", b, err)
+		t.Errorf("got %q, %v, want the whole body", b, err)
 	}
 }
 
-// A handler may take the body away: its bytes are given back all the same.
-func TestHeldBytesAreReleasedWhenTheBodyIsTaken(t *testing.T) {
+// A handler may set Body to nil. The server must still subtract the size of the body from the held bytes.
+func TestHeldBytesAreReleasedWhenTheHandlerClearsTheBody(t *testing.T) {
 	s := &Server{Limits: DefaultLimits, Timeouts: DefaultTimeouts, MaxBytes: 1 << 20, Handler: HandlerFunc(func(x *Exchange) {
 		x.Body = nil
 		x.Reply(200, nil, nil)
@@ -124,6 +125,6 @@
 	s.Close()
 	<-done
 	if n := s.HeldBytes(); n != 0 {
-		t.Errorf("%d bytes are held", n)
+		t.Errorf("got %d bytes held after all exchanges, want 0", n)
 	}
 }
--- a/internal/http1/closereason.go
+++ b/internal/http1/closereason.go
@@ -4,10 +4,10 @@
 type ConnClosed struct {
 	Reason     CloseReason
 	Requests   int  // requests that were read on it
-	Unanswered bool // the last one got no response, although its client was not seen to disconnect
+	Unanswered bool // the last request got no response, although no disconnect of its client was detected
 }
 
-// CloseReason says why a client connection has ended. It is a log value and a metric label.
+// CloseReason is why a client connection has ended. It is used as a log value and a metric label.
 type CloseReason string
 
 // Reasons of a close.
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -11,35 +11,35 @@
 	"time"
 )
 
-// conn is one client connection. Its goroutine owns the fields above mu, but for those that are atomic; whoever ends the present
-// exchange writes to netConn.
+// conn is one client connection. Its goroutine owns the non-atomic fields above mu; the goroutine that ends the current exchange writes
+// to netConn.
 type conn struct {
 	server          *Server
 	netConn         net.Conn
 	ahead           *readAhead
 	buffered        *bufio.Reader            // reads from ahead
 	requestBegan    atomic.Bool              // the first byte of a request was read
-	exchange        atomic.Pointer[Exchange] // the latest one, which Close must not wait for
-	requestDeadline time.Time                // of the whole present request; zero = none
-	closed          ConnClosed               // what OnClose is told
+	exchange        atomic.Pointer[Exchange] // the latest one; Server.Close aborts it instead of waiting for it
+	requestDeadline time.Time                // for head and body of the current request; zero = none
+	closed          ConnClosed               // passed to OnClose
 
-	// mu is held while another goroutine checks that the connection is idle and sets its deadline: a request that begins meanwhile
-	// waits for that and then sets deadlines of its own.
+	// mu is held while another goroutine checks that the connection is idle and sets its deadline. A request that begins at the same
+	// time waits for mu and then overwrites that deadline with its own.
 	mu        sync.Mutex
 	idle      bool  // between requests
 	idleSince int64 // nanoseconds since the process start (sinceStart)
-	evicted   bool  // it is closed so that another one can be served
+	evicted   bool  // closed to make a connection available to another client
 }
 
-// readBuffer is the size of a connection's read buffer in bytes. It is small, since thousands of connections may be idle.
-const readBuffer = 1 << 10
+// readBufferSize is the size of a connection's read buffer in bytes. It is small, since thousands of connections may be idle.
+const readBufferSize = 1 << 10
 
-// serve reads requests one after another; each is answered before the next is parsed, so that pipelined requests are answered in
-// order (RFC 9112, section 9.3.2).
+// serve reads and handles requests in sequence. The response to each is complete before the next request is parsed, so that pipelined
+// requests are answered in order (RFC 9112, section 9.3.2).
 func (c *conn) serve() {
 	server := c.server
-	c.buffered = bufio.NewReaderSize(c.ahead, readBuffer)
-	wait := orElse(server.Timeouts.First, server.Timeouts.Head) // the idle timeout begins with the first request
+	c.buffered = bufio.NewReaderSize(c.ahead, readBufferSize)
+	wait := orElse(server.Timeouts.First, server.Timeouts.Head) // the idle timeout applies after the first request
 	for {
 		c.becomeIdle(wait)
 		if _, err := c.buffered.Peek(1); err != nil && !c.arrivedAtDeadline(err) {
@@ -52,7 +52,7 @@
 		if server.Timeouts.Whole > 0 {
 			c.requestDeadline = begun.Add(server.Timeouts.Whole)
 		}
-		c.readBy(begun.Add(server.Timeouts.Head))
+		c.setReadDeadline(begun.Add(server.Timeouts.Head))
 		request, err := ReadRequest(c.buffered, server.Limits)
 		if err == nil {
 			err = c.readBody(request)
@@ -82,15 +82,15 @@
 	}
 }
 
-// readBy sets the read deadline of a request: the time given, or the deadline of the whole request if that is earlier.
-func (c *conn) readBy(at time.Time) {
-	if !c.requestDeadline.IsZero() && c.requestDeadline.Before(at) {
-		at = c.requestDeadline
+// setReadDeadline sets the read deadline to the earlier of deadline and requestDeadline.
+func (c *conn) setReadDeadline(deadline time.Time) {
+	if !c.requestDeadline.IsZero() && c.requestDeadline.Before(deadline) {
+		deadline = c.requestDeadline
 	}
-	c.netConn.SetReadDeadline(at)
+	c.netConn.SetReadDeadline(deadline)
 }
 
-// readBody reads the request's body, within the bytes that all connections together may hold (Server.MaxBytes).
+// readBody reads the request's body. It rejects the request if the bodies of all connections together would exceed Server.MaxBytes.
 func (c *conn) readBody(request *Request) error {
 	server := c.server
 	if request.expectsContinue {
@@ -104,13 +104,13 @@
 	}
 	reserve := request.frame.length
 	if request.frame.chunked {
-		reserve = server.Limits.Body // the largest size that it may have
+		reserve = server.Limits.Body // a chunked body may have any size up to this limit
 	}
 	if total := server.heldBytes.Add(reserve); server.MaxBytes > 0 && total > server.MaxBytes {
 		server.heldBytes.Add(-reserve)
 		return &Error{503, "too many bytes of requests are held"}
 	}
-	c.readBy(time.Now().Add(server.Timeouts.Body))
+	c.setReadDeadline(time.Now().Add(server.Timeouts.Body))
 	err := request.ReadBody(c.buffered, server.Limits)
 	if err != nil {
 		server.heldBytes.Add(-reserve)
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// rejectRequest answers a request that could not be read.
+// rejectRequest responds to a request that could not be read. It sends nothing if the connection has failed.
 func (c *conn) rejectRequest(err error) {
 	var e *Error
 	switch {
@@ -138,7 +138,7 @@
 	c.linger(false)
 }
 
-// setCloseReason records why the connection ends; the first reason stands.
+// setCloseReason records why the connection ends, unless a reason is already set.
 func (c *conn) setCloseReason(reason CloseReason) {
 	if c.closed.Reason == "" {
 		c.closed.Reason = reason
@@ -154,15 +154,15 @@
 	c.netConn.Write(appendReply(nil, e.Status, fields, body, true, false))
 }
 
-// lingerBytes bounds what is read of a closing connection, in bytes.
-const lingerBytes = 256 << 10
+// maxLingerBytes is the maximum number of bytes read from a closing connection.
+const maxLingerBytes = 256 << 10
 
-// linger closes the sending side and reads on for a moment, so that the response is not lost to a reset, which unread bytes would
-// cause (RFC 9112, section 9.6).
+// linger closes the sending side and continues to read for Timeouts.Linger: unread bytes at a close would cause a reset, by which the
+// client could lose the response (RFC 9112, section 9.6). It does nothing if the client has disconnected.
 func (c *conn) linger(disconnected bool) {
 	if tc, ok := c.netConn.(interface{ CloseWrite() error }); ok && !disconnected {
 		tc.CloseWrite()
 		c.netConn.SetReadDeadline(time.Now().Add(orElse(c.server.Timeouts.Linger, defaultLinger)))
-		io.CopyN(io.Discard, c.netConn, lingerBytes)
+		io.CopyN(io.Discard, c.netConn, maxLingerBytes)
 	}
 }
--- a/internal/http1/disconnect.go
+++ b/internal/http1/disconnect.go
@@ -12,11 +12,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// watchDisconnect waits for the end of an exchange and meanwhile watches for the client's disconnect. It tells whether the client has
-// disconnected. What a client sends after its request is read ahead and kept for its turn, so that a close after it is seen. Beyond the
-// bound on what is kept it stays in the kernel, where a close shows only in the state of the connection, and after more than the
-// kernel buffers not at all.
-func (c *conn) watchDisconnect(x *Exchange) (gone bool) {
+// watchDisconnect waits for the end of an exchange and reports whether the client disconnected first. Bytes that a client sends after its
+// request are read ahead and buffered for the next request, so that a close after them is detected. Beyond the read-ahead limit they
+// stay in the kernel, where a close is visible only in the TCP state, and not at all if the client has sent more than the kernel buffers.
+func (c *conn) watchDisconnect(x *Exchange) (disconnected bool) {
 	for {
 		select {
 		case <-x.done:
@@ -25,7 +24,7 @@
 		}
 		_, err := c.buffered.Peek(c.buffered.Buffered() + 1)
 		if errors.Is(err, bufio.ErrBufferFull) {
-			if err = c.ahead.more(c.mayReadAhead); err == errReadAheadFull {
+			if err = c.ahead.readMore(c.mayReadAhead); err == errReadAheadFull {
 				return c.pollDisconnect(x)
 			}
 		}
@@ -37,7 +36,7 @@
 				<-x.done
 				return false
 			}
-			c.netConn.SetReadDeadline(time.Time{}) // a drain had taken the connection for idle
+			c.netConn.SetReadDeadline(time.Time{}) // a drain set this deadline when it found the connection idle
 			continue
 		}
 		x.clientDisconnected(errors.Is(err, io.EOF))
@@ -46,12 +45,12 @@
 	}
 }
 
-// disconnectPollInterval is how often the state of a connection whose buffer is full is polled: a disconnect is to be noticed well
-// within 0.1 s (the platform's rule 1).
+// disconnectPollInterval is the interval at which the TCP state of a connection is polled once the read-ahead limit is reached. A
+// disconnect must be detected well within 0.1 s (rule 1 of the platform).
 const disconnectPollInterval = 40 * time.Millisecond
 
-// pollDisconnect is watchDisconnect where nothing more can be read ahead.
-func (c *conn) pollDisconnect(x *Exchange) (gone bool) {
+// pollDisconnect continues watchDisconnect after the read-ahead limit is reached.
+func (c *conn) pollDisconnect(x *Exchange) (disconnected bool) {
 	ticker := time.NewTicker(disconnectPollInterval)
 	defer ticker.Stop()
 	for {
@@ -75,8 +74,8 @@
 	tcpLastAck   = 9
 )
 
-// peerClosed tells whether the peer has closed the connection, or at least its sending side (halfClosed), whatever is still unread. A
-// connection without a file descriptor, or a method of that name, counts as open.
+// peerClosed reports whether the peer has closed the connection, or only its sending side (halfClosed), even if bytes are still unread. A
+// connection with neither a file descriptor nor a PeerClosed method counts as open.
 func peerClosed(netConn net.Conn) (closed, halfClosed bool) {
 	if prober, ok := netConn.(interface {
 		PeerClosed() (closed, halfClosed bool)
--- a/internal/http1/drain.go
+++ b/internal/http1/drain.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Drain begins the graceful shutdown: the server stops accepting, closes idle connections, and each other connection ends with its
-// present response. What has connected or was sent already is still read: a connection that waits to be accepted, or a request on
-// its way, would be reset otherwise.
+// Drain begins the graceful shutdown: the server stops accepting, closes idle connections, and closes each other connection after its
+// current response. It does so after the delays in Timeouts, because a connection in the listen queue or a request in transit would
+// otherwise be reset.
 func (s *Server) Drain() {
 	s.idleDeadline.Store(sinceStart() + int64(orElse(s.Timeouts.DrainIdle, defaultDrainIdle)))
 	s.draining.Store(true)
@@ -17,7 +17,8 @@
 	}
 }
 
-// stopAccepting ends the listener: soon, or at once where other processes accept from the same socket. s.mu is held.
+// stopAccepting stops the listener after Timeouts.DrainAccept, or immediately if other processes accept from the same socket. s.mu is
+// held.
 func (s *Server) stopAccepting() {
 	if l, ok := s.listener.(interface{ SetDeadline(time.Time) error }); ok && !s.Shared {
 		l.SetDeadline(time.Now().Add(orElse(s.Timeouts.DrainAccept, defaultDrainAccept)))
@@ -26,15 +27,15 @@
 	}
 }
 
-// drainLeft is for how long a draining server still reads an idle connection.
-func (s *Server) drainLeft() time.Duration {
+// drainIdleRemaining returns how long a draining server still waits for a request on an idle connection.
+func (s *Server) drainIdleRemaining() time.Duration {
 	if !s.Timeouts.DrainKeep {
 		return orElse(s.Timeouts.DrainIdle, defaultDrainIdle)
 	}
 	return max(time.Millisecond, time.Duration(s.idleDeadline.Load()-sinceStart()))
 }
 
-// closesConnections tells whether connections end with their present response.
+// closesConnections reports whether connections close after their current response.
 func (s *Server) closesConnections() bool {
 	return s.draining.Load() && (!s.Timeouts.DrainKeep || sinceStart() >= s.idleDeadline.Load())
 }
--- a/internal/http1/events.go
+++ b/internal/http1/events.go
@@ -8,28 +8,29 @@
 	"sync"
 )
 
-// EventReader reads server-sent events (WHATWG HTML, section 9.2) and keeps the bytes of each.
+// EventReader reads server-sent events (WHATWG HTML, section 9.2), and returns their raw bytes as well as their data. It is not safe for
+// concurrent use.
 type EventReader struct {
-	Comment  func(line []byte) // is called with comment lines; may be nil
+	Comment  func(line []byte) // called with each comment line; may be nil
 	buffered *bufio.Reader
 	max      int
 	raw      []byte
 	data     []byte
 }
 
-// ErrEventTooLong is returned for an event beyond the reader's bound.
+// ErrEventTooLong is returned for an event that exceeds the reader's size limit.
 var ErrEventTooLong = errors.New("http1: event too long")
 
 var eventBuffers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 2<<10) }}
 
-// NewEventReader reads events of at most max bytes each. Close returns its buffer to a pool.
+// NewEventReader returns a reader of events of at most max bytes each. The caller must call Close, which returns its buffer to a pool.
 func NewEventReader(r io.Reader, max int) *EventReader {
 	br := eventBuffers.Get().(*bufio.Reader)
 	br.Reset(r)
 	return &EventReader{buffered: br, max: max}
 }
 
-// Close ends the use of the reader.
+// Close releases the reader's buffer. The reader must not be used afterwards.
 func (e *EventReader) Close() {
 	if e.buffered != nil {
 		e.buffered.Reset(nil)
@@ -38,21 +39,21 @@
 	}
 }
 
-// Next returns the data of the next event that has any, and the raw bytes of the event with its empty line. Both are valid until the
-// next call. The error is io.EOF where the stream ended between two events.
+// Next returns the data of the next event that has any, and the raw bytes of the event including the empty line that ends it. Both are
+// valid until the next call. The error is io.EOF if the stream ended between two events.
 func (e *EventReader) Next() (data, raw []byte, err error) {
 	if cap(e.raw) > 64<<10 {
 		e.raw, e.data = nil, nil
 	}
 	e.raw, e.data = e.raw[:0], e.data[:0]
-	has := false
+	hasData := false
 	for {
 		line, err := e.readLine()
 		if err != nil {
 			return nil, nil, err
 		}
 		if len(line) == 0 {
-			if has {
+			if hasData {
 				return e.data, e.raw, nil
 			}
 			e.raw, e.data = e.raw[:0], e.data[:0] // a comment, or an event without data
@@ -62,16 +63,16 @@
 			e.Comment(line)
 		}
 		if rest, ok := bytes.CutPrefix(line, []byte("data:")); ok {
-			if has {
+			if hasData {
 				e.data = append(e.data, '\n')
 			}
-			has = true
+			hasData = true
 			e.data = append(e.data, bytes.TrimPrefix(rest, []byte(" "))...)
 		}
 	}
 }
 
-// readLine appends a line to the raw bytes of the event, and returns it without its end.
+// readLine appends a line to the raw bytes of the event and returns it without its line ending.
 func (e *EventReader) readLine() ([]byte, error) {
 	start := len(e.raw)
 	for {
@@ -91,14 +92,14 @@
 	}
 }
 
-// More tells whether Next would return a further event without waiting for the peer. A buffered comment is none: an event held back for
-// it would wait as long as the peer does.
+// More reports whether Next would return a further event without waiting for the peer. A buffered comment does not count: an event that
+// is delayed in order to be written together with the next one would be delayed until the peer sends that one.
 func (e *EventReader) More() bool {
 	b, _ := e.buffered.Peek(e.buffered.Buffered())
 	return bytes.HasPrefix(b, []byte("data:")) && bytes.Contains(b, []byte("\n\n"))
 }
 
-// AppendEvent appends an event with the data given, which holds no line end.
+// AppendEvent appends an event with the given data, which must not contain line breaks.
 func AppendEvent(b, data []byte) []byte {
 	b = append(b, "data: "...)
 	b = append(b, data...)
--- a/internal/http1/eviction_test.go
+++ b/internal/http1/eviction_test.go
@@ -10,48 +10,48 @@
 	"time"
 )
 
-// gatedListener gives connections whose next read deadline may be held up.
-type gatedListener struct {
+// hookListener accepts connections that call beforeReadDeadline once, before the next read deadline is set.
+type hookListener struct {
 	net.Listener
-	hold atomic.Pointer[func()]
+	beforeReadDeadline atomic.Pointer[func()]
 }
 
-func (l *gatedListener) Accept() (net.Conn, error) {
+func (l *hookListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &gatedConn{c.(*net.TCPConn), l}, nil
+	return &hookConn{c.(*net.TCPConn), l}, nil
 }
 
-type gatedConn struct {
+type hookConn struct {
 	*net.TCPConn
-	l *gatedListener
+	l *hookListener
 }
 
-func (c *gatedConn) SetReadDeadline(t time.Time) error {
-	if hold := c.l.hold.Swap(nil); hold != nil {
-		(*hold)()
+func (c *hookConn) SetReadDeadline(t time.Time) error {
+	if hook := c.l.beforeReadDeadline.Swap(nil); hook != nil {
+		(*hook)()
 	}
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// A request that begins to come on a resting connection in the very moment in which that is chosen to be ended, to make room or by a
-// drain, is answered, though its body comes a little later.
-func TestRequestCrossesTheCloseOfAnIdleConnection(t *testing.T) {
-	for name, end := range map[string]func(s *Server){
-		"to make room": func(s *Server) { s.CloseIdle(1) },
-		"drain":        func(s *Server) { s.Drain() },
+// A request that begins to arrive on an idle connection after an eviction or a drain has chosen that connection, and before its deadline
+// is set, is answered, although its body arrives later.
+func TestRequestArrivingWhileItsIdleConnectionIsClosedIsAnswered(t *testing.T) {
+	for name, closeIdle := range map[string]func(s *Server){
+		"eviction": func(s *Server) { s.CloseIdle(1) },
+		"drain":    func(s *Server) { s.Drain() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			inner, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			l := &gatedListener{Listener: inner}
+			l := &hookListener{Listener: inner}
 			times := DefaultTimeouts
 			times.EvictableAfter, times.DrainIdle = time.Millisecond, 5*time.Millisecond
-			s := &Server{Handler: answersOK, Limits: DefaultLimits, Timeouts: times}
+			s := &Server{Handler: okHandler, Limits: DefaultLimits, Timeouts: times}
 			go s.Serve(l)
 			defer s.Close()
 			c, err := net.Dial("tcp", l.Addr().String())
@@ -60,17 +60,17 @@
 			}
 			defer c.Close()
 			br := bufio.NewReader(c)
-			fmt.Fprint(c, ok+"\r\n")
+			fmt.Fprint(c, getHead+"\r\n")
 			if _, err := http.ReadResponse(br, nil); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(20 * time.Millisecond) // it rests
-			hold := func() {
+			time.Sleep(20 * time.Millisecond) // longer than EvictableAfter
+			sendHead := func() {
 				fmt.Fprint(c, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n")
-				time.Sleep(50 * time.Millisecond) // its head is read meanwhile
+				time.Sleep(50 * time.Millisecond) // the server reads the head in this time
 			}
-			l.hold.Store(&hold)
-			end(s)
+			l.beforeReadDeadline.Store(&sendHead)
+			closeIdle(s)
 			time.Sleep(50 * time.Millisecond)
 			fmt.Fprint(c, "{}")
 			c.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -79,7 +79,7 @@
 				t.Fatal(err)
 			}
 			if resp.StatusCode != 200 {
-				t.Errorf("got status %d", resp.StatusCode)
+				t.Errorf("got status %d, want 200", resp.StatusCode)
 			}
 		})
 	}
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Exchange is one request and its response. Reply, or Begin, Write and End, or AbortBody or Abort are called by one goroutine at a
-// time; the client may disconnect at any moment.
+// Exchange is one request and its response. A complete response is written by Reply, a streamed one by Begin, Write and End; AbortBody
+// and Abort end the exchange early. Only one goroutine at a time may call these methods. The client may disconnect at any time.
 type Exchange struct {
 	*Request
-	Arrived   time.Time // when its first byte was read, although earlier requests were answered first
+	Arrived   time.Time // when its first byte was read, possibly before the responses to earlier requests
 	conn      *conn
 	done      chan struct{}
-	phase     atomic.Int32 // one of the phases below
-	close     bool         // the connection closes after the response; set by the response, read after done
+	phase     atomic.Int32 // phaseNotBegun, phaseBegun or phaseEnded
+	close     bool         // the connection closes after the response; set by the writer of the response, read after done closes
 	finishing atomic.Bool  // the response has ended; done is about to close
-	// unanswered tells that the exchange was aborted before its response began; it is read after done.
+	// unanswered states that the exchange was aborted before its response began. It is read after done closes.
 	unanswered bool
 
 	mu           sync.Mutex
@@ -28,30 +28,30 @@
 }
 
 const (
-	phaseFresh int32 = iota
+	phaseNotBegun int32 = iota
 	phaseBegun
 	phaseEnded
 )
 
-// errAborted closes the connection of an aborted exchange.
+// errAborted makes finish close the connection of an aborted exchange.
 var errAborted = errors.New("http1: exchange aborted")
 
-// ErrExchangeEnded is returned where the exchange has had its response already.
+// ErrExchangeEnded is returned for a write that the state of the response does not allow, usually because the response has ended.
 var ErrExchangeEnded = errors.New("http1: the exchange has ended")
 
-// OnDisconnect sets the function that is called, once, when the client disconnects before the response has ended; at once if it has
-// disconnected. half tells that the client closed only its sending side, so that it may still be reading.
+// OnDisconnect sets the function that is called once if the client disconnects before the response has ended. If the client has already
+// disconnected, it is called immediately. half states that the client closed only its sending side and may still be reading.
 func (x *Exchange) OnDisconnect(f func(half bool)) {
 	x.mu.Lock()
 	x.onDisconnect = f
-	hung, half := x.disconnected, x.halfClosed
+	disconnected, half := x.disconnected, x.halfClosed
 	x.mu.Unlock()
-	if hung {
+	if disconnected {
 		f(half)
 	}
 }
 
-// disconnectSeen tells whether the client was seen to disconnect.
+// disconnectSeen reports whether a disconnect of the client was detected.
 func (x *Exchange) disconnectSeen() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -70,21 +70,21 @@
 
 // Reply writes a complete response.
 func (x *Exchange) Reply(status int, fields []Field, body []byte) error {
-	if !x.phase.CompareAndSwap(phaseFresh, phaseEnded) {
+	if !x.phase.CompareAndSwap(phaseNotBegun, phaseEnded) {
 		return ErrExchangeEnded
 	}
-	x.close = x.closes()
+	x.close = x.mustClose()
 	err := x.write(appendReply(make([]byte, 0, 256+len(body)), status, fields, body, x.close, x.Method == "HEAD"))
 	x.finish(err)
 	return err
 }
 
-// Begin starts a streamed response, whose length is not known.
+// Begin starts a streamed response, whose length is not known in advance.
 func (x *Exchange) Begin(status int, fields []Field) error {
-	if !x.phase.CompareAndSwap(phaseFresh, phaseBegun) {
+	if !x.phase.CompareAndSwap(phaseNotBegun, phaseBegun) {
 		return ErrExchangeEnded
 	}
-	x.close = x.closes() || x.Minor == 0 // HTTP/1.0 has no chunks: the end of the connection delimits the body
+	x.close = x.mustClose() || x.Minor == 0 // HTTP/1.0 has no chunked coding: the close of the connection delimits the body
 	b := appendStatus(make([]byte, 0, 256), status)
 	b = appendHeader(b, fields)
 	if x.Minor == 1 {
@@ -93,10 +93,10 @@
 	return x.write(append(appendClose(b, x.close), "\r\n"...))
 }
 
-// scratch holds buffers for chunks: an event is framed and written in one write.
-var scratch = sync.Pool{New: func() any { b := make([]byte, 0, 1<<10); return &b }}
+// chunkBuffers holds buffers in which a chunk and its framing are assembled, so that one write sends both.
+var chunkBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 1<<10); return &b }}
 
-// Write sends a part of a streamed response at once, as one chunk.
+// Write sends a part of a streamed response immediately, as one chunk.
 func (x *Exchange) Write(p []byte) (int, error) {
 	if x.phase.Load() != phaseBegun {
 		return 0, ErrExchangeEnded
@@ -107,7 +107,7 @@
 	if x.Minor == 0 {
 		return len(p), x.write(p)
 	}
-	buf := scratch.Get().(*[]byte)
+	buf := chunkBuffers.Get().(*[]byte)
 	b := strconv.AppendInt((*buf)[:0], int64(len(p)), 16)
 	b = append(b, "\r\n"...)
 	b = append(b, p...)
@@ -115,7 +115,7 @@
 	err := x.write(b)
 	if cap(b) <= 64<<10 {
 		*buf = b
-		scratch.Put(buf)
+		chunkBuffers.Put(buf)
 	}
 	return len(p), err
 }
@@ -133,8 +133,8 @@
 	return err
 }
 
-// AbortBody ends a streamed response that is not complete: its connection closes without the last chunk. What was written still
-// arrives, since the connection is shut down and read on for a moment before it closes.
+// AbortBody ends an incomplete streamed response: its connection closes without the last chunk. Bytes that were written still reach the
+// client, since the connection closes only its sending side first and is read for a short time (see linger).
 func (x *Exchange) AbortBody() {
 	if !x.phase.CompareAndSwap(phaseBegun, phaseEnded) {
 		return
@@ -143,24 +143,24 @@
 	x.finish(nil)
 }
 
-// Abort ends the exchange by closing the connection, whatever was sent.
+// Abort ends the exchange by closing the connection, whether or not a part of the response was sent.
 func (x *Exchange) Abort() {
-	if was := x.phase.Swap(phaseEnded); was != phaseEnded {
-		x.unanswered = was == phaseFresh
+	if previous := x.phase.Swap(phaseEnded); previous != phaseEnded {
+		x.unanswered = previous == phaseNotBegun
 		x.finish(errAborted)
 	}
 }
 
-// ClientDisconnected tells whether the client has closed its connection, or its sending side, behind whatever it has sent.
+// ClientDisconnected reports whether the client has closed its connection or its sending side, even if bytes that it sent are unread.
 func (x *Exchange) ClientDisconnected() bool {
-	left, _ := peerClosed(x.conn.netConn)
-	return left
+	closed, _ := peerClosed(x.conn.netConn)
+	return closed
 }
 
-// Begun tells whether a byte of the response may have been sent.
-func (x *Exchange) Begun() bool { return x.phase.Load() != phaseFresh }
+// Begun reports whether a byte of the response may have been sent.
+func (x *Exchange) Begun() bool { return x.phase.Load() != phaseNotBegun }
 
-func (x *Exchange) closes() bool {
+func (x *Exchange) mustClose() bool {
 	return x.Request.closesConnection || x.conn.server.closesConnections()
 }
 
@@ -170,8 +170,8 @@
 	return err
 }
 
-// finish wakes the connection's goroutine from its read. The deadline is set before done closes, so that it cannot affect the next
-// request; finishing tells watchDisconnect what the deadline means.
+// finish unblocks the read of the connection's goroutine by a deadline in the past. The deadline is set before done closes, so that it
+// cannot affect the next request. By finishing, watchDisconnect recognizes this deadline.
 func (x *Exchange) finish(err error) {
 	if err != nil {
 		x.close = true
@@ -182,5 +182,5 @@
 	close(x.done)
 }
 
-// closesConnection tells whether the connection closes after this response. Call it after done.
+// closesConnection reports whether the connection closes after this response. It must be called after done has closed.
 func (x *Exchange) closesConnection() bool { return x.close }
--- a/internal/http1/forward_test.go
+++ b/internal/http1/forward_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Fields of one connection stay on it, and everything else is passed on unchanged, however often it is given.
-func TestEndToEndFieldsArePassedOn(t *testing.T) {
+// EndToEnd omits the fields that concern one connection and returns all others unchanged, including repeated ones.
+func TestEndToEndOmitsHopByHopFields(t *testing.T) {
 	h := textproto.MIMEHeader{"Host": {"a"}, "Content-Length": {"3"}, "Connection": {"close, X-Here"}, "X-Here": {"1"}, "Te": {"trailers"},
 		"Transfer-Encoding": {"chunked"}, "Expect": {"100-continue"}, "Keep-Alive": {"5"}, "Upgrade": {"h2c"}, "X-Budget": {"4.000"},
 		"Idempotency-Key": {"k 1"}, "X-Twice": {"a", "b"}, "Content-Type": {"application/json"}}
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -8,11 +8,11 @@
 // framing is how a body is delimited.
 type framing struct {
 	chunked bool
-	length  int64 // -1 = none stated
+	length  int64 // in bytes; -1 = no Content-Length
 }
 
-// readFraming determines the length of a body from Transfer-Encoding and Content-Length, and rejects any message for which two readers
-// could determine it differently (RFC 9112, section 6.3).
+// readFraming determines the length of a body from Transfer-Encoding and Content-Length. It rejects any message whose length two
+// recipients could determine differently (RFC 9112, section 6.3).
 func readFraming(h textproto.MIMEHeader, minor int) (framing, error) {
 	codings, hasCoding := h["Transfer-Encoding"]
 	lengths, hasLength := h["Content-Length"]
@@ -27,7 +27,7 @@
 	return framing{length: -1}, nil
 }
 
-// codingFraming reads Transfer-Encoding, which must be chunked and nothing else.
+// codingFraming parses Transfer-Encoding, which must be exactly chunked.
 func codingFraming(codings []string, minor int) (framing, error) {
 	switch {
 	case minor == 0:
@@ -40,7 +40,7 @@
 	return framing{}, newError(400, "Transfer-Encoding is not one final chunked")
 }
 
-// lengthFraming reads Content-Length, whose values must be one number, perhaps repeated.
+// lengthFraming parses Content-Length. Repeated values must be the same number.
 func lengthFraming(fields []string) (framing, error) {
 	length := int64(-1)
 	for _, field := range fields {
@@ -58,7 +58,7 @@
 	return framing{length: length}, nil
 }
 
-// decimal reads digits alone: no sign, no space, at most 18 of them.
+// decimal parses a number of at most 18 digits, without sign or spaces.
 func decimal(s string) (int64, bool) {
 	if s == "" || len(s) > 18 {
 		return 0, false
@@ -73,7 +73,7 @@
 	return n, true
 }
 
-// hasListToken tells whether a comma-separated header field has a token, whatever its case.
+// hasListToken reports whether a comma-separated header field contains a token, ignoring case.
 func hasListToken(values []string, token string) bool {
 	for _, v := range values {
 		for _, listed := range strings.Split(v, ",") {
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -1,8 +1,8 @@
 // Package http1 implements HTTP/1.1 (RFC 9112, RFC 9110) on net connections, as a server and as a client with a connection pool, and
-// server-sent events. Header types and names are those of net/textproto. It is strict where message framing can be read in two ways,
-// because a router in front of other servers is attacked there. It knows nothing of routing: hooks of [Server] and [Pool] leave the
-// decisions on closing and reusing connections to the caller. Node and protocols use it in place of net/http, which hides the state
-// of a connection that the platform's rules depend on (was a byte sent, did the client disconnect).
+// server-sent events. Header types and names are those of net/textproto. It rejects messages with ambiguous framing, because attackers
+// exploit ambiguous framing against a router in front of other servers (request smuggling). It contains no routing: hooks of [Server]
+// and [Pool] leave the decisions on closing and reusing connections to the caller. Node and protocols use it in place of net/http, which
+// hides the connection state that the platform's rules depend on (was a byte sent, did the client disconnect).
 package http1
 
 import (
@@ -13,7 +13,7 @@
 	"strings"
 )
 
-// Limits bound what one message may hold.
+// Limits are the maximum sizes of the parts of one message.
 type Limits struct {
 	Line    int   // bytes of a request or status line
 	Header  int   // bytes of all header fields together
@@ -21,10 +21,10 @@
 	Body    int64 // bytes of a body
 }
 
-// DefaultLimits are those of the published protocol page: 8 KiB, 32 KiB, 100 fields, and 4 MiB of body.
+// DefaultLimits are the limits of the published protocol page: 8 KiB, 32 KiB, 100 fields, and 4 MiB of body.
 var DefaultLimits = Limits{Line: 8 << 10, Header: 32 << 10, Headers: 100, Body: 4 << 20}
 
-// Error is a message that cannot be accepted, with the status that answers it.
+// Error is returned for a message that cannot be accepted. Status is the status code to respond with.
 type Error struct {
 	Status int
 	Reason string
@@ -36,36 +36,35 @@
 	return &Error{status, fmt.Sprintf(format, args...)}
 }
 
-// errLineTooLong is turned into the status that fits the kind of line.
+// errLineTooLong is returned by readLine; callers replace it by an Error with the status for the kind of line.
 var errLineTooLong = errors.New("http1: line too long")
 
-// readLine reads up to CRLF and returns the line without it. A bare LF or CR is an error, since two parsers
-// may disagree about it.
+// readLine reads up to CRLF and returns the line without it. A bare LF or CR is an error, since two parsers may treat it differently.
 func readLine(br *bufio.Reader, limit int) ([]byte, error) {
-	var whole []byte
+	var line []byte
 	for {
 		part, err := br.ReadSlice('\n')
-		if len(whole)+len(part) > limit+2 {
+		if len(line)+len(part) > limit+2 {
 			return nil, errLineTooLong
 		}
 		if err == bufio.ErrBufferFull {
-			whole = append(whole, part...)
+			line = append(line, part...)
 			continue
 		}
-		if err != nil && len(whole)+len(part) == 0 {
+		if err != nil && len(line)+len(part) == 0 {
 			return nil, err
 		}
 		if err != nil {
-			return nil, &cutError{err}
+			return nil, &incompleteError{err}
 		}
-		if whole != nil {
-			part = append(whole, part...)
+		if line != nil {
+			part = append(line, part...)
 		}
 		return checkLine(part)
 	}
 }
 
-// checkLine returns a line without its CRLF, or an error for a bare LF, CR or NUL.
+// checkLine returns a line without its CRLF, or an error for a bare LF or CR or a NUL.
 func checkLine(line []byte) ([]byte, error) {
 	n := len(line)
 	if n < 2 || line[n-2] != '\r' {
@@ -80,12 +79,12 @@
 	return line, nil
 }
 
-// cutError is an error of the connection, or a timeout, within a message rather than before it.
-type cutError struct{ err error }
+// incompleteError is a connection error or a timeout that occurred within a message rather than before it.
+type incompleteError struct{ err error }
 
-func (e *cutError) Error() string { return "http1: message cut short: " + e.err.Error() }
+func (e *incompleteError) Error() string { return "http1: incomplete message: " + e.err.Error() }
 
-func (e *cutError) Unwrap() error { return e.err }
+func (e *incompleteError) Unwrap() error { return e.err }
 
 // readHeader reads header fields up to the empty line.
 func readHeader(br *bufio.Reader, lim Limits) (textproto.MIMEHeader, error) {
@@ -127,7 +126,7 @@
 
 func isControl(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
 
-// isToken tells whether s is a token of RFC 9110, section 5.6.2.
+// isToken reports whether s is a token (RFC 9110, section 5.6.2).
 func isToken(s string) bool {
 	if s == "" {
 		return false
--- a/internal/http1/idle.go
+++ b/internal/http1/idle.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// IdleConn is a connection between requests that may be closed.
+// IdleConn describes a connection between requests that is a candidate for closing.
 type IdleConn struct {
 	IdleFor time.Duration // since its last response, or since it was opened
-	Evicts  bool          // its place is needed; otherwise its idle timeout is over, or the server is draining
+	Evicts  bool          // it would close in favor of another connection; otherwise its idle timeout has passed or the server is draining
 }
 
-// becomeIdle records that the connection waits for a request, for the time given at most. A drain either finds it idle or is seen here.
+// becomeIdle marks the connection as waiting for a request and limits the wait. A concurrent drain either finds the connection idle or
+// is detected here.
 func (c *conn) becomeIdle(wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.server.draining.Load() {
-		wait = min(wait, c.server.drainLeft())
+		wait = min(wait, c.server.drainIdleRemaining())
 	}
 	c.idle, c.idleSince, c.evicted = true, sinceStart(), false
 	c.netConn.SetReadDeadline(time.Now().Add(wait))
 }
 
-// becomeBusy records that a request has begun to arrive.
+// becomeBusy marks the connection as receiving a request.
 func (c *conn) becomeBusy() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -31,15 +32,15 @@
 	c.requestBegan.Store(true)
 }
 
-// idleState tells whether the connection is between requests, and for how long.
+// idleState reports whether the connection is between requests (ok), and for how long.
 func (c *conn) idleState() (r IdleConn, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return IdleConn{IdleFor: time.Duration(sinceStart() - c.idleSince), Evicts: c.evicted}, c.idle
 }
 
-// expireIdle lets the connection's wait for a request end within the time given, if it is idle and may be closed; it tells whether
-// that is so.
+// expireIdle limits the connection's wait for a request to within, if the connection is idle and may be closed, and reports whether it
+// did.
 func (c *conn) expireIdle(within time.Duration, evicts bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,52 +53,52 @@
 	return true
 }
 
-// CloseIdle closes up to n of the connections that have been idle longest, and returns how many.
+// CloseIdle closes up to n of the connections that have been idle longest and returns the number closed.
 func (s *Server) CloseIdle(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.closeIdle(n)
 }
 
-// closeIdle is CloseIdle with s.mu held. Only connections that have been idle for a while are closed: a request may be on its way on the
-// others. Those on which no request has ever come go first.
+// closeIdle is CloseIdle with s.mu held. It closes only connections that have been idle for some time, since on the others a request may
+// be in transit. Connections on which no request ever arrived are closed first.
 func (s *Server) closeIdle(n int) (closed int) {
 	for closed < n {
 		oldest := s.evictionCandidate()
 		if oldest == nil {
 			return closed
 		}
-		if oldest.expireIdle(0, true) { // otherwise a request has begun meanwhile
+		if oldest.expireIdle(0, true) { // false if a request has begun since
 			closed++
 		}
 	}
 	return closed
 }
 
-// evictionCandidate returns the connection that is evicted next; nil = there is none. s.mu is held.
+// evictionCandidate returns the connection to evict next, or nil if there is none. s.mu is held.
 func (s *Server) evictionCandidate() (oldest *conn) {
-	var longest IdleConn
+	var oldestIdle IdleConn
 	for c := range s.conns {
 		r, ok := c.idleState()
 		if !ok || r.Evicts || !s.mayCloseIdle(IdleConn{IdleFor: r.IdleFor, Evicts: true}) {
 			continue
 		}
-		if oldest == nil || evictsBefore(c, r, oldest, longest) {
-			oldest, longest = c, r
+		if oldest == nil || evictedBefore(c, r, oldest, oldestIdle) {
+			oldest, oldestIdle = c, r
 		}
 	}
 	return oldest
 }
 
-// evictsBefore tells whether a connection is evicted before another.
-func evictsBefore(c *conn, idle IdleConn, other *conn, otherIdle IdleConn) bool {
+// evictedBefore reports whether c is evicted before other.
+func evictedBefore(c *conn, idle IdleConn, other *conn, otherIdle IdleConn) bool {
 	if began := c.requestBegan.Load(); began != other.requestBegan.Load() {
 		return !began
 	}
 	return idle.IdleFor > otherIdle.IdleFor
 }
 
-// mayCloseIdle tells whether an idle connection may be closed.
+// mayCloseIdle reports whether an idle connection may be closed.
 func (s *Server) mayCloseIdle(r IdleConn) bool {
 	if s.MayCloseIdle != nil {
 		return s.MayCloseIdle(r)
@@ -105,8 +106,8 @@
 	return !r.Evicts || r.IdleFor > s.Timeouts.MinIdle()
 }
 
-// closeIdle closes a connection between requests on which a read has failed. After an idle timeout it is read on for a moment: what its
-// client sends just then would be reset otherwise. An evicted one, or one that its client has closed, is not read on.
+// closeIdle closes a connection between requests on which a read has failed. After an idle timeout it lingers, since a request that the
+// client sends at that moment would otherwise cause a reset. A connection that is evicted or that the client has closed does not linger.
 func (c *conn) closeIdle(err error) {
 	r, _ := c.idleState()
 	evicted := r.Evicts
@@ -125,8 +126,8 @@
 	c.linger(evicted || !errors.Is(err, os.ErrDeadlineExceeded))
 }
 
-// arrivedAtDeadline tells whether a request arrived in the moment in which the idle timeout ended: a read whose deadline has passed fails
-// whatever has arrived, and a close over unread bytes is a reset.
+// arrivedAtDeadline reports whether a request arrived just as the idle timeout passed: a read after its deadline fails even if bytes
+// have arrived, and closing a connection with unread bytes resets it.
 func (c *conn) arrivedAtDeadline(err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
--- a/internal/http1/idle_test.go
+++ b/internal/http1/idle_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A request that is there when the time of its connection runs out is answered.
+// A request that has arrived when the idle deadline of its connection passes is answered.
 func TestRequestAtTheIdleDeadlineIsAnswered(t *testing.T) {
 	s := &Server{Timeouts: Timeouts{First: time.Nanosecond, Head: time.Second, Body: time.Second, Idle: time.Nanosecond,
 		Write: time.Second}}
@@ -16,7 +16,7 @@
 	addr := startServer(t, s)
 	for range 20 {
 		c := dialServer(t, addr)
-		if _, err := io.WriteString(c, ok+"\r\n"); err != nil {
+		if _, err := io.WriteString(c, getHead+"\r\n"); err != nil {
 			continue
 		}
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && resp.StatusCode == 200 {
@@ -25,18 +25,18 @@
 		c.Close()
 	}
 	if answered == 0 {
-		t.Error("none of 20 was answered")
+		t.Error("got no response to any of 20 requests")
 	}
 }
 
-// What a client sends in the moment in which its connection has rested for too long meets no reset, which would make it look as
-// though the node had failed: the connection is shut down, and read on before it closes.
+// A request that the client sends at the moment of the idle timeout must not cause a reset, which the client would take for a failed
+// node. The server closes the sending side and continues to read before it closes the connection.
 func TestIdleConnectionsCloseWithoutReset(t *testing.T) {
 	s := &Server{Timeouts: Timeouts{Head: time.Second, Body: time.Second, Idle: 20 * time.Millisecond, Write: time.Second,
 		Linger: 5 * time.Second}}
 	c := dialServer(t, startServer(t, s))
 	br := bufio.NewReader(c)
-	io.WriteString(c, ok+"\r\n")
+	io.WriteString(c, getHead+"\r\n")
 	if resp, err := http.ReadResponse(br, nil); err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
 	}
@@ -44,31 +44,31 @@
 		t.Fatalf("got %v, want the end of the connection", err)
 	}
 	for i := range 3 {
-		if _, err := io.WriteString(c, ok+"\r\n"); err != nil {
-			t.Fatalf("write %d behind the end: %v", i, err)
+		if _, err := io.WriteString(c, getHead+"\r\n"); err != nil {
+			t.Fatalf("write %d after the end of the connection: %v", i, err)
 		}
-		time.Sleep(5 * time.Millisecond) // for a reset to cross
+		time.Sleep(5 * time.Millisecond) // time for a reset to arrive
 	}
 }
 
-// One that rests makes room for one that asks.
+// At the connection limit, an idle connection is evicted in favor of a new one.
 func TestIdleConnectionIsEvicted(t *testing.T) {
 	s := &Server{MaxConns: func() int { return 1 }}
 	addr := startServer(t, s)
 	first := dialServer(t, addr)
-	io.WriteString(first, ok+"\r\n")
+	io.WriteString(first, getHead+"\r\n")
 	if resp, err := http.ReadResponse(bufio.NewReader(first), nil); err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
 	}
 	for {
 		second := dialServer(t, addr)
-		io.WriteString(second, ok+"\r\n")
+		io.WriteString(second, getHead+"\r\n")
 		resp, err := http.ReadResponse(bufio.NewReader(second), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if resp.StatusCode == 200 {
-			break // the first one had rested for long enough
+			break // the first connection was idle for long enough
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/internal/http1/pool.go
+++ b/internal/http1/pool.go
@@ -13,21 +13,21 @@
 
 // Pool keeps idle connections to servers, by address. It is safe for concurrent use.
 type Pool struct {
-	MaxIdle     int           // idle connections kept for each address
-	MaxOpen     int           // open at once; idle ones count and are evicted; 0 = no bound
+	MaxIdle     int           // maximum number of idle connections for each address
+	MaxOpen     int           // maximum number of open connections; idle ones count and are evicted; 0 = no limit
 	IdleTimeout time.Duration // after which an idle connection is closed
 	Limits      Limits
 	// MaxIdleTime returns how long a connection that Get returns may have been idle; nil = IdleTimeout.
 	MaxIdleTime func() time.Duration
-	// MinIdleTime is how long a connection is idle at least before it carries another request; 0 = no such time. A faulty server may
-	// send a second response to a request some moments after the first. It shows as unread bytes, which end the use of a connection,
-	// but only once it has arrived: read later, it would be taken for the response to the next request.
+	// MinIdleTime is the minimum time that a connection is idle before it carries another request; 0 = none. A faulty server may send a
+	// second response to a request shortly after the first. Unread bytes on an idle connection prevent its reuse, but only once they have
+	// arrived: a second response that arrives after the reuse would be taken for the response to the next request.
 	MinIdleTime time.Duration
-	// Chunk bounds the size in bytes of one chunk of a response; 0 = no bound. Head bounds the time from the first byte of a response
-	// to the end of its head; 0 = no bound but the connection's deadline.
+	// Chunk is the maximum size in bytes of one chunk of a response; 0 = no limit. Head is the maximum time from the first byte of a
+	// response to the end of its head; 0 = only the connection's deadline applies.
 	Chunk int64
 	Head  time.Duration
-	// Connect makes connections; nil = net.Dialer.
+	// Connect opens connections; nil = net.Dialer.
 	Connect DialFunc
 
 	mu     sync.Mutex
@@ -36,13 +36,13 @@
 	closed bool
 }
 
-// DialFunc makes a connection, as net.Dialer.DialContext does; ctx bounds its time.
+// DialFunc opens a connection, as net.Dialer.DialContext does; ctx limits its duration.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// ErrPoolFull is returned where as many connections are open as may be and none of them is idle.
+// ErrPoolFull is returned if MaxOpen connections are open and none of them is idle.
 var ErrPoolFull = errors.New("http1: connection limit reached")
 
-// Get returns an idle connection that is still open, or dials one within the timeout, unless ctx ends before.
+// Get returns an idle connection that is still open, or dials a new one within the timeout, unless ctx ends first.
 func (p *Pool) Get(ctx context.Context, addr string, timeout time.Duration) (*ClientConn, error) {
 	limit := p.IdleTimeout
 	if p.MaxIdleTime != nil {
@@ -62,7 +62,7 @@
 	return p.Dial(ctx, addr, timeout)
 }
 
-// Dial makes a connection within the timeout, unless ctx ends before.
+// Dial opens a new connection within the timeout, unless ctx ends first. A timeout of 0 means that only ctx applies.
 func (p *Pool) Dial(ctx context.Context, addr string, timeout time.Duration) (*ClientConn, error) {
 	if !p.reserve() {
 		return nil, ErrPoolFull
@@ -86,14 +86,15 @@
 	return c, nil
 }
 
-// reserve counts one more connection; at the limit it evicts the one that has been idle longest. It returns false where none is idle.
+// reserve counts one more open connection. At the limit it evicts the connection that has been idle longest, and returns false if none
+// is idle.
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.MaxOpen > 0 && p.open >= p.MaxOpen {
 		var oldest *ClientConn
-		for _, xs := range p.idle {
-			for _, c := range xs {
+		for _, conns := range p.idle {
+			for _, c := range conns {
 				if oldest == nil || c.idleSince.Before(oldest.idleSince) {
 					oldest = c
 				}
@@ -102,10 +103,10 @@
 		if oldest == nil {
 			return false
 		}
-		xs := p.idle[oldest.address]
-		p.idle[oldest.address] = slices.DeleteFunc(xs, func(c *ClientConn) bool { return c == oldest })
+		conns := p.idle[oldest.address]
+		p.idle[oldest.address] = slices.DeleteFunc(conns, func(c *ClientConn) bool { return c == oldest })
 		oldest.netConn.Close()
-		oldest.once.Do(func() { p.open-- })
+		oldest.closeOnce.Do(func() { p.open-- })
 	}
 	p.open++
 	return true
@@ -117,15 +118,15 @@
 	p.mu.Unlock()
 }
 
-// takeIdle removes and returns the connection that has been idle shortest of those idle for MinIdleTime; nil = there is none. The
-// connections of an address are in the order in which they were put back.
+// takeIdle removes and returns the most recently used connection that has been idle for at least MinIdleTime, or nil if there is none.
+// The connections of an address are in the order in which they were put back.
 func (p *Pool) takeIdle(addr string) *ClientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	xs := p.idle[addr]
-	for i := len(xs) - 1; i >= 0; i-- {
-		if c := xs[i]; time.Since(c.idleSince) >= p.MinIdleTime {
-			p.idle[addr] = slices.Delete(xs, i, i+1)
+	conns := p.idle[addr]
+	for i := len(conns) - 1; i >= 0; i-- {
+		if c := conns[i]; time.Since(c.idleSince) >= p.MinIdleTime {
+			p.idle[addr] = slices.Delete(conns, i, i+1)
 			return c
 		}
 	}
@@ -137,7 +138,7 @@
 	c.SetDeadline(time.Time{})
 	c.idleSince = time.Now()
 	p.mu.Lock()
-	keep := !p.closed && !c.readingOn() && len(p.idle[c.address]) < p.MaxIdle && c.buffered.Buffered() == 0
+	keep := !p.closed && !c.isFinishing() && len(p.idle[c.address]) < p.MaxIdle && c.buffered.Buffered() == 0
 	if keep {
 		if p.idle == nil {
 			p.idle = map[string][]*ClientConn{}
@@ -153,7 +154,7 @@
 // PutAfter returns the connection to the pool if the response allows its reuse and its body has been read to the end; otherwise it
 // closes the connection.
 func (p *Pool) PutAfter(c *ClientConn, r *Response) {
-	if r.keep {
+	if r.reusable {
 		var one [1]byte
 		if n, err := r.Body.Read(one[:]); n == 0 && err == io.EOF {
 			p.Put(c)
@@ -163,26 +164,26 @@
 	c.Close()
 }
 
-// CloseExpired closes connections whose idle timeout is over. The owner calls it periodically.
+// CloseExpired closes connections whose idle timeout has passed. The owner of the pool calls it periodically.
 func (p *Pool) CloseExpired() {
 	limit := p.IdleTimeout
 	if p.MaxIdleTime != nil {
 		limit = min(limit, p.MaxIdleTime())
 	}
-	var old []*ClientConn
-	defer func() { closeAll(old) }()
+	var expired []*ClientConn
+	defer func() { closeAll(expired) }()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for addr, xs := range p.idle {
-		keep := xs[:0]
-		for _, c := range xs {
+	for addr, conns := range p.idle {
+		keep := conns[:0]
+		for _, c := range conns {
 			if time.Since(c.idleSince) < limit {
 				keep = append(keep, c)
 			} else {
-				old = append(old, c)
+				expired = append(expired, c)
 			}
 		}
-		clear(xs[len(keep):])
+		clear(conns[len(keep):])
 		if len(keep) == 0 {
 			delete(p.idle, addr)
 		} else {
@@ -194,22 +195,22 @@
 // CloseIdle closes the idle connections.
 func (p *Pool) CloseIdle() { p.closeAllIdle(false) }
 
-// Close closes the idle connections; connections that are put back later are closed.
+// Close closes the idle connections, and makes Put close connections from then on.
 func (p *Pool) Close() { p.closeAllIdle(true) }
 
-func (p *Pool) closeAllIdle(last bool) {
+func (p *Pool) closeAllIdle(closePool bool) {
 	p.mu.Lock()
 	var all []*ClientConn
-	for _, xs := range p.idle {
-		all = append(all, xs...)
+	for _, conns := range p.idle {
+		all = append(all, conns...)
 	}
-	p.idle, p.closed = nil, p.closed || last
+	p.idle, p.closed = nil, p.closed || closePool
 	p.mu.Unlock()
 	closeAll(all)
 }
 
-func closeAll(cs []*ClientConn) {
-	for _, c := range cs {
+func closeAll(conns []*ClientConn) {
+	for _, c := range conns {
 		c.Close()
 	}
 }
--- a/internal/http1/pool_reuse_test.go
+++ b/internal/http1/pool_reuse_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// exchangeOnce makes one exchange on a connection of which the far end is given, and puts the connection back.
+// exchangeOnce makes one exchange on a connection whose server side is peer, and returns the connection to the pool.
 func exchangeOnce(t *testing.T, p *Pool, c *ClientConn, peer net.Conn) {
 	t.Helper()
 	if _, _, err := c.Send("GET", "/", nil, nil); err != nil {
@@ -29,39 +29,40 @@
 	p.PutAfter(c, resp)
 }
 
-// markIdle makes a connection look as though it had rested for so long.
+// markIdle makes a connection appear to have been idle for d.
 func markIdle(p *Pool, c *ClientConn, d time.Duration) {
 	p.mu.Lock()
 	c.idleSince = time.Now().Add(-d)
 	p.mu.Unlock()
 }
 
-// A connection carries no other request before a second answer to the one before would have come, nor after it has come.
+// A connection is not reused before MinIdleTime, within which a second response to the previous request could still arrive, nor once such a
+// response has arrived.
 func TestConnectionIsIdleForMinIdleTimeBeforeReuse(t *testing.T) {
 	p := &Pool{MaxIdle: 2, IdleTimeout: time.Minute, Limits: DefaultLimits, MinIdleTime: time.Minute / 2}
 	defer p.Close()
 	c, peer := dialedConn(t, p)
 	exchangeOnce(t, p, c, peer)
 	if got := p.takeIdle(c.address); got != nil {
-		t.Fatal("a connection was given out that has not settled")
+		t.Fatal("got a connection that was not idle for MinIdleTime")
 	}
 	markIdle(p, c, p.MinIdleTime+time.Second)
 	if got := p.takeIdle(c.address); got != c || !c.isReusable() {
-		t.Fatalf("got %v, want the connection that has settled", got)
+		t.Fatalf("got %v, want the connection that was idle for MinIdleTime", got)
 	}
 	p.Put(c)
 	io.WriteString(peer, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno")
 	for end := time.Now().Add(5 * time.Second); c.isReusable() && time.Now().Before(end); {
-		time.Sleep(time.Millisecond) // until the bytes have crossed
+		time.Sleep(time.Millisecond) // until the bytes have arrived
 	}
 	markIdle(p, c, p.MinIdleTime+time.Second)
-	got, err := p.Get(context.Background(), c.address, time.Second) // the listener is gone: a new connection fails
+	got, err := p.Get(context.Background(), c.address, time.Second) // the listener is closed, so that a new connection fails
 	if err == nil {
-		t.Fatalf("got a connection, reused %v, with a second answer unread", got.Reused)
+		t.Fatalf("got a connection, reused %v, with an unread second response", got.Reused)
 	}
 }
 
-// The one that has settled is taken although a newer one has not.
+// The pool returns a connection that was idle for MinIdleTime even if one that was returned later was not.
 func TestPoolSkipsConnectionsIdleTooBriefly(t *testing.T) {
 	p := &Pool{MaxIdle: 4, IdleTimeout: time.Minute, MinIdleTime: 10 * time.Second}
 	defer p.Close()
@@ -69,28 +70,29 @@
 	newer := &ClientConn{address: "a", pool: p, idleSince: time.Now()}
 	p.idle = map[string][]*ClientConn{"a": {old, newer}}
 	if got := p.takeIdle("a"); got != old {
-		t.Fatal("want the one that has settled")
+		t.Fatal("want the connection that was idle for MinIdleTime")
 	}
 	if got := p.takeIdle("a"); got != nil {
-		t.Fatal("want none")
+		t.Fatal("want no connection")
 	}
 	p.idle = nil
 }
 
-// A connection that is being made ends with its context, at once, and leaves no place taken.
+// A dial fails immediately when its context ends, and does not count as an open connection afterwards.
 func TestDialEndsWithItsContext(t *testing.T) {
 	p := &Pool{MaxOpen: 1}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := p.Dial(ctx, "127.0.0.1:1", time.Minute); !errors.Is(err, context.Canceled) {
-		t.Fatalf("got %v, want that it was cancelled", err)
+		t.Fatalf("got %v, want context.Canceled", err)
 	}
 	if p.open != 0 {
-		t.Fatalf("%d places are taken", p.open)
+		t.Fatalf("got %d open connections, want 0", p.open)
 	}
 }
 
-// A connection that is being finished still gives what had come, ends soon, and is not kept.
+// After ReadOnFor a connection still returns the bytes that have arrived, its reads fail after the given time, and the pool does not
+// reuse it.
 func TestReadOnForDeliversWhatHadArrived(t *testing.T) {
 	p := &Pool{MaxIdle: 2, IdleTimeout: time.Minute, Limits: DefaultLimits}
 	defer p.Close()
@@ -98,7 +100,7 @@
 	c.SetDeadline(time.Now().Add(time.Minute))
 	io.WriteString(peer, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhalf")
 	c.ReadOnFor(200 * time.Millisecond)
-	c.SetDeadline(time.Now().Add(time.Minute)) // does not move the end
+	c.SetDeadline(time.Now().Add(time.Minute)) // must not extend the limit
 	resp, err := c.ReadResponse()
 	if err != nil {
 		t.Fatal(err)
@@ -108,12 +110,12 @@
 	}
 	p.PutAfter(c, resp)
 	if len(p.idle[c.address]) != 0 {
-		t.Error("it was kept")
+		t.Error("the connection was returned to the pool")
 	}
 	d, _ := dialedConn(t, p)
 	start := time.Now()
 	d.ReadOnFor(20 * time.Millisecond)
 	if err := d.Await(); err == nil || time.Since(start) > 5*time.Second {
-		t.Errorf("got %v after %v, want the end of the time", err, time.Since(start))
+		t.Errorf("got %v after %v, want a timeout", err, time.Since(start))
 	}
 }
--- a/internal/http1/pool_test.go
+++ b/internal/http1/pool_test.go
@@ -37,29 +37,29 @@
 	}
 	again, err := p.Get(context.Background(), l.Addr().String(), time.Second)
 	if err != nil || again == c || again.Reused {
-		t.Fatal("a dead connection was given out", err)
+		t.Fatal("got the connection that the server closed", err)
 	}
 	again.Close()
 	(<-conns).Close()
 }
 
-// A full pool closes a connection that rests, and tells where none does.
-func TestPoolKeepsItsConnectionLimit(t *testing.T) {
+// At MaxOpen the pool closes an idle connection for a new one, and returns ErrPoolFull if none is idle.
+func TestPoolEnforcesMaxOpen(t *testing.T) {
 	p := &Pool{MaxIdle: 4, MaxOpen: 2, IdleTimeout: time.Minute, Limits: DefaultLimits}
 	a, _ := dialedConn(t, p)
 	b, _ := dialedConn(t, p)
 	if _, err := p.Get(context.Background(), "127.0.0.1:1", time.Second); !errors.Is(err, ErrPoolFull) {
-		t.Errorf("%v", err)
+		t.Errorf("got %v, want ErrPoolFull", err)
 	}
 	p.Put(a)
 	c, _ := dialedConn(t, p)
 	if _, err := a.netConn.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("the one that rested is open: %v", err)
+		t.Errorf("the idle connection is still open: %v", err)
 	}
 	b.Close()
 	b.Close()
 	c.Close()
 	if p.open != 0 {
-		t.Errorf("%d are counted open", p.open)
+		t.Errorf("got %d open connections, want 0", p.open)
 	}
 }
--- a/internal/http1/readahead.go
+++ b/internal/http1/readahead.go
@@ -8,24 +8,26 @@
 	"time"
 )
 
-// readAhead reads a connection, first what was read ahead of its turn. The goroutine of the connection owns it.
+// readAhead reads a connection and buffers bytes that are read before the next request is parsed. Only the connection's goroutine may
+// use it.
 type readAhead struct {
 	netConn   net.Conn
-	heldBytes *atomic.Int64 // bytes held, over all connections
-	pending   []byte        // read ahead, and not yet returned by Read
-	err       error         // that ended the reading ahead; Read returns it after pending
+	heldBytes *atomic.Int64 // of the server: bytes held by all connections
+	pending   []byte        // read ahead and not yet returned by Read
+	err       error         // of a read ahead; Read returns it after pending
 
 	total    int64     // bytes read from the connection
-	arrivals []arrival // of bytes that may not have been consumed yet, in order
+	arrivals []arrival // in order, of bytes that may not have been consumed yet
 }
 
 // arrival is when bytes were read from the connection.
 type arrival struct {
-	end int64 // offset behind them, counted from the first byte of the connection
+	end int64 // offset after the bytes, from the first byte of the connection
 	at  time.Time
 }
 
-// Arrivals closer than arrivalStep are one, and so are those beyond maxArrivals: their bytes count as read with the ones before.
+// Arrivals within arrivalStep of the previous one, and those beyond maxArrivals, are merged into it: their bytes count as read at its
+// time.
 const (
 	arrivalStep = 5 * time.Millisecond
 	maxArrivals = 64
@@ -45,8 +47,8 @@
 	a.arrivals = append(a.arrivals, arrival{a.total, now})
 }
 
-// nextArrivedAt returns when the next byte to be consumed was read, where so many bytes are buffered in front of this reader. Earlier
-// arrivals are forgotten.
+// nextArrivedAt returns when the next unconsumed byte was read from the connection. buffered is the number of bytes that Read has returned
+// and the caller has not consumed. Earlier arrivals are dropped.
 func (a *readAhead) nextArrivedAt(buffered int) time.Time {
 	next := a.total - int64(len(a.pending)) - int64(buffered)
 	for len(a.arrivals) > 0 && a.arrivals[0].end <= next {
@@ -58,16 +60,16 @@
 	return a.arrivals[0].at
 }
 
-// Bounds of what is read ahead on one connection, in bytes.
+// Limits of reading ahead on one connection, in bytes.
 const (
 	maxReadAhead  = 1 << 20 // some requests of the largest size
 	readAheadStep = 4 << 10
 )
 
-// errReadAheadFull is returned where no more may be read ahead.
+// errReadAheadFull is returned if no more bytes may be read ahead.
 var errReadAheadFull = errors.New("http1: read-ahead limit reached")
 
-// Read returns what was read ahead, and then reads the connection.
+// Read returns the bytes that were read ahead first, and then reads the connection.
 func (a *readAhead) Read(p []byte) (int, error) {
 	switch {
 	case len(a.pending) > 0:
@@ -85,8 +87,8 @@
 	return n, err
 }
 
-// more reads further bytes ahead, if allowed permits so many more.
-func (a *readAhead) more(allowed func(bytes int) bool) error {
+// readMore reads up to readAheadStep further bytes ahead, if allowed permits that number.
+func (a *readAhead) readMore(allowed func(bytes int) bool) error {
 	if a.err != nil {
 		return a.err
 	}
@@ -104,13 +106,14 @@
 	return err
 }
 
-// drop forgets what was read ahead.
-func (a *readAhead) drop() {
+// discard drops the bytes that were read ahead.
+func (a *readAhead) discard() {
 	a.heldBytes.Add(-int64(len(a.pending)))
 	a.pending = nil
 }
 
-// mayReadAhead tells whether so many more bytes may be read ahead: half of the bytes that may be held is left to present requests.
+// mayReadAhead reports whether the given number of further bytes may be read ahead. Half of Server.MaxBytes is reserved for current
+// requests.
 func (c *conn) mayReadAhead(bytes int) bool {
 	s := c.server
 	return s.MaxBytes <= 0 || s.heldBytes.Load()+int64(bytes) <= s.MaxBytes/2
--- a/internal/http1/rejection.go
+++ b/internal/http1/rejection.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Bounds of the rejection queue, the connections over the limit that are being rejected.
+// Limits of the rejection queue, which holds the connections over the limit that are being rejected.
 const (
 	defaultRejectionQueue     = 64
-	defaultRejectionFirstByte = 250 * time.Millisecond // for the first byte: clients open connections ahead and never use some of them
+	defaultRejectionFirstByte = 250 * time.Millisecond // for the first byte: clients open connections in advance and never use some
 	rejectionHeadTimeout      = time.Second
 )
 
@@ -22,7 +22,7 @@
 // rejectOverLimit reads the head of one request and rejects it.
 func (c *conn) rejectOverLimit() {
 	c.closed.Reason = ConnectionLimit
-	c.buffered = bufio.NewReaderSize(c.ahead, readBuffer)
+	c.buffered = bufio.NewReaderSize(c.ahead, readBufferSize)
 	c.netConn.SetReadDeadline(time.Now().Add(orElse(c.server.Timeouts.Rejection, defaultRejectionFirstByte)))
 	if _, err := c.buffered.Peek(1); err != nil && !c.arrivedAtDeadline(err) {
 		return
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -12,19 +12,19 @@
 // Request is a parsed request. ReadBody reads its body.
 type Request struct {
 	Method, Path, Query string
-	Minor               int // of HTTP/1.x
+	Minor               int // minor version of HTTP/1.x
 	Header              textproto.MIMEHeader
 	Body                []byte
 	closesConnection    bool // the connection closes after the response
-	expectsContinue     bool // 100-continue
+	expectsContinue     bool // the client waits for 100 Continue before it sends the body
 	frame               framing
 }
 
-// ReadRequest reads a request up to the end of its header. An *Error has the status to respond with; any other error is one of the
-// connection, or a timeout.
+// ReadRequest reads a request up to the end of its header. An *Error has the status to respond with; any other error is a connection
+// error or a timeout.
 func ReadRequest(br *bufio.Reader, lim Limits) (*Request, error) {
 	line, err := readLine(br, lim.Line)
-	if err == nil && len(line) == 0 { // RFC 9112, section 2.2: one empty line before it is passed over
+	if err == nil && len(line) == 0 { // RFC 9112, section 2.2: skip one empty line before the request line
 		line, err = readLine(br, lim.Line)
 	}
 	if err == errLineTooLong {
@@ -43,7 +43,7 @@
 	return q, q.checkHeader(lim)
 }
 
-// parseLine reads the method, the target and the version.
+// parseLine parses a request line: the method, the target and the version.
 func (q *Request) parseLine(line string) error {
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 {
@@ -87,7 +87,7 @@
 	return "", false
 }
 
-// checkHeader checks the header fields of the connection and the body.
+// checkHeader checks the header fields that concern the connection and the body.
 func (q *Request) checkHeader(lim Limits) error {
 	hosts := q.Header["Host"]
 	if len(hosts) > 1 || len(hosts) == 0 && q.Minor == 1 {
@@ -126,13 +126,13 @@
 	case q.frame.length > 0:
 		q.Body = make([]byte, q.frame.length)
 		if _, err := io.ReadFull(br, q.Body); err != nil {
-			return &cutError{err}
+			return &incompleteError{err}
 		}
 	}
 	return nil
 }
 
-// readChunked reads a chunked body and the trailer after it, which is dropped.
+// readChunked reads a chunked body and its trailer, which is discarded.
 func readChunked(br *bufio.Reader, lim Limits) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(br), lim.Body+1))
 	if int64(len(body)) > lim.Body {
@@ -140,7 +140,7 @@
 	}
 	if err != nil {
 		if isConnectionError(err) {
-			return nil, &cutError{err}
+			return nil, &incompleteError{err}
 		}
 		return nil, newError(400, "chunked body: %v", err)
 	}
@@ -150,19 +150,19 @@
 func readTrailer(br *bufio.Reader, lim Limits) error {
 	_, err := readHeader(br, lim)
 	if err != nil && isConnectionError(err) {
-		return &cutError{err}
+		return &incompleteError{err}
 	}
 	return err
 }
 
-// isConnectionError tells errors of the connection from errors in the bytes that came over it.
+// isConnectionError reports whether err is a connection error or a timeout, and not an error in the bytes received.
 func isConnectionError(err error) bool {
 	var timeout interface{ Timeout() bool }
-	var cut *cutError
-	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) || errors.As(err, &timeout) || errors.As(err, &cut)
+	var incomplete *incompleteError
+	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) || errors.As(err, &timeout) || errors.As(err, &incomplete)
 }
 
-// Target is the request target as it was sent, without the host of an absolute one.
+// Target returns the request target as it was sent, without the scheme and host of one in absolute form.
 func (q *Request) Target() string {
 	if q.Query == "" {
 		return q.Path
--- a/internal/http1/request_test.go
+++ b/internal/http1/request_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-const ok = "GET / HTTP/1.1\r\nHost: h\r\n"
+const getHead = "GET / HTTP/1.1\r\nHost: h\r\n"
 
-// malformedRequests is the table of docs/design/node.md: what is sent, and the exact status that answers it.
+// malformedRequests is the table of docs/design/node.md: the bytes sent, and the exact status of the response.
 var malformedRequests = []struct {
 	name, text string
 	status     int
 }{
-	{"good", ok + "\r\n", 200},
-	{"one empty line before", "\r\n" + ok + "\r\n", 200},
+	{"good", getHead + "\r\n", 200},
+	{"one empty line before", "\r\n" + getHead + "\r\n", 200},
 	{"absolute form", "GET http://h/x?y HTTP/1.1\r\nHost: h\r\n\r\n", 200},
 	{"HTTP/1.0 without Host", "GET / HTTP/1.0\r\n\r\n", 200},
 	{"equal lengths twice", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nab", 200},
@@ -27,7 +27,7 @@
 	{"signed length", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: +2\r\n\r\nab", 400},
 	{"negative length", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: -2\r\n\r\nab", 400},
 	{"empty length", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length:\r\n\r\n", 400},
-	{"endless length", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9999999999999999999999\r\n\r\n", 400},
+	{"overflowing length", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9999999999999999999999\r\n\r\n", 400},
 	{"chunked not last", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked, gzip\r\n\r\n", 400},
 	{"chunked twice", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked, chunked\r\n\r\n", 400},
 	{"two codings", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", 400},
@@ -48,14 +48,14 @@
 	{"Host with a path", "GET / HTTP/1.1\r\nHost: h/x\r\n\r\n", 400},
 	{"no version", "GET /\r\n\r\n", 400},
 	{"HTTP/2", "GET / HTTP/2.0\r\nHost: h\r\n\r\n", 505},
-	{"odd version", "GET / HTTQ/1.1\r\nHost: h\r\n\r\n", 400},
+	{"unknown protocol name", "GET / HTTQ/1.1\r\nHost: h\r\n\r\n", 400},
 	{"two spaces", "GET  / HTTP/1.1\r\nHost: h\r\n\r\n", 400},
 	{"method with a bracket", "G(T / HTTP/1.1\r\nHost: h\r\n\r\n", 400},
 	{"relative target", "GET x HTTP/1.1\r\nHost: h\r\n\r\n", 400},
 	{"star with GET", "GET * HTTP/1.1\r\nHost: h\r\n\r\n", 400},
 	{"long request line", "GET /" + strings.Repeat("a", 9<<10) + " HTTP/1.1\r\nHost: h\r\n\r\n", 414},
-	{"large header", ok + "A: " + strings.Repeat("a", 33<<10) + "\r\n\r\n", 431},
-	{"many headers", ok + strings.Repeat("A: b\r\n", 101) + "\r\n", 431},
+	{"large header", getHead + "A: " + strings.Repeat("a", 33<<10) + "\r\n\r\n", 431},
+	{"many headers", getHead + strings.Repeat("A: b\r\n", 101) + "\r\n", 431},
 	{"large body", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2000\r\n\r\n", 413},
 	{"large chunked body", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n7d0\r\n" +
 		strings.Repeat("a", 2000) + "\r\n0\r\n\r\n", 413},
@@ -82,16 +82,17 @@
 				t.Fatal(err)
 			}
 			if resp.StatusCode != m.status {
-				t.Fatalf("%d, want %d", resp.StatusCode, m.status)
+				t.Fatalf("got status %d, want %d", resp.StatusCode, m.status)
 			}
 			if m.status != 200 && !resp.Close {
-				t.Fatal("the connection goes on after a request that could not be read")
+				t.Fatal("the connection stays open after a request that could not be read")
 			}
 		})
 	}
 }
 
-// FuzzReadRequest: whatever comes, the parser ends, keeps its bounds, and what it accepts is framed in one way.
+// FuzzReadRequest checks that for any input the parser terminates and respects its limits, and that the framing of each accepted request
+// is unambiguous.
 func FuzzReadRequest(f *testing.F) {
 	for _, m := range malformedRequests {
 		f.Add([]byte(m.text))
@@ -106,22 +107,22 @@
 		total := 0
 		for name, values := range q.Header {
 			if !isToken(name) {
-				t.Fatalf("name %q", name)
+				t.Fatalf("accepted the header name %q", name)
 			}
 			for _, v := range values {
 				if total += len(name) + len(v); strings.ContainsAny(v, "\r\n\x00") {
-					t.Fatalf("value %q", v)
+					t.Fatalf("accepted the header value %q", v)
 				}
 			}
 		}
 		if total > lim.Header || len(q.Header) > lim.Headers {
-			t.Fatalf("%d bytes in %d fields", total, len(q.Header))
+			t.Fatalf("accepted %d bytes in %d header fields", total, len(q.Header))
 		}
 		if q.frame.chunked && q.Header["Content-Length"] != nil {
-			t.Fatal("framed in two ways")
+			t.Fatal("accepted a request with both Transfer-Encoding and Content-Length")
 		}
 		if err := q.ReadBody(br, lim); err == nil && int64(len(q.Body)) > lim.Body {
-			t.Fatalf("body of %d bytes", len(q.Body))
+			t.Fatalf("accepted a body of %d bytes", len(q.Body))
 		}
 	})
 }
@@ -130,7 +131,7 @@
 	text := []byte("POST /v1/chat/completions HTTP/1.1\r\nHost: 127.0.0.1:8080\r\nUser-Agent: client/1.0\r\nAccept: text/event-stream\r\n" +
 		"Authorization: Bearer key\r\nContent-Type: application/json\r\nX-Stainless-Retry-Count: 0\r\nContent-Length: 2\r\n\r\n{}")
 	r := bytes.NewReader(text)
-	br := bufio.NewReaderSize(r, readBuffer)
+	br := bufio.NewReaderSize(r, readBufferSize)
 	b.SetBytes(int64(len(text)))
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// Response is a response whose body is read from Body.
+// Response is the head of a response; its body is read from Body.
 type Response struct {
 	Status int
 	Header textproto.MIMEHeader
 	Body   io.Reader
-	// Chunked tells that the body comes in chunks.
-	Chunked bool
-	keep    bool // the connection may be reused once the body has ended
+	// Chunked states that the body has the chunked transfer coding.
+	Chunked  bool
+	reusable bool // the connection may be reused once the body has ended
 }
 
 // ReadResponse reads the head of a response; interim responses (1xx) are skipped.
@@ -50,51 +50,51 @@
 			return c.newResponse(status, minor, h)
 		}
 	}
-	return nil, newError(502, "interim answers without end")
+	return nil, newError(502, "too many interim responses")
 }
 
-// Await waits for the first byte of a response.
+// Await waits for the first byte of a response, which stays buffered.
 func (c *ClientConn) Await() error {
 	_, err := c.buffered.Peek(1)
 	return err
 }
 
-// maxInterimResponses is how many responses of status 1xx may precede the final one.
+// maxInterimResponses is the number of 1xx responses at which ReadResponse stops waiting for the final one.
 const maxInterimResponses = 16
 
-// awaitStatusLine waits for the first bytes of a response, and bounds the time of its head from there. Bytes that cannot become a
-// status line are an error at once, without waiting for the rest.
+// awaitStatusLine waits for the first bytes of a response and limits the time to the end of its head from then on (Pool.Head). It fails
+// as soon as a byte cannot be part of a status line, without waiting for the rest of the line.
 func (c *ClientConn) awaitStatusLine() error {
 	if _, err := c.buffered.Peek(1); err != nil {
 		return err
 	}
 	if c.pool.Head > 0 {
-		if by := time.Now().Add(c.pool.Head); c.deadline.IsZero() || by.Before(c.deadline) {
-			c.netConn.SetReadDeadline(by)
+		if headDeadline := time.Now().Add(c.pool.Head); c.deadline.IsZero() || headDeadline.Before(c.deadline) {
+			c.netConn.SetReadDeadline(headDeadline)
 		}
 	}
-	const start = "HTTP/1."
-	for n := 1; n <= len(start); n++ {
+	const prefix = "HTTP/1."
+	for n := 1; n <= len(prefix); n++ {
 		b, err := c.buffered.Peek(n)
 		if err != nil {
 			return headTimeout(err)
 		}
-		if b[n-1] != start[n-1] {
-			return newError(502, "what came is no answer: %q", truncate(string(b)))
+		if b[n-1] != prefix[n-1] {
+			return newError(502, "response does not begin with a status line: %q", truncate(string(b)))
 		}
 	}
 	return nil
 }
 
-// headTimeout turns a timeout within a head into an error of the message: its first bytes had arrived.
+// headTimeout turns a timeout within a head into an *Error, since the first bytes of the message had arrived.
 func headTimeout(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return newError(502, "the head of the answer does not end")
+		return newError(502, "timeout within the response head")
 	}
 	return err
 }
 
-// parseStatus reads a status line.
+// parseStatus parses a status line.
 func parseStatus(line string) (status, minor int, err error) {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
@@ -111,7 +111,7 @@
 		return nil, err
 	}
 	r := &Response{Status: status, Header: h}
-	r.keep = minor == 1 && !hasListToken(h["Connection"], "close")
+	r.reusable = minor == 1 && !hasListToken(h["Connection"], "close")
 	switch {
 	case status == 204 || status == 304:
 		r.Body = bytes.NewReader(nil)
@@ -121,12 +121,12 @@
 	case frame.length >= 0:
 		r.Body = &sizedBody{source: c.buffered, left: frame.length}
 	default:
-		r.Body, r.keep = c.buffered, false // delimited by the end of the connection
+		r.Body, r.reusable = c.buffered, false // delimited by the close of the connection
 	}
 	return r, nil
 }
 
-// chunkReader reads the chunks of a response.
+// chunkReader returns a reader of a chunked body, which limits the chunk size if Pool.Chunk is set.
 func (c *ClientConn) chunkReader() io.Reader {
 	if c.pool.Chunk > 0 {
 		return &boundedChunks{buffered: c.buffered, max: c.pool.Chunk}
@@ -134,7 +134,7 @@
 	return httputil.NewChunkedReader(c.buffered)
 }
 
-// ReadAll reads the whole body, at most limit bytes.
+// ReadAll reads the whole body. If it exceeds limit bytes, ReadAll returns the first limit bytes and an error.
 func (r *Response) ReadAll(limit int64) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err == nil && int64(len(b)) > limit {
--- a/internal/http1/responsebody.go
+++ b/internal/http1/responsebody.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// boundedChunks reads chunks of a bounded size, up to the last one. A malformed size, or one beyond the bound, is an error before a
-// byte of its chunk is returned.
+// boundedChunks reads chunks of a limited size, up to the last one. If a chunk's size is malformed or exceeds the limit, the read fails
+// before a byte of that chunk is returned.
 type boundedChunks struct {
 	buffered   *bufio.Reader
 	max        int64
 	left       int64
-	atChunkEnd bool // the CRLF after a chunk is still to be read
+	atChunkEnd bool // the CRLF after a chunk must be read next
 }
 
 func (b *boundedChunks) Read(p []byte) (int, error) {
@@ -34,29 +34,29 @@
 	return n, err
 }
 
-// maxChunkLine bounds the line of a chunk's size and extensions, in bytes.
+// maxChunkLine is the maximum length of the line with a chunk's size and extensions, in bytes.
 const maxChunkLine = 256
 
-// next reads up to the first byte of a chunk; io.EOF = it was the last one.
+// next reads up to the first data byte of the next chunk. It returns io.EOF after the last chunk.
 func (b *boundedChunks) next() error {
 	if b.atChunkEnd {
 		line, err := readLine(b.buffered, 0)
 		if err != nil || len(line) > 0 {
-			return chunkError(err, "a chunk does not fit its size")
+			return chunkError(err, "chunk data does not match its size")
 		}
 	}
 	b.atChunkEnd = true
 	line, err := readLine(b.buffered, maxChunkLine)
 	if err != nil {
-		return chunkError(err, "a chunk's size has no end")
+		return chunkError(err, "chunk size line is malformed or too long")
 	}
-	text, _, _ := strings.Cut(string(line), ";")
-	size, err := strconv.ParseUint(strings.TrimRight(text, " \t"), 16, 63)
+	sizeText, _, _ := strings.Cut(string(line), ";")
+	size, err := strconv.ParseUint(strings.TrimRight(sizeText, " \t"), 16, 63)
 	if err != nil {
-		return newError(502, "chunk size %q cannot be read", truncate(text))
+		return newError(502, "chunk size %q is malformed", truncate(sizeText))
 	}
 	if int64(size) > b.max {
-		return newError(502, "chunk of %d bytes exceeds %d", size, b.max)
+		return newError(502, "chunk of %d bytes exceeds the limit of %d", size, b.max)
 	}
 	if b.left = int64(size); size == 0 {
 		return io.EOF
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// chunkError turns an error between two chunks into one of the message, unless the connection or a timeout caused it.
+// chunkError turns an error between two chunks into an *Error, unless it is a connection error or a timeout.
 func chunkError(err error, reason string) error {
 	var e *Error
 	switch {
@@ -99,7 +99,7 @@
 	return n, err
 }
 
-// sizedBody reads a body of a stated length; an earlier end is io.ErrUnexpectedEOF.
+// sizedBody reads a body with a Content-Length. It returns io.ErrUnexpectedEOF if the connection ends earlier.
 type sizedBody struct {
 	source io.Reader
 	left   int64
--- a/internal/http1/responsewriter.go
+++ b/internal/http1/responsewriter.go
@@ -16,29 +16,29 @@
 	return append(b, "\r\n"...)
 }
 
-func appendClose(b []byte, close bool) []byte {
-	if close {
+func appendClose(b []byte, closeAfter bool) []byte {
+	if closeAfter {
 		return append(b, "Connection: close\r\n"...)
 	}
 	return b
 }
 
-// appendReply writes a complete response; the one to HEAD has no body.
-func appendReply(b []byte, status int, fields []Field, body []byte, close, head bool) []byte {
+// appendReply appends a complete response; headOnly omits the body, for a HEAD request.
+func appendReply(b []byte, status int, fields []Field, body []byte, closeAfter, headOnly bool) []byte {
 	b = appendHeader(appendStatus(b, status), fields)
 	if status != http.StatusNoContent {
 		b = append(b, "Content-Length: "...)
 		b = strconv.AppendInt(b, int64(len(body)), 10)
 		b = append(b, "\r\n"...)
 	}
-	b = append(appendClose(b, close), "\r\n"...)
-	if head {
+	b = append(appendClose(b, closeAfter), "\r\n"...)
+	if headOnly {
 		return b
 	}
 	return append(b, body...)
 }
 
-// appendHeader writes fields in the order given. Control bytes, which could split the message, are left out of values.
+// appendHeader appends fields in the given order. It omits control bytes from values, since they could split the message.
 func appendHeader(b []byte, fields []Field) []byte {
 	for _, f := range fields {
 		b = append(b, f.Name...)
@@ -53,5 +53,5 @@
 	return b
 }
 
-// Field is one header field to be sent.
+// Field is one header field to send.
 type Field struct{ Name, Value string }
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -7,43 +7,44 @@
 	"time"
 )
 
-// Handler responds to requests. Serve runs on the connection's goroutine, may return before the response is given, and must make sure
-// that the Exchange is ended by Reply, End, AbortBody or Abort, once, from any one goroutine.
+// Handler responds to requests. Serve runs on the connection's goroutine and may return before the response is written. The handler must
+// ensure that one goroutine, not necessarily that of Serve, ends the Exchange exactly once, by Reply, End, AbortBody or Abort.
 type Handler interface{ Serve(x *Exchange) }
 
-// HandlerFunc is a Handler made from a function.
+// HandlerFunc is an adapter that allows a function to be used as a Handler.
 type HandlerFunc func(x *Exchange)
 
-// Serve calls f.
+// Serve calls f(x).
 func (f HandlerFunc) Serve(x *Exchange) { f(x) }
 
-// Server serves connections.
+// Server accepts connections and serves the requests on them.
 type Server struct {
 	Handler        Handler
 	Limits         Limits
 	Timeouts       Timeouts
-	MaxConns       func() int // open at once, called at each accept; further ones are answered 503 and closed; nil = no bound
-	RejectionQueue int        // connections that are rejected at a time; 0 = defaultRejectionQueue
-	MaxBytes       int64      // of request bodies held at once, over all connections; 0 = no bound
-	// Shared tells that other processes accept from the same socket: connections in its queue are theirs, so that a drain stops
-	// accepting at once.
+	MaxConns       func() int // maximum number open, called at each accept; further ones get a 503 and close; nil = no limit
+	RejectionQueue int        // maximum number of connections being rejected at a time; 0 = defaultRejectionQueue
+	MaxBytes       int64      // maximum bytes of request bodies held, over all connections; 0 = no limit
+	// Shared states that other processes accept from the same socket. A drain then stops accepting immediately, since the other
+	// processes accept the connections in its queue.
 	Shared bool
-	// OnDescriptorShortage is called when an accept fails for want of descriptors, with the number of open connections; may be nil.
+	// OnDescriptorShortage is called with the number of open connections when an accept fails because the process has reached its limit
+	// of file descriptors; may be nil.
 	OnDescriptorShortage func(open int)
-	// MayCloseIdle decides whether an idle connection may be closed now; nil = evictions after Timeouts.MinIdle, all others always.
+	// MayCloseIdle reports whether an idle connection may be closed now; nil = an eviction after Timeouts.MinIdle, any other close always.
 	MayCloseIdle func(IdleConn) bool
-	// OnClose is called for each connection that has ended; may be nil.
+	// OnClose is called for each connection that has closed; may be nil.
 	OnClose func(ConnClosed)
-	// ErrorBody writes the response to a request that could not be parsed; nil = plain text.
+	// ErrorBody returns header fields and body of the response to a request that is rejected before it reaches Handler; nil = plain text.
 	ErrorBody func(status int, reason string) (fields []Field, body []byte)
 
 	mu           sync.Mutex
 	conns        map[*conn]struct{}
-	rejecting    int       // of conns, those in the rejection queue
-	queueFree    sync.Cond // a place in the rejection queue is free; its lock is mu
+	rejecting    int       // number of conns in the rejection queue
+	queueFree    sync.Cond // the rejection queue is no longer full; its lock is mu
 	listener     net.Listener
 	draining     atomic.Bool
-	idleDeadline atomic.Int64 // until when a draining server reads idle connections (sinceStart)
+	idleDeadline atomic.Int64 // when a draining server stops waiting on idle connections, in sinceStart time
 	heldBytes    atomic.Int64
 	closed       bool      // Close was called
 	connEnded    sync.Cond // a connection has ended; its lock is mu
@@ -56,29 +57,29 @@
 	return len(s.conns)
 }
 
-// HeldBytes returns the bytes of request bodies that are held, over all connections.
+// HeldBytes returns the number of bytes of request bodies and of bytes read ahead that are held, over all connections.
 func (s *Server) HeldBytes() int64 { return s.heldBytes.Load() }
 
-// Wait waits until all connections have ended or the time has passed, and returns whether they have ended.
+// Wait waits until all connections have ended, for at most d, and reports whether they have.
 func (s *Server) Wait(d time.Duration) bool {
-	over := false
+	timedOut := false
 	timer := time.AfterFunc(d, func() {
 		s.mu.Lock()
-		over = true
+		timedOut = true
 		s.connEnded.Broadcast()
 		s.mu.Unlock()
 	})
 	defer timer.Stop()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for len(s.conns) > 0 && !over {
+	for len(s.conns) > 0 && !timedOut {
 		s.connEnded.Wait()
 	}
 	return len(s.conns) == 0
 }
 
-// Close closes all connections and waits for their goroutines. An exchange that has no response yet is aborted as well: its owner may
-// have ended, and it would be waited for without end.
+// Close closes all connections and waits for their goroutines. It also aborts exchanges that have no response yet: their owner may have
+// ended, and Close would otherwise wait for them forever.
 func (s *Server) Close() {
 	s.draining.Store(true)
 	s.mu.Lock()
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// echoHandler answers with what it was sent; /later is answered by another goroutine, /stream in parts.
+// echoHandler responds with the request's body; another goroutine responds to /later and, as a stream, to /stream.
 func echoHandler(x *Exchange) {
 	switch x.Path {
 	case "/later":
@@ -84,18 +84,18 @@
 			want = fmt.Sprint("later ", i)
 		}
 		if string(got) != want {
-			t.Fatalf("answer %d is %q, want %q", i, got, want)
+			t.Fatalf("response %d: got %q, want %q", i, got, want)
 		}
 	}
 }
 
-func TestExpectIsAnswered(t *testing.T) {
+func TestExpectContinueIsAnswered(t *testing.T) {
 	c := dialServer(t, startServer(t, &Server{}))
 	io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
 	br := bufio.NewReader(c)
 	line, err := br.ReadString('\n')
 	if err != nil || line != "HTTP/1.1 100 Continue\r\n" {
-		t.Fatalf("%q, %v", line, err)
+		t.Fatalf("got %q, %v, want a 100 Continue", line, err)
 	}
 	br.ReadString('\n')
 	io.WriteString(c, "ab")
@@ -105,24 +105,24 @@
 	}
 }
 
-func TestHeadHasNoBodyAndOldVersionClosesItsStream(t *testing.T) {
+func TestHeadResponseHasNoBodyAndHTTP10StreamEndsWithClose(t *testing.T) {
 	addr := startServer(t, &Server{})
 	c := dialServer(t, addr)
 	io.WriteString(c, "HEAD / HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 2\r\n\r\nab")
 	text, _ := io.ReadAll(c)
 	if !bytes.HasSuffix(text, []byte("\r\n\r\n")) || !bytes.Contains(text, []byte("Content-Length: 2\r\n")) {
-		t.Fatalf("%q", text)
+		t.Fatalf("got %q, want a head with Content-Length and no body", text)
 	}
 	c = dialServer(t, addr)
 	io.WriteString(c, "GET /stream HTTP/1.0\r\n\r\n")
 	text, _ = io.ReadAll(c)
 	if !bytes.HasSuffix(text, []byte("\r\n\r\ndata: 0\n\ndata: 1\n\ndata: 2\n\n")) {
-		t.Fatalf("%q", text)
+		t.Fatalf("got %q, want an unframed stream that ends with the connection", text)
 	}
 }
 
-// A stream that is broken off gives its client all that was written, though bytes of the client's are unread: a close over
-// them would be a reset, which takes what the kernel still held with it.
+// The client of an aborted stream receives all bytes written before the abort, although the server has unread bytes from the client. A
+// close with unread bytes would cause a reset, which discards bytes that the kernel has not yet sent.
 func TestAbortedStreamDeliversWhatWasWritten(t *testing.T) {
 	event := strings.Repeat("x", 1<<10)
 	for range 20 {
@@ -135,7 +135,7 @@
 				x.AbortBody()
 			})}
 		c := dialServer(t, startServer(t, s))
-		io.WriteString(c, ok+"\r\n"+strings.Repeat(ok+"\r\n", 200))
+		io.WriteString(c, getHead+"\r\n"+strings.Repeat(getHead+"\r\n", 200))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			t.Fatal(err)
@@ -158,11 +158,11 @@
 		errs <- err
 	})}
 	c := dialServer(t, startServer(t, s))
-	io.WriteString(c, ok+"Connection: close\r\n\r\n")
+	io.WriteString(c, getHead+"Connection: close\r\n\r\n")
 	text, _ := io.ReadAll(c)
 	if strings.Count(string(text), "HTTP/1.1") != 1 || <-errs != nil ||
 		<-errs != ErrExchangeEnded || <-errs != ErrExchangeEnded || <-errs != ErrExchangeEnded {
-		t.Fatalf("%q", text)
+		t.Fatalf("got %q, want one response, and ErrExchangeEnded for each further write", text)
 	}
 }
 
@@ -198,16 +198,16 @@
 func TestHeaderValuesCannotSplitAResponse(t *testing.T) {
 	s := &Server{Handler: HandlerFunc(func(x *Exchange) { x.Reply(200, []Field{{"A", "b\r\nEvil: yes"}}, nil) })}
 	c := dialServer(t, startServer(t, s))
-	io.WriteString(c, ok+"\r\n")
+	io.WriteString(c, getHead+"\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.Header.Get("Evil") != "" || resp.Header.Get("A") != "bEvil: yes" {
 		t.Fatal(resp, err)
 	}
 }
 
-// A connection that comes in the moment in which the server is waited for, or closed, is served or closed, and waited for: a few
-// hundred times, in whatever order the scheduler has them.
-func TestConnectionsCrossServerClose(t *testing.T) {
+// A connection that arrives during Wait or Close is either served or closed, and Close waits for it. Many rounds cover different orders
+// of the goroutines.
+func TestConnectionsAcceptedDuringCloseAreServedOrClosed(t *testing.T) {
 	for i := range 300 {
 		s := &Server{Handler: HandlerFunc(echoHandler), Limits: DefaultLimits,
 			Timeouts: Timeouts{Head: time.Second, Body: time.Second, Idle: time.Second,
@@ -223,7 +223,7 @@
 			for range 3 {
 				if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
 					if i%2 == 0 {
-						io.WriteString(c, ok+"\r\n")
+						io.WriteString(c, getHead+"\r\n")
 					}
 					c.Close()
 				}
@@ -240,38 +240,38 @@
 	}
 }
 
-// A node that is killed drops what its owner had not looked at yet. Nobody answers those exchanges any more, and a
-// Close that waited for them never returned (seen in a fleet of 60 nodes under pressure).
+// A node that is killed drops exchanges that its handler has passed on and nothing has processed yet. They never get a response, so that a
+// Close that waited for them never returned (seen with 60 nodes under load).
 func TestCloseDoesNotWaitForAbandonedExchanges(t *testing.T) {
-	taken := make(chan struct{})
-	s := &Server{Handler: HandlerFunc(func(*Exchange) { close(taken) }), Limits: DefaultLimits, Timeouts: DefaultTimeouts}
+	received := make(chan struct{})
+	s := &Server{Handler: HandlerFunc(func(*Exchange) { close(received) }), Limits: DefaultLimits, Timeouts: DefaultTimeouts}
 	addr := startServer(t, s)
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	io.WriteString(c, ok+"\r\n")
-	<-taken
+	io.WriteString(c, getHead+"\r\n")
+	<-received
 	closed := make(chan struct{})
 	go func() { s.Close(); close(closed) }()
 	select {
 	case <-closed:
 	case <-time.After(10 * time.Second):
-		t.Fatal("Close waits for an answer that nobody gives")
+		t.Fatal("Close did not return: it waits for an exchange that never ends")
 	}
 }
 
-// A client that finds no place is told so: a refusal written before its request was read was lost to a reset, and
-// thousands of clients of a crowded node saw a cut connection.
+// Clients over the connection limit receive a 503. A rejection that was written before the request was read was lost to a reset, so that
+// thousands of clients of a full node saw a broken connection instead.
 func TestClientsOverTheLimitReadTheirRejection(t *testing.T) {
-	hold := make(chan struct{})
+	release := make(chan struct{})
 	s := &Server{MaxConns: func() int { return 1 }, Handler: HandlerFunc(func(x *Exchange) {
-		go func() { <-hold; x.Reply(200, nil, nil) }()
+		go func() { <-release; x.Reply(200, nil, nil) }()
 	})}
 	addr := startServer(t, s)
 	first := dialServer(t, addr)
-	io.WriteString(first, ok+"\r\n")
+	io.WriteString(first, getHead+"\r\n")
 	for s.Conns() == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -295,5 +295,5 @@
 			t.Error(err)
 		}
 	}
-	close(hold)
+	close(release)
 }
