--- a/lab/record/record.go
+++ b/lab/record/record.go
@@ -1,5 +1,5 @@
-// Package record keeps what passed on the sockets of a run, as clients, engines and discovery sources saw it. The rule checker
-// (lab/rules) has no other evidence.
+// Package record stores the events of a run's sockets, as clients, engines and discovery sources observed them. The rule checker
+// (lab/rules) uses no other data.
 package record
 
 import (
@@ -9,36 +9,36 @@
 	"time"
 )
 
-// Kind says what was seen.
+// Kind is the type of an event.
 type Kind string
 
-// What clients see.
+// Events observed by clients.
 const (
 	// RequestSent is a complete request of a client.
 	RequestSent Kind = "ask"
-	// FirstToken is the first part of a response.
+	// FirstToken is the arrival of a response's first token.
 	FirstToken Kind = "first"
 	// FinalResponse is the end of a response; Outcome classifies it.
 	FinalResponse Kind = "answer"
-	// ClientDisconnected is a disconnect by the client's own choice.
+	// ClientDisconnected is a disconnect initiated by the client.
 	ClientDisconnected Kind = "hangup"
-	// ExtraResponse is a second final response, or anything else after the final one.
+	// ExtraResponse is a second final response, or any other data after the first.
 	ExtraResponse Kind = "more"
 )
 
-// What engines see.
+// Events observed by engines.
 const (
 	// Arrive is a complete attempt that an engine received.
 	Arrive Kind = "arrive"
 	// AttemptRejected is an attempt that the engine rejected.
 	AttemptRejected Kind = "turned"
-	// Run is the start of an attempt's effect: the engine makes the response.
+	// Run is the start of an attempt's effect: the engine begins to generate the response.
 	Run Kind = "run"
 	// AttemptEnded is the end of an attempt at its engine.
 	AttemptEnded Kind = "end"
-	// StateReserved is a state that waits at its engine from now on.
+	// StateReserved is a prefilled state that the engine stores until it is fetched or released.
 	StateReserved Kind = "parsed"
-	// StateEnded is a state that was fetched, released or lost.
+	// StateEnded is the end of a state: it was fetched, released or lost.
 	StateEnded Kind = "state_end"
 	// EngineStarted is the start of an engine, cold if Tokens is 1.
 	EngineStarted Kind = "boot"
@@ -46,15 +46,15 @@
 	EngineStopped Kind = "died"
 )
 
-// What the source of the endpoint list and the launcher of the nodes see.
+// Events observed by the source of the endpoint list and by the launcher of the nodes.
 const (
-	// ListDelivered is the delivery of an endpoint list to a node; it gives State for Engine.
+	// ListDelivered is the delivery of an endpoint list to a node; State is the state of Engine in the list.
 	ListDelivered Kind = "told"
-	// NodeStarted is a node that is ready.
+	// NodeStarted is a node that has become ready.
 	NodeStarted Kind = "node_up"
-	// NodeKilled is a node that was killed.
+	// NodeKilled is the kill of a node's process.
 	NodeKilled Kind = "node_kill"
-	// RecordEnded is the end of the record: events were watched until then.
+	// RecordEnded is the end of the recording: events were recorded until then.
 	RecordEnded Kind = "close"
 )
 
@@ -65,7 +65,7 @@
 const (
 	// Served is a complete response.
 	Served Outcome = "served"
-	// Rejected is a rejection that says that a retry is harmless.
+	// Rejected is a rejection that promises that a retry is harmless.
 	Rejected Outcome = "refused"
 	// Failed is an error response.
 	Failed Outcome = "failed"
@@ -79,9 +79,9 @@
 
 // Record is one event. Which fields are set depends on Kind.
 type Record struct {
-	T          float64 // Unix seconds
+	T          float64 // time (Unix seconds)
 	Kind       Kind
-	Op         string // operation: what the user wants done; its attempts share it
+	Op         string // id of the operation: a unit of work requested by a user, including the client's retries
 	Try        int    // number of the client's attempt, from 0
 	Class      string
 	Tenant     string
@@ -90,15 +90,15 @@
 	State      string // id of a state, or the state of an engine in an endpoint list
 	Outcome    Outcome
 	Tokens     float64 // of the prompt or of the response; RequestSent: the client's patience (s)
-	Work       float64 // Arrive: tokens of the prompt to process, or of the response to make
-	StatedTime float64 // Arrive: for how long its client waits, as stated to the engine (s); 0 = not stated
+	Work       float64 // Arrive: tokens of the prompt to process, or of the response to generate
+	StatedTime float64 // Arrive: the client's remaining time as stated to the engine (s); 0 = not stated
 	Note       string
 	OK         bool // FinalResponse: the text is correct
 }
 
-// Log collects records. It is safe for concurrent use. A nil Log drops them.
+// Log collects records. It is safe for concurrent use. A nil Log discards them.
 type Log struct {
-	// Sink receives each record, one at a time, and the log keeps none. It must not call the log.
+	// Sink, if set, receives each record, one at a time, and the log stores none. It must not call the log.
 	Sink func(Record)
 
 	mu      sync.Mutex
@@ -106,10 +106,10 @@
 	count   int
 }
 
-// Now returns the present time in the unit of records.
+// Now returns the current time in the unit of records.
 func Now() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 
-// Add takes a record, at the present time if it has none.
+// Add adds a record. A record without a time gets the current time.
 func (l *Log) Add(r Record) {
 	if l == nil {
 		return
@@ -127,21 +127,21 @@
 	l.records = append(l.records, r)
 }
 
-// Hold runs f while no record is taken, so that f may read what the Sink has made.
+// Hold runs f while no record is added, so that f may read data that the Sink writes.
 func (l *Log) Hold(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
 }
 
-// Len returns the number of records taken.
+// Len returns the number of records added, including those passed to the Sink.
 func (l *Log) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.count
 }
 
-// All returns the records that were kept, in order of time.
+// All returns the stored records, ordered by time.
 func (l *Log) All() []Record {
 	l.mu.Lock()
 	records := slices.Clone(l.records)
@@ -150,6 +150,6 @@
 	return records
 }
 
-// ResponseLost is the note of a StateReserved whose prefill was answered over a connection that carries nothing any more: the attempt is
-// in flight until its node closes that connection, which ends it.
+// ResponseLost is the note of a StateReserved whose prefill was answered over a connection that no longer carries data. The attempt is
+// in flight until its node closes that connection, which ends the attempt.
 const ResponseLost = "response lost"
--- a/lab/rules/checker.go
+++ b/lab/rules/checker.go
@@ -1,6 +1,6 @@
-// Package rules checks the five rules of a run against the records of what passed on the sockets. It imports nothing of the
-// product, so that a fault there cannot hide itself here. Each rule has a file of its own: it takes records and reports
-// violations. A Checker takes the records of a run while the run goes on; Check takes those of a run that is over.
+// Package rules checks the records of a run's socket traffic against the five rules. It imports no package of the router, so that
+// a fault of the router cannot hide from the checker. Each rule has a file of its own; it processes records and reports violations.
+// A Checker processes records during a run; Check processes those of a completed run.
 package rules
 
 import (
@@ -12,66 +12,66 @@
 	"dillroute/lab/record"
 )
 
-// Config holds the figures of the rules and what is known of the engines and classes of the run. Times are in seconds.
+// Config holds the limits of the rules and describes the engines and request classes of the run. Times are in seconds.
 type Config struct {
 	Classes           map[string]Class
 	Engines           map[string]Engine
-	AnswerSlack       float64 // rule 1: allowed after the client's patience
-	StatedTimeSlack   float64 // rule 1: by how much the time stated to an engine may exceed the client's; 0 = not checked
-	DrainGrace        float64 // rule 3
-	ListLag           float64 // rule 3: for a node to read its list once the list has been delivered
-	OverloadMultiple  float64 // rule 4
-	SlowStartWindow   float64 // rule 4
-	StateReleaseLimit float64 // rule 5
-	Skew              float64 // what clocks, scheduling and the socket may add
+	AnswerSlack       float64 // rule 1: delay of a response allowed beyond the client's patience
+	StatedTimeSlack   float64 // rule 1: maximum excess of the time stated to an engine over the client's remaining time; 0 = not checked
+	DrainGrace        float64 // rule 3: grace period after which no attempt may be sent
+	ListLag           float64 // rule 3: time for a node to read a delivered endpoint list
+	OverloadMultiple  float64 // rule 4: maximum work sent, as a multiple of the engine's capacity in slow start
+	SlowStartWindow   float64 // rule 4: length of the window over which work is summed
+	StateReleaseLimit float64 // rule 5: maximum time that an idle state may wait
+	Skew              float64 // tolerance for clock skew, scheduling and socket delays
 }
 
-// Class is what the rules need of a class of requests.
+// Class holds the properties of a request class that the rules need.
 type Class struct {
-	Effect string // repeatable, by_key or once
-	Group  string // all, zone or cell: where a by_key request may be repeated
-	KeyTTL float64
+	Effect string  // repeatable, by_key or once
+	Group  string  // all, zone or cell: where a by_key request may be repeated
+	KeyTTL float64 // deduplication window of a by_key request (s)
 }
 
-// Engine is what the rules need of an engine. The rates are those of the warm engine, in the tokens that records hold: of prompts
-// for the prefill stage, of responses for the decode stage.
+// Engine holds the properties of an engine that the rules need. The rates are those after slow start, in the tokens of the records:
+// prompt tokens for the prefill stage, response tokens for the decode stage.
 type Engine struct {
 	Cell, Zone             string
 	PrefillTokensPerSecond float64
 	DecodeTokensPerSecond  float64
-	SlowStartShare         float64 // of the warm rates, at the start of the engine
-	SlowStartSeconds       float64
+	SlowStartShare         float64 // fraction of these rates at the start of the engine
+	SlowStartSeconds       float64 // duration of slow start
 }
 
-// Violation is one case of a broken rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule int     // 1 to 5; 0 = the text of a response is wrong
-	T    float64 // Unix seconds
+	T    float64 // time (Unix seconds)
 	Text string
 }
 
 // String returns the violation as a report prints it.
 func (v Violation) String() string {
 	if v.Rule == 0 {
-		return "wrong answer: " + v.Text
+		return "incorrect response text: " + v.Text
 	}
 	return fmt.Sprintf("rule %d: %s", v.Rule, v.Text)
 }
 
 const (
-	// horizon is how long the checker remembers an operation, a state or a killed node after its last record (s). It does not see
-	// a violation that shows later than that.
+	// horizon is how long the checker retains an operation, a state or a killed node after its last record (s). A violation that
+	// becomes visible only after that is not detected.
 	horizon = 30.0
-	// sweepInterval is the time between two passes that forget what is older than the horizon (s).
+	// sweepInterval is the time between two passes that delete entries older than the horizon (s).
 	sweepInterval = horizon / 4
-	// killHorizon is how long the checker remembers that a node was killed (s).
+	// killHorizon is how long the checker retains the time at which a node was killed (s).
 	killHorizon = 10 * horizon
-	// violationsPerRule is how many violations of each rule are kept with their text; all of them are counted.
+	// violationsPerRule is the maximum number of violations per rule whose text is stored; all violations are counted.
 	violationsPerRule = 25
 )
 
-// Checker checks the rules while the run goes on. Its memory is bounded by what happens within the horizon, not by the length of
-// the run. It is not safe for concurrent use.
+// Checker checks the rules during a run. Its memory is bounded by the events within the horizon, not by the length of the run. It
+// is not safe for concurrent use.
 type Checker struct {
 	reorder    reorderBuffer
 	findings   *findings
@@ -83,21 +83,21 @@
 	lastSweep  float64
 }
 
-// NewChecker returns a checker that has seen no record.
+// NewChecker returns a checker without records.
 func NewChecker(config Config) *Checker {
 	found := &findings{counts: map[int]int{}}
 	kills := &nodeKills{skew: config.Skew, times: map[string][]float64{}}
 	return &Checker{
 		findings:   found,
 		kills:      kills,
-		operations: &operationRules{config: config, found: found, kills: kills, operations: map[string]*operation{}},
-		drain:      &drainRule{config: config, found: found, delivered: map[nodeEngine]record.Record{}},
+		operations: &operationRules{config: config, findings: found, kills: kills, operations: map[string]*operation{}},
+		drain:      &drainRule{config: config, findings: found, delivered: map[nodeEngine]record.Record{}},
 		slowStart:  newSlowStartRule(config, found),
-		states:     &stateReleaseRule{config: config, found: found, kills: kills, reserved: map[string]*reservedState{}},
+		states:     &stateReleaseRule{config: config, findings: found, kills: kills, reserved: map[string]*reservedState{}},
 	}
 }
 
-// Check returns the violations of a run that is over, in order of time.
+// Check returns the violations in the records of a completed run, ordered by time.
 func Check(records []record.Record, config Config) []Violation {
 	checker := NewChecker(config)
 	for _, r := range records {
@@ -106,7 +106,7 @@
 	return checker.Close()
 }
 
-// Add takes a record. Records may come out of order by up to reorderWindow.
+// Add adds a record. Records may be out of order by up to reorderWindow.
 func (c *Checker) Add(r record.Record) {
 	c.reorder.add(r)
 	for {
@@ -118,7 +118,7 @@
 	}
 }
 
-// Close checks the remaining records and returns the violations that were kept, in order of time: the first of each rule.
+// Close checks the remaining records and returns the stored violations, the first ones of each rule, ordered by time.
 func (c *Checker) Close() []Violation {
 	for {
 		next, ok := c.reorder.next()
@@ -133,7 +133,7 @@
 	return c.findings.violations
 }
 
-// Broken returns the number of violations found so far.
+// Broken returns the number of violations found so far, over all rules.
 func (c *Checker) Broken() int {
 	total := 0
 	for _, n := range c.findings.counts {
@@ -142,13 +142,13 @@
 	return total
 }
 
-// ByRule returns the number of violations of each rule; 0 stands for a wrong text.
+// ByRule returns the number of violations by rule; rule 0 counts incorrect response texts.
 func (c *Checker) ByRule() map[int]int { return maps.Clone(c.findings.counts) }
 
-// SlowStartUse returns how near the work sent to a warming engine came to its budget.
+// SlowStartUse returns the greatest use of an engine's slow-start budget so far.
 func (c *Checker) SlowStartUse() SlowStartUse { return c.slowStart.peak }
 
-// check passes one record to every rule; all earlier records have been passed.
+// check passes one record to every rule; records must be passed in order of time.
 func (c *Checker) check(r record.Record) {
 	c.kills.observe(r)
 	c.operations.observe(r)
@@ -163,13 +163,13 @@
 	}
 }
 
-// findings collects the violations of all rules.
+// findings stores the violations of all rules.
 type findings struct {
 	violations []Violation
 	counts     map[int]int // by rule
 }
 
-// report counts a violation and keeps its text if it is one of the first of its rule.
+// report counts a violation and stores its text if it is among the first violationsPerRule of its rule.
 func (f *findings) report(rule int, at float64, format string, args ...any) {
 	f.counts[rule]++
 	if f.counts[rule] <= violationsPerRule {
@@ -180,7 +180,7 @@
 // nodeEngine is a pair of a node and an engine.
 type nodeEngine struct{ node, engine string }
 
-// nodeKills holds when each node was killed. What a node had in flight then is the client's to retry.
+// nodeKills holds the times at which nodes were killed. Requests in flight on a killed node are excused: their clients have to retry.
 type nodeKills struct {
 	skew  float64
 	times map[string][]float64 // by node
@@ -192,7 +192,7 @@
 	}
 }
 
-// within reports whether the node was killed within a span of time.
+// within reports whether the node was killed between two times, extended by skew on both sides.
 func (k *nodeKills) within(node string, from, to float64) bool {
 	return slices.ContainsFunc(k.times[node], func(at float64) bool { return at >= from-k.skew && at <= to+k.skew })
 }
--- a/lab/rules/draining.go
+++ b/lab/rules/draining.go
@@ -2,15 +2,15 @@
 
 import "dillroute/lab/record"
 
-// stateReady is the state of an engine that may be sent requests, as endpoint lists give it.
+// stateReady is the endpoint list's state of an engine that accepts requests.
 const stateReady = "ready"
 
-// drainRule checks rule 3: a node sends nothing to an engine once its endpoint list has said, for the grace, that the engine is
-// draining or gone.
+// drainRule checks rule 3: a node sends nothing to an engine that its endpoint list has shown as draining or gone for longer than
+// the grace period.
 type drainRule struct {
 	config    Config
-	found     *findings
-	delivered map[nodeEngine]record.Record // the first delivery of the present state
+	findings  *findings
+	delivered map[nodeEngine]record.Record // the first delivery of the engine's current state
 }
 
 func (d *drainRule) observe(r record.Record) {
@@ -24,7 +24,7 @@
 		delivery, known := d.delivered[key]
 		allowed := d.config.DrainGrace + d.config.ListLag + d.config.Skew
 		if known && delivery.State != stateReady && r.T > delivery.T+allowed {
-			d.found.report(3, r.T, "%s was sent %s by %s %.3f s after it was told that it is %s",
+			d.findings.report(3, r.T, "%s received %s from %s %.3f s after that node's endpoint list gave its state as %s",
 				r.Engine, r.Op, r.Node, r.T-delivery.T, delivery.State)
 		}
 	}
--- a/lab/rules/effects.go
+++ b/lab/rules/effects.go
@@ -2,14 +2,14 @@
 
 import "dillroute/lab/record"
 
-// Rule 2: an operation has its effect at most once, or as often as its class allows; and a client is told that a retry is harmless
-// only where that is true.
+// Rule 2: an operation takes effect at most once, or as often as its class allows, and a response promises that a retry is harmless
+// only if it is.
 
-// effectBegan takes the start of an operation's effect at an engine.
-func (o *operationRules) effectBegan(r record.Record) {
+// addEffect processes the start of an operation's effect at an engine.
+func (o *operationRules) addEffect(r record.Record) {
 	op := o.operationOf(r)
 	a := op.attempt(r.Try)
-	a.effectAt = r.Engine
+	a.effectEngine = r.Engine
 	for _, response := range a.finalResponses {
 		o.checkRetryHarmless(response, a)
 	}
@@ -19,33 +19,34 @@
 	op.effects = append(op.effects, r)
 }
 
-// checkRetryHarmless checks a rejection, which says that a retry is harmless, against the effect that the attempt has had.
+// checkRetryHarmless reports a rejection, which promises that a retry is harmless, if the attempt has taken effect.
 func (o *operationRules) checkRetryHarmless(response record.Record, a *attempt) {
 	class := o.config.Classes[response.Class]
 	if class.Effect == "repeatable" || class.Effect == "by_key" && class.Group == "all" {
 		return
 	}
-	if response.Outcome == record.Rejected && a.effectAt != "" {
-		o.found.report(2, response.T, "%s try %d was refused, a retry being called harmless, though %s had run it",
-			response.Op, response.Try, a.effectAt)
+	if response.Outcome == record.Rejected && a.effectEngine != "" {
+		o.findings.report(2, response.T, "%s attempt %d was rejected as harmless to retry, but had taken effect at %s",
+			response.Op, response.Try, a.effectEngine)
 	}
 }
 
-// checkSecondEffect checks whether the class allows another effect after the first.
-func (o *operationRules) checkSecondEffect(again, first record.Record) {
-	class := o.config.Classes[again.Class]
+// checkSecondEffect reports a second effect that the class does not allow.
+func (o *operationRules) checkSecondEffect(second, first record.Record) {
+	class := o.config.Classes[second.Class]
 	switch class.Effect {
 	case "once":
-		o.found.report(2, again.T, "%s ran at %s and again at %s", again.Op, first.Engine, again.Engine)
+		o.findings.report(2, second.T, "%s took effect at %s and again at %s", second.Op, first.Engine, second.Engine)
 	case "by_key":
-		expired := again.T-first.T > class.KeyTTL+o.config.Skew
-		if expired || !o.sameGroup(class.Group, first.Engine, again.Engine) {
-			o.found.report(2, again.T, "%s ran at %s and, outside its group or window, at %s", again.Op, first.Engine, again.Engine)
+		expired := second.T-first.T > class.KeyTTL+o.config.Skew
+		if expired || !o.sameGroup(class.Group, first.Engine, second.Engine) {
+			o.findings.report(2, second.T, "%s took effect at %s and, outside its group or deduplication window, at %s",
+				second.Op, first.Engine, second.Engine)
 		}
 	}
 }
 
-// sameGroup reports whether two engines share the keys of a group.
+// sameGroup reports whether two engines deduplicate by the same keys; group is the scope of the keys: all, zone or cell.
 func (o *operationRules) sameGroup(group, first, second string) bool {
 	a, b := o.config.Engines[first], o.config.Engines[second]
 	switch group {
--- a/lab/rules/operations.go
+++ b/lab/rules/operations.go
@@ -7,27 +7,27 @@
 	"dillroute/lab/record"
 )
 
-// operation is what a user wants done; its attempts share it.
+// operation is a unit of work requested by a user; the client's retries belong to the same operation.
 type operation struct {
-	attempts   map[int]*attempt
-	effects    []record.Record // each start of its effect at an engine
-	lastRecord float64         // time
+	attempts     map[int]*attempt
+	effects      []record.Record // each start of its effect at an engine
+	lastRecordAt float64
 }
 
 // attempt is one request of a client to a node.
 type attempt struct {
-	request           record.Record // zero until it was sent
+	request           record.Record // zero until the request was sent
 	finalResponses    []record.Record
-	firstTokenAt      float64 // 0 = none has come
-	effectAt          string  // engine at which its effect began; "" = none
-	reportedAsMissing bool    // that it has no final response
+	firstTokenAt      float64 // 0 = no token has arrived
+	effectEngine      string  // engine at which its effect began; "" = none
+	reportedAsMissing bool    // a missing final response has been reported
 }
 
 // operationRules checks rule 1 (one final response in time, and nothing after it) and rule 2 (no second effect) on the operations
-// that clients and engines saw.
+// that clients and engines recorded.
 type operationRules struct {
 	config     Config
-	found      *findings
+	findings   *findings
 	kills      *nodeKills
 	operations map[string]*operation
 }
@@ -39,24 +39,24 @@
 	case record.FirstToken:
 		o.attemptOf(r).firstTokenAt = r.T
 	case record.Run:
-		o.effectBegan(r)
+		o.addEffect(r)
 	case record.FinalResponse, record.ClientDisconnected, record.ExtraResponse:
-		o.responded(r)
+		o.addFinalResponse(r)
 	case record.Arrive:
 		if r.Op != "" {
-			o.arrivedAtEngine(r)
+			o.checkArrival(r)
 		}
 	}
 }
 
-// operationOf returns the operation of a record and notes the record's time.
+// operationOf returns the operation of a record, creating it if needed, and updates the time of its last record.
 func (o *operationRules) operationOf(r record.Record) *operation {
 	op := o.operations[r.Op]
 	if op == nil {
 		op = &operation{attempts: map[int]*attempt{}}
 		o.operations[r.Op] = op
 	}
-	op.lastRecord = max(op.lastRecord, r.T)
+	op.lastRecordAt = max(op.lastRecordAt, r.T)
 	return op
 }
 
@@ -73,18 +73,18 @@
 	return a
 }
 
-// sweep forgets operations that have ended and had no record within the horizon.
+// sweep deletes completed operations that had no record within the horizon.
 func (o *operationRules) sweep(now float64) {
 	for _, id := range slices.Sorted(maps.Keys(o.operations)) {
 		op := o.operations[id]
-		if now > op.lastRecord+horizon && !op.awaitsResponse(now) {
+		if now > op.lastRecordAt+horizon && !op.awaitsResponse(now) {
 			o.reportMissing(id, op)
 			delete(o.operations, id)
 		}
 	}
 }
 
-// awaitsResponse reports whether the client of an attempt may still wait for its first token.
+// awaitsResponse reports whether the client of any attempt may still be waiting for the first token.
 func (op *operation) awaitsResponse(now float64) bool {
 	for _, a := range op.attempts {
 		if len(a.finalResponses) == 0 && a.firstTokenAt == 0 && now < a.request.T+patienceOf(a.request)+horizon {
@@ -94,13 +94,13 @@
 	return false
 }
 
-// close reports what is missing at the end of the run.
+// close reports the final responses that are missing at the end of the run.
 func (o *operationRules) close() {
 	for _, id := range slices.Sorted(maps.Keys(o.operations)) {
 		o.reportMissing(id, o.operations[id])
 	}
 }
 
-// patienceOf returns how long the client of a request waits for the first token (s); 0 = without limit. The record of a request
-// holds it in Tokens.
+// patienceOf returns how long the client of a request waits for the first token (s); 0 = no limit. The record of a request stores it
+// in Tokens.
 func patienceOf(request record.Record) float64 { return request.Tokens }
--- a/lab/rules/reorder.go
+++ b/lab/rules/reorder.go
@@ -6,10 +6,10 @@
 	"dillroute/lab/record"
 )
 
-// reorderWindow is by how much records may come out of order (s): many goroutines write those of one moment.
+// reorderWindow is how far records may be out of order (s): many goroutines write records at the same time.
 const reorderWindow = 0.5
 
-// reorderBuffer holds records until no earlier one can come, and returns them in order of time.
+// reorderBuffer stores records until no earlier one can arrive, and returns them in order of time.
 type reorderBuffer struct {
 	waiting recordHeap
 	latest  float64 // time of the latest record
@@ -22,7 +22,7 @@
 	b.latest = max(b.latest, r.T)
 }
 
-// nextDue removes the earliest record if it is older than the reorder window.
+// nextDue removes and returns the earliest record if it is older than the reorder window.
 func (b *reorderBuffer) nextDue() (record.Record, bool) {
 	if len(b.waiting) == 0 || b.waiting[0].T >= b.latest-reorderWindow {
 		return record.Record{}, false
@@ -30,7 +30,7 @@
 	return b.next()
 }
 
-// next removes the earliest record.
+// next removes and returns the earliest record; it returns false if there is none.
 func (b *reorderBuffer) next() (record.Record, bool) {
 	if len(b.waiting) == 0 {
 		return record.Record{}, false
@@ -38,14 +38,14 @@
 	return heap.Pop(&b.waiting).(waitingRecord).Record, true
 }
 
-// waitingRecord is a record in the buffer. The serial keeps the order of those with the same time.
+// waitingRecord is a record in the buffer. The serial preserves the order of records with the same time.
 type waitingRecord struct {
 	record.Record
 	serial uint64
 }
 
-// recordHeap is a heap by time. A sorted slice moved every later record at each insertion: at 20,000 records a second the
-// checker took more of the machine than what it checked.
+// recordHeap is a heap ordered by time. With a sorted slice, each insertion moves all later records: at 20,000 records a second the
+// checker used more CPU time than the system under test.
 type recordHeap []waitingRecord
 
 func (h recordHeap) Len() int      { return len(h) }
--- a/lab/rules/responses.go
+++ b/lab/rules/responses.go
@@ -3,14 +3,14 @@
 import "dillroute/lab/record"
 
 // Rule 1: each attempt of a client gets exactly one final response, correct and within the client's patience; nothing is sent to
-// an engine after it; and no engine is told that the client has more time than it has.
+// an engine after it; and the time stated to an engine does not exceed the client's remaining time.
 
-// responded takes a final response, the disconnect of a client, or what came after either.
-func (o *operationRules) responded(r record.Record) {
+// addFinalResponse processes a final response, a client's disconnect, or anything received after one of them.
+func (o *operationRules) addFinalResponse(r record.Record) {
 	a := o.attemptOf(r)
 	a.finalResponses = append(a.finalResponses, r)
 	if n := len(a.finalResponses); n > 1 {
-		o.found.report(1, r.T, "%s try %d has %d final answers", r.Op, r.Try, n)
+		o.findings.report(1, r.T, "%s attempt %d has %d final responses", r.Op, r.Try, n)
 		return
 	}
 	if r.Kind != record.ClientDisconnected {
@@ -20,7 +20,7 @@
 	o.checkRetryHarmless(r, a)
 }
 
-// checkDelivery checks that a final response arrived, and in time.
+// checkDelivery checks that a final response arrived in time.
 func (o *operationRules) checkDelivery(response record.Record, a *attempt) {
 	request := a.request
 	patience := patienceOf(request)
@@ -30,7 +30,7 @@
 	switch response.Outcome {
 	case record.Cut, record.TimedOut:
 		if !o.kills.within(request.Node, request.T, response.T) {
-			o.found.report(1, response.T, "%s try %d was %s: %s", response.Op, response.Try, response.Outcome, response.Note)
+			o.findings.report(1, response.T, "%s attempt %d was %s: %s", response.Op, response.Try, response.Outcome, response.Note)
 		}
 		return
 	case record.Unreachable:
@@ -39,51 +39,52 @@
 	switch {
 	case patience <= 0:
 	case a.firstTokenAt > 0 && firstToken > limit:
-		o.found.report(1, a.firstTokenAt, "%s try %d began %.3f s after the client's patience",
+		o.findings.report(1, a.firstTokenAt, "%s attempt %d had its first token %.3f s after the client's patience ended",
 			response.Op, response.Try, firstToken-patience)
 	case a.firstTokenAt == 0 && total > limit:
-		o.found.report(1, response.T, "%s try %d was answered %.3f s after the client's patience",
+		o.findings.report(1, response.T, "%s attempt %d had its final response %.3f s after the client's patience ended",
 			response.Op, response.Try, total-patience)
 	}
 }
 
-// checkText checks that what the client received is what the engine made.
+// checkText checks that the client received the text that the engine generated.
 func (o *operationRules) checkText(response record.Record, a *attempt) {
 	if (response.Outcome == record.Served || a.firstTokenAt > 0) && !response.OK {
-		o.found.report(0, response.T, "%s try %d (%s): the text repeats, lacks or mixes something",
+		o.findings.report(0, response.T, "%s attempt %d (%s): parts of the text are repeated, missing or mixed with another response",
 			response.Op, response.Try, response.Outcome)
 	}
 }
 
-// arrivedAtEngine checks what a node sent to an engine for an attempt of a client.
-func (o *operationRules) arrivedAtEngine(r record.Record) {
+// checkArrival checks an attempt of a node that arrived at an engine against the client's attempt that it serves.
+func (o *operationRules) checkArrival(r record.Record) {
 	a := o.attemptOf(r)
 	o.checkStatedTime(r, a.request)
 	for _, response := range a.finalResponses {
 		if r.T > response.T+o.config.Skew {
-			o.found.report(1, r.T, "%s try %d was sent to %s %.3f s after its final answer", r.Op, r.Try, r.Engine, r.T-response.T)
+			o.findings.report(1, r.T, "%s attempt %d was sent to %s %.3f s after its final response", r.Op, r.Try, r.Engine, r.T-response.T)
 			return
 		}
 	}
 }
 
-// checkStatedTime checks the time that the node stated to the engine against the time that the client still waits.
+// checkStatedTime checks the time that the node stated to the engine against the client's remaining time.
 func (o *operationRules) checkStatedTime(r, request record.Record) {
 	if o.config.StatedTimeSlack <= 0 || request.T <= 0 {
 		return
 	}
 	remaining := request.T + patienceOf(request) - r.T
 	if r.StatedTime > max(0, remaining)+o.config.StatedTimeSlack+o.config.Skew {
-		o.found.report(1, r.T, "%s try %d: %s was told %.3f s, its client has %.3f s left", r.Op, r.Try, r.Engine, r.StatedTime, remaining)
+		o.findings.report(1, r.T, "%s attempt %d: the time stated to %s is %.3f s, but the client has %.3f s left",
+			r.Op, r.Try, r.Engine, r.StatedTime, remaining)
 	}
 }
 
-// reportMissing reports the attempts of an operation that have no final response by now.
+// reportMissing reports the attempts of an operation that have no final response; each is reported once.
 func (o *operationRules) reportMissing(id string, op *operation) {
 	for number, a := range op.attempts {
 		if len(a.finalResponses) == 0 && a.request.T > 0 && !a.reportedAsMissing {
 			a.reportedAsMissing = true
-			o.found.report(1, a.request.T, "%s try %d has no final answer", id, number)
+			o.findings.report(1, a.request.T, "%s attempt %d has no final response", id, number)
 		}
 	}
 }
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -15,16 +15,16 @@
 	"dillroute/lab/rules"
 )
 
-// scene is a fleet behind a router with a defect.
-type scene struct {
+// defectCase is a fleet of engines behind a router with a defect.
+type defectCase struct {
 	defect        faultyrouter.Defect
-	brokenRule    int // that the checker must report; -1 = none
+	brokenRule    int // rule that the checker must report; -1 = none
 	changeRequest func(*client.Request)
 	injectFault   func(f *fleet.Fleet)
 }
 
-// play sends requests through the router and returns what the checker reports.
-func play(t *testing.T, s scene) []rules.Violation {
+// runDefectCase sends requests through the router and returns the violations that the checker reports.
+func runDefectCase(t *testing.T, s defectCase) []rules.Violation {
 	t.Helper()
 	log := &record.Log{}
 	var members []fleet.Member
@@ -62,7 +62,7 @@
 	case faultyrouter.SendsToDraining:
 		draining["decode-1"] = true
 		deliverList("decode-1", "draining")
-		time.Sleep(1100 * time.Millisecond) // the grace must have passed
+		time.Sleep(1100 * time.Millisecond) // the grace period must have ended
 	case faultyrouter.FloodsColdEngine:
 		engineFleet.Engine("decode-1").Kill()
 		if err := engineFleet.Engine("decode-1").Start(true); err != nil {
@@ -100,11 +100,11 @@
 	}
 	wg.Wait()
 	if s.defect == faultyrouter.SendsAfterAnswer || s.defect == faultyrouter.LeavesState {
-		time.Sleep(1800 * time.Millisecond) // what comes after the response, or is missing, has to be recorded
+		time.Sleep(1800 * time.Millisecond) // the attempt after the response, or the missing release, has to be recorded
 	}
 	router.Stop()
 	log.Add(record.Record{Kind: record.RecordEnded})
-	if s.brokenRule < 0 && s.injectFault == nil { // a router without a defect that serves nobody proves nothing
+	if s.brokenRule < 0 && s.injectFault == nil { // the case without a defect is valid only if all requests are served
 		for _, r := range log.All() {
 			if r.Kind == record.FinalResponse && r.Outcome != record.Served {
 				t.Errorf("%s: %s", r.Outcome, r.Note)
@@ -125,8 +125,9 @@
 	})
 }
 
-// Every defective router is caught by the rule that it breaks, and the router without a defect by none.
-func TestDefectiveRoutersAreCaught(t *testing.T) {
+// Guards against a checker that misses a violation: for each defective router it must report the rule that the defect violates, and
+// for the router without a defect no rule.
+func TestCheckerReportsEachDefect(t *testing.T) {
 	cutStreamsAfter := func(k int) func(f *fleet.Fleet) {
 		return func(f *fleet.Fleet) {
 			for _, id := range []string{"decode-1", "decode-2"} {
@@ -142,7 +143,7 @@
 		f.Engine("decode-1").SetFaults(emulator.Faults{RejectStatus: 500})
 		f.Engine("decode-2").SetFaults(emulator.Faults{RejectStatus: 500})
 	}
-	for _, s := range []scene{
+	for _, s := range []defectCase{
 		{defect: faultyrouter.None, brokenRule: -1},
 		{defect: faultyrouter.None, brokenRule: -1, injectFault: cutStreamsAfter(3)},
 		{defect: faultyrouter.None, brokenRule: -1, injectFault: rejectWithError},
@@ -161,7 +162,7 @@
 	} {
 		t.Run(fmt.Sprintf("%s rule %d", s.defect, s.brokenRule), func(t *testing.T) {
 			t.Parallel()
-			found := play(t, s)
+			found := runDefectCase(t, s)
 			if s.brokenRule < 0 {
 				for _, v := range found {
 					t.Error(v)
@@ -173,7 +174,7 @@
 					return
 				}
 			}
-			t.Fatalf("not caught; found %v", found)
+			t.Fatalf("no violation of the expected rule; got %v", found)
 		})
 	}
 }
--- a/lab/rules/slowstart.go
+++ b/lab/rules/slowstart.go
@@ -8,33 +8,33 @@
 	"dillroute/lab/record"
 )
 
-// slowStartRule checks rule 4: in every window of the stated length, the work that all nodes together send to a warming engine
-// stays under the multiple of what the engine can do at that time, with an allowance of two requests. A request weighs as much as
-// the mean of its class and stage so far.
+// slowStartRule checks rule 4: in every window of Config.SlowStartWindow, the work that all nodes together send to an engine in slow
+// start stays below Config.OverloadMultiple times the engine's capacity at that time, plus an allowance of two requests. Each request
+// counts with the mean work of its class and stage so far.
 type slowStartRule struct {
-	config   Config
-	found    *findings
-	starts   map[string]float64  // by engine: the time of its last start, where it started cold
-	informed map[nodeEngine]bool // the node's list has shown the engine as ready since that start
-	sent     map[string][]sentWork
-	weights  map[string]*mean // by class and stage
-	peak     SlowStartUse
+	config     Config
+	findings   *findings
+	coldStarts map[string]float64  // by engine: the time of its last start, if it was a cold start
+	informed   map[nodeEngine]bool // the node's list has shown the engine as ready since that start
+	sent       map[string][]sentWork
+	weights    map[string]*mean // by class and stage
+	peak       SlowStartUse
 }
 
-// SlowStartUse is how near the work sent to a warming engine came to its budget.
+// SlowStartUse is the work sent to an engine in slow start, relative to the engine's budget.
 type SlowStartUse struct {
-	Share  float64 // of the budget; above 1 the rule is broken
+	Share  float64 // fraction of the budget used; above 1 the rule is violated
 	Engine string
-	T      float64
+	T      float64 // time (Unix seconds)
 }
 
-// sentWork is work that was sent to a warming engine.
+// sentWork is work that was sent to an engine in slow start.
 type sentWork struct {
-	at, weight float64
-	informed   bool // by a node that knew of the start
+	sentAt, weight float64
+	informed       bool // the sending node's endpoint list showed the start
 }
 
-// slowStartAllowance is how many requests of mean weight may exceed the budget: a node cannot send a part of one.
+// slowStartAllowance is the number of requests of mean weight by which the budget may be exceeded: requests cannot be split.
 const slowStartAllowance = 2
 
 // mean is a running mean.
@@ -49,47 +49,47 @@
 
 func newSlowStartRule(config Config, found *findings) *slowStartRule {
 	return &slowStartRule{
-		config:   config,
-		found:    found,
-		starts:   map[string]float64{},
-		informed: map[nodeEngine]bool{},
-		sent:     map[string][]sentWork{},
-		weights:  map[string]*mean{},
+		config:     config,
+		findings:   found,
+		coldStarts: map[string]float64{},
+		informed:   map[nodeEngine]bool{},
+		sent:       map[string][]sentWork{},
+		weights:    map[string]*mean{},
 	}
 }
 
 func (s *slowStartRule) observe(r record.Record) {
 	switch r.Kind {
 	case record.ListDelivered:
-		if at, warming := s.starts[r.Engine]; warming && r.State == stateReady && r.T >= at {
+		if at, warming := s.coldStarts[r.Engine]; warming && r.State == stateReady && r.T >= at {
 			s.informed[nodeEngine{r.Node, r.Engine}] = true
 		}
 	case record.EngineStarted:
 		s.engineStarted(r)
 	case record.Arrive:
-		s.arrivedAtEngine(r)
+		s.checkArrival(r)
 	}
 }
 
-// engineStarted takes the start of an engine; Tokens above 0 says that it is cold.
+// engineStarted processes the start of an engine; Tokens above 0 marks a cold start.
 func (s *slowStartRule) engineStarted(r record.Record) {
-	delete(s.starts, r.Engine)
+	delete(s.coldStarts, r.Engine)
 	delete(s.sent, r.Engine)
 	if r.Tokens > 0 {
-		s.starts[r.Engine] = r.T
+		s.coldStarts[r.Engine] = r.T
 	}
 	maps.DeleteFunc(s.informed, func(key nodeEngine, _ bool) bool { return key.engine == r.Engine })
 }
 
-// arrivedAtEngine checks the work of the window that ends with this record.
-func (s *slowStartRule) arrivedAtEngine(r record.Record) {
+// checkArrival checks the work in the window that ends with this record.
+func (s *slowStartRule) checkArrival(r record.Record) {
 	weight := s.weigh(r)
-	startedAt, warming := s.starts[r.Engine]
+	startedAt, warming := s.coldStarts[r.Engine]
 	if !warming || r.T > startedAt+s.config.Engines[r.Engine].SlowStartSeconds {
 		return
 	}
-	window := append(s.sent[r.Engine], sentWork{at: r.T, weight: weight, informed: s.informed[nodeEngine{r.Node, r.Engine}]})
-	window = slices.DeleteFunc(window, func(w sentWork) bool { return w.at <= r.T-s.config.SlowStartWindow })
+	window := append(s.sent[r.Engine], sentWork{sentAt: r.T, weight: weight, informed: s.informed[nodeEngine{r.Node, r.Engine}]})
+	window = slices.DeleteFunc(window, func(w sentWork) bool { return w.sentAt <= r.T-s.config.SlowStartWindow })
 	s.sent[r.Engine] = window
 
 	total, informed := 0.0, 0.0
@@ -105,9 +105,9 @@
 	if share := total / limit; share > s.peak.Share {
 		s.peak = SlowStartUse{Share: share, Engine: r.Engine, T: r.T}
 	}
-	mostlyInformed := informed*3 >= total*2 // two thirds of the work came from nodes that knew of the start
+	mostlyInformed := informed*3 >= total*2 // at least two thirds of the work came from nodes whose list showed the start
 	if total > limit && mostlyInformed {
-		s.found.report(4, r.T, "%s, %.1f s after its start, was sent %.0f tokens in %.1f s, %.1f times what it can do",
+		s.findings.report(4, r.T, "%s, %.1f s after its start, was sent %.0f tokens in %.1f s, %.1f times its capacity",
 			r.Engine, age, total, s.config.SlowStartWindow, total/capacity)
 	}
 }
@@ -124,7 +124,7 @@
 	return m.value()
 }
 
-// capacity returns the tokens that an engine can do in one window, at an age since its start.
+// capacity returns the number of tokens that an engine can process in one window; age is the time since its start (s).
 func (s *slowStartRule) capacity(r record.Record, age float64) float64 {
 	engine := s.config.Engines[r.Engine]
 	rate := engine.DecodeTokensPerSecond
@@ -142,7 +142,7 @@
 	stageDecode  = "decode"
 )
 
-// stageOf returns the stage of a record of an engine, which begins its note.
+// stageOf returns the stage of an engine's record. The record's note begins with it.
 func stageOf(r record.Record) string {
 	if strings.HasPrefix(r.Note, stagePrefill) {
 		return stagePrefill
--- a/lab/rules/statedtime_test.go
+++ b/lab/rules/statedtime_test.go
@@ -7,8 +7,8 @@
 	"dillroute/lab/rules"
 )
 
-// A node that states more time to an engine than its client still waits breaks rule 1.
-func TestTimeStatedToEnginesIsChecked(t *testing.T) {
+// A node that states more time to an engine than its client has left violates rule 1.
+func TestExcessiveStatedTimeIsReported(t *testing.T) {
 	for _, c := range []struct {
 		stated float64
 		want   int
--- a/lab/rules/staterelease.go
+++ b/lab/rules/staterelease.go
@@ -8,29 +8,29 @@
 )
 
 // stateReleaseRule checks rule 5: a state that an engine has reserved for a decode attempt waits no longer than the limit while no
-// attempt is in flight to fetch it. Where the response of the prefill was lost on its way, that prefill is in flight until its node gives
-// it up: no node can know of the state before, and a call that releases it would end prefills that still run.
+// attempt to fetch it is in flight. If the prefill's response was lost in transit, the prefill counts as in flight until its node closes
+// it: until then no node can know of the state, and a release call would end prefills that are still running.
 type stateReleaseRule struct {
 	config   Config
-	found    *findings
+	findings *findings
 	kills    *nodeKills
 	reserved map[string]*reservedState // by id of the state
 }
 
-// reservedState is a state that waits at an engine.
+// reservedState is a prefilled state stored at an engine.
 type reservedState struct {
-	reservation record.Record
-	idleSince   float64 // since when no attempt is in flight to fetch it
-	inFlight    int     // attempts to fetch it, and the prefill that made it if its response was lost
-	prefillLost bool    // that prefill has not ended
-	reported    bool
+	reservation     record.Record
+	idleSince       float64 // time since which no attempt to fetch it is in flight
+	inFlight        int     // attempts to fetch it, plus the prefill that made it if its response was lost
+	prefillInFlight bool    // the response of that prefill was lost and the prefill has not ended
+	reported        bool
 }
 
 func (s *stateReleaseRule) observe(r record.Record) {
 	if r.Kind == record.StateReserved {
 		state := &reservedState{reservation: r, idleSince: r.T}
 		if r.Note == record.ResponseLost {
-			state.prefillLost = true
+			state.prefillInFlight = true
 			state.inFlight = 1
 		}
 		s.reserved[r.State] = state
@@ -56,15 +56,15 @@
 		case stageOf(r) == stageDecode && state.inFlight > 0:
 			state.inFlight--
 			state.idleSince = r.T
-		case state.prefillLost && r.Engine == state.reservation.Engine && r.Try == state.reservation.Try:
-			state.prefillLost = false
+		case state.prefillInFlight && r.Engine == state.reservation.Engine && r.Try == state.reservation.Try:
+			state.prefillInFlight = false
 			state.inFlight--
 			state.idleSince = r.T
 		}
 	}
 }
 
-// check reports a state that has waited too long by a time.
+// check reports a state if it has been idle for longer than the limit.
 func (s *stateReleaseRule) check(state *reservedState, now float64) {
 	if state.inFlight > 0 || state.reported {
 		return
@@ -75,11 +75,11 @@
 		return
 	}
 	state.reported = true
-	s.found.report(5, now, "the state of %s try %d waited at %s for %.3f s with no attempt out",
+	s.findings.report(5, now, "the state of %s attempt %d waited at %s for %.3f s without an attempt in flight",
 		reservation.Op, reservation.Try, reservation.Engine, idle)
 }
 
-// sweep checks and forgets states that have waited for longer than the horizon.
+// sweep checks and deletes states that have been idle for longer than the horizon.
 func (s *stateReleaseRule) sweep(now float64) {
 	for id, state := range s.reserved {
 		if state.inFlight == 0 && now > state.idleSince+horizon {
@@ -89,7 +89,7 @@
 	}
 }
 
-// close checks the states that still wait at the end of the run.
+// close checks the states that are still reserved at the end of the run.
 func (s *stateReleaseRule) close(now float64) {
 	for _, id := range slices.Sorted(maps.Keys(s.reserved)) {
 		s.check(s.reserved[id], now)
--- a/lab/rules/staterelease_test.go
+++ b/lab/rules/staterelease_test.go
@@ -7,9 +7,9 @@
 	"dillroute/lab/rules"
 )
 
-// The time of a state whose prefill lost its response runs from the end of that prefill, and no later; that of any other state from its
-// reservation, though the connection of its prefill stays open.
-func TestTimeOfStateWithLostResponse(t *testing.T) {
+// If the response of a prefill was lost, the time limit of its state starts at the end of that prefill, and no later. For any other
+// state it starts at the reservation, even if the connection of the prefill stays open.
+func TestStateReleaseLimitStartsAtEndOfPrefillWithLostResponse(t *testing.T) {
 	const limit, skew = 1.0, 0.1
 	for _, c := range []struct {
 		name                  string
