--- a/lab/simulation/attempt.go
+++ b/lab/simulation/attempt.go
@@ -17,30 +17,30 @@
 )
 
 const (
-	// lateResponseGrace is how long after its patience a client still waits for a response (s).
+	// lateResponseGrace is how long a client waits for a response beyond its patience (s).
 	lateResponseGrace = 0.5
 	// maxStreamTime is how long a client waits for the end of a stream.
 	maxStreamTime = time.Minute
-	// slowSendPause is the time between the two parts of a request of SlowClients.
+	// slowSendPause is the delay between the two parts of a request under SlowClients.
 	slowSendPause = 300 * time.Millisecond
 )
 
 // Codes of attempts without a response.
 const (
-	codeClosed  = "closed"
-	codeOverdue = "overdue"
+	codeClosed   = "closed"
+	codeTimedOut = "overdue"
 )
 
-// clientResponse is the response to an attempt, as its client sees it.
+// clientResponse is the result of an attempt as the client observes it.
 type clientResponse struct {
 	outcome      Outcome
 	code         string
 	firstTokenAt time.Time
 	retryAfter   float64 // s
-	mayReuse     bool    // the connection may carry another request
+	connReusable bool    // the connection may carry another request
 }
 
-// recordedOutcomes are the outcomes as records have them.
+// recordedOutcomes maps outcomes to those of records.
 var recordedOutcomes = map[Outcome]record.Outcome{
 	ServedInTime: record.Served,
 	ServedLate:   record.Served,
@@ -50,8 +50,8 @@
 	NoResponse:   record.Cut,
 }
 
-// attemptAt makes one attempt at a node.
-func (p *productRun) attemptAt(h *host, a *clientAttempt) clientResponse {
+// sendAttempt sends one attempt to a node and returns the result.
+func (p *productRun) sendAttempt(h *host, a *clientAttempt) clientResponse {
 	p.addAttempt(a)
 	conn := h.takeIdle()
 	reused := conn != nil
@@ -76,14 +76,14 @@
 		return clientResponse{outcome: Disconnected}
 	}
 	if response.outcome == NoResponse && reused && response.code == codeClosed {
-		// The request and the end of an idle connection crossed each other: the client sends it again on a new one.
+		// The node closed the idle connection while the request was in transit: the client resends it on a new connection.
 		conn.Close()
 		p.recordAttempt(h, a, record.Record{Kind: record.FinalResponse, Outcome: record.Unreachable})
 		return clientResponse{outcome: Unreachable}
 	}
 	p.recordResponse(h, a, response)
 	p.clientClosed(a)
-	if !response.mayReuse {
+	if !response.connReusable {
 		conn.Close()
 		return response
 	}
@@ -108,18 +108,18 @@
 
 func (p *productRun) recordResponse(h *host, a *clientAttempt, response clientResponse) {
 	outcome := recordedOutcomes[response.outcome]
-	if response.outcome == NoResponse && response.code == codeOverdue {
+	if response.outcome == NoResponse && response.code == codeTimedOut {
 		outcome = record.TimedOut
 	}
 	p.recordAttempt(h, a, record.Record{Kind: record.FinalResponse, Outcome: outcome, Note: response.code, OK: true})
 }
 
-// sendRequest writes a request, in two parts where the client is slow.
+// sendRequest writes a request, in two parts if the client is slow.
 func (p *productRun) sendRequest(conn net.Conn, a *clientAttempt) error {
 	text := a.text()
-	if f, ok := p.day.active(SlowClients, a.at); ok && a.draws.backoff < f.Part {
+	if f, ok := p.day.active(SlowClients, a.at); ok && a.draws.backoff < f.Fraction {
 		half := len(text) / 2
-		io.WriteString(conn, text[:half]) // the second part finds a broken connection too
+		io.WriteString(conn, text[:half]) // an error shows again when the second part is written
 		time.Sleep(slowSendPause)
 		text = text[half:]
 	}
@@ -127,7 +127,7 @@
 	return err
 }
 
-// text returns the request as it is sent.
+// text returns the request in HTTP/1.1 format.
 func (a *clientAttempt) text() string {
 	body := `{"model":"chat","stream":true,"max_tokens":` + strconv.Itoa(a.maxResponseTokens) +
 		`,"messages":[{"role":"user","content":"x"}]}`
@@ -140,13 +140,14 @@
 		a.id, className(a.class), tenantName(a.tenant), a.session, a.budget, info, len(body), body)
 }
 
-// disconnection is the disconnect of a client by its own choice; nil = there is none.
+// disconnection is a scheduled disconnect by the client; nil = none.
 type disconnection struct {
 	timer *time.Timer
 	done  chan struct{}
 }
 
-// disconnectLater closes the connection of a client's first attempt at the time that the client chose, if it chose one.
+// disconnectLater schedules the client's disconnect, which closes the connection of its first attempt after disconnectAfter. It
+// returns nil if there is none to schedule.
 func (p *productRun) disconnectLater(conn net.Conn, a *clientAttempt) *disconnection {
 	if a.disconnectAfter <= 0 || a.number > 0 {
 		return nil
@@ -160,7 +161,7 @@
 	return d
 }
 
-// happened prevents the disconnect, and reports whether it came before.
+// happened cancels the disconnect and reports whether it has already happened.
 func (d *disconnection) happened() bool {
 	if d == nil || d.timer.Stop() {
 		return false
@@ -174,7 +175,7 @@
 	conn.SetReadDeadline(a.sentAt.Add(duration(a.budget + lateResponseGrace)))
 	r, err := http.ReadResponse(reader, nil)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return clientResponse{outcome: NoResponse, code: codeOverdue}
+		return clientResponse{outcome: NoResponse, code: codeTimedOut}
 	}
 	if err != nil {
 		return clientResponse{outcome: NoResponse, code: codeClosed}
@@ -192,7 +193,7 @@
 	response := clientResponse{
 		outcome:      p.site.streamOutcome(a.request, firstTokenAt, time.Now()),
 		firstTokenAt: firstTokenAt,
-		mayReuse:     !r.Close,
+		connReusable: !r.Close,
 	}
 	if response.outcome == ServedLate {
 		response.code = "slow stream"
@@ -200,13 +201,13 @@
 	return response
 }
 
-// readRejection reads a response that is not 200.
+// readRejection reads a response whose status is not 200.
 func readRejection(r *http.Response) clientResponse {
-	body, _ := io.ReadAll(r.Body) // what came of the text is reported
+	body, _ := io.ReadAll(r.Body) // if the body is incomplete, the part received is reported
 	response := clientResponse{
-		outcome:  Failed,
-		code:     fmt.Sprintf("%d %s", r.StatusCode, strings.TrimSpace(string(body))),
-		mayReuse: !r.Close,
+		outcome:      Failed,
+		code:         fmt.Sprintf("%d %s", r.StatusCode, strings.TrimSpace(string(body))),
+		connReusable: !r.Close,
 	}
 	if r.StatusCode == http.StatusTooManyRequests || r.StatusCode == http.StatusServiceUnavailable {
 		response.outcome = Rejected
--- a/lab/simulation/baseline.go
+++ b/lab/simulation/baseline.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Policy changes the baseline policy for the worse, so that the oracle itself can be tested.
+// Policy degrades the baseline policy, so that the oracle itself can be tested. The zero value is the baseline policy.
 type Policy struct {
 	RejectAll      bool
-	LoseThird      bool
-	AvoidWarmingUp bool    // engines in slow start get nothing
-	RejectFrom     float64 // s; all requests are rejected from here
-	RejectUntil    float64 // s; until here
+	RejectThird    bool
+	AvoidWarmingUp bool    // engines in slow start are sent nothing
+	RejectFrom     float64 // time from which all requests are rejected (s)
+	RejectUntil    float64 // end of that time (s)
 }
 
-// rejects reports whether the policy rejects a request out of hand.
+// rejects reports whether the policy rejects a request without an attempt.
 func (p *Policy) rejects(q *request) bool {
-	return p.RejectAll || p.LoseThird && q.draws.node < 1.0/3 || q.at >= p.RejectFrom && q.at < p.RejectUntil
+	return p.RejectAll || p.RejectThird && q.draws.node < 1.0/3 || q.at >= p.RejectFrom && q.at < p.RejectUntil
 }
 
-// baseline serves a day by a simple policy, with no sockets between: the engines nearest to the node, of them the one at which this
-// node has least in flight, another one after a failure, within the limits that hold for the nodes.
+// baseline serves the requests of a run with a simple policy and without sockets. Each node prefers engines of its own zone and, among
+// them, the one with the fewest of its own requests in flight; after a failure it uses another engine. The limits of the nodes apply.
 type baseline struct {
 	*fleet
 	day    *Day
@@ -30,7 +30,7 @@
 	mu       sync.Mutex // guards all that follows
 	rng      *rand.Rand
 	inFlight map[nodeEngine]int
-	down     map[int]bool // nodes that are shut down or killed and have not restarted
+	down     map[int]bool // nodes that were shut down or killed and have not restarted
 }
 
 // nodeEngine is a pair of a node and an engine.
@@ -40,19 +40,19 @@
 }
 
 const (
-	// noEngineWait is the time after which a node looks again where it found no engine (s).
+	// noEngineWait is the delay after which a node that found no engine looks again (s).
 	noEngineWait = 0.05
-	// retryMargin is by how much a client waits longer than its backoff (s).
+	// retryMargin is added to a client's backoff (s).
 	retryMargin = 0.05
-	// otherZoneCost is what an engine of another zone costs, in requests in flight.
+	// otherZoneCost is the cost of an engine of another zone, in requests in flight.
 	otherZoneCost = 2
-	// maxRandomCost is the random part of an engine's cost, in requests in flight.
+	// maxRandomCost is the maximum random part of an engine's cost, in requests in flight.
 	maxRandomCost = 0.5
-	// maxStall is how long a stream may go on after its attempt's time.
+	// maxStall is how long a stream may continue after its attempt's timeout.
 	maxStall = time.Minute
 )
 
-// PlayBaseline plays the day by the baseline policy, inside a synctest bubble.
+// PlayBaseline runs d with the baseline policy, degraded by policy. It must be called in a synctest bubble.
 func (d *Day) PlayBaseline(policy Policy) *Report {
 	b := &baseline{
 		fleet:    newFleet(d.Site, nil),
@@ -62,8 +62,8 @@
 		inFlight: map[nodeEngine]int{},
 		down:     map[int]bool{},
 	}
-	over := make(chan struct{})
-	b.fleet.playFaults(d, over, func(f Fault) { b.playNodeFault(f, over) })
+	done := make(chan struct{})
+	b.fleet.injectFaults(d, done, func(f Fault) { b.injectNodeFault(f, done) })
 	var resultsMu sync.Mutex
 	var results []Result
 	b.runClients(d.requests(), func(q *request) {
@@ -72,7 +72,7 @@
 		defer resultsMu.Unlock()
 		results = append(results, r)
 	})
-	close(over)
+	close(done)
 	b.discovery.setSilent(false)
 	for _, e := range b.engines {
 		e.kill()
@@ -81,27 +81,27 @@
 	return &Report{Day: d, Results: results}
 }
 
-// playNodeFault takes nodes down with nobody in their place. A node that shuts down takes nothing more for as long as the product's
-// may run on.
-func (b *baseline) playNodeFault(f Fault, over <-chan struct{}) {
+// injectNodeFault takes nodes out of service without a replacement. A node that shuts down accepts no requests for as long as a node of
+// the product may take to shut down.
+func (b *baseline) injectNodeFault(f Fault, done <-chan struct{}) {
 	nodes := b.site.affectedNodes(f)
-	step := 0.0 // s between two nodes
+	step := 0.0 // delay between two nodes (s)
 	downtime := startDelay
 	switch f.Kind {
-	case Restarts:
-		step = f.For / float64(len(nodes))
+	case NodeRestarts:
+		step = f.Duration / float64(len(nodes))
 		downtime = b.site.killDelay() + startDelay
-	case Kills:
+	case NodeKills:
 	default:
 		return
 	}
 	for i, node := range nodes {
 		b.run(func() {
-			if !sleep(step*float64(i), over) {
+			if !sleep(step*float64(i), done) {
 				return
 			}
 			b.setDown(node, true)
-			sleep(downtime, over)
+			sleep(downtime, done)
 			b.setDown(node, false)
 		})
 	}
@@ -113,11 +113,11 @@
 	b.down[node] = isDown
 }
 
-// pickNode picks the node for a request by a random number, among those that run; false = none runs.
-func (b *baseline) pickNode(chance float64) (node int, ok bool) {
+// pickNode picks the node for a request by a random number among the running nodes; false = none is running.
+func (b *baseline) pickNode(draw float64) (node int, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	first := int(chance * float64(b.site.Nodes))
+	first := int(draw * float64(b.site.Nodes))
 	for i := range b.site.Nodes {
 		node = (first + i) % b.site.Nodes
 		if !b.down[node] {
@@ -127,11 +127,11 @@
 	return 0, false
 }
 
-// runOperation sends a request and retries it as clients do.
+// runOperation serves a request and retries it as a client does.
 func (b *baseline) runOperation(q *request) Result {
 	class := b.site.Classes[q.class]
 	result := Result{At: q.at, Class: q.class, Tenant: q.tenant, RequestedWeight: class.PriorityWeight, Outcome: Rejected}
-	began := time.Now()
+	startedAt := time.Now()
 	if b.policy.rejects(q) {
 		return result
 	}
@@ -142,24 +142,24 @@
 	node, ok := b.pickNode(q.draws.node)
 	for tries := 0; !ok; tries++ {
 		result.Outcome = Unreachable
-		if tries == maxUnreachable {
+		if tries == maxUnreachableAttempts {
 			return result
 		}
 		time.Sleep(duration(noNodeWait))
 		node, ok = b.pickNode(q.draws.node)
 	}
-	patience := duration(class.Patience * (minPatience + (1-minPatience)*q.draws.patience))
+	patience := duration(class.Patience * (minPatienceShare + (1-minPatienceShare)*q.draws.patience))
 	for range b.site.ClientRetries + 1 {
 		served := b.serve(node, q, time.Now().Add(patience))
 		if !served.firstTokenAt.IsZero() {
 			result.Outcome = b.site.streamOutcome(q, served.firstTokenAt, served.end)
-			if served.firstTokenAt.Sub(began).Seconds() > class.firstTokenObjective(q) {
+			if served.firstTokenAt.Sub(startedAt).Seconds() > class.firstTokenObjective(q) {
 				result.Outcome = ServedLate
 			}
-			result.ServedWeight = class.served(result.Outcome)
+			result.ServedWeight = class.servedWeight(result.Outcome)
 			return result
 		}
-		if served.mayHaveRun && class.Effect == "once" || time.Since(began).Seconds() > class.Patience {
+		if served.mayHaveRun && class.Effect == "once" || time.Since(startedAt).Seconds() > class.Patience {
 			result.Outcome = Failed
 			return result
 		}
@@ -168,17 +168,17 @@
 	return result
 }
 
-// served is what a node made of a request.
-type served struct {
+// serveResult is the result of serving a request at a node.
+type serveResult struct {
 	firstTokenAt, end time.Time // zero = the response is not complete
 	mayHaveRun        bool      // an attempt without a complete response may have had its effect
 }
 
-// serve makes attempts until one streams to its end.
-func (b *baseline) serve(node int, q *request, deadline time.Time) served {
-	var owner, avoid *engine // owner has the state; avoid is the engine of the last attempt
+// serve makes attempts until one streams its response to the end.
+func (b *baseline) serve(node int, q *request, deadline time.Time) serveResult {
+	var owner, avoid *engine // owner stores the state; avoid is the engine of the last failed attempt
 	for remaining := b.site.MaxAttempts; remaining > 0 && time.Now().Before(deadline); remaining-- {
-		e := b.pickEngine(node, b.suits(owner, avoid, remaining > 1))
+		e := b.pickEngine(node, b.eligible(owner, avoid, remaining > 1))
 		if e == nil {
 			avoid = nil
 			time.Sleep(duration(noEngineWait))
@@ -194,9 +194,9 @@
 			owner = e
 			avoid = nil
 		case !firstTokenAt.IsZero() && outcome == completed:
-			return served{firstTokenAt: firstTokenAt, end: time.Now()}
+			return serveResult{firstTokenAt: firstTokenAt, end: time.Now()}
 		case !firstTokenAt.IsZero():
-			return served{mayHaveRun: true}
+			return serveResult{mayHaveRun: true}
 		case outcome == stateNotFound:
 			owner = nil
 		case outcome == rejectedByEngine:
@@ -204,37 +204,37 @@
 		default:
 			avoid = e
 			isRepeatable := b.site.Classes[q.class].Effect == "repeatable"
-			if e.kind.Role != RolePrefill && !isRepeatable && e.state().up { // one that is down has refused the connection
-				return served{mayHaveRun: true}
+			if e.kind.Role != RolePrefill && !isRepeatable && e.state().up { // an engine that is down refused the connection
+				return serveResult{mayHaveRun: true}
 			}
 		}
 	}
-	return served{}
+	return serveResult{}
 }
 
-// suits returns which engines may be sent the next attempt: for the prompt, where attempts remain after it, or for the response.
-func (b *baseline) suits(owner, avoid *engine, canPrefillApart bool) func(*engine) bool {
+// eligible returns a predicate of the engines that may be sent the next attempt: a prefill, if attempts remain after it, or a decode.
+func (b *baseline) eligible(owner, avoid *engine, canPrefillSeparately bool) func(*engine) bool {
 	return func(e *engine) bool {
 		switch {
 		case e == avoid:
 			return false
 		case owner != nil:
 			return e.kind.Role != RolePrefill
-		case canPrefillApart:
+		case canPrefillSeparately:
 			return e.kind.Role != RoleDecode
 		}
 		return e.kind.Role == RoleMixed || e.kind.Role == RoleDecode && b.site.LocalPrefill
 	}
 }
 
-// pickEngine returns the suitable engine at which the node has least in flight; those of its own zone come first.
-func (b *baseline) pickEngine(node int, suits func(*engine) bool) *engine {
+// pickEngine returns the eligible engine with the fewest of the node's requests in flight, preferring those of the node's zone.
+func (b *baseline) pickEngine(node int, eligible func(*engine) bool) *engine {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var best *engine
 	least := 1e9
 	for _, e := range b.discovery.ready() {
-		if !suits(e) || e.warmingUp() && (b.policy.AvoidWarmingUp || !e.hasSlowStartCapacity()) {
+		if !eligible(e) || e.warmingUp() && (b.policy.AvoidWarmingUp || !e.hasSlowStartCapacity()) {
 			continue
 		}
 		cost := float64(b.inFlight[nodeEngine{node, e.ID}]) + maxRandomCost*b.rng.Float64()
@@ -255,7 +255,7 @@
 	b.inFlight[nodeEngine{node, e.ID}] += change
 }
 
-// firstToken is the stream of a baseline attempt: it notes when the first token came, unless the attempt was canceled before.
+// firstToken is the stream of a baseline attempt. It stores the time of the first token, unless the attempt was canceled before it.
 type firstToken struct {
 	canceled <-chan struct{}
 
@@ -277,7 +277,7 @@
 
 func (s *firstToken) event(int) bool { return true }
 
-// cancel cancels an attempt by closing canceled, unless its first token has come.
+// cancel cancels an attempt by closing canceled, unless its first token has arrived. It reports whether it canceled the attempt.
 func (s *firstToken) cancel(canceled chan struct{}) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -288,7 +288,7 @@
 	return true
 }
 
-// attempt makes one attempt, and cancels it when its time is over before the first token. owner is the engine that has the state.
+// attempt makes one attempt and cancels it if its timeout ends before the first token. owner is the engine that stores the state.
 func (b *baseline) attempt(node int, e *engine, q *request, owner *engine, timeout time.Duration) (attemptOutcome, time.Time) {
 	b.addInFlight(node, e, 1)
 	defer b.addInFlight(node, e, -1)
--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -13,109 +13,109 @@
 const (
 	// ServedInTime is a response that met its latency objectives.
 	ServedInTime Outcome = "in time"
-	// ServedLate is a complete response that did not.
+	// ServedLate is a complete response that missed a latency objective.
 	ServedLate Outcome = "late"
-	// Rejected is a rejection that says that a retry is harmless.
+	// Rejected is a rejection that promises that a retry is harmless.
 	Rejected Outcome = "refused"
 	// Failed is an error response.
 	Failed Outcome = "failed"
-	// Broken is a stream that ended before its end.
+	// Broken is an incomplete stream.
 	Broken Outcome = "broken"
 	// NoResponse is an attempt without a response.
 	NoResponse Outcome = "no reply"
 	// Unreachable is a request for which no node could be reached.
 	Unreachable Outcome = "unmet"
-	// Disconnected is a client that disconnected by its own choice.
+	// Disconnected is a disconnect initiated by the client.
 	Disconnected Outcome = "left"
 )
 
-// Result is how a request ended, the retries of its client included.
+// Result is how a request ended, including its client's retries.
 type Result struct {
-	At              float64 // s from the start of the run
+	At              float64 // time from the start of the run (s)
 	Class, Tenant   int
-	Node            string // of the first attempt
+	Node            string // node of the first attempt
 	Outcome         Outcome
-	Code            string // of the last rejection or failure
+	Code            string // code of the last rejection or failure
 	RequestedWeight float64
 	ServedWeight    float64
 	ClientAttempts  int
-	Attempts        int // of nodes, that reached engines
+	Attempts        int // attempts of nodes that reached an engine
 }
 
 const (
-	// detectionDelay is how long the load balancer goes on sending to a node that has ended (s).
+	// detectionDelay is how long the load balancer continues to send to a node that has stopped (s).
 	detectionDelay = 2.0
-	// maxUnreachable is how often a client may reach no node.
-	maxUnreachable = 4
-	// noNodeWait is how long a client waits where no node runs (s).
+	// maxUnreachableAttempts is the number of attempts without a reachable node after which a client stops.
+	maxUnreachableAttempts = 4
+	// noNodeWait is how long a client waits before its next attempt if no node is running (s).
 	noNodeWait = 0.2
-	// stormRetries is how often clients retry in a RetryStorm.
+	// stormRetries is the number of retries of each client during a RetryStorm.
 	stormRetries = 4
-	// minPatience is the part of its patience that the least patient client waits.
-	minPatience = 0.6
+	// minPatienceShare is the smallest fraction of the class's patience that a client waits.
+	minPatienceShare = 0.6
 )
 
-// pickNode picks the node for an attempt by a random number, among those that the load balancer takes for alive: one of the client's
-// zone if there is one. It returns nil if there is none at all.
-func (p *productRun) pickNode(zone int, chance float64) *host {
-	var near, all []*host
+// pickNode picks the node for an attempt by a random number among those in the load balancer's rotation, preferring the client's zone.
+// It returns nil if the rotation is empty.
+func (p *productRun) pickNode(zone int, draw float64) *host {
+	var sameZone, all []*host
 	for _, h := range p.hosts {
-		if !h.looksAlive() {
+		if !h.inRotation() {
 			continue
 		}
 		all = append(all, h)
 		if h.zone == zone {
-			near = append(near, h)
+			sameZone = append(sameZone, h)
 		}
 	}
-	if len(near) > 0 {
-		all = near
+	if len(sameZone) > 0 {
+		all = sameZone
 	}
 	if len(all) == 0 {
 		return nil
 	}
-	return all[int(chance*float64(len(all)))]
+	return all[int(draw*float64(len(all)))]
 }
 
-// looksAlive reports whether the load balancer sends to a host.
-func (h *host) looksAlive() bool {
+// inRotation reports whether the load balancer sends requests to a host.
+func (h *host) inRotation() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	isRunning := h.node != nil && !h.readyAt.IsZero()
 	return isRunning || !h.endedAt.IsZero() && time.Since(h.endedAt).Seconds() < detectionDelay
 }
 
-// operation is a request under way, with the retries of its client.
+// operation is a request in progress, including its client's retries.
 type operation struct {
 	run         *productRun
 	request     *request
 	class       Class
-	began       time.Time
+	startedAt   time.Time
 	retries     int
 	backoff     float64 // s
-	chance      float64 // for the choice of the next node
-	unreachable int     // attempts that reached no node
+	nodeDraw    float64 // random number that picks the next node
+	unreachable int     // number of attempts that reached no node
 	result      Result
 }
 
-// runOperation sends a request and retries it as clients do.
+// runOperation sends a request and retries it as a client does.
 func (p *productRun) runOperation(q *request) Result {
 	class := p.site.Classes[q.class]
 	o := &operation{
-		run:     p,
-		request: q,
-		class:   class,
-		began:   time.Now(),
-		retries: p.site.ClientRetries,
-		backoff: p.site.Backoff,
-		chance:  q.draws.node,
-		result:  Result{At: q.at, Class: q.class, Tenant: q.tenant, RequestedWeight: class.PriorityWeight, Outcome: Unreachable},
+		run:       p,
+		request:   q,
+		class:     class,
+		startedAt: time.Now(),
+		retries:   p.site.ClientRetries,
+		backoff:   p.site.Backoff,
+		nodeDraw:  q.draws.node,
+		result:    Result{At: q.at, Class: q.class, Tenant: q.tenant, RequestedWeight: class.PriorityWeight, Outcome: Unreachable},
 	}
 	if _, ok := p.day.active(RetryStorm, q.at); ok {
 		o.retries = stormRetries
 		o.backoff = 0
 	}
-	for o.result.ClientAttempts <= o.retries && o.unreachable < maxUnreachable {
+	for o.result.ClientAttempts <= o.retries && o.unreachable < maxUnreachableAttempts {
 		if ended := o.attempt(); ended {
 			break
 		}
@@ -123,10 +123,10 @@
 	return o.result
 }
 
-// attempt makes one attempt, and waits before the next; true = there is none.
+// attempt makes one attempt and waits for the backoff before the next; true = there is no next attempt.
 func (o *operation) attempt() (ended bool) {
-	h := o.run.pickNode(o.request.zone, o.chance)
-	o.chance = fraction(o.chance*7.31 + 0.137)
+	h := o.run.pickNode(o.request.zone, o.nodeDraw)
+	o.nodeDraw = fractionalPart(o.nodeDraw*7.31 + 0.137)
 	if h == nil {
 		o.unreachable++
 		time.Sleep(duration(noNodeWait))
@@ -135,7 +135,7 @@
 	if o.result.Node == "" {
 		o.result.Node = h.name
 	}
-	patience := o.class.Patience * (minPatience + (1-minPatience)*o.request.draws.patience)
+	patience := o.class.Patience * (minPatienceShare + (1-minPatienceShare)*o.request.draws.patience)
 	number := o.result.ClientAttempts
 	a := &clientAttempt{
 		request: o.request,
@@ -143,7 +143,7 @@
 		number:  number,
 		budget:  patience,
 	}
-	response := o.run.attemptAt(h, a)
+	response := o.run.sendAttempt(h, a)
 	o.result.Outcome = response.outcome
 	o.result.Code = response.code
 	o.result.Attempts += o.run.removeAttempt(a)
@@ -158,7 +158,7 @@
 		return true
 	}
 	time.Sleep(duration(max(o.backoff*(0.5+o.request.draws.backoff), response.retryAfter)))
-	return time.Since(o.began).Seconds() > o.class.Patience
+	return time.Since(o.startedAt).Seconds() > o.class.Patience
 }
 
 // mayRetry reports whether the client retries after a response.
@@ -172,21 +172,21 @@
 	return false
 }
 
-// countServed counts what a response is worth. The objective holds from the first attempt.
+// countServed sets the served weight of the operation. The latency objective counts from the first attempt.
 func (o *operation) countServed(r clientResponse) {
-	if r.outcome == ServedInTime && r.firstTokenAt.Sub(o.began).Seconds() > o.class.firstTokenObjective(o.request) {
+	if r.outcome == ServedInTime && r.firstTokenAt.Sub(o.startedAt).Seconds() > o.class.firstTokenObjective(o.request) {
 		o.result.Outcome = ServedLate
 	}
-	o.result.ServedWeight = o.class.served(o.result.Outcome)
+	o.result.ServedWeight = o.class.servedWeight(o.result.Outcome)
 }
 
-// firstTokenObjective returns the latency objective of a request (s).
+// firstTokenObjective returns the latency objective for the first token of a request (s).
 func (c Class) firstTokenObjective(q *request) float64 {
 	return c.LatencyObjective + c.LatencyObjectivePerK*q.promptTokens/1000
 }
 
-// served returns what part of its weight a request of the class has by its outcome.
-func (c Class) served(outcome Outcome) float64 {
+// servedWeight returns the weight with which a request of the class counts as served, by its outcome.
+func (c Class) servedWeight(outcome Outcome) float64 {
 	switch outcome {
 	case ServedInTime:
 		return c.PriorityWeight
@@ -196,9 +196,9 @@
 	return 0
 }
 
-func fraction(x float64) float64 { return x - float64(int(x)) }
+func fractionalPart(x float64) float64 { return x - float64(int(x)) }
 
-// streamOutcome returns whether a stream met the objective for output tokens.
+// streamOutcome returns ServedInTime if a stream met the latency objective for output tokens, and ServedLate otherwise.
 func (s *Site) streamOutcome(q *request, firstTokenAt, end time.Time) Outcome {
 	if end.Sub(firstTokenAt).Seconds() > float64(q.responseTokens)*s.Classes[q.class].TokenLatencyObjective {
 		return ServedLate
@@ -206,7 +206,7 @@
 	return ServedInTime
 }
 
-// takeIdle returns an idle connection to the host on which nothing has come, or nil.
+// takeIdle returns an idle connection to the host without unread data, or nil. It closes those with unread data.
 func (h *host) takeIdle() net.Conn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -222,10 +222,10 @@
 	return nil
 }
 
-// maxIdle is the number of idle connections to a host above which no more are added.
+// maxIdle is the number of idle connections to a host beyond which none is added.
 const maxIdle = 4
 
-// putIdle keeps a connection for another request, or closes it.
+// putIdle stores a connection for reuse, or closes it if there are enough or no node is running.
 func (h *host) putIdle(conn net.Conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/lab/simulation/day.go
+++ b/lab/simulation/day.go
@@ -5,55 +5,55 @@
 	"math/rand/v2"
 )
 
-// Day is a deployment with the faults of one run.
+// Day describes one run: a deployment and the faults injected into it.
 type Day struct {
 	Site   Site
-	Length float64 // s
+	Length float64 // duration of the run (s)
 	Faults []Fault
 }
 
-// Fault is one fault, for some time.
+// Fault is a fault with its time and scope.
 type Fault struct {
-	Kind    FaultKind
-	At, For float64 // s
-	Part    float64 // of the engines, nodes or requests that it affects
-	Role    string  // only engines of this role; "" = of any
-	Zone    int     // only engines of this zone, if Zoned
-	Zoned   bool
+	Kind         FaultKind
+	At, Duration float64 // start and duration (s)
+	Fraction     float64 // fraction of the engines, nodes or requests that it affects
+	Role         string  // affects only engines of this role; "" = any role
+	Zone         int     // affects only engines of this zone, if HasZone
+	HasZone      bool
 }
 
-// FaultKind names a fault. The faults of engines have the names of EngineFault.
+// FaultKind is the type of a fault. Engine faults use the values of EngineFault.
 type FaultKind string
 
-// Faults beside those of single engines.
+// Faults other than those of EngineFault.
 const (
-	// Crash kills engines together; they start again, cold.
-	Crash FaultKind = "crash"
-	// Release drains engines and starts them anew, one after another.
-	Release FaultKind = "release"
-	// Restarts shuts nodes down gracefully, in steps, and starts them again.
-	Restarts FaultKind = "restarts"
-	// Kills kills nodes together and starts them again.
-	Kills FaultKind = "kills"
-	// ListSilent makes discovery answer nothing.
-	ListSilent FaultKind = "list silent"
-	// ListSlow leaves a shared discovery a part of its capacity.
-	ListSlow FaultKind = "list slow"
-	// ListLate delays what discovery knows.
-	ListLate FaultKind = "list late"
-	// ListFlaps lists engines as draining and as up again, over and over.
+	// EngineCrash kills engines at the same time; they restart cold.
+	EngineCrash FaultKind = "crash"
+	// RollingRestart drains and restarts engines one after another.
+	RollingRestart FaultKind = "release"
+	// NodeRestarts shuts nodes down gracefully, one after another, and restarts them.
+	NodeRestarts FaultKind = "restarts"
+	// NodeKills kills nodes at the same time and restarts them.
+	NodeKills FaultKind = "kills"
+	// DiscoverySilent stops all responses of discovery.
+	DiscoverySilent FaultKind = "list silent"
+	// DiscoverySlow reduces the capacity of a shared discovery service.
+	DiscoverySlow FaultKind = "list slow"
+	// DiscoveryDelayed delays endpoint list changes.
+	DiscoveryDelayed FaultKind = "list late"
+	// ListFlaps lists engines alternately as draining and as up.
 	ListFlaps FaultKind = "list flaps"
-	// Burst raises the rate of requests.
+	// Burst increases the request rate.
 	Burst FaultKind = "burst"
-	// HeavyPrompts makes a part of the prompts many times as long.
+	// HeavyPrompts makes a fraction of the prompts longer by heavyFactor.
 	HeavyPrompts FaultKind = "heavy prompts"
-	// RetryStorm makes clients retry at once, and often.
+	// RetryStorm makes clients retry more often and without backoff.
 	RetryStorm FaultKind = "retry storm"
-	// ClientsLeave makes a part of the clients disconnect before the response.
-	ClientsLeave FaultKind = "clients leave"
+	// ClientsDisconnect makes a fraction of the clients disconnect before the response.
+	ClientsDisconnect FaultKind = "clients leave"
 	// IdleClients opens connections that send nothing.
 	IdleClients FaultKind = "idle clients"
-	// SlowClients makes a part of the clients send requests in pieces.
+	// SlowClients makes a fraction of the clients send their requests in two parts.
 	SlowClients FaultKind = "slow clients"
 	// TenantOverrun makes one tenant send several times its share.
 	TenantOverrun FaultKind = "tenant overrun"
@@ -65,76 +65,76 @@
 	if f.Role != "" {
 		where = " of role " + f.Role
 	}
-	if f.Zoned {
+	if f.HasZone {
 		where += " in " + zoneName(f.Zone)
 	}
-	return fmt.Sprintf("%s (%.2f%s) from %.1f s for %.1f s", f.Kind, f.Part, where, f.At, f.For)
+	return fmt.Sprintf("%s (%.2f%s) from %.1f s for %.1f s", f.Kind, f.Fraction, where, f.At, f.Duration)
 }
 
-// lastEnd returns when the last fault has ended (s).
+// lastEnd returns the time at which the last fault ends (s).
 func (d *Day) lastEnd() float64 {
 	end := 0.0
 	for _, f := range d.Faults {
-		end = max(end, f.At+f.For)
+		end = max(end, f.At+f.Duration)
 	}
 	return end
 }
 
-// active returns the fault of a kind that is active at a time.
+// active returns the fault of the given kind that is active at a time; false = none is.
 func (d *Day) active(kind FaultKind, at float64) (Fault, bool) {
 	for _, f := range d.Faults {
-		if f.Kind == kind && at >= f.At && at < f.At+f.For {
+		if f.Kind == kind && at >= f.At && at < f.At+f.Duration {
 			return f, true
 		}
 	}
 	return Fault{}, false
 }
 
-// drawnLength is the length of a drawn day (s).
+// drawnLength is the duration of a drawn run (s).
 const drawnLength = 45
 
-// drawnFaults are the faults that days are drawn from; crashes are drawn twice as often.
+// drawnFaults are the faults to draw from; EngineCrash is listed twice, so that it is drawn twice as often.
 var drawnFaults = []FaultKind{
 	FaultKind(Hangs), FaultKind(Silent), FaultKind(RejectsAll), FaultKind(FailsAll), FaultKind(SlowsDown), FaultKind(LosesStates),
-	FaultKind(LosesPrefixes), Crash, Crash, Release, Restarts, Kills, ListSilent, ListSlow, ListLate, ListFlaps, Burst, HeavyPrompts,
-	RetryStorm, ClientsLeave, IdleClients, SlowClients, TenantOverrun,
+	FaultKind(LosesPrefixes), EngineCrash, EngineCrash, RollingRestart, NodeRestarts, NodeKills, DiscoverySilent, DiscoverySlow,
+	DiscoveryDelayed, ListFlaps, Burst, HeavyPrompts, RetryStorm, ClientsDisconnect, IdleClients, SlowClients, TenantOverrun,
 }
 
-// DrawDay draws a deployment and one or two faults.
+// DrawDay draws a deployment and one or two faults from a seed.
 func DrawDay(seed uint64, nodes int, maxRate float64) Day {
 	day := Day{Site: Draw(seed, nodes, maxRate), Length: drawnLength}
 	rng := rand.New(rand.NewPCG(seed, 0xda1))
 	for range 1 + rng.IntN(2) {
 		f := Fault{ // the order of the fields is that of the draws
-			Kind: drawnFaults[rng.IntN(len(drawnFaults))],
-			At:   between(rng, 8, 14),
-			For:  between(rng, 4, 12),
-			Part: pick(rng, 0.1, 0.2, 0.4),
+			Kind:     drawnFaults[rng.IntN(len(drawnFaults))],
+			At:       uniform(rng, 8, 14),
+			Duration: uniform(rng, 4, 12),
+			Fraction: pick(rng, 0.1, 0.2, 0.4),
 		}
 		switch f.Kind {
-		case Crash:
-			f.drawWhere(rng, &day.Site)
-		case Restarts, Release:
-			f.Part = 1
-		case Kills:
-			f.Part = between(rng, 0.3, 0.8)
+		case EngineCrash:
+			f.drawScope(rng, &day.Site)
+		case NodeRestarts, RollingRestart:
+			f.Fraction = 1
+		case NodeKills:
+			f.Fraction = uniform(rng, 0.3, 0.8)
 		case Burst:
-			f.Part = between(rng, 0.4, 0.9)
+			f.Fraction = uniform(rng, 0.4, 0.9)
 		}
 		day.Faults = append(day.Faults, f)
 	}
 	return day
 }
 
-// drawWhere draws whether a crash affects all engines of a role, all of a zone, or a part of all.
-func (f *Fault) drawWhere(rng *rand.Rand, s *Site) {
+// drawScope draws whether a crash affects all engines of a role, all engines of a zone, or a fraction of all engines.
+func (f *Fault) drawScope(rng *rand.Rand, s *Site) {
 	switch rng.IntN(3) {
 	case 0:
 		f.Role = s.Kinds[rng.IntN(len(s.Kinds))].Role
-		f.Part = 1
+		f.Fraction = 1
 	case 1:
 		f.Zone = rng.IntN(len(s.Zones))
-		f.Zoned = true
-		f.Part = 1
+		f.HasZone = true
+		f.Fraction = 1
 	}
 }
--- a/lab/simulation/discovery.go
+++ b/lab/simulation/discovery.go
@@ -12,17 +12,17 @@
 	"dillroute/lab/record"
 )
 
-// States of an engine in the endpoint list, in discovery's words.
+// States of an engine in the endpoint list, as values of discovery's protocol.
 const (
 	stateUp       = "up"
 	stateDraining = "draining"
 	stateRemoved  = "removed"
 )
 
-// recordedStates are the states as records have them.
+// recordedStates maps these states to those of records.
 var recordedStates = map[string]string{stateUp: "ready", stateDraining: "draining", stateRemoved: "gone"}
 
-// listEntry is one entry of the endpoint list, in discovery's form.
+// listEntry is one entry of the endpoint list, in the format of discovery's protocol.
 type listEntry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -35,7 +35,7 @@
 	version int
 }
 
-// discovery is the endpoint list, and the service that answers nodes.
+// discovery stores the endpoint list and serves it to the nodes.
 type discovery struct {
 	fleet *fleet
 
@@ -43,17 +43,17 @@
 	version       int
 	entries       map[string]listEntry
 	changed       chan struct{} // closed at the next change
-	silent        chan struct{} // closed when discovery answers again; nil = it answers
-	extraDelay    float64       // s by which changes are known later than usual
-	capacityShare float64       // part of its capacity that a shared discovery has; 0 = all
-	freeAt        time.Time     // when a shared discovery has answered all polls that wait
+	silent        chan struct{} // closed when discovery responds again; nil = it responds
+	extraDelay    float64       // additional delay of changes (s)
+	capacityShare float64       // fraction of its capacity that a shared discovery has; 0 = all
+	freeAt        time.Time     // when a shared discovery will have answered all waiting polls
 }
 
 func newDiscovery(f *fleet) *discovery {
 	return &discovery{fleet: f, entries: map[string]listEntry{}, changed: make(chan struct{})}
 }
 
-// set lists an engine in a state, from now on; the engine need not be in it.
+// set lists an engine with a state, immediately. The engine's actual state may differ.
 func (d *discovery) set(e *engine, state string) {
 	started := e.startMillis()
 	d.mu.Lock()
@@ -74,7 +74,7 @@
 	d.changed = make(chan struct{})
 }
 
-// startMillis returns the time of the engine's cold start (Unix milliseconds); 0 = long ago.
+// startMillis returns the time of the engine's last cold start (Unix milliseconds); 0 = none during the run.
 func (e *engine) startMillis() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -84,8 +84,9 @@
 	return e.startedAt.UnixMilli()
 }
 
-// setLater lists a change after a delay (s), unless a later change has overtaken it.
-func (d *discovery) setLater(e *engine, state string, delay float64) {
+// setAfterDelay lists a change after a delay (s), unless the engine has stopped or restarted in the meantime so that the change is
+// obsolete.
+func (d *discovery) setAfterDelay(e *engine, state string, delay float64) {
 	d.mu.Lock()
 	delay += d.extraDelay
 	d.mu.Unlock()
@@ -95,12 +96,13 @@
 			return
 		}
 		d.set(e, state)
-		d.recordDeliveryLater(e.ID, state)
+		d.recordDeliveryAfterDelay(e.ID, state)
 	})
 }
 
-// recordDeliveryLater records that a change has been delivered to all nodes some time after discovery had it and could be reached.
-func (d *discovery) recordDeliveryLater(id, state string) {
+// recordDeliveryAfterDelay records a change as delivered to all nodes changeDeliveredAfter seconds after discovery has listed it and
+// responds to polls.
+func (d *discovery) recordDeliveryAfterDelay(id, state string) {
 	if state == stateUp {
 		return
 	}
@@ -127,7 +129,7 @@
 	d.fleet.log.Add(record.Record{Kind: record.ListDelivered, Node: node, Engine: engine, State: recordedStates[state]})
 }
 
-// setSilent sets whether discovery answers nothing.
+// setSilent sets whether discovery withholds all responses.
 func (d *discovery) setSilent(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -151,7 +153,7 @@
 	d.capacityShare = share
 }
 
-// ready returns the engines that may be sent requests.
+// ready returns the engines that are listed as up.
 func (d *discovery) ready() []*engine {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -164,10 +166,10 @@
 	return engines
 }
 
-// wholeList asks changesSince for the whole list.
-const wholeList = -1
+// fullList is the version for which changesSince returns the full list.
+const fullList = -1
 
-// changesSince returns what changed after a version, or the whole list, and its text.
+// changesSince returns the entries changed after a version, or the full list, and their JSON text.
 func (d *discovery) changesSince(version int) (entries []listEntry, text []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -185,7 +187,7 @@
 	return entries, text
 }
 
-// serveOn answers the polls of a listener: those of one node (its agent's), or of all.
+// serveOn serves the polls on a listener: those of one node, through its agent, or of all nodes.
 func (d *discovery) serveOn(l *memnet.Listener) {
 	d.fleet.run(func() {
 		for {
@@ -194,29 +196,31 @@
 				return
 			}
 			d.fleet.run(func() {
-				serveConnection(d.fleet, conn, func(r *http.Request, gone <-chan struct{}) bool { return d.servePoll(conn, r, gone) })
+				serveConnection(d.fleet, conn, func(r *http.Request, peerClosed <-chan struct{}) bool {
+					return d.servePoll(conn, r, peerClosed)
+				})
 			})
 		}
 	})
 }
 
 // servePoll answers one poll; false = the connection ends.
-func (d *discovery) servePoll(conn net.Conn, r *http.Request, gone <-chan struct{}) bool {
-	version := wholeList
-	holdMillis := 0
+func (d *discovery) servePoll(conn net.Conn, r *http.Request, peerClosed <-chan struct{}) bool {
+	version := fullList
+	maxWaitMillis := 0
 	if from := r.URL.Query().Get("from"); from != "" {
 		version, _ = strconv.Atoi(from) // nodes send numbers
-		holdMillis, _ = strconv.Atoi(r.URL.Query().Get("hold_ms"))
+		maxWaitMillis, _ = strconv.Atoi(r.URL.Query().Get("hold_ms"))
 	}
 	if d.fleet.site.SharedDiscovery && !d.awaitCapacity() {
 		return respond(conn, http.StatusServiceUnavailable, "", "overloaded")
 	}
 	select {
-	case <-gone: // no change is delivered to a node that has gone
+	case <-peerClosed: // no change is delivered to a node that has disconnected
 		return false
 	default:
 	}
-	if !d.awaitChange(version, time.Duration(holdMillis)*time.Millisecond, gone) {
+	if !d.awaitChange(version, time.Duration(maxWaitMillis)*time.Millisecond, peerClosed) {
 		return false
 	}
 	entries, text := d.changesSince(version)
@@ -227,10 +231,10 @@
 	return respond(conn, http.StatusOK, "Content-Type: application/json\r\n", string(text))
 }
 
-// awaitChange waits for a change after a version, or for the end of the hold, and in both cases while discovery is silent; false = the
-// node has gone.
-func (d *discovery) awaitChange(version int, hold time.Duration, gone <-chan struct{}) bool {
-	end := time.NewTimer(hold)
+// awaitChange waits for a change after a version or until maxWait has passed. While discovery is silent it waits in either case. false =
+// the node has disconnected.
+func (d *discovery) awaitChange(version int, maxWait time.Duration, peerClosed <-chan struct{}) bool {
+	end := time.NewTimer(maxWait)
 	defer end.Stop()
 	for {
 		d.mu.Lock()
@@ -242,7 +246,7 @@
 			select {
 			case <-silent:
 				continue
-			case <-gone:
+			case <-peerClosed:
 				return false
 			}
 		}
@@ -251,7 +255,7 @@
 		}
 		select {
 		case <-changed:
-		case <-gone:
+		case <-peerClosed:
 			return false
 		case <-end.C:
 			return true
@@ -260,13 +264,13 @@
 }
 
 const (
-	// discoveryTimeout is the longest wait for a shared discovery; it rejects polls that would wait longer (s).
+	// discoveryTimeout is the maximum wait of a poll at a shared discovery, which rejects polls that would wait longer (s).
 	discoveryTimeout = 2.0
-	// rejectionCost is what a rejection costs a shared discovery, in answers.
+	// rejectionCost is the cost of a rejection for a shared discovery, as a multiple of that of a response.
 	rejectionCost = 0.3
 )
 
-// awaitCapacity waits for a poll's turn at a shared discovery; false = the poll was rejected.
+// awaitCapacity waits until a shared discovery can process a poll; false = the poll is rejected.
 func (d *discovery) awaitCapacity() bool {
 	wait, ok := d.reserveTurn()
 	if ok {
@@ -275,7 +279,7 @@
 	return ok
 }
 
-// reserveTurn returns how long a poll waits for its turn; false = it would be too long.
+// reserveTurn queues a poll and returns how long it waits; false = it would wait for longer than discoveryTimeout.
 func (d *discovery) reserveTurn() (wait time.Duration, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/lab/simulation/draw.go
+++ b/lab/simulation/draw.go
@@ -6,20 +6,21 @@
 	"math/rand/v2"
 )
 
-// pick returns one of some values.
+// pick returns one of the values, chosen at random.
 func pick[T any](rng *rand.Rand, values ...T) T { return values[rng.IntN(len(values))] }
 
-func between(rng *rand.Rand, low, high float64) float64 { return low + (high-low)*rng.Float64() }
+func uniform(rng *rand.Rand, low, high float64) float64 { return low + (high-low)*rng.Float64() }
 
-// Draw draws a deployment for so many nodes. Its traffic is what its engines can serve, with capacity to spare, up to maxRate.
+// Draw draws a deployment with the given number of nodes from a seed. Its request rate is a fraction of its engines' capacity, and at
+// most maxRate.
 func Draw(seed uint64, nodes int, maxRate float64) Site {
 	rng := rand.New(rand.NewPCG(seed, 0x5174))
 	s := Site{ // the order of the fields is that of the draws
 		Seed:              seed,
 		Nodes:             nodes,
 		SharedDiscovery:   rng.IntN(2) == 0,
-		PollInterval:      between(rng, 4, 12),
-		DiscoveryDelay:    between(rng, 0.3, 2.5),
+		PollInterval:      uniform(rng, 4, 12),
+		DiscoveryDelay:    uniform(rng, 0.3, 2.5),
 		CancelStopsWork:   rng.IntN(3) > 0,
 		Hedging:           rng.IntN(2) == 0,
 		Probes:            rng.IntN(2) == 0,
@@ -27,22 +28,22 @@
 		RetryAfter:        rng.IntN(2) == 0,
 		LocalPrefill:      rng.IntN(2) == 0,
 		MaxAttempts:       1 + rng.IntN(5),
-		SlowStartShare:    between(rng, 0.25, 0.5),
-		SlowStartSeconds:  between(rng, 5, 14),
-		OverloadMultiple:  between(rng, 2.5, 4),
-		SlowStartWindow:   between(rng, 1, 2),
-		DrainGrace:        between(rng, 0.2, 0.4),
-		StateReleaseLimit: between(rng, 0.4, 1),
+		SlowStartShare:    uniform(rng, 0.25, 0.5),
+		SlowStartSeconds:  uniform(rng, 5, 14),
+		OverloadMultiple:  uniform(rng, 2.5, 4),
+		SlowStartWindow:   uniform(rng, 1, 2),
+		DrainGrace:        uniform(rng, 0.2, 0.4),
+		StateReleaseLimit: uniform(rng, 0.4, 1),
 		Sockets:           pick(rng, 256, 512, 1024),
 		MemoryMB:          pick(rng, 32, 96, 192),
 		ClientRetries:     rng.IntN(3),
 		Backoff:           pick(rng, 0.0, 0.1, 0.4),
-		Load:              between(rng, 0.4, 0.65),
+		Load:              uniform(rng, 0.4, 0.65),
 	}
 	s.drawClasses(rng)
 	s.drawZones(rng)
 	s.drawEngines(rng, maxRate)
-	s.DiscoveryCapacity = float64(nodes) / min(changeDeliveredAfter, s.PollInterval) * between(rng, 2, 4)
+	s.DiscoveryCapacity = float64(nodes) / min(changeDeliveredAfter, s.PollInterval) * uniform(rng, 2, 4)
 	return s
 }
 
@@ -68,20 +69,20 @@
 	c := Class{ // the order of the fields is that of the draws
 		Effect:         pick(rng, effects...),
 		Group:          pick(rng, "all", "zone", "cell"),
-		KeyTTL:         between(rng, 0.5, 3),
-		Share:          between(rng, 0.3, 1),
-		PromptTokens:   math.Exp(between(rng, math.Log(120), math.Log(5000))),
-		ResponseTokens: math.Exp(between(rng, math.Log(25), math.Log(200))),
+		KeyTTL:         uniform(rng, 0.5, 3),
+		Share:          uniform(rng, 0.3, 1),
+		PromptTokens:   math.Exp(uniform(rng, math.Log(120), math.Log(5000))),
+		ResponseTokens: math.Exp(uniform(rng, math.Log(25), math.Log(200))),
 		PriorityWeight: pick(rng, 1.0, 1, 2, 3),
 		LateValue:      pick(rng, 0, 0.1, 0.3),
-		Prefixes:       1 + rng.IntN(12),
-		Spread:         between(rng, 0.1, 0.8),
+		PrefixCount:    1 + rng.IntN(12),
+		Spread:         uniform(rng, 0.1, 0.8),
 	}
 	c.PrefixTokens = c.PromptTokens * pick(rng, 0, 0.3, 0.8)
-	c.LatencyObjectivePerK = between(rng, 0.04, 0.12)
-	c.LatencyObjective = pick(rng, between(rng, 0.3, 1), between(rng, 0.8, 3), between(rng, 3, 20))
-	c.Patience = c.LatencyObjective * between(rng, 2.5, 5)
-	c.TokenLatencyObjective = between(rng, 0.045, 0.09)
+	c.LatencyObjectivePerK = uniform(rng, 0.04, 0.12)
+	c.LatencyObjective = pick(rng, uniform(rng, 0.3, 1), uniform(rng, 0.8, 3), uniform(rng, 3, 20))
+	c.Patience = c.LatencyObjective * uniform(rng, 2.5, 5)
+	c.TokenLatencyObjective = uniform(rng, 0.045, 0.09)
 	return c
 }
 
@@ -89,7 +90,7 @@
 	count := min(s.Nodes, 1+rng.IntN(4))
 	sum := 0.0
 	for range count {
-		weight := between(rng, 0.3, 1)
+		weight := uniform(rng, 0.3, 1)
 		s.Zones = append(s.Zones, weight)
 		sum += weight
 	}
@@ -98,21 +99,21 @@
 	}
 }
 
-// fleetForm says which kinds of engines a site has.
+// fleetForm is the combination of engine kinds in a site.
 type fleetForm int
 
 const (
-	mixedOnly  fleetForm = iota
-	noMixed              // prefill and decode engines
-	oneMixed             // and one mixed engine
-	thirdMixed           // and a third of all that are not prefill engines are mixed
-	fleetForms           // their number
+	mixedOnly      fleetForm = iota
+	noMixed                  // prefill and decode engines
+	oneMixed                 // prefill and decode engines, and one mixed engine
+	thirdMixed               // prefill engines, and of all others a third mixed and the rest decode engines
+	fleetFormCount           // number of forms
 )
 
-// drawEngines draws kinds, and as many engines as the traffic needs.
+// drawEngines draws the kinds and the number of engines, and sets the request rate and the quotas accordingly.
 func (s *Site) drawEngines(rng *rand.Rand, maxRate float64) {
 	prefill, decode, mixed := drawKinds(rng)
-	form := fleetForm(rng.IntN(int(fleetForms)))
+	form := fleetForm(rng.IntN(int(fleetFormCount)))
 	switch form {
 	case mixedOnly:
 		s.Kinds = []Kind{mixed}
@@ -132,7 +133,7 @@
 	}
 	s.placeEngines(counts, engines, 4+rng.IntN(4))
 	s.setRate(maxRate)
-	for s.requestsInFlight() > float64(s.Sockets)/5 { // in a burst too, clients hold at most a third of the descriptors
+	for s.requestsInFlight() > float64(s.Sockets)/5 { // even in a burst, clients use at most a third of the descriptors
 		s.Sockets *= 2
 	}
 	for i := range s.Tenants {
@@ -146,32 +147,32 @@
 	prefill = Kind{
 		Role:                   RolePrefill,
 		Slots:                  1,
-		Queue:                  15 + rng.IntN(40),
-		PrefillTokensPerSecond: speed * between(rng, 12000, 25000),
-		Memory:                 between(rng, 160e3, 290e3),
+		QueueLimit:             15 + rng.IntN(40),
+		PrefillTokensPerSecond: speed * uniform(rng, 12000, 25000),
+		MemoryTokens:           uniform(rng, 160e3, 290e3),
 	}
 	decode = Kind{
 		Role:                   RoleDecode,
 		Slots:                  40 + rng.IntN(70),
-		Queue:                  10 + rng.IntN(35),
-		PrefillTokensPerSecond: speed * between(rng, 5000, 8600),
-		StepSeconds:            between(rng, 0.01, 0.02),
-		Slope:                  between(rng, 0.005, 0.012),
-		Memory:                 between(rng, 110e3, 210e3),
+		QueueLimit:             10 + rng.IntN(35),
+		PrefillTokensPerSecond: speed * uniform(rng, 5000, 8600),
+		StepSeconds:            uniform(rng, 0.01, 0.02),
+		Slope:                  uniform(rng, 0.005, 0.012),
+		MemoryTokens:           uniform(rng, 110e3, 210e3),
 	}
 	mixed = Kind{
 		Role:                   RoleMixed,
 		Slots:                  30 + rng.IntN(50),
-		Queue:                  10 + rng.IntN(35),
-		PrefillTokensPerSecond: speed * between(rng, 9000, 16000),
-		StepSeconds:            between(rng, 0.01, 0.02),
-		Slope:                  between(rng, 0.006, 0.014),
-		Memory:                 between(rng, 200e3, 300e3),
+		QueueLimit:             10 + rng.IntN(35),
+		PrefillTokensPerSecond: speed * uniform(rng, 9000, 16000),
+		StepSeconds:            uniform(rng, 0.01, 0.02),
+		Slope:                  uniform(rng, 0.006, 0.014),
+		MemoryTokens:           uniform(rng, 200e3, 300e3),
 	}
 	return prefill, decode, mixed
 }
 
-// counts returns how many engines there are of each kind, if a share of them are prefill engines.
+// counts returns the number of engines of each kind; prefillShare is the fraction of prefill engines.
 func (f fleetForm) counts(engines int, prefillShare float64) []int {
 	prefill := max(1, min(engines-2, int(math.Round(prefillShare*float64(engines)))))
 	decode := engines - prefill
@@ -185,7 +186,7 @@
 	return []int{prefill, decode}
 }
 
-// placeEngines adds the engines of each kind, spread over cells and these over zones.
+// placeEngines adds the engines of each kind, distributed over cells, and the cells over zones.
 func (s *Site) placeEngines(counts []int, engines, cellSize int) {
 	cells := (engines + cellSize - 1) / cellSize
 	for kind, count := range counts {
@@ -201,21 +202,21 @@
 	}
 }
 
-// setRate sets the rate of requests from the capacity of the engines. Where that is more than may be played, the engines become
-// slower instead: each stands for several.
+// setRate sets the request rate from the capacity of the engines. If the rate exceeds maxRate, the engines are made slower to match
+// it: several engines of a real deployment are then represented by one.
 func (s *Site) setRate(maxRate float64) {
-	full := func(EngineSpec) float64 { return 1 }
-	s.Rate = s.Load * s.Capacity(full)
+	fullyAvailable := func(EngineSpec) float64 { return 1 }
+	s.Rate = s.Load * s.Capacity(fullyAvailable)
 	if s.Rate <= maxRate {
 		return
 	}
-	slower := maxRate / s.Rate
+	scale := maxRate / s.Rate
 	for i := range s.Kinds {
 		k := &s.Kinds[i]
-		k.Slots = max(2, int(math.Round(float64(k.Slots)*slower)))
-		k.Queue = max(2, int(math.Round(float64(k.Queue)*slower)))
-		k.PrefillTokensPerSecond *= max(slower, 0.35)
-		k.Slope /= slower
+		k.Slots = max(2, int(math.Round(float64(k.Slots)*scale)))
+		k.QueueLimit = max(2, int(math.Round(float64(k.QueueLimit)*scale)))
+		k.PrefillTokensPerSecond *= max(scale, 0.35)
+		k.Slope /= scale
 	}
-	s.Rate = min(maxRate, s.Load*s.Capacity(full))
+	s.Rate = min(maxRate, s.Load*s.Capacity(fullyAvailable))
 }
--- a/lab/simulation/engine.go
+++ b/lab/simulation/engine.go
@@ -15,26 +15,26 @@
 const (
 	// Healthy is no fault.
 	Healthy EngineFault = ""
-	// Hangs accepts connections and requests, and answers none.
+	// Hangs accepts connections and requests, but sends no response.
 	Hangs EngineFault = "hangs"
-	// Silent establishes no connection, and sends nothing on those that are open.
+	// Silent accepts no connection and sends nothing on open ones.
 	Silent EngineFault = "silent"
 	// RejectsAll rejects all requests.
 	RejectsAll EngineFault = "refuses"
-	// FailsAll answers 500 at once.
+	// FailsAll answers 500 immediately.
 	FailsAll EngineFault = "errors"
-	// SlowsDown works at slowSpeed.
+	// SlowsDown reduces the engine's speed to slowSpeed.
 	SlowsDown EngineFault = "crawls"
-	// LosesStates has lost the states that are fetched.
+	// LosesStates answers each fetch of a state that the state is lost.
 	LosesStates EngineFault = "loses"
-	// LosesPrefixes caches no prefixes.
+	// LosesPrefixes empties the prefix cache and caches no prefixes.
 	LosesPrefixes EngineFault = "forgets"
 )
 
-// slowSpeed is the part of its speed at which an engine works that slows down.
+// slowSpeed is the fraction of its speed to which SlowsDown reduces an engine.
 const slowSpeed = 0.1
 
-// engine is an emulated engine: a model of slots and a queue, which the socket side (engineserver.go) and the baseline policy share.
+// engine is an emulated engine: a model of slots and a queue, used by both the socket server (engineserver.go) and the baseline policy.
 type engine struct {
 	EngineSpec
 	kind  Kind
@@ -42,25 +42,25 @@
 
 	mu             sync.Mutex // guards all that follows
 	running        int        // slots in use
-	waiting        []chan struct{}
+	queue          []chan struct{}
 	fault          EngineFault
 	up             bool
-	dead           chan struct{} // closed when the process ends
-	startedAt      time.Time     // of the last cold start; zero = long ago
-	arrivals       []arrival     // in the window of slow start
-	overloaded     bool          // it was sent more than it can serve during slow start
+	exited         chan struct{} // closed when the process ends
+	startedAt      time.Time     // time of the last cold start; zero = none during the run
+	arrivals       []arrival     // requests received in the slow-start window
+	overloaded     bool          // received more than the limit during slow start
 	cachedPrefixes map[string]bool
 	listener       *memnet.Listener
 }
 
-// engineState is what an engine is like at a moment.
+// engineState is a snapshot of an engine's state.
 type engineState struct {
 	fault          EngineFault
 	up, overloaded bool
-	dead           chan struct{}
+	exited         chan struct{}
 }
 
-// unresponsive reports whether the engine takes requests and answers none.
+// unresponsive reports whether the engine sends no responses.
 func (s engineState) unresponsive() bool {
 	return s.fault == Hangs || s.fault == Silent || s.overloaded
 }
@@ -68,12 +68,12 @@
 func (e *engine) state() engineState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return engineState{fault: e.fault, up: e.up, overloaded: e.overloaded, dead: e.dead}
+	return engineState{fault: e.fault, up: e.up, overloaded: e.overloaded, exited: e.exited}
 }
 
 func (e *engine) address() string { return e.ID + ":5000" }
 
-// start starts the process; a cold start has nothing cached, and begins slow start.
+// start starts the engine's process. A cold start begins slow start.
 func (e *engine) start(isCold bool) {
 	if !e.reset(isCold) {
 		return
@@ -91,7 +91,7 @@
 	e.fleet.run(func() { e.accept(listener) })
 }
 
-// reset makes the engine a process that has just started; false = it runs already.
+// reset sets the engine to the state of a process that has just started; false = it is already running.
 func (e *engine) reset(isCold bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -99,10 +99,10 @@
 		return false
 	}
 	e.up = true
-	e.dead = make(chan struct{})
+	e.exited = make(chan struct{})
 	e.cachedPrefixes = map[string]bool{}
 	e.running = 0
-	e.waiting = nil
+	e.queue = nil
 	e.arrivals = nil
 	e.overloaded = false
 	if isCold {
@@ -111,7 +111,7 @@
 	return true
 }
 
-// kill ends the process: connections are reset and new ones refused.
+// kill ends the engine's process: its connections are reset and new ones are refused.
 func (e *engine) kill() {
 	e.mu.Lock()
 	if !e.up {
@@ -119,7 +119,7 @@
 		return
 	}
 	e.up = false
-	close(e.dead)
+	close(e.exited)
 	listener := e.listener
 	e.mu.Unlock()
 	if listener != nil {
@@ -146,77 +146,77 @@
 	}
 }
 
-// slotResult says how the wait for a slot ended.
+// slotResult is the result of waiting for a slot.
 type slotResult int
 
 const (
 	slotAcquired slotResult = iota
 	queueFull
-	waitEnded // by the end of the process or of the request
+	waitEnded // the process ended or the request was canceled
 )
 
-// acquireSlot waits for a slot until gone is closed.
-func (e *engine) acquireSlot(gone <-chan struct{}) slotResult {
+// acquireSlot waits for a slot until canceled is closed.
+func (e *engine) acquireSlot(canceled <-chan struct{}) slotResult {
 	e.mu.Lock()
 	if e.running < e.kind.Slots {
 		e.running++
 		e.mu.Unlock()
 		return slotAcquired
 	}
-	if len(e.waiting) >= e.kind.Queue {
+	if len(e.queue) >= e.kind.QueueLimit {
 		e.mu.Unlock()
 		return queueFull
 	}
-	turn := make(chan struct{})
-	e.waiting = append(e.waiting, turn)
-	dead := e.dead
+	granted := make(chan struct{})
+	e.queue = append(e.queue, granted)
+	exited := e.exited
 	e.mu.Unlock()
 	select {
-	case <-turn:
+	case <-granted:
 		return slotAcquired
-	case <-dead:
+	case <-exited:
 		return waitEnded
-	case <-gone:
+	case <-canceled:
 	}
-	if !e.leaveQueue(turn) {
-		e.releaseSlot(dead) // the slot came at the same moment
+	if !e.leaveQueue(granted) {
+		e.releaseSlot(exited) // the slot was granted at the same time
 	}
 	return waitEnded
 }
 
-// leaveQueue removes a wait from the queue; false = it has a slot already.
-func (e *engine) leaveQueue(turn chan struct{}) bool {
+// leaveQueue removes a waiter from the queue; false = it has been granted a slot.
+func (e *engine) leaveQueue(granted chan struct{}) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for i, w := range e.waiting {
-		if w == turn {
-			e.waiting = append(e.waiting[:i:i], e.waiting[i+1:]...)
+	for i, w := range e.queue {
+		if w == granted {
+			e.queue = append(e.queue[:i:i], e.queue[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-// releaseSlot gives a slot to the next that waits, unless the process that had it has ended.
-func (e *engine) releaseSlot(dead chan struct{}) {
+// releaseSlot passes a slot to the next waiter, unless the process that granted it has ended.
+func (e *engine) releaseSlot(exited chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.dead != dead {
+	if e.exited != exited {
 		return
 	}
-	if len(e.waiting) > 0 {
-		close(e.waiting[0])
-		e.waiting = e.waiting[1:]
+	if len(e.queue) > 0 {
+		close(e.queue[0])
+		e.queue = e.queue[1:]
 		return
 	}
 	e.running--
 }
 
-// occupancy returns how many requests have a slot, and how many wait.
+// occupancy returns the number of requests that have a slot and the number of those that wait for one.
 func (e *engine) occupancy() (running, waiting int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.running, len(e.waiting)
+	return e.running, len(e.queue)
 }
 
 func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
--- a/lab/simulation/engineserver.go
+++ b/lab/simulation/engineserver.go
@@ -27,14 +27,16 @@
 			return
 		}
 		e.fleet.run(func() {
-			serveConnection(e.fleet, conn, func(r *http.Request, gone <-chan struct{}) bool { return e.serveRequest(conn, r, gone) })
+			serveConnection(e.fleet, conn, func(r *http.Request, peerClosed <-chan struct{}) bool {
+				return e.serveRequest(conn, r, peerClosed)
+			})
 		})
 	}
 }
 
-// serveConnection serves the requests of a connection in turn, until the peer closes it or serve returns false. gone is closed when
-// the peer closes during a request.
-func serveConnection(f *fleet, conn net.Conn, serve func(r *http.Request, gone <-chan struct{}) bool) {
+// serveConnection serves the requests of a connection in sequence until the peer closes it or serve returns false. peerClosed is closed
+// when the peer closes the connection during a request.
+func serveConnection(f *fleet, conn net.Conn, serve func(r *http.Request, peerClosed <-chan struct{}) bool) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -45,33 +47,33 @@
 		if _, err = io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		gone, next := watchPeer(f, reader)
-		if !serve(r, gone) {
+		peerClosed, nextRequest := watchPeer(f, reader)
+		if !serve(r, peerClosed) {
 			return
 		}
 		select {
-		case <-gone:
+		case <-peerClosed:
 			return
-		case <-next:
+		case <-nextRequest:
 		}
 	}
 }
 
-// watchPeer closes gone when the peer has closed its side, or next when its next request begins.
-func watchPeer(f *fleet, reader *bufio.Reader) (gone, next chan struct{}) {
-	gone = make(chan struct{})
-	next = make(chan struct{})
+// watchPeer closes peerClosed when the peer has closed its side, or nextRequest when the peer's next request begins.
+func watchPeer(f *fleet, reader *bufio.Reader) (peerClosed, nextRequest chan struct{}) {
+	peerClosed = make(chan struct{})
+	nextRequest = make(chan struct{})
 	f.run(func() {
 		if _, err := reader.Peek(1); err != nil {
-			close(gone)
+			close(peerClosed)
 		} else {
-			close(next)
+			close(nextRequest)
 		}
 	})
-	return gone, next
+	return peerClosed, nextRequest
 }
 
-// respond writes a response; false = the connection is broken.
+// respond writes a response; false = the connection failed.
 func respond(conn net.Conn, status int, headers, body string) bool {
 	_, err := fmt.Fprintf(conn, "HTTP/1.1 %d x\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
 	return err == nil
@@ -84,14 +86,14 @@
 	return fmt.Sprintf("util=%.3f,queue=%d,x0=%.3f", utilization, waiting, 0.8*utilization)
 }
 
-// serveRequest serves one request; false = the connection ends.
-func (e *engine) serveRequest(conn net.Conn, r *http.Request, gone <-chan struct{}) bool {
+// serveRequest serves one request; false = the connection must be closed.
+func (e *engine) serveRequest(conn net.Conn, r *http.Request, peerClosed <-chan struct{}) bool {
 	if id, ok := strings.CutPrefix(r.URL.Path, "/v1/holds/"); ok && r.Method == http.MethodDelete {
-		return e.serveRelease(conn, id, gone)
+		return e.serveRelease(conn, id, peerClosed)
 	}
 	a := e.fleet.attempt(r.Header.Get("X-Call-Id"))
 	if a == nil {
-		e.fleet.violation("void: %s was sent a request that no client sent", e.ID)
+		e.fleet.addViolation("void: %s was sent a request that no client sent", e.ID)
 		return respond(conn, http.StatusBadRequest, "", "no client sent this id")
 	}
 	node := conn.RemoteAddr().String()
@@ -119,16 +121,16 @@
 		e.fleet.log.Add(ended)
 	}()
 	if e.kind.Role == RolePrefill {
-		return e.servePrefill(conn, a, node, gone)
+		return e.servePrefill(conn, a, node, peerClosed)
 	}
-	return e.serveDecode(conn, a, arrived, owner, gone)
+	return e.serveDecode(conn, a, arrived, owner, peerClosed)
 }
 
 // serveRelease releases the state of an attempt.
-func (e *engine) serveRelease(conn net.Conn, id string, gone <-chan struct{}) bool {
+func (e *engine) serveRelease(conn net.Conn, id string, peerClosed <-chan struct{}) bool {
 	state := e.state()
 	if state.fault == Hangs || state.fault == Silent {
-		awaitEnd(state.dead, gone)
+		awaitEnd(state.exited, peerClosed)
 		return false
 	}
 	e.fleet.releaseState(id)
@@ -136,11 +138,11 @@
 	return err == nil
 }
 
-func (e *engine) servePrefill(conn net.Conn, a *clientAttempt, node string, gone <-chan struct{}) bool {
-	switch e.prefill(a.request, gone) {
+func (e *engine) servePrefill(conn net.Conn, a *clientAttempt, node string, peerClosed <-chan struct{}) bool {
+	switch e.prefill(a.request, peerClosed) {
 	case completed:
 		select {
-		case <-gone: // the work went on with nobody waiting: no state is reserved
+		case <-peerClosed: // the prefill continued without a client: no state is reserved
 			return false
 		default:
 		}
@@ -163,9 +165,9 @@
 }
 
 func (s *responseStream) start() bool {
-	began := s.arrived
-	began.Kind = record.Run
-	s.fleet.log.Add(began)
+	started := s.arrived
+	started.Kind = record.Run
+	s.fleet.log.Add(started)
 	s.fleet.releaseState(s.attempt.id)
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	_, err := io.WriteString(s.conn, head+tokenEvent(0))
@@ -183,17 +185,17 @@
 	return err == nil
 }
 
-// tokenEvent returns an event whose text is a number of tokens.
+// tokenEvent returns an event whose text is the number of tokens.
 func tokenEvent(tokens int) string {
 	return chunk(`data: {"choices":[{"index":0,"delta":{"content":"` + strconv.Itoa(tokens) + `"}}]}` + "\n\n")
 }
 
-// chunk returns text as a chunk of a chunked body.
+// chunk returns text as one chunk of a chunked body.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-func (e *engine) serveDecode(conn net.Conn, a *clientAttempt, arrived record.Record, owner *engine, gone <-chan struct{}) bool {
+func (e *engine) serveDecode(conn net.Conn, a *clientAttempt, arrived record.Record, owner *engine, peerClosed <-chan struct{}) bool {
 	out := &responseStream{conn: conn, fleet: e.fleet, attempt: a, arrived: arrived}
-	switch e.decode(a.request, owner, gone, out) {
+	switch e.decode(a.request, owner, peerClosed, out) {
 	case completed:
 		return out.end(e.loadReport())
 	case rejectedByEngine:
--- a/lab/simulation/fleet.go
+++ b/lab/simulation/fleet.go
@@ -10,37 +10,37 @@
 	"dillroute/lab/record"
 )
 
-// Slacks of the platform's terms (s).
+// Tolerances of the platform's requirements (s).
 const (
-	// disconnectSlack is within which an attempt may still begin once its client has disconnected.
+	// disconnectSlack is how long after its client's disconnect an attempt may still begin.
 	disconnectSlack = 0.1
-	// budgetSlack is by how much the time stated to an engine may exceed what its client has left.
+	// budgetSlack is the maximum excess of the time stated to an engine over the client's remaining time.
 	budgetSlack = 0.15
-	// stepSlack is for one pass of a node and its sockets.
+	// stepSlack allows for one iteration of a node's event loop and its socket operations.
 	stepSlack = 0.02
-	// changeDeliveredAfter is after which a change counts as delivered to all nodes.
+	// changeDeliveredAfter is the time after which a change counts as delivered to all nodes.
 	changeDeliveredAfter = 6.0
 )
 
-// clientAttempt is one attempt of a client to get its request served. To the records it is an operation of its own: what a client
-// requests anew by its own choice is not the node's to answer for.
+// clientAttempt is one attempt of a client to get its request served. The records treat it as an operation of its own: a node is not
+// responsible for effects that a client's own retry repeats.
 type clientAttempt struct {
 	*request
 	id     string
 	number int
 	sentAt time.Time
-	budget float64 // s that its client waits
+	budget float64 // how long its client waits (s)
 
-	disconnectedAt time.Time // zero = its client has not disconnected before the response; guarded by fleet.mu
-	reached        int       // attempts of the node that reached an engine; guarded by fleet.mu
+	disconnectedAt time.Time // when its client closed the connection or stopped using it; zero = not yet; guarded by fleet.mu
+	reached        int       // number of the node's attempts that reached an engine; guarded by fleet.mu
 }
 
-// fleet is the engines and the discovery of a run, and what both policies record.
+// fleet holds the engines and the discovery of a run, and the data that is recorded with either policy.
 type fleet struct {
 	site      Site
 	log       *record.Log
-	network   *memnet.Network // nil = the baseline policy plays
-	began     time.Time
+	network   *memnet.Network // nil = the run uses the baseline policy
+	startedAt time.Time
 	engines   []*engine
 	byID      map[string]*engine
 	discovery *discovery
@@ -50,14 +50,14 @@
 	attempts      map[string]*clientAttempt
 	stateOwners   map[string]*engine // by id of the attempt
 	violations    []string
-	slowStartPeak float64 // greatest part of a slow-start budget that was used
+	slowStartPeak float64 // greatest fraction of a slow-start budget that was used
 }
 
 func newFleet(site Site, network *memnet.Network) *fleet {
 	f := &fleet{
 		site:        site,
 		network:     network,
-		began:       time.Now(),
+		startedAt:   time.Now(),
 		byID:        map[string]*engine{},
 		attempts:    map[string]*clientAttempt{},
 		stateOwners: map[string]*engine{},
@@ -76,7 +76,7 @@
 	return f
 }
 
-// run runs a function on a goroutine that the end of the run waits for.
+// run runs a function on a new goroutine, for which the end of the run waits.
 func (f *fleet) run(task func()) {
 	f.tasks.Add(1)
 	go func() {
@@ -86,15 +86,15 @@
 }
 
 // now returns the time since the start of the run (s).
-func (f *fleet) now() float64 { return time.Since(f.began).Seconds() }
+func (f *fleet) now() float64 { return time.Since(f.startedAt).Seconds() }
 
-func (f *fleet) violation(format string, args ...any) {
+func (f *fleet) addViolation(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.violations = append(f.violations, fmt.Sprintf("%.3f s: ", f.now())+fmt.Sprintf(format, args...))
 }
 
-func (f *fleet) noteSlowStartUse(share float64) {
+func (f *fleet) recordSlowStartUse(share float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.slowStartPeak = max(f.slowStartPeak, share)
@@ -106,7 +106,7 @@
 	f.attempts[a.id] = a
 }
 
-// removeAttempt forgets an attempt and returns how many attempts of the node reached an engine for it.
+// removeAttempt deletes a client's attempt and returns how many of the node's attempts for it reached an engine.
 func (f *fleet) removeAttempt(a *clientAttempt) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -120,14 +120,14 @@
 	return f.attempts[id]
 }
 
-// clientClosed notes that the client of an attempt has closed its connection, or needs it no more.
+// clientClosed records that the client of an attempt has closed its connection or no longer needs it.
 func (f *fleet) clientClosed(a *clientAttempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	a.disconnectedAt = time.Now()
 }
 
-// attemptReached checks an attempt that has reached an engine by the terms on disconnects and on the stated time.
+// attemptReached checks an attempt that has reached an engine against the rules on client disconnects and on the stated time.
 func (f *fleet) attemptReached(a *clientAttempt, e *engine, node, statedTime string) {
 	f.mu.Lock()
 	a.reached++
@@ -136,19 +136,19 @@
 	now := time.Now()
 	since := now.Sub(disconnectedAt).Seconds()
 	if !disconnectedAt.IsZero() && since > disconnectSlack+stepSlack {
-		f.violation("rule 1: %s try %d was sent to %s by %s %.3f s after its client had closed", a.op, a.number, e.ID, node, since)
+		f.addViolation("rule 1: %s attempt %d was sent to %s by %s %.3f s after its client disconnected", a.op, a.number, e.ID, node, since)
 	}
 	budget, err := strconv.ParseFloat(statedTime, 64)
 	remaining := a.budget - now.Sub(a.sentAt).Seconds()
 	if err != nil || budget > remaining+budgetSlack {
-		f.violation("rule 1: %s try %d told %s %q, its client has %.3f s left", a.op, a.number, e.ID, statedTime, remaining)
+		f.addViolation("rule 1: %s attempt %d stated to %s %q, but its client has %.3f s left", a.op, a.number, e.ID, statedTime, remaining)
 	}
 }
 
-// stateID returns the name of an attempt's state at an engine, as records have it.
+// stateID returns the id of an attempt's state at an engine in the records.
 func stateID(attempt string, e *engine) string { return attempt + "@" + e.ID }
 
-// reserveState notes that an engine holds the state of an attempt.
+// reserveState records that an engine stores the state of an attempt.
 func (f *fleet) reserveState(a *clientAttempt, e *engine, node string) {
 	f.mu.Lock()
 	f.stateOwners[a.id] = e
@@ -170,7 +170,7 @@
 	return f.stateOwners[id]
 }
 
-// releaseState releases the state of an attempt, if there is one.
+// releaseState releases the state of an attempt, if it has one.
 func (f *fleet) releaseState(id string) {
 	f.mu.Lock()
 	e := f.stateOwners[id]
@@ -181,7 +181,7 @@
 	}
 }
 
-// dropStates releases the states of an engine whose process has ended.
+// dropStates deletes the states of an engine whose process has ended.
 func (f *fleet) dropStates(engine string) {
 	f.mu.Lock()
 	var ids []string
--- a/lab/simulation/oracle.go
+++ b/lab/simulation/oracle.go
@@ -12,16 +12,16 @@
 type Report struct {
 	Day          *Day
 	Results      []Result
-	Violations   []string // of rules and of the platform's terms
+	Violations   []string // violations of rules and of the platform's requirements
 	Records      []record.Record
-	SlowStartUse float64 // greatest part of a slow-start budget that was used
+	SlowStartUse float64 // greatest fraction of a slow-start budget that was used
 }
 
-// Share returns which part of the weight of the requests that fit was served, and how many fit.
-func (r *Report) Share(fits func(Result) bool) (share float64, count int) {
+// Share returns the fraction of the weight that was served, over the requests whose result matches, and their number.
+func (r *Report) Share(matches func(Result) bool) (share float64, count int) {
 	var requested, served float64
 	for _, x := range r.Results {
-		if fits(x) {
+		if matches(x) {
 			requested += x.RequestedWeight
 			served += x.ServedWeight
 			count++
@@ -33,89 +33,89 @@
 	return served / requested, count
 }
 
-// Bounds of the oracle: service below these parts of the baseline's is a shortfall, where there are enough requests to tell.
+// Bounds of the oracle: a served share below these fractions of the baseline's is a shortfall if there are enough requests to compare.
 const (
-	minPart         = 0.5     // of all, and by class, effect, tenant and third
-	minWindowPart   = 1.0 / 3 // over any window
-	minRecovered    = 0.9     // from recoveryTime after the last fault
-	windowLength    = 5.0     // s
-	recoveryTime    = 10.0    // s
-	minRequests     = 30      // requests that are enough to tell
-	minBaseline     = 0.1     // share of the baseline under which nothing is required
-	rejectingTime   = 4.0     // s in which a node rejects all that it receives
-	minNodeRequests = 10      // requests of one node that are enough to tell
-	minOthers       = 0.3     // share that is served in all while a node rejects all
-	forever         = 1e6     // s
+	minFraction          = 0.5     // over all requests, and by class, effect, tenant and third of the run
+	minWindowFraction    = 1.0 / 3 // over any window of windowLength
+	minRecoveredFraction = 0.9     // from recoveryTime after the last fault
+	windowLength         = 5.0     // s
+	recoveryTime         = 10.0    // s
+	minRequests          = 30      // minimum number of requests to compare
+	minBaselineShare     = 0.1     // served share of the baseline below which nothing is required
+	minRejectingTime     = 4.0     // how long a node rejects all its requests before it is reported (s)
+	minNodeRequests      = 10      // minimum number of requests of such a node
+	minOverallShare      = 0.3     // minimum share served over all nodes in that time
+	unlimited            = 1e6     // s
 )
 
-// everything fits all results.
-func everything(Result) bool { return true }
+// allResults matches all results.
+func allResults(Result) bool { return true }
 
-// within returns what fits the results of requests within a time.
+// within returns a predicate that matches the results of requests sent from one time until before another (s).
 func within(from, to float64) func(Result) bool {
 	return func(x Result) bool { return x.At >= from && x.At < to }
 }
 
-// Shortfalls says in what the service of a run falls short of the baseline's, one line each.
+// Shortfalls returns the aspects in which the service of a run falls short of the baseline's, one text each.
 func Shortfalls(got, baseline *Report) []string {
 	c := &comparison{got: got, baseline: baseline}
 	site := &got.Day.Site
-	c.check("in all", minPart, everything)
+	c.check("in all", minFraction, allResults)
 	effects := map[string]bool{}
 	for i, class := range site.Classes {
-		c.check(className(i), minPart, func(x Result) bool { return x.Class == i })
+		c.check(className(i), minFraction, func(x Result) bool { return x.Class == i })
 		effects[class.Effect] = true
 	}
 	for _, effect := range slices.Sorted(maps.Keys(effects)) {
-		c.check("effect "+effect, minPart, func(x Result) bool { return site.Classes[x.Class].Effect == effect })
+		c.check("effect "+effect, minFraction, func(x Result) bool { return site.Classes[x.Class].Effect == effect })
 	}
 	for i := range site.Tenants {
-		c.check(tenantName(i), minPart, func(x Result) bool { return x.Tenant == i })
+		c.check(tenantName(i), minFraction, func(x Result) bool { return x.Tenant == i })
 	}
 	length := got.Day.Length
 	for i := range 3 {
 		from := length * float64(i) / 3
 		to := length * float64(i+1) / 3
-		c.check(fmt.Sprintf("third %d", i+1), minPart, within(from, to))
+		c.check(fmt.Sprintf("third %d", i+1), minFraction, within(from, to))
 	}
 	c.checkWindows()
 	if from := got.Day.lastEnd() + recoveryTime; from < length-windowLength {
-		c.check(fmt.Sprintf("%.0f s after the last fault", recoveryTime), minRecovered, within(from, forever))
+		c.check(fmt.Sprintf("%.0f s after the last fault", recoveryTime), minRecoveredFraction, within(from, unlimited))
 	}
 	return append(c.shortfalls, rejectingNodes(got)...)
 }
 
-// comparison collects in what a run falls short of the baseline.
+// comparison compares a run with the baseline and collects the shortfalls.
 type comparison struct {
 	got, baseline *Report
 	shortfalls    []string
 }
 
-// shares returns the served shares of both runs; false = there are too few requests, or the baseline serves too little, to tell.
-func (c *comparison) shares(fits func(Result) bool) (got, want float64, count int, ok bool) {
-	got, count = c.got.Share(fits)
-	want, baselineCount := c.baseline.Share(fits)
-	return got, want, count, min(count, baselineCount) >= minRequests && want >= minBaseline
+// shares returns the served shares of both runs; false = there are too few requests, or the baseline serves too little, to compare.
+func (c *comparison) shares(matches func(Result) bool) (got, want float64, count int, ok bool) {
+	got, count = c.got.Share(matches)
+	want, baselineCount := c.baseline.Share(matches)
+	return got, want, count, min(count, baselineCount) >= minRequests && want >= minBaselineShare
 }
 
-func (c *comparison) check(name string, part float64, fits func(Result) bool) {
-	got, want, count, ok := c.shares(fits)
-	if ok && got < part*want {
+func (c *comparison) check(name string, required float64, matches func(Result) bool) {
+	got, want, count, ok := c.shares(matches)
+	if ok && got < required*want {
 		c.shortfalls = append(c.shortfalls, shortfall(name, got, want, count))
 	}
 }
 
 func shortfall(name string, got, want float64, count int) string {
-	return fmt.Sprintf("%s: %.3f of the worth served, the plain policy %.3f (%d requests)", name, got, want, count)
+	return fmt.Sprintf("%s: served share %.3f, baseline policy %.3f (%d requests)", name, got, want, count)
 }
 
-// checkWindows finds the windows over which little is served; of those that overlap it reports the worst.
+// checkWindows reports the windows with a shortfall; of overlapping windows it reports the worst.
 func (c *comparison) checkWindows() {
-	last := -windowLength // begin of the last window reported
+	last := -windowLength // start of the last window reported
 	worst := 0.0
 	for at := 0.0; at+windowLength <= c.got.Day.Length; at++ {
 		got, want, count, ok := c.shares(within(at, at+windowLength))
-		if !ok || got >= minWindowPart*want {
+		if !ok || got >= minWindowFraction*want {
 			continue
 		}
 		text := shortfall(fmt.Sprintf("from %.0f s to %.0f s", at, at+windowLength), got, want, count)
@@ -133,7 +133,7 @@
 	}
 }
 
-// rejectingNodes finds nodes that reject all that they receive for a while, with no attempt at an engine, while others serve.
+// rejectingNodes reports the nodes that reject all their requests for a time, without an attempt at an engine, while others serve.
 func rejectingNodes(r *Report) []string {
 	byNode := map[string][]Result{}
 	for _, x := range r.Results {
@@ -150,9 +150,10 @@
 	return found
 }
 
-// rejectsAll says when a node rejected all its requests for too long; "" = it did not. The results are in order of time.
+// rejectsAll returns a text on the time in which a node rejected all its requests for too long; "" = there was none. The results must
+// be in order of time.
 func (r *Report) rejectsAll(node string, results []Result) string {
-	first := 0 // of the rejected requests in a row
+	first := 0 // index of the first of consecutive rejected requests
 	for i, x := range results {
 		if x.ServedWeight > 0 || x.Attempts > 0 || x.Outcome == Disconnected {
 			first = i + 1
@@ -160,14 +161,15 @@
 		}
 		from := results[first].At
 		count := i - first + 1
-		if x.At-from < rejectingTime || count < minNodeRequests {
+		if x.At-from < minRejectingTime || count < minNodeRequests {
 			continue
 		}
 		share, n := r.Share(within(from, x.At))
-		if n < minRequests || share < minOthers {
+		if n < minRequests || share < minOverallShare {
 			return ""
 		}
-		return fmt.Sprintf("%s turned away all %d requests from %.1f s to %.1f s, others served %.2f", node, count, from, x.At, share)
+		return fmt.Sprintf("%s rejected all %d requests from %.1f s to %.1f s while the served share over all nodes was %.2f",
+			node, count, from, x.At, share)
 	}
 	return ""
 }
--- a/lab/simulation/oracle_test.go
+++ b/lab/simulation/oracle_test.go
@@ -6,42 +6,42 @@
 	"testing/synctest"
 )
 
-// slowStartDay is a day on which all engines of a site stop together and start again, cold, with requests enough for them.
+// slowStartDay returns a run in which all engines of a site crash together and restart cold, with enough requests to load them.
 func slowStartDay() Day {
 	d := DrawDay(186, 1, 150)
 	d.Site.SlowStartSeconds = 14
 	return d
 }
 
-func playBaseline(t *testing.T, d Day, p Policy) (r *Report) {
+func runBaseline(t *testing.T, d Day, p Policy) (r *Report) {
 	t.Helper()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	synctest.Test(t, func(t *testing.T) { r = d.PlayBaseline(p) })
 	return r
 }
 
-// The oracle reports a policy that rejects all requests, one that loses a third of them or all of a while, and one that sends nothing
-// to engines in slow start; it reports nothing of the baseline policy itself.
+// The oracle must report a policy that rejects all requests, a third of them, or all of them for a time, and a policy that sends nothing
+// to engines in slow start. It must not report the baseline policy itself.
 func TestOracleReportsBadPolicies(t *testing.T) {
 	d := slowStartDay()
-	baseline := playBaseline(t, d, Policy{})
-	if shortfalls := Shortfalls(playBaseline(t, d, Policy{}), baseline); len(shortfalls) > 0 {
+	baseline := runBaseline(t, d, Policy{})
+	if shortfalls := Shortfalls(runBaseline(t, d, Policy{}), baseline); len(shortfalls) > 0 {
 		t.Errorf("the baseline policy falls short of itself: %v", shortfalls)
 	}
 	for name, p := range map[string]Policy{
 		"rejects all":                  {RejectAll: true},
-		"loses a third":                {LoseThird: true},
+		"rejects a third":              {RejectThird: true},
 		"rejects all for 5 s":          {RejectFrom: 30, RejectUntil: 35},
 		"avoids engines in slow start": {AvoidWarmingUp: true},
 		"rejects from 35 s to the end": {RejectFrom: 35, RejectUntil: 45},
 	} {
-		if shortfalls := Shortfalls(playBaseline(t, d, p), baseline); len(shortfalls) == 0 {
+		if shortfalls := Shortfalls(runBaseline(t, d, p), baseline); len(shortfalls) == 0 {
 			t.Errorf("a policy that %s has no shortfall", name)
 		}
 	}
 }
 
-// Each form of fleet, effect and discovery is drawn, and all sites are sound.
+// Each fleet form, effect and type of discovery must be drawn, and each site must have requests, engines and attempts.
 func TestDrawnSitesCoverAllForms(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(200) {
--- a/lab/simulation/productrun.go
+++ b/lab/simulation/productrun.go
@@ -22,29 +22,29 @@
 	Kill()
 }
 
-// StartNode starts a node from the text of its configuration, on a listener, with connections made by dial.
+// StartNode starts a node with the text of its configuration file. It serves on l and makes its connections with dial.
 type StartNode func(config []byte, l net.Listener, dial func(ctx context.Context, network, address string) (net.Conn, error)) (Node, error)
 
 const (
-	// warmUp is for how long nodes run before the first request (s): a little longer than any window of slow start.
-	warmUp = 4.0
+	// warmUpSeconds is how long nodes run before the first request (s): slightly longer than any slow-start window.
+	warmUpSeconds = 4.0
 	// startDelay is how long a node takes to start (s).
 	startDelay = 0.3
-	// killDelay is how much longer than the longest patience a node has between SIGTERM and SIGKILL (s).
-	killDelay = 0.7
-	// maxKillPatience is the longest patience that counts for that (s).
+	// killMargin is the time between SIGTERM and SIGKILL beyond the longest patience of a class (s).
+	killMargin = 0.7
+	// maxKillPatience bounds the patience that is used for that time (s).
 	maxKillPatience = 3.0
-	// registryAddress is the address of a shared discovery.
-	registryAddress = "registry:8500"
+	// sharedDiscoveryAddress is the address of the shared discovery service.
+	sharedDiscoveryAddress = "registry:8500"
 )
 
-// host is where a node runs: its process comes and goes.
+// host is the address at which a node's processes run, one after another.
 type host struct {
 	name string
 	zone int
 
 	mu       sync.Mutex // guards all that follows
-	node     Node       // nil = none runs
+	node     Node       // nil = no node is running
 	listener *memnet.Listener
 	readyAt  time.Time  // when a node was last started; zero = never
 	endedAt  time.Time  // when a node last ended; zero = never
@@ -53,37 +53,37 @@
 
 func nodeName(i int) string { return fmt.Sprintf("n%d:5000", i) }
 
-// productRun plays a day on nodes of the product.
+// productRun is a run with nodes of the product.
 type productRun struct {
 	*fleet
 	day       *Day
 	startNode StartNode
 	hosts     []*host
-	over      chan struct{} // closed at the end of the run
+	done      chan struct{} // closed at the end of the run
 
 	resultsMu sync.Mutex
 	results   []Result
 }
 
-// Play plays the day on the product, inside a synctest bubble.
+// Play runs d with nodes of the product. It must be called in a synctest bubble.
 func (d *Day) Play(start StartNode) *Report {
 	network := memnet.New()
-	p := &productRun{fleet: newFleet(d.Site, network), day: d, startNode: start, over: make(chan struct{})}
+	p := &productRun{fleet: newFleet(d.Site, network), day: d, startNode: start, done: make(chan struct{})}
 	discoveryListeners := p.startDiscovery()
 	for i := range p.hosts {
 		p.start(i)
 	}
-	time.Sleep(duration(warmUp))
-	p.began = time.Now()
-	p.fleet.playFaults(d, p.over, p.playNodeFault)
+	time.Sleep(duration(warmUpSeconds))
+	p.startedAt = time.Now()
+	p.fleet.injectFaults(d, p.done, p.injectNodeFault)
 	p.runClients(d.requests(), func(q *request) { p.addResult(p.runOperation(q)) })
 	time.Sleep(duration(2 * d.Site.StateReleaseLimit))
-	close(p.over)
+	close(p.done)
 	p.end(discoveryListeners)
 	return p.report()
 }
 
-// startDiscovery makes the hosts and the listeners of discovery: one for all nodes, or an agent for each.
+// startDiscovery creates the hosts and starts discovery. It returns its listeners: one for all nodes, or an agent's for each node.
 func (p *productRun) startDiscovery() []*memnet.Listener {
 	var listeners []*memnet.Listener
 	serve := func(address string) {
@@ -92,7 +92,7 @@
 		p.discovery.serveOn(l)
 	}
 	if p.site.SharedDiscovery {
-		serve(registryAddress)
+		serve(sharedDiscoveryAddress)
 	}
 	for i := range p.site.Nodes {
 		p.hosts = append(p.hosts, &host{name: nodeName(i), zone: i % len(p.site.Zones)})
@@ -103,10 +103,10 @@
 	return listeners
 }
 
-// agentAddress returns the address of discovery's agent beside a node.
+// agentAddress returns the address of a node's local discovery agent.
 func agentAddress(node int) string { return fmt.Sprintf("agent%d:8500", node) }
 
-// runClients sends the requests of a day at their times and waits for the end of all.
+// runClients sends the requests of a run at their times and waits until all have ended.
 func (f *fleet) runClients(requests []*request, send func(*request)) {
 	var clients sync.WaitGroup
 	for _, q := range requests {
@@ -128,7 +128,7 @@
 	p.results = append(p.results, r)
 }
 
-// end ends all nodes, discovery and engines, and waits for their goroutines.
+// end stops all nodes, discovery and the engines, and waits for their goroutines.
 func (p *productRun) end(discoveryListeners []*memnet.Listener) {
 	p.discovery.setSilent(false)
 	for _, h := range p.hosts {
@@ -154,21 +154,21 @@
 	p.tasks.Wait()
 }
 
-// start starts a node with the endpoint list as discovery has it now.
+// start starts a node with discovery's current endpoint list.
 func (p *productRun) start(i int) {
 	h := p.hosts[i]
 	listener := p.network.Listen(h.name)
-	address := registryAddress
+	address := sharedDiscoveryAddress
 	if !p.site.SharedDiscovery {
 		address = agentAddress(i)
 	}
-	entries, list := p.discovery.changesSince(wholeList)
+	entries, list := p.discovery.changesSince(fullList)
 	for _, entry := range entries {
 		p.discovery.recordDelivery(h.name, entry.ID, entry.State)
 	}
 	node, err := p.startNode(p.site.config(i, h.name, address, list), listener, p.network.Dialer(h.name))
 	if err != nil {
-		p.violation("start: %s: %v", h.name, err)
+		p.addViolation("start: %s: %v", h.name, err)
 		return
 	}
 	h.mu.Lock()
@@ -178,7 +178,7 @@
 	h.readyAt = time.Now()
 }
 
-// restart ends a node and starts it again.
+// restart shuts down or kills a node and starts it again.
 func (p *productRun) restart(i int, gracefully bool) {
 	h := p.hosts[i]
 	h.mu.Lock()
@@ -196,14 +196,14 @@
 	}
 	closeAndReset(listener)
 	select {
-	case <-p.over:
+	case <-p.done:
 		return
 	case <-time.After(duration(startDelay)):
 	}
 	p.start(i)
 }
 
-// shutDown shuts a node down gracefully, and kills it if it takes too long.
+// shutDown shuts a node down gracefully and kills it if that takes longer than killDelay.
 func (p *productRun) shutDown(h *host, node Node, listener *memnet.Listener) {
 	ended := make(chan struct{})
 	p.run(func() {
@@ -224,26 +224,26 @@
 	node.Kill()
 }
 
-// killDelay returns how long after SIGTERM a node is killed (s).
+// killDelay returns the time between SIGTERM and SIGKILL (s).
 func (s *Site) killDelay() float64 {
 	patience := 0.0
 	for _, c := range s.Classes {
 		patience = max(patience, c.Patience)
 	}
-	return killDelay + min(maxKillPatience, patience)
+	return killMargin + min(maxKillPatience, patience)
 }
 
-// report checks the rules and returns the results.
+// report checks the records of the run against the rules and returns the results.
 func (p *productRun) report() *Report {
 	r := &Report{Day: p.day, Results: p.results, Violations: p.violations, SlowStartUse: p.slowStartPeak}
 	for _, v := range rules.Check(p.log.All(), p.site.checkerConfig()) {
-		r.Violations = append(r.Violations, fmt.Sprintf("%.3f s: %s", v.T-float64(p.began.UnixNano())/1e9, v))
+		r.Violations = append(r.Violations, fmt.Sprintf("%.3f s: %s", v.T-float64(p.startedAt.UnixNano())/1e9, v))
 	}
 	r.Records = p.log.All()
 	return r
 }
 
-// checkerConfig returns the figures of the rules. Rule 4 is checked by the engines themselves.
+// checkerConfig returns the configuration of the rule checker. Rule 4 is checked by the emulated engines instead.
 func (s *Site) checkerConfig() rules.Config {
 	const neverOverloaded = 1e6
 	config := rules.Config{
--- a/lab/simulation/settings.go
+++ b/lab/simulation/settings.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// object is a JSON object of a node's settings. Its members are the platform's.
+// object is a JSON object of a node's settings. The platform defines the names of its members.
 type object map[string]any
 
-// Settings returns the settings object with which the platform starts the node of a rank.
+// Settings returns the settings object with which the platform starts the node with the given rank.
 func (s *Site) Settings(rank int) map[string]any {
 	var zones, kinds []string
 	for i := range s.Zones {
@@ -75,7 +75,7 @@
 	}
 	for _, k := range s.Kinds {
 		roles = append(roles, k.Role)
-		memory = append(memory, k.Memory)
+		memory = append(memory, k.MemoryTokens)
 	}
 	return object{
 		"ahead":                         false,
@@ -121,7 +121,7 @@
 func zoneName(i int) string   { return fmt.Sprintf("zone-%d", i) }
 func kindName(i int) string   { return fmt.Sprintf("kind-%d", i) }
 
-// config returns the text of a node's configuration file; list is the endpoint list as discovery has it.
+// config returns the text of a node's configuration file; list is discovery's current endpoint list.
 func (s *Site) config(rank int, listen, discoveryAddress string, list []byte) []byte {
 	text, err := json.Marshal(object{
 		"name":      listen,
--- a/lab/simulation/site.go
+++ b/lab/simulation/site.go
@@ -1,12 +1,12 @@
-// Package simulation plays runs of a whole fleet on virtual time (testing/synctest): nodes behind sockets in memory (lab/memnet),
-// emulated engines that queue and slow down as they fill, discovery, clients and faults. Deployments and their settings are drawn
-// from a seed. A baseline policy (baseline.go) serves the same requests, and the oracle (oracle.go) compares the service of the nodes
-// with it. The product is reached through sockets and its configuration alone. All figures are of simulated engines.
+// Package simulation runs a whole fleet on virtual time (testing/synctest): nodes on in-memory sockets (lab/memnet), emulated engines
+// that queue requests and slow down with load, discovery, clients and faults. Deployments and their settings are drawn from a seed. A
+// baseline policy (baseline.go) serves the same requests, and the oracle (oracle.go) compares the service of the nodes with it. The
+// product is accessed only through sockets and its configuration. All results are those of simulated engines.
 package simulation
 
 import "math"
 
-// Roles of engines, in the words of the settings.
+// Roles of engines, as values of the settings.
 const (
 	RolePrefill = "read"
 	RoleDecode  = "write"
@@ -16,61 +16,61 @@
 // Kind is one kind of engine.
 type Kind struct {
 	Role                   string
-	Slots                  int // requests served at once: streams, where the kind decodes
-	Queue                  int // requests that may wait
+	Slots                  int // requests served at the same time: streams, if the kind decodes
+	QueueLimit             int // maximum number of waiting requests
 	PrefillTokensPerSecond float64
-	StepSeconds            float64 // per token of a lone stream
-	Slope                  float64 // by which one more stream lengthens a step
-	Memory                 float64 // tokens
+	StepSeconds            float64 // time per token of a single stream
+	Slope                  float64 // fraction of StepSeconds that each further stream adds to a step
+	MemoryTokens           float64 // capacity of its memory
 }
 
-// secondsPerToken returns the time per output token with so many streams (s).
+// secondsPerToken returns the time per output token with the given number of streams (s).
 func (k Kind) secondsPerToken(streams int) float64 {
 	return k.StepSeconds * (1 + k.Slope*float64(max(0, streams-1)))
 }
 
-// Class is one class of requests, with the work that its requests bring. Times are in seconds.
+// Class is a class of requests and the distribution of its work. Times are in seconds.
 type Class struct {
 	Effect, Group         string
 	KeyTTL                float64
 	LatencyObjective      float64 // for the first token
-	LatencyObjectivePerK  float64 // added for each thousand tokens of the prompt
+	LatencyObjectivePerK  float64 // added to it per thousand tokens of the prompt
 	Patience              float64
 	TokenLatencyObjective float64
 	PriorityWeight        float64
-	LateValue             float64 // share of the weight that a late response has
-	Share                 float64 // of the requests
+	LateValue             float64 // fraction of the weight that a late response has
+	Share                 float64 // fraction of the requests
 	PromptTokens          float64 // mean
 	PrefixTokens          float64 // of the shared prefix within the prompt, mean
 	ResponseTokens        float64 // mean
-	Prefixes              int
-	Spread                float64 // deviation of the logarithm of prompt and response
+	PrefixCount           int
+	Spread                float64 // standard deviation of the logarithm of prompt and response lengths
 }
 
-// Tenant is one account.
+// Tenant is a tenant with its share of the requests and its quota (requests/s).
 type Tenant struct{ Share, Quota float64 }
 
-// EngineSpec is one engine of the site.
+// EngineSpec describes one engine of a site. Kind is an index into Site.Kinds, Zone into Site.Zones.
 type EngineSpec struct {
 	ID         string
 	Kind       int
 	Zone, Cell int
 }
 
-// Site is a deployment, and what its platform tells nodes of it. Times are in seconds.
+// Site is a deployment, including the settings that its platform gives to the nodes. Times are in seconds.
 type Site struct {
 	Seed              uint64
 	Nodes             int
-	Zones             []float64 // share of the traffic of each
+	Zones             []float64 // by zone: share of the requests
 	Kinds             []Kind
 	Classes           []Class
 	Tenants           []Tenant
 	Engines           []EngineSpec
-	Rate              float64 // requests a second
+	Rate              float64 // requests per second
 	SharedDiscovery   bool    // all nodes poll one discovery service
 	PollInterval      float64
-	DiscoveryCapacity float64 // polls a second that a shared discovery answers
-	DiscoveryDelay    float64 // after which discovery knows of a change
+	DiscoveryCapacity float64 // maximum number of polls per second that a shared discovery answers
+	DiscoveryDelay    float64 // time until discovery lists a change
 	CancelStopsWork   bool
 	Hedging           bool
 	Probes            bool
@@ -88,25 +88,25 @@
 	MemoryMB          int
 	ClientRetries     int
 	Backoff           float64
-	Load              float64 // the rate as a share of what the engines can serve
+	Load              float64 // the request rate as a fraction of the engines' capacity
 }
 
 const (
-	// prefillOverhead is what a prefill takes beside its tokens (s).
+	// prefillOverhead is the fixed time of a prefill, independent of its tokens (s).
 	prefillOverhead = 0.01
-	// cachedPrefixShare is the part of the prefixes that is taken to be cached when capacity is estimated.
+	// cachedPrefixShare is the fraction of the prefixes that the estimate of the capacity assumes to be cached.
 	cachedPrefixShare = 0.7
 )
 
-// work is the engine time that a request takes at a kind of engine (s).
+// work is the time of one engine of a kind that a request uses (s).
 type work struct {
 	prefill float64
 	decode  float64 // with all slots in use
 }
 
-// at returns the time that the request takes at a kind that does its part of it: prefill and mixed engines process the prompt,
-// decode and mixed engines make the response.
-func (w work) at(k Kind) float64 {
+// secondsOn returns the time that the request uses at an engine of a kind, by its role: prefill and mixed engines process the prompt,
+// decode and mixed engines generate the response.
+func (w work) secondsOn(k Kind) float64 {
 	switch k.Role {
 	case RolePrefill:
 		return w.prefill
@@ -116,7 +116,7 @@
 	return w.prefill + w.decode
 }
 
-// work returns the mean over all requests.
+// work returns the mean work of all requests at an engine of a kind.
 func (s *Site) work(k Kind) work {
 	var mean work
 	for _, c := range s.Classes {
@@ -127,7 +127,7 @@
 	return mean
 }
 
-// work returns the mean over the requests of the class.
+// work returns the mean work of the requests of the class at an engine of a kind.
 func (c Class) work(k Kind) work {
 	growth := math.Exp(c.Spread * c.Spread / 2) // the mean of the log-normal distribution
 	w := work{prefill: prefillOverhead + (c.PromptTokens*growth-cachedPrefixShare*c.PrefixTokens)/k.PrefillTokensPerSecond}
@@ -137,7 +137,7 @@
 	return w
 }
 
-// requestsInFlight returns how many requests a node has in flight at a time.
+// requestsInFlight returns an estimate of the number of requests that a node has in flight.
 func (s *Site) requestsInFlight() float64 {
 	longest := 1.0
 	for _, c := range s.Classes {
@@ -150,20 +150,21 @@
 	return s.Rate / float64(s.Nodes) * longest
 }
 
-// Capacity returns how many requests a second the engines can serve; part says to what part each is there.
-func (s *Site) Capacity(part func(EngineSpec) float64) float64 {
+// Capacity returns the number of requests per second that the engines can serve; availability returns the fraction of an engine that is
+// available.
+func (s *Site) Capacity(availability func(EngineSpec) float64) float64 {
 	var prefill, decode, mixed, mixedDecode float64
 	for _, e := range s.Engines {
 		k := s.Kinds[e.Kind]
 		w := s.work(k)
 		switch k.Role {
 		case RolePrefill:
-			prefill += part(e) / w.prefill
+			prefill += availability(e) / w.prefill
 		case RoleDecode:
-			decode += part(e) / w.decode
+			decode += availability(e) / w.decode
 		default:
-			mixed += part(e) / (w.prefill + w.decode)
-			mixedDecode += part(e) / w.decode
+			mixed += availability(e) / (w.prefill + w.decode)
+			mixedDecode += availability(e) / w.decode
 		}
 	}
 	if prefill == 0 {
--- a/lab/simulation/slowstart.go
+++ b/lab/simulation/slowstart.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// arrival is a request that reached a warming engine.
+// arrival is a request that reached an engine in slow start.
 type arrival struct {
 	at     time.Time
-	weight float64 // its class's work as a multiple of the mean
+	weight float64 // work of its class as a multiple of the mean
 }
 
-// slowStartLoad is what a warming engine has received in the window that ends now, and what it can serve in one, both in requests of
-// mean work.
+// slowStartLoad is the work that an engine in slow start has received in the window that ends now, and its capacity in one window, both
+// in requests of mean work.
 type slowStartLoad struct{ received, capacity float64 }
 
-// limit returns what the engine may receive: its capacity and what is put down to chance, which is more in small windows.
+// limit returns the maximum work that the engine may receive: its capacity and an allowance for random variation, which is larger if
+// the capacity is small.
 func (l slowStartLoad) limit() float64 {
 	const smallWindow = 30
 	n := l.capacity
@@ -25,7 +26,7 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// speed returns the part of its full speed at which the engine works.
+// speed returns the engine's current speed as a fraction of its full speed.
 func (e *engine) speed() float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -40,7 +41,7 @@
 	return speed
 }
 
-// slowStartSpeed returns the part of its full speed at which an engine works at an age since its cold start (s).
+// slowStartSpeed returns the speed of an engine in slow start as a fraction of its full speed; age is the time since its cold start (s).
 func (s *Site) slowStartSpeed(age float64) float64 {
 	return s.SlowStartShare + (1-s.SlowStartShare)*age/s.SlowStartSeconds
 }
@@ -52,7 +53,7 @@
 	return !e.startedAt.IsZero() && time.Since(e.startedAt).Seconds() < e.fleet.site.SlowStartSeconds
 }
 
-// slowStartLoad returns the load of the window that ends now; false = the engine is not in slow start. The caller has the lock.
+// slowStartLoad returns the load in the window that ends now; false = the engine is not in slow start. The caller must hold e.mu.
 func (e *engine) slowStartLoad(now time.Time) (slowStartLoad, bool) {
 	s := &e.fleet.site
 	age := now.Sub(e.startedAt).Seconds()
@@ -66,11 +67,11 @@
 	for _, a := range e.arrivals {
 		load.received += a.weight
 	}
-	load.capacity = s.OverloadMultiple * s.slowStartSpeed(age) * s.SlowStartWindow / s.work(e.kind).at(e.kind)
+	load.capacity = s.OverloadMultiple * s.slowStartSpeed(age) * s.SlowStartWindow / s.work(e.kind).secondsOn(e.kind)
 	return load, true
 }
 
-// requestArrived counts a request at a warming engine. Beyond the limit the engine is overloaded and answers nothing more.
+// requestArrived counts a request at an engine in slow start. An engine that exceeds the limit is overloaded and sends no more responses.
 func (e *engine) requestArrived(q *request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -79,18 +80,18 @@
 	if _, warming := e.slowStartLoad(now); !warming {
 		return
 	}
-	weight := s.Classes[q.class].work(e.kind).at(e.kind) / s.work(e.kind).at(e.kind)
+	weight := s.Classes[q.class].work(e.kind).secondsOn(e.kind) / s.work(e.kind).secondsOn(e.kind)
 	e.arrivals = append(e.arrivals, arrival{at: now, weight: weight})
 	load, _ := e.slowStartLoad(now)
-	e.fleet.noteSlowStartUse(load.received / load.limit())
+	e.fleet.recordSlowStartUse(load.received / load.limit())
 	if load.received > load.limit() && !e.overloaded {
 		e.overloaded = true
-		e.fleet.violation("rule 4: %s, %.1f s after its start, got %.1f requests of mean work (%d) in %.1f s; N is %.1f",
+		e.fleet.addViolation("rule 4: %s, %.1f s after its start, received %.1f requests of mean work (%d) in %.1f s; N is %.1f",
 			e.ID, now.Sub(e.startedAt).Seconds(), load.received, len(e.arrivals), s.SlowStartWindow, load.capacity)
 	}
 }
 
-// hasSlowStartCapacity reports whether the engine may be sent one more request without relying on chance.
+// hasSlowStartCapacity reports whether the engine may be sent one more request without using the allowance for random variation.
 func (e *engine) hasSlowStartCapacity() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/lab/simulation/summary.go
+++ b/lab/simulation/summary.go
@@ -5,13 +5,14 @@
 	"strings"
 )
 
-// Summary describes a run beside the baseline's, for a person.
+// Summary returns a readable comparison of a run with the baseline's.
 func (r *Report) Summary(baseline *Report) string {
 	var b strings.Builder
 	s := &r.Day.Site
-	share, count := r.Share(everything)
-	want, _ := baseline.Share(everything)
-	fmt.Fprintf(&b, "seed %d: %d nodes, %d engines, %.0f requests/s, %d requests: served %.3f, plain %.3f; cold use %.2f; breaches %d\n",
+	share, count := r.Share(allResults)
+	want, _ := baseline.Share(allResults)
+	fmt.Fprintf(&b,
+		"seed %d: %d nodes, %d engines, %.0f requests/s, %d requests: served %.3f, baseline %.3f; slow-start use %.2f; violations %d\n",
 		s.Seed, s.Nodes, len(s.Engines), s.Rate, count, share, want, r.SlowStartUse, len(r.Violations))
 	for _, f := range r.Day.Faults {
 		fmt.Fprintf(&b, "  fault: %s\n", f)
@@ -21,7 +22,8 @@
 		ofClass := func(x Result) bool { return x.Class == i }
 		got, count := r.Share(ofClass)
 		want, _ := baseline.Share(ofClass)
-		fmt.Fprintf(&b, "  %s: %s %s, aim %.2f, patience %.1f, prompt %.0f, out %.0f, worth %.0f: served %.3f, plain %.3f, %v (%d)\n",
+		fmt.Fprintf(&b,
+			"  %s: %s %s, objective %.2f, patience %.1f, prompt %.0f, response %.0f, weight %.0f: served %.3f, baseline %.3f, %v (%d)\n",
 			className(i), c.Effect, c.Group, c.LatencyObjective, c.Patience, c.PromptTokens, c.ResponseTokens, c.PriorityWeight,
 			got, want, r.outcomes(ofClass), count)
 	}
@@ -29,14 +31,15 @@
 		inWindow := within(at, at+windowLength)
 		got, count := r.Share(inWindow)
 		want, _ := baseline.Share(inWindow)
-		fmt.Fprintf(&b, "  %2.0f s: served %.3f, plain %.3f (%d) %v\n", at, got, want, count, r.outcomes(inWindow))
+		fmt.Fprintf(&b, "  %2.0f s: served %.3f, baseline %.3f (%d) %v\n", at, got, want, count, r.outcomes(inWindow))
 	}
 	return b.String()
 }
 
-// describe writes the settings of a site and its engines.
+// describe writes the settings of a site and the number of its engines by kind.
 func (s *Site) describe(b *strings.Builder) {
-	fmt.Fprintf(b, "  attempts %d, cancel %v, local read %v, asked %v, retry-after %v, client retries %d, cold %.2f for %.1f s, kinds",
+	fmt.Fprintf(b,
+		"  attempts %d, cancel %v, local prefill %v, shared discovery %v, retry-after %v, retries %d, slow start %.2f for %.1f s, kinds",
 		s.MaxAttempts, s.CancelStopsWork, s.LocalPrefill, s.SharedDiscovery, s.RetryAfter, s.ClientRetries,
 		s.SlowStartShare, s.SlowStartSeconds)
 	for i, k := range s.Kinds {
@@ -51,11 +54,11 @@
 	fmt.Fprintf(b, ", zones %d\n", len(s.Zones))
 }
 
-// outcomes counts how requests ended, with their codes.
-func (r *Report) outcomes(fits func(Result) bool) map[string]int {
+// outcomes counts the matching results by outcome and code.
+func (r *Report) outcomes(matches func(Result) bool) map[string]int {
 	counts := map[string]int{}
 	for _, x := range r.Results {
-		if !fits(x) {
+		if !matches(x) {
 			continue
 		}
 		name := string(x.Outcome)
--- a/lab/simulation/traffic.go
+++ b/lab/simulation/traffic.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// maxPromptTokens is the size of the longest prompt.
+	// maxPromptTokens is the maximum length of a prompt.
 	maxPromptTokens = 60000
-	// heavyFactor is by how much HeavyPrompts makes prompts longer.
+	// heavyFactor is the factor by which HeavyPrompts makes prompts longer.
 	heavyFactor = 6
-	// overrunFactor is by how much the tenant of TenantOverrun exceeds its share.
+	// overrunFactor is the factor by which the tenant of TenantOverrun exceeds its share.
 	overrunFactor = 3
-	// disconnectShare is the part of the clients that disconnect without a fault.
+	// disconnectShare is the fraction of the clients that disconnect without a fault.
 	disconnectShare = 0.01
-	// maxResponseFactor bounds a response, in means of its class.
+	// maxResponseFactor is the maximum length of a response, as a multiple of its class's mean.
 	maxResponseFactor = 4
-	// maxTokensFactor is the limit that a client sets for its response, in means of its class.
+	// maxTokensFactor is the limit that a client sets for its response, as a multiple of its class's mean.
 	maxTokensFactor = 3
-	// maxPrefixShare is the greatest part of a prompt that is its prefix.
+	// maxPrefixShare is the maximum fraction of a prompt that is its prefix.
 	maxPrefixShare = 0.9
 )
 
-// request is one thing that a client wants done.
+// request is a request of a user, which the client may send several times.
 type request struct {
 	op                string
-	at                float64 // s from the start of the run
+	at                float64 // time from the start of the run (s)
 	class, tenant     int
 	zone              int
 	session           string
@@ -39,10 +39,10 @@
 	disconnectAfter   float64 // s; 0 = never
 }
 
-// draws are a request's own random numbers, from 0 to 1, so that what its client does is the same on both policies.
+// draws are a request's own random numbers, from 0 to 1, so that its client behaves the same with both policies.
 type draws struct{ node, patience, disconnect, backoff float64 }
 
-// requests draws the requests of the day.
+// requests draws the requests of the run.
 func (d *Day) requests() []*request {
 	rng := rand.New(rand.NewPCG(d.Site.Seed, 0xc11e))
 	classShares := make([]float64, len(d.Site.Classes))
@@ -69,11 +69,11 @@
 	}
 }
 
-// traffic returns the rate of requests at a time, and the shares of the tenants.
+// traffic returns the request rate at a time, and the tenants' shares of it.
 func (d *Day) traffic(at float64) (rate float64, tenantShares []float64) {
 	rate = d.Site.Rate
 	if f, ok := d.active(Burst, at); ok {
-		rate *= 1 + f.Part
+		rate *= 1 + f.Fraction
 	}
 	for _, t := range d.Site.Tenants {
 		tenantShares = append(tenantShares, t.Share)
@@ -89,7 +89,7 @@
 func (d *Day) drawSizes(rng *rand.Rand, q *request) {
 	c := d.Site.Classes[q.class]
 	prompt := c.PromptTokens * math.Exp(c.Spread*rng.NormFloat64())
-	if f, ok := d.active(HeavyPrompts, q.at); ok && rng.Float64() < f.Part {
+	if f, ok := d.active(HeavyPrompts, q.at); ok && rng.Float64() < f.Fraction {
 		prompt *= heavyFactor
 	}
 	q.promptTokens = min(prompt, maxPromptTokens)
@@ -99,23 +99,23 @@
 	q.session = fmt.Sprintf("s%x", rng.Uint64())
 	if c.PrefixTokens > 0 {
 		q.prefixTokens = min(c.PrefixTokens, maxPrefixShare*q.promptTokens)
-		q.prefix = fmt.Sprintf("%x-%x", q.class, rng.IntN(c.Prefixes))
+		q.prefix = fmt.Sprintf("%x-%x", q.class, rng.IntN(c.PrefixCount))
 	}
 }
 
-// drawClient draws what the client of a request does.
+// drawClient draws the behavior of a request's client.
 func (d *Day) drawClient(rng *rand.Rand, q *request) {
 	q.draws = draws{node: rng.Float64(), patience: rng.Float64(), disconnect: rng.Float64(), backoff: rng.Float64()}
 	share := disconnectShare
-	if f, ok := d.active(ClientsLeave, q.at); ok {
-		share = f.Part
+	if f, ok := d.active(ClientsDisconnect, q.at); ok {
+		share = f.Fraction
 	}
 	if q.draws.disconnect < share {
 		q.disconnectAfter = d.Site.Classes[q.class].LatencyObjective * (0.05 + 1.2*rng.Float64())
 	}
 }
 
-// drawIndex draws an index by weights.
+// drawIndex draws an index with the given weights.
 func drawIndex(rng *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
--- a/lab/simulation/work.go
+++ b/lab/simulation/work.go
@@ -5,15 +5,15 @@
 const (
 	// transferTokensPerSecond is the speed at which a state is transferred within a cell.
 	transferTokensPerSecond = 200e3
-	// crossCellFactor is by how much a transfer between cells takes longer.
+	// crossCellFactor is the duration of a transfer between cells as a multiple of one within a cell.
 	crossCellFactor = 3
-	// minPrefillTokens is the least work of a prefill, in tokens, however much of the prompt is cached.
+	// minPrefillTokens is the minimum work of a prefill, in tokens, even if more of the prompt is cached.
 	minPrefillTokens = 16
-	// minEventTokens is the least number of tokens of one event of a stream.
+	// minEventTokens is the minimum number of tokens per event of a stream.
 	minEventTokens = 6
-	// maxEvents is the greatest number of events of a stream, unless they would come less often than every eventInterval.
+	// maxEvents is the maximum number of events of a stream, unless the time between two would exceed eventInterval.
 	maxEvents = 8
-	// eventInterval is the longest time between two events (s).
+	// eventInterval is the maximum time between two events (s).
 	eventInterval = 1.0
 )
 
@@ -23,18 +23,19 @@
 const (
 	completed        attemptOutcome = iota // the prompt was processed, or the response streamed to its end
 	rejectedByEngine                       // it never ran
-	stateNotFound                          // the state to be fetched is gone: it never ran
+	stateNotFound                          // the engine no longer stores the state to be fetched: it never ran
 	failedAtEngine                         // an error: it may have run
-	connectionBroken                       // no response came: it may have run
+	connectionBroken                       // no response arrived: it may have run
 )
 
-// begin returns how an attempt ends that an engine does not work on; false = it does.
-func (e *engine) begin(s engineState, gone <-chan struct{}) (attemptOutcome, bool) {
+// faultOutcome returns the outcome of an attempt that an engine does not process, because of a fault or because it is down; false = the
+// engine processes it.
+func (e *engine) faultOutcome(s engineState, canceled <-chan struct{}) (attemptOutcome, bool) {
 	switch {
 	case !s.up:
 		return connectionBroken, true
 	case s.unresponsive():
-		return awaitEnd(s.dead, gone), true
+		return awaitEnd(s.exited, canceled), true
 	case s.fault == RejectsAll:
 		return rejectedByEngine, true
 	case s.fault == FailsAll:
@@ -43,51 +44,51 @@
 	return completed, false
 }
 
-// awaitEnd waits for the end of the process or of the request.
-func awaitEnd(dead, gone <-chan struct{}) attemptOutcome {
+// awaitEnd waits until the process ends or the request is canceled.
+func awaitEnd(exited, canceled <-chan struct{}) attemptOutcome {
 	select {
-	case <-dead:
-	case <-gone:
+	case <-exited:
+	case <-canceled:
 	}
 	return connectionBroken
 }
 
-// withSlot does work while it has a slot.
-func (e *engine) withSlot(dead chan struct{}, gone <-chan struct{}, work func() attemptOutcome) attemptOutcome {
-	switch e.acquireSlot(gone) {
+// withSlot acquires a slot, runs work and releases the slot.
+func (e *engine) withSlot(exited chan struct{}, canceled <-chan struct{}, work func() attemptOutcome) attemptOutcome {
+	switch e.acquireSlot(canceled) {
 	case queueFull:
 		return rejectedByEngine
 	case waitEnded:
 		return connectionBroken
 	}
-	defer e.releaseSlot(dead)
+	defer e.releaseSlot(exited)
 	return work()
 }
 
-// workFor takes a time (s); false = the process or the request ended before. Where a cancellation does not stop work, the work
-// goes on with nobody waiting.
-func (e *engine) workFor(seconds float64, dead, gone <-chan struct{}) bool {
+// workFor waits for the duration of some work (s); false = the process ended or the request was canceled before. On a site where a
+// cancellation does not stop work, the work continues without a client.
+func (e *engine) workFor(seconds float64, exited, canceled <-chan struct{}) bool {
 	if !e.fleet.site.CancelStopsWork {
-		gone = nil
+		canceled = nil
 	}
 	timer := time.NewTimer(duration(seconds))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-dead:
-	case <-gone:
+	case <-exited:
+	case <-canceled:
 	}
 	return false
 }
 
-// prefillSeconds returns what the prompt of a request takes, and caches its prefix.
+// prefillSeconds returns the time that the prompt of a request takes (s), and caches its prefix.
 func (e *engine) prefillSeconds(q *request) float64 {
 	tokens := e.prefillTokens(q)
 	return tokens / (e.kind.PrefillTokensPerSecond * e.speed())
 }
 
-// prefillTokens returns the tokens of a prompt that are not cached.
+// prefillTokens returns the number of prompt tokens that are not cached, and caches the prompt's prefix.
 func (e *engine) prefillTokens(q *request) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -103,47 +104,47 @@
 	return max(minPrefillTokens, tokens)
 }
 
-// prefill processes a prompt; its state is reserved once that is done.
-func (e *engine) prefill(q *request, gone <-chan struct{}) attemptOutcome {
+// prefill processes a prompt; the caller reserves its state once it has completed.
+func (e *engine) prefill(q *request, canceled <-chan struct{}) attemptOutcome {
 	state := e.state()
-	if outcome, ended := e.begin(state, gone); ended {
+	if outcome, ended := e.faultOutcome(state, canceled); ended {
 		return outcome
 	}
-	return e.withSlot(state.dead, gone, func() attemptOutcome {
-		if !e.workFor(prefillOverhead+e.prefillSeconds(q), state.dead, gone) {
+	return e.withSlot(state.exited, canceled, func() attemptOutcome {
+		if !e.workFor(prefillOverhead+e.prefillSeconds(q), state.exited, canceled) {
 			return connectionBroken
 		}
 		return completed
 	})
 }
 
-// stream is where the tokens of a response go.
+// stream receives the tokens of a response.
 type stream interface {
-	// start takes the first token; false = nobody takes it.
+	// start sends the first token; false = it could not be delivered.
 	start() bool
-	// event takes further tokens; false = nobody takes them.
+	// event sends further tokens; false = they could not be delivered.
 	event(tokens int) bool
 }
 
-// decode makes a response. owner is the engine at which its state waits, nil where this engine has to process the prompt itself.
-func (e *engine) decode(q *request, owner *engine, gone <-chan struct{}, out stream) attemptOutcome {
+// decode generates a response. owner is the engine that stores its state; nil = this engine has to process the prompt itself.
+func (e *engine) decode(q *request, owner *engine, canceled <-chan struct{}, out stream) attemptOutcome {
 	state := e.state()
-	if outcome, ended := e.begin(state, gone); ended {
+	if outcome, ended := e.faultOutcome(state, canceled); ended {
 		return outcome
 	}
-	mayNotPrefill := owner == nil && e.kind.Role == RoleDecode && !e.fleet.site.LocalPrefill
-	if mayNotPrefill || state.fault == LosesStates && owner != nil {
+	cannotPrefill := owner == nil && e.kind.Role == RoleDecode && !e.fleet.site.LocalPrefill
+	if cannotPrefill || state.fault == LosesStates && owner != nil {
 		return stateNotFound
 	}
-	return e.withSlot(state.dead, gone, func() attemptOutcome {
-		if !e.workFor(e.secondsToFirstToken(q, owner), state.dead, gone) || !out.start() {
+	return e.withSlot(state.exited, canceled, func() attemptOutcome {
+		if !e.workFor(e.secondsToFirstToken(q, owner), state.exited, canceled) || !out.start() {
 			return connectionBroken
 		}
-		return e.streamTokens(q, state.dead, gone, out)
+		return e.streamTokens(q, state.exited, canceled, out)
 	})
 }
 
-// secondsToFirstToken returns the time for the transfer of the state, or for the prompt where there is none.
+// secondsToFirstToken returns the time for the transfer of the state, or for processing the prompt if there is no state (s).
 func (e *engine) secondsToFirstToken(q *request, owner *engine) float64 {
 	if owner == nil {
 		return prefillOverhead + e.prefillSeconds(q)
@@ -155,17 +156,17 @@
 	return seconds
 }
 
-// streamTokens makes the tokens of a response, at a speed that falls with the number of streams.
-func (e *engine) streamTokens(q *request, dead, gone <-chan struct{}, out stream) attemptOutcome {
+// streamTokens generates the tokens of a response, at a speed that decreases with the number of streams.
+func (e *engine) streamTokens(q *request, exited, canceled <-chan struct{}, out stream) attemptOutcome {
 	for remaining := q.responseTokens; remaining > 0; {
 		running, _ := e.occupancy()
 		perToken := e.kind.secondsPerToken(running) / e.speed()
 		tokens := min(remaining, max(minEventTokens, q.responseTokens/maxEvents), max(1, int(eventInterval/perToken)))
-		if !e.workFor(float64(tokens)*perToken, dead, gone) {
+		if !e.workFor(float64(tokens)*perToken, exited, canceled) {
 			return connectionBroken
 		}
 		if f := e.state().fault; f == Hangs || f == Silent {
-			return awaitEnd(dead, gone)
+			return awaitEnd(exited, canceled)
 		}
 		remaining -= tokens
 		if !out.event(tokens) {
