--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -16,23 +16,24 @@
 type Attempt struct {
 	protocol.AttemptControl
 	Client    *Client
-	RequestID string // X-Request-Id: the name of the state at the engines
+	RequestID string // X-Request-Id, which identifies the state at the engines
 	Address   string
 	Body      []byte
 	Forwarded []http1.Field // header fields of the client's request
-	Timeout   time.Duration // of the whole prefill, or until the first token
-	WriteBy   time.Time     // the end of the deduplication window, after which nothing is written; zero = none
+	Timeout   time.Duration // for the complete prefill, or until the first token
+	WriteBy   time.Time     // end of the deduplication window, after which nothing is written; zero = none
 }
 
-// Result is what was seen of an attempt.
+// Result is what was observed of an attempt.
 type Result struct {
 	protocol.Result
 	State      json.RawMessage // kv_transfer_params of a prefill response
-	ErrorBody  []byte          // of a response that is no success
-	HTTPStatus int             // of the response; 0 = none came
+	ErrorBody  []byte          // of a response with a status other than 200
+	HTTPStatus int             // of the response; 0 = none was received
 }
 
-// open connects, writes the request and reads the head of the response. Where it returns nil, result says how far the attempt came.
+// open connects, writes the request and reads the head of the response. If the attempt ends before that, open returns nil and result
+// holds its progress and cause.
 func (a *Attempt) open(accept string, result *Result) (*http1.ClientConn, *http1.Response) {
 	start := time.Now()
 	result.Evidence.Progress = outcome.Connecting
@@ -43,9 +44,9 @@
 		result.Err, result.Evidence.Cause = err, a.CauseOf(err, outcome.ConnectionBroken)
 		return nil, nil
 	}
-	window, keyed := protocol.TimeUntil(a.WriteBy)
-	write := permit.Write{ClientTimeLeft: (a.Timeout - time.Since(start)).Seconds(), HasDedupWindow: keyed, DedupWindowLeft: window}
-	if a.RefusesWrite(write, &result.Result) {
+	window, hasWindow := protocol.TimeUntil(a.WriteBy)
+	write := permit.Write{ClientTimeLeft: (a.Timeout - time.Since(start)).Seconds(), HasDedupWindow: hasWindow, DedupWindowLeft: window}
+	if a.CancelUnlessPermitted(write, &result.Result) {
 		conn.Close()
 		return nil, nil
 	}
@@ -58,23 +59,23 @@
 	fields = append(fields, a.Forwarded...)
 	message := protocol.Message{Method: "POST", Target: "/v1/chat/completions", Fields: fields, Body: a.Body}
 	response := a.Exchange(conn, start.Add(a.Timeout), message, &result.Result)
-	a.Body = nil // not held for the length of a stream
+	a.Body = nil // not retained while the response streams
 	if response == nil {
 		return nil, nil
 	}
 	result.HTTPStatus = response.Status
-	result.Report = parseLoad(response.Header)
+	result.Report = parseLoadReport(response.Header)
 	return conn, response
 }
 
-// Prefill has the prompt prefilled and returns the state that waits at the engine.
+// Prefill sends the prompt to a prefill engine. The result holds the parameters by which a decode engine fetches the prefilled state.
 func (a *Attempt) Prefill() Result {
 	result := Result{}
 	conn, response := a.open("application/json", &result)
 	if conn == nil {
 		return result
 	}
-	body, ok := a.readWhole(conn, response, &result)
+	body, ok := a.readCompleteResponse(conn, response, &result)
 	if !ok || result.HTTPStatus != 200 {
 		return result
 	}
@@ -97,7 +98,7 @@
 	return result
 }
 
-// Decode has the response decoded and streams it to the sink.
+// Decode sends the request to a decode engine and streams the response to sink.
 func (a *Attempt) Decode(sink Sink) Result {
 	result := Result{}
 	conn, response := a.open("text/event-stream", &result)
@@ -105,7 +106,7 @@
 		return result
 	}
 	if response.Status != 200 {
-		a.readWhole(conn, response, &result)
+		a.readCompleteResponse(conn, response, &result)
 		return result
 	}
 	if !strings.HasPrefix(strings.ToLower(response.Header.Get("Content-Type")), "text/event-stream") {
@@ -115,7 +116,7 @@
 		return result
 	}
 	sink.LoadReported(result.Report)
-	result.Report = nil // reported already; at the end of the stream it is old
+	result.Report = nil // already passed to the sink; it would be stale at the end of the stream
 	cause, err := a.streamEvents(conn, response, sink, &result)
 	result.Evidence.Cause, result.Err = cause, err
 	a.Detach()
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -1,6 +1,6 @@
 // Package engine is the client of prefill and decode engines for the chat protocol: OpenAI-style endpoints with the KV transfer
-// parameters of vLLM's disaggregated serving. It reports what was seen on the socket; what that proves, internal/decide/outcome
-// decides. internal/openai makes its attempts.
+// parameters of vLLM's disaggregated serving. It reports what was observed on the socket; internal/decide/outcome determines the
+// outcome from it. internal/openai makes its attempts.
 package engine
 
 import (
@@ -16,32 +16,32 @@
 // Client sends attempts to engines. It is safe for concurrent use.
 type Client struct {
 	Pool     *http1.Pool
-	Node     string               // name in the Via header field
+	Node     string               // node's name in the Via header field
 	Key      string               // bearer key for the engines; "" = none
-	Connect  time.Duration        // timeout of a connection
-	Stall    func() time.Duration // after which a stream without an event is broken; read for each event
-	MaxEvent int                  // bytes of one event
+	Connect  time.Duration        // timeout for making a connection
+	Stall    func() time.Duration // returns the time without an event after which a stream counts as broken; called for each event
+	MaxEvent int                  // maximum size of one event, in bytes
 }
 
 // maxResponse bounds responses of engines that are not streamed (states, errors), in bytes.
 const maxResponse = 1 << 20
 
-// StateID is the name of a prefilled state at the engines. It differs for each prefill of a request.
-func StateID(id string, n int) string { return id + "." + strconv.Itoa(n) }
+// StateID returns the id of a prefilled state at the engines. It differs for each prefill attempt of a request.
+func StateID(id string, attempt int) string { return id + "." + strconv.Itoa(attempt) }
 
-// CloseExpired closes connections whose idle timeout is over.
+// CloseExpired closes connections whose idle timeout has expired.
 func (client *Client) CloseExpired() { client.Pool.CloseExpired() }
 
 // CloseIdle closes all idle connections.
 func (client *Client) CloseIdle() { client.Pool.CloseIdle() }
 
-// Close closes all idle connections and keeps no more.
+// Close closes all idle connections; connections that become idle later are closed as well.
 func (client *Client) Close() { client.Pool.Close() }
 
 // releaseTimeout bounds a call that releases a state.
 const releaseTimeout = 2 * time.Second
 
-// ReleaseError is the response of an engine that may have released nothing, and should be called again.
+// ReleaseError is the response of an engine that may not have released the state, so that the call should be repeated.
 type ReleaseError struct{ Status int }
 
 // Error implements error.
@@ -49,9 +49,9 @@
 	return fmt.Sprintf("engine: status %d in response to a state release", e.Status)
 }
 
-// releaseResult returns what the status of a response to a release call tells: an error where the engine has done nothing for now. One that
-// does not know the call, or the state, would not do so in response to another call either.
-func releaseResult(status int) error {
+// releaseError returns an error if the status of a response to a release call means that the engine has not released the state for now.
+// An engine that does not support the call, or does not know the state, returns no error: repeating the call would change nothing.
+func releaseError(status int) error {
 	switch {
 	case status == statusNotImplemented:
 		return nil
@@ -69,15 +69,15 @@
 	statusNotImplemented      = 501
 )
 
-// Release releases a prefilled state by POST /v1/kv/release, an extension of this project. Engines that lack it respond 404 and free
-// the state after a timeout of their own.
-func (client *Client) Release(address, id string, n int, _ time.Duration) error {
+// Release releases a prefilled state by POST /v1/kv/release, an extension of this project. Engines that lack it respond with 404 and
+// free the state after their own timeout.
+func (client *Client) Release(address, id string, attempt int, _ time.Duration) error {
 	conn, err := client.Pool.Get(context.Background(), address, client.Connect)
 	if err != nil {
 		return err
 	}
 	conn.SetDeadline(time.Now().Add(releaseTimeout))
-	body, _ := json.Marshal(map[string]string{"request_id": StateID(id, n)})
+	body, _ := json.Marshal(map[string]string{"request_id": StateID(id, attempt)})
 	fields := []http1.Field{{Name: "Content-Type", Value: "application/json"}, {Name: "Via", Value: "1.1 " + client.Node}}
 	if client.Key != "" {
 		fields = append(fields, http1.Field{Name: "Authorization", Value: "Bearer " + client.Key})
@@ -87,7 +87,7 @@
 		if response, err = conn.ReadResponse(); err == nil {
 			if _, err = response.ReadAll(maxResponse); err == nil {
 				client.Pool.PutAfter(conn, response)
-				return releaseResult(response.Status)
+				return releaseError(response.Status)
 			}
 		}
 	}
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -14,7 +14,7 @@
 	"dillroute/scheduler"
 )
 
-// sink keeps back as the node does.
+// sink counts events, buffering them as the node does while more are available.
 type sink struct{ pending, sent int }
 
 func (s *sink) LoadReported(*scheduler.LoadReport) {}
@@ -28,8 +28,9 @@
 	return nil
 }
 
-// What came before a stream broke reaches the client, though it came in one piece with what broke it.
-func TestEventsBeforeABreakAreForwarded(t *testing.T) {
+// Events that arrive in the same read as an error event or a malformed one must still reach the client. They are buffered when the
+// stream breaks.
+func TestEventsBeforeABrokenEventAreForwarded(t *testing.T) {
 	token := "data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n"
 	for _, end := range []string{"data: {\"error\":{\"message\":\"no\"}}\n\n", "data: nonsense\n\n"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,7 +55,7 @@
 		a := &Attempt{Client: cl, Address: l.Addr().String(), Body: []byte("{}"), Timeout: 5 * time.Second}
 		s := &sink{}
 		if r := a.Decode(s); s.sent != 3 || r.Evidence.Cause == outcome.ResponseComplete || r.Evidence.Progress != outcome.Streaming {
-			t.Errorf("%q: %d events of 3, %+v", end, s.sent, r.Evidence)
+			t.Errorf("%q: got %d of 3 events, %+v", end, s.sent, r.Evidence)
 		}
 		l.Close()
 		<-done
--- a/internal/engine/loadreport.go
+++ b/internal/engine/loadreport.go
@@ -15,14 +15,14 @@
 // maxLoadHeader bounds the value of a load header, in bytes.
 const maxLoadHeader = 4096
 
-// parseLoad reads a load header in ORCA's JSON or TEXT form; nil = there is none, or it is malformed.
-func parseLoad(h textproto.MIMEHeader) *scheduler.LoadReport {
+// parseLoadReport parses a load header in ORCA's JSON or TEXT format. It returns nil if there is none or if it is malformed.
+func parseLoadReport(h textproto.MIMEHeader) *scheduler.LoadReport {
 	v := h.Get(loadHeader)
 	if v == "" || len(v) > maxLoadHeader {
 		return nil
 	}
-	form, rest, _ := strings.Cut(v, " ")
-	switch strings.ToUpper(form) {
+	format, rest, _ := strings.Cut(v, " ")
+	switch strings.ToUpper(format) {
 	case "JSON":
 		return parseJSONLoad(rest)
 	case "TEXT":
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// parseJSONLoad reads ORCA's JSON form.
+// parseJSONLoad parses ORCA's JSON format.
 func parseJSONLoad(text string) *scheduler.LoadReport {
 	var orca struct {
 		Application *float64           `json:"application_utilization"`
@@ -50,7 +50,7 @@
 	return validReport(r)
 }
 
-// parseTextLoad reads ORCA's TEXT form: name=value, separated by commas.
+// parseTextLoad parses ORCA's TEXT format: name=value pairs, separated by commas.
 func parseTextLoad(text string) *scheduler.LoadReport {
 	values := map[string]float64{}
 	for _, part := range strings.Split(text, ",") {
@@ -68,7 +68,7 @@
 	return validReport(r)
 }
 
-// namedMetrics maps the metrics that vLLM publishes. Active includes waiting requests, as in scheduler.LoadReport.
+// namedMetrics returns a load report from the metrics that vLLM publishes. Active includes waiting requests, as in scheduler.LoadReport.
 func namedMetrics(get func(string) (float64, bool)) *scheduler.LoadReport {
 	r := &scheduler.LoadReport{}
 	if x, ok := get("kv_cache_usage_perc"); ok {
@@ -84,7 +84,7 @@
 	return r
 }
 
-// validReport returns nil for a report without a figure, or with one out of range.
+// validReport returns r, or nil if r has no value or one that is out of range.
 func validReport(r *scheduler.LoadReport) *scheduler.LoadReport {
 	for _, x := range []float64{r.Active, r.Waiting, r.Utilization, r.MemoryShare} {
 		if !(x >= 0 && x < 1e9) {
--- a/internal/engine/release_test.go
+++ b/internal/engine/release_test.go
@@ -10,8 +10,8 @@
 	"dillroute/internal/http1"
 )
 
-// Guards against a state that stays held because a response that says that nothing was done was taken for its release.
-func TestReleaseThatAnEngineCouldNotCarryOutIsAnError(t *testing.T) {
+// Guards against a state that is never released because a response that reports a failed release is taken for success.
+func TestFailedStateReleaseIsAnError(t *testing.T) {
 	for status, done := range map[int]bool{
 		http.StatusOK:                  true,
 		http.StatusNoContent:           true,
--- a/internal/engine/responsekind.go
+++ b/internal/engine/responsekind.go
@@ -7,16 +7,16 @@
 	"dillroute/internal/http1"
 )
 
-// Error codes of engines that have no state to fetch, or were named none.
+// Error codes of engines: the state to fetch does not exist, or the request names no state.
 const (
-	codeStateGone     = "kv_state_not_found"
+	codeStateNotFound = "kv_state_not_found"
 	codeStateRequired = "kv_state_required"
 )
 
-// responseKind classifies a response that is no success. The statuses of an invalid request are those of RFC 9110, section 15.5, that
-// concern the request and not the server.
+// responseKind classifies a response that is not a success. The statuses of an invalid request are those of RFC 9110, section 15.5,
+// that concern the request and not the server.
 func responseKind(status int, code string) outcome.ResponseKind {
-	if code == codeStateGone || code == codeStateRequired {
+	if code == codeStateNotFound || code == codeStateRequired {
 		return outcome.StateMissing
 	}
 	switch status {
@@ -28,8 +28,8 @@
 	return outcome.EngineError
 }
 
-// readWhole reads a complete response, and records status and code of an error.
-func (a *Attempt) readWhole(conn *http1.ClientConn, response *http1.Response, result *Result) ([]byte, bool) {
+// readCompleteResponse reads a response that is not streamed. For an error it records body, status and kind in result.
+func (a *Attempt) readCompleteResponse(conn *http1.ClientConn, response *http1.Response, result *Result) ([]byte, bool) {
 	body, err := response.ReadAll(maxResponse)
 	a.Detach()
 	if err != nil {
@@ -44,7 +44,7 @@
 				Code string `json:"code"`
 			} `json:"error"`
 		}
-		json.Unmarshal(body, &e) // an error of another shape has no code
+		json.Unmarshal(body, &e) // an error in another format has no code
 		result.ErrorBody = body
 		result.Evidence.ResponseKind, result.Evidence.Code = responseKind(response.Status, e.Error.Code), response.Status
 	}
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -12,25 +12,25 @@
 	"dillroute/scheduler"
 )
 
-// ErrUnusableResponse is wrapped by a Sink's error where the engine's response, and not the client, is at fault.
+// ErrUnusableResponse is wrapped by a Sink's error if the cause is the engine's response and not the client.
 var ErrUnusableResponse = errors.New("engine: unusable response")
 
 // Sink receives the stream of a decode attempt.
 type Sink interface {
 	// LoadReported is called with the engine's load when its response begins; nil = none was reported.
 	LoadReported(*scheduler.LoadReport)
-	// RequestGrant waits for the permission to respond to the client.
+	// RequestGrant waits for the permission to respond to the client and reports whether it was granted.
 	RequestGrant() bool
-	// Event forwards an event; more tells that another one is buffered, so that both may be written together. An error means that
-	// the client has disconnected, or wraps ErrUnusableResponse.
+	// Event forwards an event; more reports whether another one is buffered, so that both may be written together. An error wraps
+	// ErrUnusableResponse, or else means that the client has disconnected.
 	Event(data, raw []byte, more bool) error
-	// Flush writes buffered events where the stream breaks.
+	// Flush writes the buffered events when the stream breaks.
 	Flush() error
 	// Finish forwards the end of the stream.
 	Finish() error
 }
 
-// streamEvents forwards events up to the end mark [DONE].
+// streamEvents forwards events up to the end marker [DONE].
 func (a *Attempt) streamEvents(conn *http1.ClientConn, response *http1.Response, sink Sink, result *Result) (outcome.Cause, error) {
 	events := http1.NewEventReader(response.Body, a.Client.MaxEvent)
 	defer events.Close()
@@ -39,16 +39,16 @@
 	}
 	cause, err := a.forwardEvents(conn, events, sink)
 	if cause != outcome.ResponseComplete && cause != outcome.ClientDisconnected {
-		sink.Flush() // an error means a disconnected client, and the stream is over in any case
+		sink.Flush() // an error means that the client has disconnected; the stream has ended in any case
 	}
 	return cause, err
 }
 
-// stallDeadlineShare is the part of the stall timeout after which the deadline is moved on: moving it for each event would cost more
-// than forwarding the event.
+// stallDeadlineShare is the part of the stall timeout, as its divisor, after which the deadline is extended: extending it for each event
+// would cost more than forwarding the event.
 const stallDeadlineShare = 64
 
-// forwardEvents forwards the events of a running stream.
+// forwardEvents forwards the events after the first token.
 func (a *Attempt) forwardEvents(conn *http1.ClientConn, events *http1.EventReader, sink Sink) (outcome.Cause, error) {
 	var deadlineMovedAt time.Time
 	for {
@@ -61,8 +61,8 @@
 		if err != nil {
 			return a.CauseOf(unexpectedEOF(err), outcome.StreamStalled), err
 		}
-		end, read := front.InspectEvent(data)
-		if read {
+		end, mustParse := front.InspectEvent(data)
+		if mustParse {
 			chunk, err := front.ReadChunk(data)
 			if err != nil {
 				return a.CauseOf(&http1.Error{Status: 502, Reason: err.Error()}, outcome.MalformedResponse), err
@@ -83,7 +83,7 @@
 	}
 }
 
-// unexpectedEOF turns the end of the connection into an error: the end mark is missing.
+// unexpectedEOF converts io.EOF to io.ErrUnexpectedEOF, because the stream ended without its end marker.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -91,11 +91,11 @@
 	return err
 }
 
-// awaitFirstToken reads up to the first token and forwards it once the response is granted to this attempt. Events before it are held
-// back, since the attempt may still fail and be retried elsewhere.
+// awaitFirstToken reads up to the first token and forwards it once the response is granted to this attempt. Events before it are
+// buffered, because the attempt may still fail and be retried at another engine.
 func (a *Attempt) awaitFirstToken(events *http1.EventReader, sink Sink, result *Result) (outcome.Cause, error) {
-	var early [][2][]byte
-	for heldBytes := 0; ; {
+	var buffered [][2][]byte
+	for bufferedBytes := 0; ; {
 		data, raw, err := events.Next()
 		if err != nil {
 			return a.CauseOf(unexpectedEOF(err), outcome.AttemptTimedOut), err
@@ -109,10 +109,10 @@
 		case chunk.Done:
 			return outcome.MalformedResponse, errors.New("engine: stream without a token")
 		}
-		if heldBytes += len(raw); heldBytes > a.Client.MaxEvent {
+		if bufferedBytes += len(raw); bufferedBytes > a.Client.MaxEvent {
 			return outcome.MalformedResponse, http1.ErrEventTooLong
 		}
-		early = append(early, [2][]byte{bytes.Clone(data), bytes.Clone(raw)})
+		buffered = append(buffered, [2][]byte{bytes.Clone(data), bytes.Clone(raw)})
 		if !chunk.Token {
 			continue
 		}
@@ -120,8 +120,8 @@
 			return a.CauseOf(nil, outcome.ConnectionBroken), nil
 		}
 		result.Evidence.Progress = outcome.Streaming
-		for i, e := range early {
-			if err := sink.Event(e[0], e[1], i+1 < len(early)); err != nil {
+		for i, e := range buffered {
+			if err := sink.Event(e[0], e[1], i+1 < len(buffered)); err != nil {
 				return sinkCause(err), err
 			}
 		}
@@ -129,7 +129,7 @@
 	}
 }
 
-// sinkCause is the cause of a Sink's error.
+// sinkCause returns the cause of a Sink's error.
 func sinkCause(err error) outcome.Cause {
 	if errors.Is(err, ErrUnusableResponse) {
 		return outcome.MalformedResponse
--- a/internal/front/chat.go
+++ b/internal/front/chat.go
@@ -6,18 +6,18 @@
 	"unicode/utf8"
 )
 
-// Chat holds the members of a chat request by which the node routes.
+// Chat holds a parsed chat request and the members by which the node routes it.
 type Chat struct {
 	Object       *Object
 	Model        string
 	Stream       bool
 	IncludeUsage bool
-	MaxTokens    int // 0 = not stated
-	Choices      int
+	MaxTokens    int    // 0 = not stated
+	Choices      int    // number of responses (member n)
 	Session      string // prompt_cache_key, else user; "" = neither
-	Prefix       string // hash of the leading system and tool text; "" = none
+	Prefix       string // hash of the tools and the leading system messages; "" = none
 	PromptTokens int    // estimated
-	PrefixTokens int
+	PrefixTokens int    // estimated tokens of the prefix
 }
 
 // FieldError is an invalid member of a request.
@@ -26,17 +26,17 @@
 	Reason string
 }
 
-// Error names the member and what is wrong with it.
+// Error returns the member's name and the reason.
 func (e *FieldError) Error() string { return e.Param + ": " + e.Reason }
 
 // Bounds of a request, apart from the size of its body.
 const (
 	maxMessages = 10_000
 	maxKey      = 512 // bytes of a session key
-	maxChoices  = 128 // responses of one request (member n)
+	maxChoices  = 128 // responses to one request (member n)
 )
 
-// ParseChat reads the members of a chat request that matter to a router; the error is a *FieldError.
+// ParseChat parses a chat request and validates the members by which the node routes. An error is a *FieldError.
 func ParseChat(body []byte) (*Chat, error) {
 	o, err := ParseObject(body)
 	if err != nil {
@@ -46,14 +46,14 @@
 	var options struct {
 		IncludeUsage bool `json:"include_usage"`
 	}
-	var older int
+	var legacyMaxTokens int
 	var user string
 	for _, m := range []struct {
 		name string
 		to   any
 	}{
 		{"model", &c.Model}, {"stream", &c.Stream}, {"stream_options", &options}, {"n", &c.Choices},
-		{"max_tokens", &older}, {"max_completion_tokens", &c.MaxTokens},
+		{"max_tokens", &legacyMaxTokens}, {"max_completion_tokens", &c.MaxTokens},
 		{"prompt_cache_key", &c.Session}, {"user", &user},
 	} {
 		if raw := o.Get(m.name); raw != nil {
@@ -64,7 +64,7 @@
 	}
 	c.IncludeUsage = options.IncludeUsage
 	if c.MaxTokens == 0 {
-		c.MaxTokens = older
+		c.MaxTokens = legacyMaxTokens
 	}
 	if c.Session == "" {
 		c.Session = user
--- a/internal/front/chunk.go
+++ b/internal/front/chunk.go
@@ -6,11 +6,11 @@
 	"fmt"
 )
 
-// Chunk is what the node reads of an event of a streamed response.
+// Chunk holds the parts of an event of a streamed response that the node reads.
 type Chunk struct {
-	Token bool // it holds output
-	Done  bool // the end mark [DONE]
-	Err   *ErrorBody
+	Token bool       // the event holds output
+	Done  bool       // the event is the end marker [DONE]
+	Err   *ErrorBody // nil = the event holds no error
 }
 
 // ErrorBody is the error object of the API.
@@ -21,11 +21,11 @@
 	Code    string  `json:"code"`
 }
 
-var doneMark = []byte("[DONE]")
+var doneMarker = []byte("[DONE]")
 
-// ReadChunk reads the data of an event. An error means that it is no chunk of a chat response.
+// ReadChunk parses the data of an event. An error means that the data is not a chunk of a chat response.
 func ReadChunk(data []byte) (Chunk, error) {
-	if bytes.Equal(data, doneMark) {
+	if bytes.Equal(data, doneMarker) {
 		return Chunk{Done: true}, nil
 	}
 	var c struct {
@@ -40,7 +40,7 @@
 	}
 	if len(c.Error) > 0 && string(c.Error) != "null" {
 		e := &ErrorBody{Message: truncate(string(c.Error))}
-		json.Unmarshal(c.Error, e) // an error of another shape still is one
+		json.Unmarshal(c.Error, e) // an error in another format still counts as one
 		return Chunk{Err: e}, nil
 	}
 	if c.Choices == nil {
@@ -56,13 +56,13 @@
 	return k, nil
 }
 
-// errorMember begins an error in a chunk. Within a string its quotes would be escaped.
+// errorMember is the quoted name of the error member in a chunk. Inside a string value its quotes would be escaped.
 var errorMember = []byte(`"error"`)
 
-// InspectEvent looks at an event of a running stream without parsing it. end tells that it is the end mark; read, that it has to be
-// parsed, since it may hold an error or is no object.
-func InspectEvent(data []byte) (end, read bool) {
-	if bytes.Equal(data, doneMark) {
+// InspectEvent checks an event of a running stream without parsing it. end reports whether the event is the end marker; mustParse
+// reports whether it has to be parsed, because it may hold an error or is not an object.
+func InspectEvent(data []byte) (end, mustParse bool) {
+	if bytes.Equal(data, doneMarker) {
 		return true, false
 	}
 	n := len(data)
--- a/internal/front/errors.go
+++ b/internal/front/errors.go
@@ -8,7 +8,7 @@
 	"dillroute/internal/http1"
 )
 
-// errorType is the error type of a status, as the API names it.
+// errorType returns the API's error type for a status.
 func errorType(status int) string {
 	switch {
 	case status == 401:
@@ -21,7 +21,7 @@
 	return "invalid_request_error"
 }
 
-// ErrorJSON is the body of an error response, and the data of an error event.
+// ErrorJSON returns the body of an error response, which is also the data of an error event.
 func ErrorJSON(status int, code, param, message string) []byte {
 	e := ErrorBody{Message: message, Type: errorType(status), Code: code}
 	if param != "" {
@@ -31,10 +31,10 @@
 	return b
 }
 
-// JSONType is the content type of responses that are not streamed.
+// JSONType is the Content-Type field of responses that are not streamed.
 var JSONType = http1.Field{Name: "Content-Type", Value: "application/json"}
 
-// RetryFields tell client libraries whether to retry, and after how many seconds; 0 = no advice.
+// RetryFields returns the header fields that tell client libraries whether to retry, and after how many seconds; 0 = not stated.
 func RetryFields(retry bool, after float64) []http1.Field {
 	fields := []http1.Field{{Name: "X-Should-Retry", Value: strconv.FormatBool(retry)}}
 	if retry && after > 0 {
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -13,7 +13,7 @@
 const body = `{"model":"m","messages":[{"role":"system","content":"be kind"},{"role":"user","content":[{"type":"text","text":"hi"}]}],` +
 	`"stream":true,"x_unknown":{"a":[1,2.50,1e400]},"metadata":null,"max_tokens":7,"user":"u"}`
 
-func TestUnknownMembersReachTheEngineUntouched(t *testing.T) {
+func TestUnknownMembersReachTheEngineUnchanged(t *testing.T) {
 	c, err := ParseChat([]byte(body))
 	if err != nil {
 		t.Fatal(err)
@@ -30,7 +30,7 @@
 		t.Fatalf("%v", p)
 	}
 	if _, has := p["max_completion_tokens"]; has {
-		t.Fatal("a member that the client did not send")
+		t.Fatal("the body has a member that the client did not send")
 	}
 }
 
@@ -45,11 +45,11 @@
 	other, _ := ParseChat([]byte(strings.Replace(body, `"hi"`, `"ho"`, 1)))
 	third, _ := ParseChat([]byte(strings.Replace(body, "be kind", "be quick", 1)))
 	if other.Prefix != c.Prefix || third.Prefix == c.Prefix {
-		t.Fatal("the shared beginning is the system text, and nothing else")
+		t.Fatal("the prefix must depend on the system text, and on nothing else")
 	}
 	systemLater, _ := ParseChat([]byte(`{"model":"m","messages":[{"role":"user","content":"a"},{"role":"system","content":"b"}]}`))
 	if systemLater.Prefix != "" {
-		t.Fatal("a system message after others is no beginning")
+		t.Fatal("a system message after other messages must not count as a prefix")
 	}
 }
 
@@ -74,8 +74,8 @@
 	}
 }
 
-// What an object holds is what was written, whatever members are set.
-func TestObjectKeepsItsMembers(t *testing.T) {
+// Setting and removing members must leave all other members of an object unchanged.
+func TestObjectPreservesMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfDistinct(rapid.String(), rapid.ID).Draw(t, "names")
 		want := map[string]any{}
@@ -140,7 +140,7 @@
 		t.Fatalf("\n%s\n%s", b, want)
 	}
 	if err := NewStreamCollector(5).Add([]byte(`{"choices":[]}`)); err == nil {
-		t.Fatal("no bound")
+		t.Fatal("chunks above the maximum size were accepted")
 	}
 }
 
@@ -155,11 +155,11 @@
 		}
 	}
 	if c, err := ReadChunk([]byte(`{"error":"plain"}`)); err != nil || c.Err == nil {
-		t.Error("an error of another shape", err)
+		t.Error("an error in another format is not recognized", err)
 	}
 	for _, text := range []string{"", "{", "{}", `{"choices":null}`, "3"} {
 		if c, err := ReadChunk([]byte(text)); err == nil {
-			t.Errorf("%q is taken for a chunk: %+v", text, c)
+			t.Errorf("%q was accepted as a chunk: %+v", text, c)
 		}
 	}
 }
--- a/internal/front/models.go
+++ b/internal/front/models.go
@@ -13,7 +13,7 @@
 // ModelList is the response to GET /v1/models.
 type ModelList struct{ data []model }
 
-// Add appends a model.
+// Add appends the model with the given id.
 func (l *ModelList) Add(id string) {
 	l.data = append(l.data, model{ID: id, Object: "model", OwnedBy: "dillroute"})
 }
@@ -24,11 +24,11 @@
 	if data == nil {
 		data = []model{}
 	}
-	b, _ := json.Marshal(map[string]any{"object": "list", "data": data}) // strings and numbers encode
+	b, _ := json.Marshal(map[string]any{"object": "list", "data": data}) // strings and numbers always encode
 	return b
 }
 
-// ModelJSON is the response to GET /v1/models/ID.
+// ModelJSON returns the response to GET /v1/models/ID.
 func ModelJSON(id string) []byte {
 	b, _ := json.Marshal(model{ID: id, Object: "model", OwnedBy: "dillroute"})
 	return b
--- a/internal/front/object.go
+++ b/internal/front/object.go
@@ -1,6 +1,6 @@
 // Package front reads and writes the JSON of the OpenAI-style API: the members of a request by which the node routes, the bodies that
-// engines get, chunks, errors and model lists. Members of a request that it does not know stay as the client wrote them, byte for
-// byte. internal/openai and internal/engine use it.
+// are sent to engines, chunks, errors and model lists. Members of a request that it does not know are forwarded byte for byte as the
+// client wrote them. internal/openai and internal/engine use it.
 package front
 
 import (
@@ -9,13 +9,13 @@
 	"fmt"
 )
 
-// Object is a JSON object that keeps its members in order and unparsed.
+// Object is a JSON object whose members stay in order and unparsed.
 type Object struct {
 	names  []string
 	values map[string]json.RawMessage
 }
 
-// ParseObject reads an object. A member given twice is an error: an engine might read the other one.
+// ParseObject parses an object. A duplicate member is an error: an engine might read the other one.
 func ParseObject(body []byte) (*Object, error) {
 	dec := json.NewDecoder(bytes.NewReader(body))
 	tok, err := dec.Token()
@@ -36,7 +36,7 @@
 		if err := dec.Decode(&raw); err != nil {
 			return nil, syntaxError(err, dec)
 		}
-		if _, twice := o.values[name]; twice {
+		if _, duplicate := o.values[name]; duplicate {
 			return nil, fmt.Errorf("member %q is given twice", name)
 		}
 		o.names = append(o.names, name)
@@ -55,7 +55,7 @@
 	return fmt.Errorf("not valid JSON near byte %d: %v", dec.InputOffset(), err)
 }
 
-// Get returns a member as it was written, or nil. A null counts as absent.
+// Get returns a member as it was written, or nil if it is absent or null.
 func (o *Object) Get(name string) json.RawMessage {
 	if v := o.values[name]; string(v) != "null" {
 		return v
@@ -63,18 +63,18 @@
 	return nil
 }
 
-// With returns a copy with members set; a nil value removes the member.
+// With returns a copy with the given members set; a nil value removes the member.
 func (o *Object) With(set ...Member) *Object {
 	c := &Object{names: append([]string(nil), o.names...), values: make(map[string]json.RawMessage, len(o.values)+len(set))}
 	for k, v := range o.values {
 		c.values[k] = v
 	}
 	for _, m := range set {
-		_, had := c.values[m.Name]
+		_, exists := c.values[m.Name]
 		switch {
 		case m.Value == nil:
 			delete(c.values, m.Name)
-		case !had:
+		case !exists:
 			c.names = append(c.names, m.Name)
 			fallthrough
 		default:
@@ -90,7 +90,7 @@
 	Value json.RawMessage
 }
 
-// Bytes writes the object.
+// Bytes returns the object as JSON.
 func (o *Object) Bytes() []byte {
 	b := []byte{'{'}
 	for _, name := range o.names {
--- a/internal/front/prompt.go
+++ b/internal/front/prompt.go
@@ -10,14 +10,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// message is the part of a message that is read.
+// message holds the members of a message that are read.
 type message struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
-// readMessages estimates the prompt and hashes its leading system, developer and tool text, which other sessions
-// share.
+// readMessages estimates the tokens of the prompt, and hashes the tools and the leading system and developer messages, which other
+// sessions may share.
 func (c *Chat) readMessages() error {
 	raw := c.Object.Get("messages")
 	var ms []message
@@ -44,7 +44,7 @@
 				h.WriteString(m.Role)
 				h.WriteString("\x00")
 				h.WriteString(text)
-				c.PrefixTokens = tokens + estimateTokens(text) + perMessage
+				c.PrefixTokens = tokens + estimateTokens(text) + tokensPerMessage
 			}
 		case "user", "assistant", "tool", "function":
 			leading = false
@@ -52,7 +52,7 @@
 			return &FieldError{fmt.Sprintf("messages[%d].role", i),
 				fmt.Sprintf("%q is not system, developer, user, assistant or tool", truncate(m.Role))}
 		}
-		tokens += estimateTokens(text) + perMessage
+		tokens += estimateTokens(text) + tokensPerMessage
 	}
 	c.PromptTokens = tokens
 	if c.PrefixTokens > 0 {
@@ -61,29 +61,29 @@
 	return nil
 }
 
-// perMessage is the cost of the marks around a message, in tokens.
-const perMessage = 4
+// tokensPerMessage is the overhead of the delimiters around a message, in tokens.
+const tokensPerMessage = 4
 
 // charsPerToken is the mean number of ASCII characters in a token.
 const charsPerToken = 4
 
-// estimateTokens estimates the tokens of a text: charsPerToken ASCII characters each, and one for each character outside ASCII. The error
-// is some tens of percent.
+// estimateTokens estimates the number of tokens of a text: one for each charsPerToken ASCII characters, and one for each non-ASCII
+// character. The error is some tens of percent.
 func estimateTokens(text string) int {
 	runes := utf8.RuneCountInString(text)
-	wide := 0
+	nonASCII := 0
 	for i := range len(text) {
 		if text[i] >= 0xc0 {
-			wide++
+			nonASCII++
 		}
 	}
-	return int(math.Ceil(float64(runes-wide)/charsPerToken)) + wide
+	return int(math.Ceil(float64(runes-nonASCII)/charsPerToken)) + nonASCII
 }
 
-// contentText returns the text of a message's content: a string, or the text parts of a list.
+// contentText returns the text of a message's content, which is a string or a list of parts.
 func contentText(raw json.RawMessage) (string, error) {
 	if len(raw) == 0 || string(raw) == "null" {
-		return "", nil // a message of the assistant that holds only tool calls
+		return "", nil // an assistant message that has only tool calls
 	}
 	if raw[0] == '"' {
 		var s string
--- a/internal/front/streamcollector.go
+++ b/internal/front/streamcollector.go
@@ -7,18 +7,18 @@
 	"slices"
 )
 
-// StreamCollector joins the chunks of a stream to the complete response that the client asked for: strings are joined, lists are merged
-// by index, and of any other member the last value stands.
+// StreamCollector combines the chunks of a stream into the complete response that the client requested: strings are concatenated, lists
+// are merged by index, and any other member has its last value.
 type StreamCollector struct {
-	head    map[string]any
-	choices map[int]map[string]any
-	size    int
-	max     int
+	topLevel map[string]any
+	choices  map[int]map[string]any
+	size     int // bytes of chunks so far
+	max      int
 }
 
 // NewStreamCollector returns a StreamCollector that accepts at most max bytes of chunks.
-func NewStreamCollector(max int) *StreamCollector {
-	return &StreamCollector{choices: map[int]map[string]any{}, max: max}
+func NewStreamCollector(maxSize int) *StreamCollector {
+	return &StreamCollector{choices: map[int]map[string]any{}, max: maxSize}
 }
 
 // Add adds the data of one chunk.
@@ -34,12 +34,12 @@
 	}
 	choices, _ := c["choices"].([]any)
 	delete(c, "choices")
-	if collector.head == nil {
-		collector.head = map[string]any{}
+	if collector.topLevel == nil {
+		collector.topLevel = map[string]any{}
 	}
 	for k, v := range c {
-		if _, had := collector.head[k]; !had || v != nil {
-			collector.head[k] = v
+		if _, exists := collector.topLevel[k]; !exists || v != nil {
+			collector.topLevel[k] = v
 		}
 	}
 	for _, x := range choices {
@@ -67,10 +67,10 @@
 	return int(i)
 }
 
-// merge adds the members of one more piece to into.
+// merge merges the members of piece into into.
 func merge(into, piece map[string]any) {
 	for k, v := range piece {
-		old, had := into[k]
+		old, exists := into[k]
 		switch v := v.(type) {
 		case string:
 			if s, ok := old.(string); ok && k != "role" && k != "id" && k != "type" && k != "finish_reason" {
@@ -89,14 +89,14 @@
 			list, _ := old.([]any)
 			into[k] = mergeList(list, v)
 		default:
-			if !had || v != nil {
+			if !exists || v != nil {
 				into[k] = v
 			}
 		}
 	}
 }
 
-// mergeList joins elements that carry an index (tool calls) and appends the others (log probabilities).
+// mergeList merges elements that have an index (tool calls) and appends the others (log probabilities).
 func mergeList(list, more []any) []any {
 	for _, x := range more {
 		m, ok := x.(map[string]any)
@@ -120,7 +120,7 @@
 // Bytes returns the complete response as JSON.
 func (collector *StreamCollector) Bytes() ([]byte, error) {
 	out := map[string]any{}
-	for k, v := range collector.head {
+	for k, v := range collector.topLevel {
 		out[k] = v
 	}
 	out["object"] = "chat.completion"
@@ -142,7 +142,7 @@
 	return json.Marshal(out)
 }
 
-// dropIndexes removes the index members, which only streams have, from tool calls.
+// dropIndexes removes the index members from tool calls, because only streams have them.
 func dropIndexes(m map[string]any) {
 	calls, _ := m["tool_calls"].([]any)
 	for _, c := range calls {
--- a/internal/openai/exchange.go
+++ b/internal/openai/exchange.go
@@ -11,37 +11,37 @@
 	"dillroute/internal/protocol"
 )
 
-// exchange is one chat request (protocol.ClientExchange). The node's owner goroutine owns it, but for client, which belongs to the
-// attempt that was granted the response.
+// exchange is one chat request (protocol.ClientExchange). It belongs to the node's owner goroutine, except for client, which belongs to
+// the attempt that was granted the response.
 type exchange struct {
 	front           *Front
 	id              string
 	client          *http1.Exchange
 	chat            *front.Chat
 	forwarded       []http1.Field
-	prefilledStates map[int]json.RawMessage // by the attempt that prefilled them
-	engineResponses map[int]protocol.Response
+	prefilledStates map[int]json.RawMessage   // by the number of the attempt that prefilled them
+	engineResponses map[int]protocol.Response // error responses, by the number of the attempt
 }
 
-// attempt is an attempt at an engine, with the client that its stream goes to.
+// attempt is an attempt at an engine for one exchange.
 type attempt struct {
 	engine.Attempt
-	exchange      *exchange
-	stage         outcome.Stage
-	wholeResponse bool
+	exchange     *exchange
+	stage        outcome.Stage
+	nonStreaming bool
 }
 
-// Attempt prepares an attempt.
-func (e *exchange) Attempt(c protocol.AttemptSpec) protocol.Attempt {
-	a := &attempt{exchange: e, stage: c.Stage, wholeResponse: !e.chat.Stream}
-	a.Client, a.RequestID, a.Address = e.front.engines, engine.StateID(e.id, c.Number), c.Address
-	a.Forwarded, a.Timeout, a.WriteBy = e.forwarded, c.Timeout, c.WriteBy
+// Attempt returns an attempt that has not started.
+func (e *exchange) Attempt(spec protocol.AttemptSpec) protocol.Attempt {
+	a := &attempt{exchange: e, stage: spec.Stage, nonStreaming: !e.chat.Stream}
+	a.Client, a.RequestID, a.Address = e.front.engines, engine.StateID(e.id, spec.Number), spec.Address
+	a.Forwarded, a.Timeout, a.WriteBy = e.forwarded, spec.Timeout, spec.WriteBy
 	switch {
-	case c.Stage == outcome.Prefill:
+	case spec.Stage == outcome.Prefill:
 		a.Body = e.chat.PrefillBody()
-	case c.FetchState:
-		a.RequestID = engine.StateID(e.id, c.StateAttempt)
-		a.Body = e.chat.DecodeBody(e.prefilledStates[c.StateAttempt])
+	case spec.FetchState:
+		a.RequestID = engine.StateID(e.id, spec.StateAttempt)
+		a.Body = e.chat.DecodeBody(e.prefilledStates[spec.StateAttempt])
 	default:
 		a.Body = e.chat.DecodeBody(nil)
 	}
@@ -49,41 +49,41 @@
 }
 
 // Run makes the attempt.
-func (a *attempt) Run(h protocol.AttemptObserver) protocol.Result {
-	var r engine.Result
+func (a *attempt) Run(observer protocol.AttemptObserver) protocol.Result {
+	var result engine.Result
 	if a.stage == outcome.Prefill {
-		r = a.Prefill()
+		result = a.Prefill()
 	} else {
-		s := &stream{AttemptObserver: h, client: a.exchange.client, id: a.exchange.id}
-		if a.wholeResponse {
-			s.gather = front.NewStreamCollector(a.exchange.front.configuration.Load().config.Limits.MaxResponse)
+		sink := &stream{AttemptObserver: observer, client: a.exchange.client, id: a.exchange.id}
+		if a.nonStreaming {
+			sink.collector = front.NewStreamCollector(a.exchange.front.configuration.Load().config.Limits.MaxResponse)
 		}
-		r = a.Decode(s)
+		result = a.Decode(sink)
 	}
-	r.ProtocolData = r
-	return r.Result
+	result.ProtocolData = result
+	return result.Result
 }
 
-// AttemptEnded keeps the prefilled state, or the engine's error response in case it is passed through.
-func (e *exchange) AttemptEnded(n int, result protocol.Result) {
+// AttemptEnded stores the prefilled state, or the engine's error response in case it is forwarded to the client.
+func (e *exchange) AttemptEnded(number int, result protocol.Result) {
 	engineResult, ok := result.ProtocolData.(engine.Result)
 	switch {
 	case !ok:
 	case engineResult.Evidence.ResponseKind == outcome.PrefillDone:
-		e.prefilledStates[n] = engineResult.State
+		e.prefilledStates[number] = engineResult.State
 	case engineResult.HTTPStatus >= 400:
 		fields := append(front.RetryFields(false, 0), front.JSONType)
-		e.engineResponses[n] = protocol.Response{Status: engineResult.HTTPStatus, Fields: fields, Body: engineResult.ErrorBody}
+		e.engineResponses[number] = protocol.Response{Status: engineResult.HTTPStatus, Fields: fields, Body: engineResult.ErrorBody}
 	}
 }
 
-// ResponseGranted drops the prompt, which is not held for the length of a stream.
+// ResponseGranted drops the prompt, which is not retained while the response streams.
 func (e *exchange) ResponseGranted() { e.chat = nil }
 
-// EngineResponse is the error response of the engine of an attempt.
-func (e *exchange) EngineResponse(n int) protocol.Response { return e.engineResponses[n] }
+// EngineResponse returns the engine's error response to an attempt.
+func (e *exchange) EngineResponse(number int) protocol.Response { return e.engineResponses[number] }
 
-// NodeResponse is the node's own response.
+// NodeResponse returns the node's own response.
 func (e *exchange) NodeResponse(response outcome.Response, after float64, reason string) protocol.Response {
 	return protocol.Response{Status: response.HTTPStatus, Fields: append(front.RetryFields(response.RetryIsSafe, after), front.JSONType),
 		Body: front.ErrorJSON(response.HTTPStatus, response.Code, "", reason)}
@@ -93,7 +93,7 @@
 func (e *exchange) Respond(response protocol.Response) {
 	if !e.client.Begun() {
 		fields := append(response.Fields, http1.Field{Name: "X-Request-Id", Value: e.id})
-		e.client.Reply(response.Status, fields, response.Body) // an error means a disconnected client
+		e.client.Reply(response.Status, fields, response.Body) // an error means that the client has disconnected
 		return
 	}
 	if _, err := e.client.Write(http1.AppendEvent(nil, response.Body)); err != nil {
@@ -106,16 +106,16 @@
 // stream forwards the response of one attempt to the client. It belongs to the attempt's goroutine.
 type stream struct {
 	protocol.AttemptObserver
-	client  *http1.Exchange
-	id      string
-	gather  *front.StreamCollector // where the client asked for a response that is not streamed
-	pending []byte                 // events that are written with the next one
+	client    *http1.Exchange
+	id        string
+	collector *front.StreamCollector // nil = the response is streamed to the client
+	pending   []byte                 // events to be written together with the next one
 }
 
-// Event forwards an event; for a response that is not streamed it is collected.
+// Event forwards an event, or collects it for a response that is not streamed.
 func (s *stream) Event(data, raw []byte, more bool) error {
-	if s.gather != nil {
-		if err := s.gather.Add(data); err != nil {
+	if s.collector != nil {
+		if err := s.collector.Add(data); err != nil {
 			return fmt.Errorf("%w: %v", engine.ErrUnusableResponse, err)
 		}
 		return nil
@@ -134,7 +134,7 @@
 	return s.flush(raw)
 }
 
-// maxWrite bounds the bytes of events in one write.
+// maxWrite bounds the events that are combined into one write, in bytes.
 const maxWrite = 8 << 10
 
 // Flush writes the pending events.
@@ -145,12 +145,12 @@
 	return s.flush(nil)
 }
 
-// flush writes the pending events, and one more.
+// flush writes the pending events followed by raw.
 func (s *stream) flush(raw []byte) error {
 	if len(s.pending) > 0 {
 		raw = append(s.pending, raw...)
 		s.pending = s.pending[:0]
-		if cap(raw) > maxWrite/4 { // a burst does not leave a large buffer behind
+		if cap(raw) > maxWrite/4 { // do not retain a large buffer after a burst
 			s.pending = nil
 		}
 	}
@@ -160,8 +160,8 @@
 
 // Finish ends the response.
 func (s *stream) Finish() error {
-	if s.gather != nil {
-		body, err := s.gather.Bytes()
+	if s.collector != nil {
+		body, err := s.collector.Bytes()
 		if err != nil {
 			return fmt.Errorf("%w: %v", engine.ErrUnusableResponse, err)
 		}
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -1,5 +1,5 @@
 // Package openai implements the OpenAI-style chat API for the host (protocol.Front): it parses and classifies requests, makes their
-// attempts through internal/engine, and writes their responses. It decides nothing.
+// attempts through internal/engine, and writes their responses. It makes no routing decisions.
 package openai
 
 import (
@@ -25,26 +25,26 @@
 type Front struct {
 	log           *slog.Logger
 	engines       *engine.Client
-	prefix        string // of request ids; it differs between two starts of a node
+	prefix        string // of request ids; differs between starts of a node
 	serial        atomic.Uint64
 	configuration atomic.Pointer[configuration]
 }
 
-// configuration is what connections need of the settings. A reload replaces it as a whole.
+// configuration holds the settings that serving a request needs. A reload replaces it as a whole.
 type configuration struct {
 	config    *config.Config
 	table     *classify.Table
 	modelList []byte // body of GET /v1/models
 }
 
-// NewFront returns a front that makes its attempts through the client given.
+// NewFront returns a front that makes its attempts through the given engine client.
 func NewFront(cfg *config.Config, engines *engine.Client, log *slog.Logger) *Front {
 	f := &Front{log: log, engines: engines, prefix: fmt.Sprintf("%s-%08x", cfg.Node.Name, rand.Uint32())}
 	f.Configure(cfg)
 	return f
 }
 
-// Configure applies settings; admitted requests keep theirs.
+// Configure applies new settings to requests that arrive from now on. Admitted requests continue with the previous settings.
 func (f *Front) Configure(cfg *config.Config) {
 	models, rules := map[string]int{}, []classify.Rule{}
 	list := front.ModelList{}
@@ -73,14 +73,14 @@
 	f.configuration.Store(&configuration{cfg, classify.NewTable(classes, models, rules, keys, hashes), list.Bytes()})
 }
 
-// ErrorBody is the response to a request that could not be parsed, or that came over the connection limit. after is Retry-After in
-// seconds; 0 = none.
+// ErrorBody returns the response to a request that could not be read, or that exceeds the connection limit. after is the value of
+// Retry-After in seconds; 0 = none.
 func (f *Front) ErrorBody(status int, reason string, after float64) ([]http1.Field, []byte) {
 	retry := status == 408 || status == 503
 	return append(front.RetryFields(retry, after), front.JSONType), front.ErrorJSON(status, errorCode(status), "", reason)
 }
 
-// errorCode is the error code of a request that could not be read.
+// errorCode returns the error code for a request that could not be read.
 func errorCode(status int) string {
 	switch status {
 	case 408:
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// Serve responds to one request of the public listener, or hands it to take.
-func (f *Front) Serve(client *http1.Exchange, take func(protocol.RoutedRequest) bool) {
+// Serve responds to one request of the public listener, or passes it to submit.
+func (f *Front) Serve(client *http1.Exchange, submit func(protocol.RoutedRequest) bool) {
 	allowed := allowedMethods(client.Path)
 	allow := http1.Field{Name: "Allow", Value: strings.Join(append(allowed, "OPTIONS"), ", ")}
 	switch {
@@ -136,7 +136,7 @@
 	case client.Path == "/v1/models":
 		client.Reply(200, []http1.Field{front.JSONType}, settings.modelList)
 	case client.Path == "/v1/chat/completions":
-		f.chat(client, settings, tenant, take)
+		f.serveChat(client, settings, tenant, submit)
 	default:
 		name := strings.TrimPrefix(client.Path, "/v1/models/")
 		if _, known := settings.table.Class(name, client.Header.Get); !known {
@@ -169,8 +169,8 @@
 	return strings.TrimSpace(key)
 }
 
-// chat parses and classifies a chat request, and hands it to take.
-func (f *Front) chat(client *http1.Exchange, settings *configuration, tenant int, take func(protocol.RoutedRequest) bool) {
+// serveChat parses and classifies a chat request, and passes it to submit.
+func (f *Front) serveChat(client *http1.Exchange, settings *configuration, tenant int, submit func(protocol.RoutedRequest) bool) {
 	if t := client.Header.Get("Content-Type"); t != "" && !strings.HasPrefix(strings.ToLower(t), "application/json") {
 		reject(client, 415, false, "unsupported_media_type", "", "the body must be application/json")
 		return
@@ -180,7 +180,7 @@
 		return
 	}
 	chat, err := front.ParseChat(client.Body)
-	client.Body = nil // the parsed request holds what is needed of it
+	client.Body = nil // chat holds what is needed of it
 	if err != nil {
 		var e *front.FieldError
 		errors.As(err, &e)
@@ -197,12 +197,12 @@
 	}
 	clientTimeout := 0.0
 	if ms := client.Header.Get("X-Request-Timeout-Ms"); ms != "" {
-		given, err := strconv.ParseFloat(ms, 64)
-		if err != nil || !(given > 0) {
+		milliseconds, err := strconv.ParseFloat(ms, 64)
+		if err != nil || !(milliseconds > 0) {
 			reject(client, 400, false, "invalid_request", "X-Request-Timeout-Ms", "X-Request-Timeout-Ms must be a number above 0")
 			return
 		}
-		clientTimeout = given / 1000
+		clientTimeout = milliseconds / 1000
 	}
 	id := f.prefix + "-" + strconv.FormatUint(f.serial.Add(1), 36)
 	exchange := &exchange{front: f, client: client, chat: chat, forwarded: forwardedFields(client), id: id,
@@ -212,24 +212,24 @@
 	request := scheduler.Request{ID: exchange.id, Class: class, Tenant: tenant, Session: chat.Session, Prefix: chat.Prefix,
 		ClientTimeLeft: wait.FirstToken, PromptTokens: float64(chat.PromptTokens), PrefixTokens: float64(chat.PrefixTokens),
 		MaxOutputTokens: float64(maxTokens), Retry: isClientRetry(client)}
-	if chosen := client.Header.Get("X-Request-Id"); chosen != "" {
-		f.log.Debug("request admitted", "request", exchange.id, "client_request", truncate(chosen),
+	if clientRequestID := client.Header.Get("X-Request-Id"); clientRequestID != "" {
+		f.log.Debug("request admitted", "request", exchange.id, "client_request", truncate(clientRequestID),
 			"class", settings.config.Classes[class].Name)
 	}
-	client.Header = nil // the exchange and the request hold what is needed of it
-	if !take(protocol.RoutedRequest{Request: request, WholeResponseTimeout: wait.CompleteResponse, Exchange: exchange}) {
+	client.Header = nil // exchange and request hold what is needed of it
+	if !submit(protocol.RoutedRequest{Request: request, WholeResponseTimeout: wait.CompleteResponse, Exchange: exchange}) {
 		reject(client, 503, true, "node_stopping", "", "the node is stopping")
 	}
 }
 
-// isClientRetry tells whether the client marks the request as a retry of its own, as the OpenAI client libraries do.
+// isClientRetry reports whether the client marks the request as its own retry, as the OpenAI client libraries do.
 func isClientRetry(client *http1.Exchange) bool {
 	count, err := strconv.Atoi(client.Header.Get("X-Stainless-Retry-Count"))
 	return err == nil && count > 0
 }
 
-// forwardedFields returns the client's header fields that engines get: trace context and idempotency key. The client's API key and
-// hop-by-hop fields are not forwarded.
+// forwardedFields returns the client's header fields that are forwarded to engines: trace context and idempotency key. The client's API
+// key and hop-by-hop fields are not forwarded.
 func forwardedFields(client *http1.Exchange) []http1.Field {
 	var fields []http1.Field
 	for _, name := range []string{"Traceparent", "Tracestate", "Idempotency-Key"} {
--- a/internal/protocol/attemptcontrol.go
+++ b/internal/protocol/attemptcontrol.go
@@ -12,24 +12,24 @@
 	"dillroute/internal/http1"
 )
 
-// AttemptControl cancels an attempt from outside, whatever the attempt waits for. It holds the attempt's connection, and the cause for
-// which it was canceled. Its methods may be called from any goroutine.
+// AttemptControl lets any goroutine cancel an attempt at any point: while it dials, writes or reads. It holds the attempt's connection
+// and the cause of its cancellation. It is safe for concurrent use; the zero value is ready to use.
 type AttemptControl struct {
 	mu             sync.Mutex
 	conn           *http1.ClientConn
-	cancelDial     context.CancelFunc // cancels the dial that runs; nil = none runs
+	cancelDial     context.CancelFunc // cancels the dial in progress; nil = none
 	canceled       bool
 	requestWritten bool // the first byte is about to be written, or was
-	clientStreams  bool // the response streams to the client
+	clientStreams  bool // the response is streaming to the client
 	cause          outcome.Cause
 }
 
-// cutoffReadOn is for how long a stream that the node cuts off still forwards what its engine has sent: a stream whose end has arrived
-// is complete.
-const cutoffReadOn = 20 * time.Millisecond
+// canceledStreamReadTime is how long a stream that the node cancels still forwards what its engine has sent: a stream whose end has
+// already arrived is complete.
+const canceledStreamReadTime = 20 * time.Millisecond
 
-// Dial makes a connection with the function given. Its context ends when the attempt is canceled.
-func (control *AttemptControl) Dial(get func(ctx context.Context) (*http1.ClientConn, error)) (*http1.ClientConn, error) {
+// Dial returns a connection from dial, whose context ends when the attempt is canceled.
+func (control *AttemptControl) Dial(dial func(ctx context.Context) (*http1.ClientConn, error)) (*http1.ClientConn, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	control.mu.Lock()
@@ -38,22 +38,22 @@
 		cancel()
 	}
 	control.mu.Unlock()
-	c, err := get(ctx)
+	c, err := dial(ctx)
 	control.mu.Lock()
 	control.cancelDial = nil
 	control.mu.Unlock()
 	return c, err
 }
 
-// StreamingBegan records that the response streams to the client from now on.
-func (control *AttemptControl) StreamingBegan() {
+// MarkStreaming records that the response is streaming to the client from now on.
+func (control *AttemptControl) MarkStreaming() {
 	control.mu.Lock()
 	control.clientStreams = true
 	control.mu.Unlock()
 }
 
-// Cancel ends the attempt for the cause given by closing its connection; an attempt without a connection ends at once. A stream that
-// the node cuts off still forwards what has arrived.
+// Cancel ends the attempt for the given cause by closing its connection; an attempt without a connection ends at once. A stream to the
+// client that is canceled because its request has ended still forwards what has arrived. Calls after the first have no effect.
 func (control *AttemptControl) Cancel(cause outcome.Cause) {
 	control.mu.Lock()
 	defer control.mu.Unlock()
@@ -67,14 +67,14 @@
 	switch {
 	case control.conn == nil:
 	case control.clientStreams && cause == outcome.RequestEnded:
-		control.conn.ReadOnFor(cutoffReadOn)
+		control.conn.ReadOnFor(canceledStreamReadTime)
 	default:
 		control.conn.Discard()
 	}
 }
 
-// Delivered tells whether the request has reached its engine, as far as can be seen: one that waits for a connection, or in the kernel's
-// send buffer, has not.
+// Delivered reports whether the request has reached its engine, as far as the node can tell: a request that waits for a connection, or
+// is in the kernel's send buffer, has not.
 func (control *AttemptControl) Delivered() bool {
 	control.mu.Lock()
 	defer control.mu.Unlock()
@@ -94,7 +94,8 @@
 	}
 }
 
-// Attach gives the connection to Cancel and records that the request is about to be written; false = the attempt was canceled.
+// Attach sets the connection that Cancel closes, and records that the request is about to be written. It returns false if the attempt
+// was canceled.
 func (control *AttemptControl) Attach(conn *http1.ClientConn) bool {
 	control.mu.Lock()
 	defer control.mu.Unlock()
@@ -102,28 +103,29 @@
 	return !control.canceled
 }
 
-// Detach takes the connection back, so that a late Cancel cannot close one that another attempt uses.
+// Detach removes the connection, so that a later Cancel cannot close it while another attempt uses it.
 func (control *AttemptControl) Detach() {
 	control.mu.Lock()
 	control.conn = nil
 	control.mu.Unlock()
 }
 
-// Canceled returns whether the attempt was canceled, and the cause.
+// Canceled returns the cause of the cancellation, and whether the attempt was canceled.
 func (control *AttemptControl) Canceled() (outcome.Cause, bool) {
 	control.mu.Lock()
 	defer control.mu.Unlock()
 	return control.cause, control.canceled
 }
 
-// CauseOf returns the cause of an error: the cancellation, the deadline (the cause timeout), a malformed message, or the connection.
+// CauseOf returns the cause of an error: the cause of the cancellation, timeout if the deadline passed, MalformedResponse, or otherwise
+// ConnectionBroken.
 func (control *AttemptControl) CauseOf(err error, timeout outcome.Cause) outcome.Cause {
 	if cause, ok := control.Canceled(); ok {
 		return cause
 	}
 	var malformed *http1.Error
 	switch {
-	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, context.DeadlineExceeded): // ETIMEDOUT is an error of the connection
+	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, context.DeadlineExceeded): // ETIMEDOUT is a broken connection
 		return timeout
 	case errors.As(err, &malformed), errors.Is(err, http1.ErrEventTooLong):
 		return outcome.MalformedResponse
@@ -131,9 +133,9 @@
 	return outcome.ConnectionBroken
 }
 
-// RefusesWrite asks internal/decide/permit, in the last moment before the first byte is written, whether the attempt may be written. Where
-// it may not, the attempt ends as never sent, the result has the reason, and RefusesWrite returns true.
-func (control *AttemptControl) RefusesWrite(write permit.Write, result *Result) bool {
+// CancelUnlessPermitted checks with internal/decide/permit, immediately before the first byte is written, whether the attempt may be
+// written. If not, it ends the attempt as never sent, stores the reason in result and returns true.
+func (control *AttemptControl) CancelUnlessPermitted(write permit.Write, result *Result) bool {
 	_, write.AttemptCanceled = control.Canceled()
 	reason := write.Reason()
 	if reason == permit.Allowed {
@@ -148,15 +150,15 @@
 	return true
 }
 
-// TimeUntil returns the seconds left until a time, and whether there is such a time (it is not zero).
-func TimeUntil(by time.Time) (left float64, bound bool) {
+// TimeUntil returns the seconds left until a time, and whether that time is set (is not zero).
+func TimeUntil(by time.Time) (left float64, isSet bool) {
 	if by.IsZero() {
 		return 0, false
 	}
 	return time.Until(by).Seconds(), true
 }
 
-// Message is the request that an engine is sent.
+// Message is the request that is sent to an engine.
 type Message struct {
 	Method string
 	Target string
@@ -164,9 +166,9 @@
 	Body   []byte
 }
 
-// Exchange writes a request on a connection and reads the head of the response, both by the time given. It returns nil where the attempt
-// ended before: the result says how far it came and why, and the connection is closed.
-func (control *AttemptControl) Exchange(conn *http1.ClientConn, deadline time.Time, m Message, result *Result) *http1.Response {
+// Exchange writes a request on a connection and reads the head of the response, both before the deadline. If the attempt ends before
+// that, Exchange closes the connection and returns nil, and result holds the attempt's progress and cause.
+func (control *AttemptControl) Exchange(conn *http1.ClientConn, deadline time.Time, message Message, result *Result) *http1.Response {
 	result.Evidence.Progress = outcome.Connected
 	if !control.Attach(conn) {
 		conn.Close()
@@ -175,13 +177,13 @@
 	}
 	conn.SetDeadline(deadline)
 	result.FirstByteAt = time.Now()
-	sent, all, err := conn.Send(m.Method, m.Target, m.Fields, m.Body)
-	if sent == all {
+	sent, total, err := conn.Send(message.Method, message.Target, message.Fields, message.Body)
+	if sent == total {
 		result.Evidence.Progress = outcome.RequestWritten
 	}
-	var resp *http1.Response
+	var response *http1.Response
 	if err == nil {
-		resp, err = conn.ReadResponse()
+		response, err = conn.ReadResponse()
 	}
 	if err != nil {
 		result.Err, result.Evidence.Cause = err, control.CauseOf(err, outcome.AttemptTimedOut)
@@ -190,5 +192,5 @@
 		return nil
 	}
 	result.Evidence.Progress = outcome.HeaderReceived
-	return resp
+	return response
 }
--- a/internal/protocol/attemptcontrol_test.go
+++ b/internal/protocol/attemptcontrol_test.go
@@ -16,24 +16,24 @@
 	"dillroute/scheduler"
 )
 
-func TestCancelIfUnsentSparesWrittenAttempts(t *testing.T) {
+func TestCancelIfUnsentLeavesWrittenAttempts(t *testing.T) {
 	var h AttemptControl
 	h.CancelIfUnsent()
 	if cause, ok := h.Canceled(); !ok || cause != outcome.RequestEnded || h.Attach(nil) {
-		t.Error("one without a connection was not withdrawn")
+		t.Error("an attempt without a connection was not canceled")
 	}
 	var w AttemptControl
 	if !w.Attach(nil) {
-		t.Fatal("too late")
+		t.Fatal("Attach failed on an attempt that is not canceled")
 	}
 	w.CancelIfUnsent()
 	if _, ok := w.Canceled(); ok {
-		t.Error("one that is being written was withdrawn")
+		t.Error("an attempt that is being written was canceled")
 	}
 	w.Cancel(outcome.ClientDisconnected)
 	w.Cancel(outcome.CanceledByScheduler)
 	if cause, _ := w.Canceled(); cause != outcome.ClientDisconnected {
-		t.Errorf("the first cause stands, not %v", cause)
+		t.Errorf("got cause %v, want the first one", cause)
 	}
 }
 
@@ -51,38 +51,39 @@
 	} {
 		var h AttemptControl
 		if got := h.CauseOf(c.err, outcome.AttemptTimedOut); got != c.want {
-			t.Errorf("%v: %v, wanted %v", c.err, got, c.want)
+			t.Errorf("%v: got %v, want %v", c.err, got, c.want)
 		}
 		h.Cancel(outcome.CanceledByScheduler)
 		if got := h.CauseOf(c.err, outcome.AttemptTimedOut); got != outcome.CanceledByScheduler {
-			t.Errorf("%v after an abort: %v", c.err, got)
+			t.Errorf("%v after a cancellation: got %v, want its cause", c.err, got)
 		}
 	}
 }
 
-// An attempt whose time to be written is over is not written, and is known as never sent.
-func TestAttemptsPastTheirWindowAreNotWritten(t *testing.T) {
+// Guards against writing an attempt after its deduplication window, when the engine could run the request twice. The attempt must end
+// as never sent.
+func TestAttemptsAfterTheirDedupWindowAreNotWritten(t *testing.T) {
 	var h AttemptControl
 	r := Result{Evidence: outcome.Evidence{Progress: outcome.Connecting}}
 	write := func(by time.Time) permit.Write {
 		left, bound := TimeUntil(by)
 		return permit.Write{ClientTimeLeft: 1, HasDedupWindow: bound, DedupWindowLeft: left}
 	}
-	if h.RefusesWrite(write(time.Time{}), &r) || h.RefusesWrite(write(time.Now().Add(time.Minute)), &r) {
-		t.Fatal("one that has time is late")
+	if h.CancelUnlessPermitted(write(time.Time{}), &r) || h.CancelUnlessPermitted(write(time.Now().Add(time.Minute)), &r) {
+		t.Fatal("an attempt within its window was canceled")
 	}
-	if !h.RefusesWrite(write(time.Now().Add(-time.Millisecond)), &r) {
-		t.Fatal("one whose time is over is not late")
+	if !h.CancelUnlessPermitted(write(time.Now().Add(-time.Millisecond)), &r) {
+		t.Fatal("an attempt after its window was not canceled")
 	}
 	if h.Attach(nil) {
-		t.Error("it may be written all the same")
+		t.Error("the canceled attempt may still be written")
 	}
 	if v := outcome.Classify(r.Evidence); v.Status != scheduler.NotSent || v.MayHaveRun {
 		t.Errorf("got %+v, want that it was never sent", v)
 	}
 }
 
-// What calls an attempt off ends the making of its connection, before it has begun as well.
+// Canceling an attempt must end its dial, whether the cancellation comes before or during the dial.
 func TestCancelEndsConnecting(t *testing.T) {
 	for _, early := range []bool{true, false} {
 		var h AttemptControl
@@ -101,28 +102,28 @@
 			}
 		})
 		if err == nil {
-			t.Errorf("called off early %v: the connection was waited for", early)
+			t.Errorf("canceled before the dial %v: the dial did not end", early)
 		}
 	}
 }
 
-// An attempt whose client has gone is not written, and its request is known to have lost its client.
+// An attempt whose client has disconnected must not be written, and must end with the cause ClientDisconnected.
 func TestAttemptsOfDisconnectedClientsAreNotWritten(t *testing.T) {
 	var h AttemptControl
 	r := Result{Evidence: outcome.Evidence{Progress: outcome.Connecting}}
-	if !h.RefusesWrite(permit.Write{ClientDisconnected: true, ClientTimeLeft: 1}, &r) || h.Attach(nil) {
-		t.Error("it may be written all the same")
+	if !h.CancelUnlessPermitted(permit.Write{ClientDisconnected: true, ClientTimeLeft: 1}, &r) || h.Attach(nil) {
+		t.Error("the attempt may still be written")
 	}
 	if r.Evidence.Cause != outcome.ClientDisconnected {
-		t.Errorf("got cause %d, want that the client left", r.Evidence.Cause)
+		t.Errorf("got cause %d, want ClientDisconnected", r.Evidence.Cause)
 	}
 	if v := outcome.Classify(r.Evidence); v.Status != scheduler.NotSent || v.MayHaveRun {
 		t.Errorf("got %+v, want that it was never sent", v)
 	}
 }
 
-// A connection that the kernel has given up (ETIMEDOUT) is broken like any other: it is not the attempt's time that has run out, though
-// the error calls itself a timeout.
+// When the kernel ends a connection with ETIMEDOUT, the connection is broken. Guards against reporting that the attempt timed out,
+// because the error's Timeout method returns true.
 func TestBrokenConnectionIsNoTimeout(t *testing.T) {
 	read := func(errno syscall.Errno) error {
 		return &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
--- a/internal/protocol/endpoints.go
+++ b/internal/protocol/endpoints.go
@@ -5,7 +5,7 @@
 	"dillroute/scheduler"
 )
 
-// EngineOf returns an endpoint as the scheduler's list names it. bootTime is its last start by the node's clock.
+// EngineOf converts an endpoint to the type of the scheduler's endpoint list. bootTime is the engine's last start by the node's clock.
 func EngineOf(endpoint endpoints.Endpoint, bootTime float64) scheduler.Engine {
 	engine := scheduler.Engine{
 		ID:       endpoint.ID,
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -20,11 +20,11 @@
 	engines            *Engines
 	spec               protocol.AttemptSpec
 	id, method, target string
-	fields             []http1.Field // of the request, without its id and the time left
+	fields             []http1.Field // of the client's request, without its id and time left
 	newConnection      bool          // an idle connection may not be reused
 	body               []byte
 	client             *http1.Exchange
-	loadReport         string // latest one in the stream
+	loadReport         string // text of the latest load report in the stream
 }
 
 // Run makes the attempt.
@@ -37,12 +37,13 @@
 	if response.Status == 200 {
 		a.streamResponse(conn, response, observer, &result)
 	} else {
-		a.readWhole(conn, response, &result)
+		a.readCompleteResponse(conn, response, &result)
 	}
 	return result
 }
 
-// open connects, writes the request and reads the head of the response. Where it returns nil, result says how far the attempt came.
+// open connects, writes the request and reads the head of the response. If the attempt ends before that, open returns nil and result
+// holds its progress and cause.
 func (a *attempt) open(result *protocol.Result) (*http1.ClientConn, *http1.Response) {
 	start := time.Now()
 	deadline := start.Add(a.spec.Timeout)
@@ -61,10 +62,10 @@
 		}
 		return nil, nil
 	}
-	window, keyed := protocol.TimeUntil(a.spec.WriteBy)
+	window, hasWindow := protocol.TimeUntil(a.spec.WriteBy)
 	write := permit.Write{ClientDisconnected: a.client != nil && a.client.ClientDisconnected(),
-		ClientTimeLeft: time.Until(a.spec.ClientDeadline).Seconds(), HasDedupWindow: keyed, DedupWindowLeft: window}
-	if a.RefusesWrite(write, result) {
+		ClientTimeLeft: time.Until(a.spec.ClientDeadline).Seconds(), HasDedupWindow: hasWindow, DedupWindowLeft: window}
+	if a.CancelUnlessPermitted(write, result) {
 		conn.Close()
 		return nil, nil
 	}
@@ -73,25 +74,26 @@
 		{Name: headerTimeLeft, Value: strconv.FormatFloat(timeLeft, 'f', 3, 64)}}
 	message := protocol.Message{Method: a.method, Target: a.target, Fields: append(fields, a.fields...), Body: a.body}
 	response := a.Exchange(conn, deadline, message, result)
-	a.body, a.fields = nil, nil // not held for the length of a stream
+	a.body, a.fields = nil, nil // not retained while the response streams
 	if response == nil {
 		if result.Evidence.Cause == outcome.ConnectionBroken {
 			a.engines.observeLoss(conn)
 		}
 		return nil, nil
 	}
-	result.Report = parseLoad(response.Header.Get(headerLoad))
+	result.Report = parseLoadReport(response.Header.Get(headerLoad))
 	return conn, response
 }
 
-// minTimeLeft is the least time that an engine is told the client has left, in seconds.
+// minTimeLeft is the smallest time left that is sent to an engine, in seconds.
 const minTimeLeft = 0.001
 
 // maxResponse bounds responses that are not streamed, in bytes.
 const maxResponse = 64 << 10
 
-// readWhole reads a complete response: a finished prefill, a rejection or an error. The head alone decides all but the errors.
-func (a *attempt) readWhole(conn *http1.ClientConn, response *http1.Response, result *protocol.Result) {
+// readCompleteResponse reads a response that is not streamed: a finished prefill, a rejection or an error. The head alone determines
+// the outcome, except for an engine error, which also gets a cause if its body cannot be read.
+func (a *attempt) readCompleteResponse(conn *http1.ClientConn, response *http1.Response, result *protocol.Result) {
 	rejected := response.Header.Get(headerRejected) == "1"
 	switch {
 	case response.Status == 202:
@@ -103,7 +105,7 @@
 	default:
 		result.Evidence.ResponseKind = outcome.EngineError
 	}
-	conn.Within(a.engines.pool.Head) // the head has decided; its body must not use up the request's time
+	conn.Within(a.engines.pool.Head) // the head has determined the outcome; reading the body must not use up the request's time
 	body, err := response.ReadAll(maxResponse)
 	a.Detach()
 	if err != nil {
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -1,6 +1,6 @@
 // Package relay implements the relay protocol of the users' platform: its clients (Front), engines (Engines) and discovery (Discovery).
-// It turns bytes into the types of internal/protocol and back, and decides nothing. The host (internal/node) uses it;
-// docs/design/relay.md has the design.
+// It converts between bytes and the types of internal/protocol and makes no routing decisions. The host (internal/node) uses it; the
+// design is described in docs/design/relay.md.
 package relay
 
 import (
@@ -13,12 +13,12 @@
 	"dillroute/internal/settings"
 )
 
-// Config is the configuration that the platform gives a node at its start.
+// Config is the configuration with which the platform starts a node.
 type Config struct {
 	Name, Listen, Discovery string
 	Seed                    uint64
 	Limits                  Limits
-	Known                   []byte // last endpoint list of this node, in discovery's form; empty = none
+	Known                   []byte // last endpoint list of this node, in discovery's format; empty = none
 	Settings                *settings.Settings
 }
 
@@ -34,8 +34,8 @@
 	return overload.DivideLimits(l.Sockets, int64(l.MemoryMB*(1<<20)))
 }
 
-// file is the configuration file.
-type file struct {
+// configFile is the JSON form of the configuration file.
+type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
@@ -53,11 +53,12 @@
 	envConfig    = "RELAY_CONFIG"
 )
 
-// Load reads the configuration file that the environment names. Members that the file lacks are taken from the environment.
+// Load reads the configuration file whose path is in the environment. Name, Listen and Discovery are taken from the environment if the
+// file lacks them.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
-		return nil, fmt.Errorf("%s is not set: it names the configuration file", envConfig)
+		return nil, fmt.Errorf("%s is not set; it must name the configuration file", envConfig)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -66,9 +67,9 @@
 	return Parse(text, getenv)
 }
 
-// Parse reads the text of a configuration file. Members that it lacks are taken from the environment.
+// Parse parses the text of a configuration file. Name, Listen and Discovery are taken from the environment if the text lacks them.
 func Parse(text []byte, getenv func(string) string) (*Config, error) {
-	var f file
+	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
@@ -81,13 +82,13 @@
 			*x.to = getenv(x.name)
 		}
 		if *x.to == "" {
-			return nil, fmt.Errorf("configuration: neither the file nor %s says it", x.name)
+			return nil, fmt.Errorf("configuration: neither %s nor its member in the file is set", x.name)
 		}
 	}
 	var err error
 	if f.Seed != "" {
 		if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-			return nil, fmt.Errorf("configuration: seed %q is no hexadecimal number", truncate(f.Seed))
+			return nil, fmt.Errorf("configuration: seed %q is not a hexadecimal number", truncate(f.Seed))
 		}
 	}
 	if l := c.Limits; !(l.Cores >= 0 && l.MemoryMB >= 0 && l.Sockets >= 0) {
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -12,14 +12,14 @@
 	"dillroute/internal/settings"
 )
 
-// notifiedAfter is the time after which a change counts as notified, whatever became of the calls, in seconds (the terms of
-// the users' standing test).
+// notifiedAfter is the time after which a change counts as notified even if all calls to discovery failed, in seconds (the
+// terms of the users' standing test).
 const notifiedAfter = 6
 
 // Discovery follows the engine list of the platform's discovery service.
 //
-// It polls one address at a time, each by a watch of its own (see poller), and hands what changes to onUpdate. Its methods
-// may be called by any goroutine.
+// It polls one address at a time, with a separate watch for each address (see poller), and passes changes of the list to
+// onUpdate. It is safe for concurrent use.
 type Discovery struct {
 	log      *slog.Logger
 	policy   endpoints.PollPolicy
@@ -32,25 +32,25 @@
 	mu           sync.Mutex
 	view         *endpoints.NotifiedView
 	startTimes   *endpoints.StartTimes
-	hasSavedList bool    // a list of an earlier run was applied at the start
-	lastResponse float64 // when discovery last responded (s); 0 = not yet
-	watch        *watch  // the newest
+	hasSavedList bool    // the list of an earlier run was applied at start
+	lastResponse float64 // time of discovery's last response (s); 0 = none yet
+	watch        *watch  // the watch of the current address
 	closed       bool
 }
 
-// discoveryOptions are what a Discovery is made from.
+// discoveryOptions are the settings and dependencies of a Discovery.
 type discoveryOptions struct {
 	settings *settings.Settings
 	policy   endpoints.PollPolicy
-	clock    clock.Clock    // of the node, in whose time start times are given
+	clock    clock.Clock    // of the node; start times are converted to it
 	dial     http1.DialFunc // makes connections; nil = on the network
 	onUpdate func(protocol.EndpointList)
 	log      *slog.Logger
 }
 
-// Follow starts to follow discovery at an address, from the list of an earlier run (saved; may be empty). clk is the clock
-// of the node, in whose time start times are given; dial makes connections (nil = on the network). onUpdate is called with
-// each change of the list, one call at a time.
+// Follow starts to follow discovery at an address. saved is the list of an earlier run and may be empty. clk is the node's
+// clock, to which start times are converted; dial makes connections (nil = on the network). onUpdate is called with each
+// change of the list, one call at a time.
 func Follow(addr string, saved []byte, s *settings.Settings, clk clock.Clock, dial http1.DialFunc,
 	onUpdate func(protocol.EndpointList), log *slog.Logger) *Discovery {
 	return startDiscovery(addr, saved, discoveryOptions{
@@ -63,7 +63,7 @@
 	})
 }
 
-// pollPolicyOf returns the policy for the kind of discovery that the settings name.
+// pollPolicyOf returns the poll policy for the kind of discovery in the settings.
 func pollPolicyOf(s *settings.Settings) endpoints.PollPolicy {
 	if s.Scheduler.PollsDiscovery {
 		return endpoints.SharedPollPolicy(notifiedAfter, s.Scheduler.Rules.PollInterval, rand.Float64)
@@ -71,7 +71,7 @@
 	return endpoints.AgentPollPolicy(notifiedAfter, rand.Float64)
 }
 
-// newDiscovery returns a Discovery that follows no address yet.
+// newDiscovery returns a Discovery that does not yet follow an address.
 func newDiscovery(o discoveryOptions) *Discovery {
 	return &Discovery{
 		log:        o.log,
@@ -95,7 +95,7 @@
 	return d
 }
 
-// restore applies the list of an earlier run. One that cannot be read is no reason not to start.
+// restore applies the list of an earlier run. A list that cannot be read is ignored, so that the node still starts.
 func (d *Discovery) restore(saved []byte) {
 	list, err := unmarshalList(saved)
 	if err != nil {
@@ -106,10 +106,10 @@
 	d.hasSavedList = true
 }
 
-// SaveState does nothing: the platform gives a node no disk that outlives it.
+// SaveState does nothing: on this platform a node has no disk that outlives it.
 func (d *Discovery) SaveState(bool) {}
 
-// SetAddress follows another address from now on. The watch of the previous address ends once the new one has responded.
+// SetAddress follows another address from now on. The watch of the previous address ends once the new address has responded.
 func (d *Discovery) SetAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -136,8 +136,8 @@
 	d.wg.Wait()
 }
 
-// firstCallAt returns when the first call of a watch is made (s): at once where no list is known or where the watch
-// replaces another.
+// firstCallAt returns the time of a watch's first call (s). The call is immediate if no list is known or if the watch
+// replaces another one.
 func (d *Discovery) firstCallAt(previous *watch) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -147,9 +147,9 @@
 	return d.clock.Now() + d.policy.FirstCallSpread*rand.Float64()
 }
 
-// apply applies a list and hands on what it changes. It returns the version after which changes are wanted; ok is false
-// where the complete list is.
-func (d *Discovery) apply(list *listResponse, saved bool) (version int64, ok bool) {
+// apply applies a list and passes its changes to onUpdate. It returns the version after which the next call requests
+// changes; incremental is false if that call must request the complete list.
+func (d *Discovery) apply(list *listResponse, saved bool) (version int64, incremental bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	updates := d.decoder.updates(list)
--- a/internal/relay/discovery_call.go
+++ b/internal/relay/discovery_call.go
@@ -9,13 +9,13 @@
 	"dillroute/internal/http1"
 )
 
-// errRejected means that discovery cannot answer now.
+// errRejected means that discovery is overloaded or unavailable for now.
 var errRejected = errors.New("relay: discovery rejected the call")
 
 // errWatchEnded means that this node has ended the watch.
 var errWatchEnded = errors.New("relay: the watch has ended")
 
-// call makes a call and sends its outcome to the poller, unless the watch has ended.
+// call makes a call and sends its result to the poller, unless the watch has ended.
 func (d *Discovery) call(w *watch, pool *http1.Pool, c *call) {
 	result := callResult{call: c, conn: c.conn}
 	if result.conn == nil {
@@ -37,8 +37,8 @@
 	}
 }
 
-// fetchList makes one call on a connection. The poller judges how long its first byte may take; from there on its bytes
-// have to keep coming, in pieces as small as one byte.
+// fetchList makes one call on a connection. The poller limits the time to the first byte. After that, each read must
+// return at least one byte in time.
 func (d *Discovery) fetchList(conn *http1.ClientConn, target string) (*listResponse, error) {
 	conn.SetDeadline(time.Now().Add(seconds(d.policy.MaxSilence)))
 	if _, _, err := conn.Send("GET", target, nil, nil); err != nil {
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	response.Body = &steadyBody{conn: conn, body: response.Body, maxPause: seconds(d.policy.BetweenBytes), deadline: deadline}
+	response.Body = &deadlineBody{conn: conn, body: response.Body, maxPause: seconds(d.policy.BetweenBytes), deadline: deadline}
 	body, err := response.ReadAll(maxListBytes)
 	if err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 	return readList(body)
 }
 
-// checkStatus returns the error that a status of discovery stands for; nil = a list.
+// checkStatus returns the error for a status of discovery; nil = the response holds a list.
 func checkStatus(status int) error {
 	switch status {
 	case 200:
@@ -75,20 +75,20 @@
 	return fmt.Errorf("relay: discovery responded with status %d", status)
 }
 
-// steadyBody reads a body whose bytes must not pause for longer than maxPause, nor come after the deadline.
-type steadyBody struct {
+// deadlineBody reads a body in which no pause between bytes may exceed maxPause, and no byte may come after the deadline.
+type deadlineBody struct {
 	conn     *http1.ClientConn
 	body     io.Reader
 	maxPause time.Duration
 	deadline time.Time
 }
 
-// Read reads from the body within its times.
-func (s *steadyBody) Read(p []byte) (int, error) {
-	readBy := time.Now().Add(s.maxPause)
-	if readBy.After(s.deadline) {
-		readBy = s.deadline
+// Read reads from the body with a deadline for this read.
+func (s *deadlineBody) Read(p []byte) (int, error) {
+	readDeadline := time.Now().Add(s.maxPause)
+	if readDeadline.After(s.deadline) {
+		readDeadline = s.deadline
 	}
-	s.conn.SetDeadline(readBy)
+	s.conn.SetDeadline(readDeadline)
 	return s.body.Read(p)
 }
--- a/internal/relay/discovery_list.go
+++ b/internal/relay/discovery_list.go
@@ -24,10 +24,10 @@
 	stateRemoved  = "removed"
 )
 
-// listResponse is a list in discovery's form.
+// listResponse is a list in discovery's format.
 type listResponse struct {
 	Version int64          `json:"version"`
-	Full    bool           `json:"full"` // false = it holds the changes since the requested version
+	Full    bool           `json:"full"` // false = holds only the changes since the requested version
 	Servers []listedServer `json:"servers"`
 }
 
@@ -43,7 +43,7 @@
 	Started float64 `json:"started_ms"`
 }
 
-// unmarshalList reads a list without looking at its content.
+// unmarshalList decodes a list without validating it.
 func unmarshalList(body []byte) (*listResponse, error) {
 	var list listResponse
 	if err := json.Unmarshal(body, &list); err != nil {
@@ -52,7 +52,7 @@
 	return &list, nil
 }
 
-// readList reads the list of a response. One server that cannot be used makes the whole list unusable.
+// readList decodes and validates the list of a response. One invalid server makes the whole list invalid.
 func readList(body []byte) (*listResponse, error) {
 	list, err := unmarshalList(body)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return list, nil
 }
 
-// valid tells whether a server names its engine and a known state.
+// valid reports whether a server has an id and a known state.
 func (e *listedServer) valid() bool {
 	if e.ID == "" {
 		return false
@@ -77,11 +77,11 @@
 	return e.State == stateUp || e.State == stateDraining || e.State == stateRemoved
 }
 
-// listDecoder translates the names in lists into the numbers of the settings.
+// listDecoder translates the names of kinds and zones in lists into their indexes in the settings.
 type listDecoder struct {
 	kinds map[string]int
 	zones map[string]int
-	roles []scheduler.Kind // by number of the kind
+	roles []scheduler.Kind // by index of the kind
 	log   *slog.Logger
 }
 
@@ -89,7 +89,7 @@
 	return listDecoder{kinds: indexByName(s.Kinds), zones: indexByName(s.Zones), roles: s.Scheduler.Kinds, log: log}
 }
 
-// updates translates a list. An engine of a kind that the settings lack is left out, unless it was removed.
+// updates translates a list. An engine of a kind that the settings lack is omitted, unless it was removed.
 func (d listDecoder) updates(list *listResponse) []endpoints.Update {
 	var updates []endpoints.Update
 	for _, server := range list.Servers {
@@ -121,7 +121,7 @@
 	return updates
 }
 
-// endpointList turns changes, which are in order of id, into the host's form. The lock is held.
+// endpointList converts changes, which are in order of id, to the type of the host. The caller holds the lock.
 func (d *Discovery) endpointList(changes []endpoints.Update, saved bool) protocol.EndpointList {
 	now := d.clock.Now()
 	wall := d.clock.Wall()
--- a/internal/relay/discovery_poller.go
+++ b/internal/relay/discovery_poller.go
@@ -9,25 +9,25 @@
 	"dillroute/internal/http1"
 )
 
-// listLimits bound a response of discovery.
+// listLimits bound the size of a response of discovery.
 var listLimits = http1.Limits{Line: 1 << 10, Header: 8 << 10, Headers: 64, Body: maxListBytes}
 
 // poller polls discovery for one watch until the watch ends. Its fields belong to its goroutine.
 //
-// One call leads: it waits for a change, or has just been made. When it counts as silent, another call leads on a new
-// connection, and those before it stay in flight: while discovery is down it sends nothing, and when it recovers it responds
-// first to the calls that wait. So a node always has a call in flight.
+// The current call waits for a change, or has just been made. If it gets no response in time, it counts as silent and a
+// new call on a new connection becomes the current one. Silent calls stay in flight: when discovery recovers from an outage,
+// it responds first to the calls that are waiting, so the node must always have one in flight.
 type poller struct {
 	discovery   *Discovery
 	watch       *watch
 	previous    *watch // ended once this watch has a response; nil = none
 	pool        *http1.Pool
 	calls       sync.WaitGroup    // the goroutines of calls
-	schedule    *endpoints.Poller // decides when to call again
-	leading     *call             // nil = none is in flight that leads
-	nextConn    *http1.ClientConn // on which the next call is made; nil = a new one
-	silentCalls int               // leading calls without a response since the last one
-	wakeAt      float64           // when a call is due, or the leading one counts as silent (s)
+	schedule    *endpoints.Poller // determines when the next call is made
+	current     *call             // nil = no current call is in flight
+	nextConn    *http1.ClientConn // connection of the next call; nil = a new one
+	silentCalls int               // current calls that became silent since the last response
+	nextCallAt  float64           // when the next call is due, or the current one counts as silent (s)
 }
 
 func newPoller(d *Discovery, w, previous *watch) *poller {
@@ -43,11 +43,11 @@
 func (p *poller) run() {
 	defer p.close()
 	p.schedule = p.discovery.policy.NewPoller()
-	p.wakeAt = p.discovery.firstCallAt(p.previous)
+	p.nextCallAt = p.discovery.firstCallAt(p.previous)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(max(0, seconds(p.wakeAt-p.discovery.clock.Now())))
+		timer.Reset(max(0, seconds(p.nextCallAt-p.discovery.clock.Now())))
 		select {
 		case <-p.watch.stop:
 			return
@@ -59,7 +59,7 @@
 	}
 }
 
-// close ends the watch, and the previous one with it, once no call uses the pool.
+// close ends the watch and waits for its calls, then closes their pool and ends the previous watch.
 func (p *poller) close() {
 	p.watch.end()
 	p.calls.Wait()
@@ -74,16 +74,16 @@
 	}
 }
 
-// startCall makes a call that leads from now on. A call that led until now is silent.
+// startCall makes a new current call. If there is one already, it has become silent.
 func (p *poller) startCall() {
 	d := p.discovery
-	if p.leading != nil {
+	if p.current != nil {
 		p.silentCalls++
 		d.log.Info("endpoint watch expired", "address", p.watch.addr, "silent_calls", p.silentCalls)
 	}
-	p.leading, p.wakeAt = p.watch.newCall(d.clock.Now(), p.nextConn, d.policy.WatchTimeouts, p.silentCalls)
+	p.current, p.nextCallAt = p.watch.newCall(d.clock.Now(), p.nextConn, d.policy.WatchTimeouts, p.silentCalls)
 	p.nextConn = nil
-	started := p.leading
+	started := p.current
 	p.calls.Add(1)
 	go func() {
 		defer p.calls.Done()
@@ -91,8 +91,8 @@
 	}()
 }
 
-// handleResult handles the outcome of a call. One that was abandoned may have a response all the same: it counts as
-// notified.
+// handleResult handles the result of a call. An abandoned call may still get a response; the changes in it count as
+// notified, so it is handled like any other.
 func (p *poller) handleResult(result callResult) {
 	p.watch.removeCall(result.call)
 	if result.err != nil {
@@ -102,19 +102,19 @@
 	p.handleResponse(result)
 }
 
-// handleFailure schedules a further call where the leading one has failed.
+// handleFailure schedules another call if the current one has failed.
 func (p *poller) handleFailure(result callResult) {
 	p.watch.closeConn(result.conn)
-	if result.call != p.leading {
+	if result.call != p.current {
 		return
 	}
 	p.discovery.log.Info("endpoint poll failed", "address", p.watch.addr, "error", result.err.Error())
-	p.leading = nil
+	p.current = nil
 	now := p.discovery.clock.Now()
 	if errors.Is(result.err, errRejected) {
-		p.wakeAt = p.schedule.AfterRejection(now)
+		p.nextCallAt = p.schedule.AfterRejection(now)
 	} else {
-		p.wakeAt = p.schedule.AfterCall(now, false)
+		p.nextCallAt = p.schedule.AfterCall(now, false)
 	}
 }
 
@@ -122,17 +122,17 @@
 func (p *poller) handleResponse(result callResult) {
 	p.endPrevious()
 	w := p.watch
-	leads := result.call == p.leading
-	if leads || !w.incremental || result.response.Version >= w.version { // else the leading call has brought more
+	isCurrent := result.call == p.current
+	if isCurrent || !w.incremental || result.response.Version >= w.version { // otherwise a newer response was applied
 		w.version, w.incremental = p.discovery.apply(result.response, false)
 	}
-	if !leads && p.silentCalls == 0 {
-		w.closeConn(result.conn) // the leading call is answered in time: one connection is enough
+	if !isCurrent && p.silentCalls == 0 {
+		w.closeConn(result.conn) // the current call is not late: one connection is enough
 		return
 	}
-	p.leading = nil
+	p.current = nil
 	p.nextConn = result.conn
 	p.silentCalls = 0
 	now := p.discovery.clock.Now()
-	p.wakeAt = p.schedule.AfterResponse(now, now-result.responseBy)
+	p.nextCallAt = p.schedule.AfterResponse(now, now-result.responseBy)
 }
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -23,16 +23,16 @@
 	"dillroute/scheduler"
 )
 
-// responder handles call number n; false = respond as discovery does.
+// responder handles call number n. If it returns false, the fake responds as discovery does.
 type responder func(s *fakeDiscovery, n int, target string, c net.Conn) bool
 
-// fakeDiscovery is a discovery service whose responses a test determines. Its list holds one engine, e0, that is up until startDrain.
+// fakeDiscovery is a discovery service whose responses a test can replace. Its list has one engine, e0, which is up until startDrain.
 type fakeDiscovery struct {
 	listener net.Listener
 	mu       sync.Mutex
 	drain    bool
 	changed  chan struct{}
-	calls    []string // their targets
+	calls    []string // targets of the calls
 	respond  responder
 }
 
@@ -159,21 +159,22 @@
 	}
 }
 
-// testOptions are those of a discovery on an agent of the node's own, whose changes count as notified after so long (s).
-func testOptions(t testing.TB, notified float64, onUpdate func(protocol.EndpointList)) discoveryOptions {
+// testOptions returns the options of a Discovery that polls the node's own agent and whose changes count as notified after notifiedAfter
+// seconds.
+func testOptions(t testing.TB, notifiedAfter float64, onUpdate func(protocol.EndpointList)) discoveryOptions {
 	t.Helper()
 	return discoveryOptions{
 		settings: testSettings(t),
-		policy:   endpoints.AgentPollPolicy(notified, rand.Float64),
+		policy:   endpoints.AgentPollPolicy(notifiedAfter, rand.Float64),
 		clock:    clock.New(),
 		onUpdate: onUpdate,
 		log:      slog.New(slog.NewTextHandler(io.Discard, nil)),
 	}
 }
 
-func startTestDiscovery(t *testing.T, addr string, notified float64, times *updateTimes) *Discovery {
+func startTestDiscovery(t *testing.T, addr string, notifiedAfter float64, times *updateTimes) *Discovery {
 	t.Helper()
-	return startDiscovery(addr, nil, testOptions(t, notified, times.onUpdate))
+	return startDiscovery(addr, nil, testOptions(t, notifiedAfter, times.onUpdate))
 }
 
 // resetConn closes a connection so that the peer sees a reset.
@@ -184,8 +185,8 @@
 
 func isWatch(target string) bool { return strings.Contains(target, "hold_ms") }
 
-// callFaults are the ways in which calls fail in TestChangesArriveInTimeDespiteFailedCalls. Call 0 asks for the complete list,
-// call 1 is the first watch.
+// callFaults are the ways in which calls fail in TestChangesArriveInTimeDespiteFailedCalls. Call 0 requests the complete list,
+// call 1 is the first that waits for changes.
 var callFaults = []struct {
 	name    string
 	respond responder
@@ -239,8 +240,8 @@
 	}},
 }
 
-// Whatever becomes of the calls to discovery, a change arrives before it counts as notified. All times are a quarter of the real
-// ones, so that the test is short; their shares are the same.
+// A change must arrive before it counts as notified, even if calls to discovery fail. All times are a quarter of the real ones,
+// in the same proportions, so that the test is short.
 func TestChangesArriveInTimeDespiteFailedCalls(t *testing.T) {
 	const notified = 1.5 // s
 	for _, fault := range callFaults {
@@ -260,7 +261,8 @@
 	}
 }
 
-// While discovery is down the last list is used; when it recovers it is polled at once, and not for complete lists without end.
+// While discovery is down, the last list stays in use. When discovery recovers, it is polled at once, and a new connection must not
+// lead to repeated requests for complete lists.
 func TestDiscoveryOutageAndRecovery(t *testing.T) {
 	const notified = 1.5 // s
 	s := newFakeDiscovery(t, nil)
@@ -272,7 +274,7 @@
 	s.listener.Close()
 	s.mu.Lock()
 	s.respond = func(_ *fakeDiscovery, _ int, _ string, c net.Conn) bool { c.Close(); return true }
-	close(s.changed) // the open watch ends
+	close(s.changed) // ends the open watch
 	s.changed = make(chan struct{})
 	s.mu.Unlock()
 	time.Sleep(time.Second)
@@ -283,11 +285,11 @@
 	waitUntil(t, "the change", seconds(notified), func() bool { return times.drained.Load() > 0 })
 	time.Sleep(200 * time.Millisecond)
 	if n := s2.count(); n > 4 {
-		t.Errorf("%d calls within 0.2 s of the recovery", n)
+		t.Errorf("%d calls within 0.2 s of the recovery, want at most 4", n)
 	}
 }
 
-// The next call follows the last response at once, so that the watch continues, and asks for changes alone.
+// The next call must follow each response at once, so that the watch continues, and must request only changes.
 func TestWatchContinuesAfterResponse(t *testing.T) {
 	s := newFakeDiscovery(t, nil)
 	times := &updateTimes{}
@@ -303,9 +305,9 @@
 	}
 }
 
-// A source that was silent responds first to the calls that wait when it recovers. A node has a call in flight at any time, so
-// that a drain arrives at once, however long the outage was.
-func TestRecoveredDiscoveryIsReadAtOnce(t *testing.T) {
+// When a silent discovery recovers, it responds first to the calls that are waiting. The node must always have a call in flight,
+// so that a drain arrives at once after an outage of any length.
+func TestChangeArrivesAtOnceWhenDiscoveryRecovers(t *testing.T) {
 	recovered := make(chan struct{})
 	var down atomic.Bool
 	s := newFakeDiscovery(t, func(_ *fakeDiscovery, _ int, _ string, _ net.Conn) bool {
@@ -321,7 +323,7 @@
 	down.Store(true)
 	time.Sleep(1500 * time.Millisecond) // several calls have become silent
 	if n := s.count(); n > 30 {
-		t.Errorf("%d calls into an outage", n)
+		t.Errorf("%d calls during the outage, want at most 30", n)
 	}
 	down.Store(false)
 	s.mu.Lock()
@@ -333,12 +335,12 @@
 	d.watch.mu.Lock()
 	defer d.watch.mu.Unlock()
 	if n := len(d.watch.conns); n > 2 {
-		t.Errorf("%d connections are open after the recovery", n)
+		t.Errorf("%d connections are open after the recovery, want at most 2", n)
 	}
 }
 
-// A call that was abandoned before it had a connection may be answered all the same: the response is applied, and its connection
-// is closed.
+// A call that was abandoned before it had a connection may still get a response. The response must be applied, and the connection
+// closed.
 func TestResponseToAbandonedCallApplies(t *testing.T) {
 	s := newFakeDiscovery(t, nil)
 	times := &updateTimes{}
@@ -361,14 +363,14 @@
 	})
 }
 
-// A node whose wall clock was an hour ahead when it started treats an engine that a list has just added as one that has just started,
-// whatever its time stamp: it cannot have been there an hour ago, for no list named it.
-func TestNewEngineWarmsUpWhateverWallClock(t *testing.T) {
+// If the node's wall clock was an hour ahead at its start, the time stamps of lists make new engines look old, and they would not get a
+// slow start. An engine that a list has just added must count as just started: it was in no earlier list.
+func TestNewEngineStartsSlowlyDespiteWallClockError(t *testing.T) {
 	const ahead = 3600.0 // s
-	boots := map[string]float64{}
+	bootTimes := map[string]float64{}
 	d := newDiscovery(testOptions(t, 6, func(l protocol.EndpointList) {
 		for _, e := range l.Engines {
-			boots[e.ID] = e.BootTime
+			bootTimes[e.ID] = e.BootTime
 		}
 	}))
 	stamp := func(age float64) float64 { return (d.clock.Now() - ahead - age) * 1000 }
@@ -378,12 +380,12 @@
 	d.apply(&listResponse{Version: 1, Full: true, Servers: []listedServer{up("e0", 0), up("e1", stamp(500))}}, false)
 	d.apply(&listResponse{Version: 2, Servers: []listedServer{up("e2", stamp(1))}}, false)
 	d.apply(&listResponse{Version: 3, Servers: []listedServer{up("e1", stamp(0.5))}}, false)
-	for id, most := range map[string]float64{"e1": 1, "e2": 2} {
-		if age := d.clock.Now() - boots[id]; age < 0 || age > most {
-			t.Errorf("%s has just started, and its start is recorded as %.1f s ago", id, age)
+	for id, maxAge := range map[string]float64{"e1": 1, "e2": 2} {
+		if age := d.clock.Now() - bootTimes[id]; age < 0 || age > maxAge {
+			t.Errorf("%s has just started, but its start is recorded as %.1f s ago", id, age)
 		}
 	}
-	if boots["e0"] != 0 {
-		t.Errorf("e0 started long ago, and its start is recorded at %g", boots["e0"])
+	if bootTimes["e0"] != 0 {
+		t.Errorf("e0 started long ago, but its start is recorded at %g, want 0", bootTimes["e0"])
 	}
 }
--- a/internal/relay/discovery_watch.go
+++ b/internal/relay/discovery_watch.go
@@ -10,37 +10,37 @@
 	"dillroute/internal/http1"
 )
 
-// minHold is the hold of a call that waits for nothing, in seconds: the shortest that a call for changes can ask for.
+// minHold is the hold time of a call that does not wait for a change, in seconds: the shortest that a call for changes can request.
 const minHold = 1e-3
 
-// watch is the state of following one address. The version after which it asks for changes is its own: another address may
-// count versions from the start. All but what the lock guards belongs to the goroutine of its poller.
+// watch is the state of following one address. Each watch has its own version, after which it requests changes, because another
+// address may count versions from the start. Fields that the lock does not guard belong to the goroutine of the poller.
 type watch struct {
 	addr        string
 	ctx         context.Context // ends with the watch
 	cancel      context.CancelFunc
 	stop        chan struct{} // closed when the watch ends
 	results     chan callResult
-	inFlight    []*call // the newest last
-	version     int64   // after which changes are asked for
-	incremental bool    // changes are enough: a complete list was applied
+	inFlight    []*call // in order of their start
+	version     int64   // after which changes are requested
+	incremental bool    // a complete list was applied, so that changes suffice
 
 	mu    sync.Mutex
-	conns map[*http1.ClientConn]bool // that end closes
+	conns map[*http1.ClientConn]bool // open connections, which end closes
 	ended bool
 }
 
 // call is one call to discovery.
 type call struct {
 	target     string
-	responseBy float64           // when its response comes at the latest, if discovery is not congested (s)
+	responseBy float64           // latest time of its response if discovery is not congested (s)
 	conn       *http1.ClientConn // guarded by the watch's lock; nil = none yet
 }
 
-// callResult is the outcome of a call.
+// callResult is the result of a call.
 type callResult struct {
 	*call
-	conn     *http1.ClientConn // that it was made on; nil = no connection was made
+	conn     *http1.ClientConn // of the call; nil = connecting failed
 	response *listResponse
 	err      error
 }
@@ -57,7 +57,7 @@
 	}
 }
 
-// end ends the watch and closes its connections, whatever it waits for. It may be called more than once.
+// end ends the watch, cancels dials and closes all connections. It may be called more than once.
 func (w *watch) end() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// addConn records the connection of a call, so that end closes it; false = the watch has ended.
+// addConn records the connection of a call, so that end closes it. It returns false if the watch has ended.
 func (w *watch) addConn(c *call, conn *http1.ClientConn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -81,7 +81,7 @@
 	return !w.ended
 }
 
-// closeConn closes a connection, if there is one, and forgets it.
+// closeConn closes and removes a connection; nil = none.
 func (w *watch) closeConn(conn *http1.ClientConn) {
 	if conn == nil {
 		return
@@ -92,9 +92,9 @@
 	w.mu.Unlock()
 }
 
-// newCall records a new call and returns when it counts as silent (s). On a connection that has just responded it waits
-// for a change; the first call on a new connection (conn is nil) waits for nothing. It asks for changes where they are
-// enough, because they are less to send.
+// newCall records a new call and returns it and the time at which it counts as silent (s). On a connection that has just
+// responded the call waits for a change; the first call on a new connection (conn is nil) does not wait. If changes suffice,
+// the call requests only these, because the response is smaller.
 func (w *watch) newCall(now float64, conn *http1.ClientConn, timeouts endpoints.WatchTimeouts, silentCalls int) (*call, float64) {
 	c := &call{conn: conn, target: pathList, responseBy: now}
 	deadline := timeouts.CallDeadline(now, silentCalls)
@@ -119,7 +119,7 @@
 	return pathList + "?from=" + strconv.FormatInt(version, 10) + "&hold_ms=" + strconv.FormatInt(seconds(hold).Milliseconds(), 10)
 }
 
-// abandonOldest closes the connection of the oldest call in flight, if it has one, and forgets the call.
+// abandonOldest removes the oldest call in flight and closes its connection, if it has one.
 func (w *watch) abandonOldest() {
 	w.mu.Lock()
 	conn := w.inFlight[0].conn
@@ -128,7 +128,7 @@
 	w.inFlight = w.inFlight[1:]
 }
 
-// removeCall forgets a call that has ended.
+// removeCall removes a call that has ended.
 func (w *watch) removeCall(ended *call) {
 	w.inFlight = slices.DeleteFunc(w.inFlight, func(c *call) bool { return c == ended })
 }
--- a/internal/relay/engines.go
+++ b/internal/relay/engines.go
@@ -15,44 +15,44 @@
 
 // Engines is the engine client of the protocol. It is safe for concurrent use.
 type Engines struct {
-	pool    *http1.Pool
-	connect time.Duration // timeout of a connection
+	pool           *http1.Pool
+	connectTimeout time.Duration // timeout for making a connection
 
 	mu          sync.Mutex
 	reusePolicy *connreuse.Policy
-	start       time.Time // zero of the times of reusePolicy
+	epoch       time.Time // time 0 of reusePolicy
 }
 
 // Defaults of the engine client.
 const (
 	defaultConnectTimeout = 250 * time.Millisecond
 	engineIdleTimeout     = 10 * time.Second
-	maxIdlePerEngine      = 16 // idle connections
+	maxIdlePerEngine      = 16 // connections
 )
 
-// NewEngines returns an engine client with at most maxConnections, made by connect (nil = net.Dialer).
-func NewEngines(s *settings.Settings, maxConnections int, connect http1.DialFunc) *Engines {
-	e := &Engines{connect: defaultConnectTimeout, reusePolicy: connreuse.New(s.EngineIdleTimeout), start: time.Now(),
+// NewEngines returns an engine client with at most maxConnections connections, made by dial (nil = net.Dialer).
+func NewEngines(s *settings.Settings, maxConnections int, dial http1.DialFunc) *Engines {
+	e := &Engines{connectTimeout: defaultConnectTimeout, reusePolicy: connreuse.New(s.EngineIdleTimeout), epoch: time.Now(),
 		pool: &http1.Pool{MaxIdle: maxIdlePerEngine, MaxOpen: maxConnections, IdleTimeout: engineIdleTimeout,
 			MinIdleTime: minIdleTime, Limits: responseLimits, Chunk: maxChunk,
-			Connect: connect}}
+			Connect: dial}}
 	if s.ConnectTimeout > 0 {
-		e.connect = seconds(s.ConnectTimeout)
+		e.connectTimeout = seconds(s.ConnectTimeout)
 	}
-	e.pool.Head, e.pool.MaxIdleTime = 2*e.connect, e.maxIdle
+	e.pool.Head, e.pool.MaxIdleTime = 2*e.connectTimeout, e.maxIdle
 	return e
 }
 
-func (e *Engines) now() float64 { return time.Since(e.start).Seconds() }
+func (e *Engines) now() float64 { return time.Since(e.epoch).Seconds() }
 
-// maxIdle is how long a connection that is reused may have been idle.
+// maxIdle returns the longest idle time after which a connection is still reused.
 func (e *Engines) maxIdle() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return seconds(e.reusePolicy.MaxIdle(e.now()))
 }
 
-// observeLoss records that a reused connection broke under its request.
+// observeLoss records that a reused connection broke during its request.
 func (e *Engines) observeLoss(c *http1.ClientConn) {
 	if !c.Reused {
 		return
@@ -62,16 +62,16 @@
 	e.reusePolicy.ObserveLoss(e.now(), c.IdleFor.Seconds())
 }
 
-// connection returns a connection for an attempt, unless ctx ends before; fresh = never a reused one.
-func (e *Engines) connection(ctx context.Context, address string, within time.Duration, fresh bool) (*http1.ClientConn, error) {
-	if fresh {
-		return e.pool.Dial(ctx, address, min(e.connect, within))
+// connection returns a connection to an engine, or an error if ctx ends first. If newConnection is set, no idle connection is reused.
+func (e *Engines) connection(ctx context.Context, address string, timeout time.Duration, newConnection bool) (*http1.ClientConn, error) {
+	if newConnection {
+		return e.pool.Dial(ctx, address, min(e.connectTimeout, timeout))
 	}
-	return e.pool.Get(ctx, address, min(e.connect, within))
+	return e.pool.Get(ctx, address, min(e.connectTimeout, timeout))
 }
 
-// minIdleTime is how long a connection is idle before it carries another request: a faulty second response may come some milliseconds
-// late (STANDING, join).
+// minIdleTime is how long a connection must be idle before it is reused: a faulty engine may send a second response some milliseconds
+// after the first (STANDING, join).
 const minIdleTime = 50 * time.Millisecond
 
 // maxChunk bounds one chunk of a response, in bytes.
@@ -81,22 +81,22 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// CloseExpired closes connections whose idle timeout is over.
+// CloseExpired closes connections whose idle timeout has expired.
 func (e *Engines) CloseExpired() { e.pool.CloseExpired() }
 
 // CloseIdle closes all idle connections.
 func (e *Engines) CloseIdle() { e.pool.CloseIdle() }
 
-// Close closes all idle connections and keeps no more.
+// Close closes all idle connections; connections that become idle later are closed as well.
 func (e *Engines) Close() { e.pool.Close() }
 
-// Release releases all that any engine holds for a request; the engine that is called sees to it.
-func (e *Engines) Release(address, id string, _ int, within time.Duration) error {
-	c, err := e.connection(context.Background(), address, within, false)
+// Release releases all state that any engine holds for a request. The engine that is called is responsible for this.
+func (e *Engines) Release(address, id string, _ int, timeout time.Duration) error {
+	c, err := e.connection(context.Background(), address, timeout, false)
 	if err != nil {
 		return err
 	}
-	c.SetDeadline(time.Now().Add(within))
+	c.SetDeadline(time.Now().Add(timeout))
 	if _, _, err = c.Send("DELETE", pathHolds+id, nil, nil); err == nil {
 		var resp *http1.Response
 		if resp, err = c.ReadResponse(); err == nil {
@@ -109,7 +109,7 @@
 			}
 		}
 	}
-	if !errors.Is(err, os.ErrDeadlineExceeded) { // a timeout tells nothing of how long idle connections last
+	if !errors.Is(err, os.ErrDeadlineExceeded) { // a timeout says nothing about how long idle connections last
 		e.observeLoss(c)
 	}
 	c.Close()
--- a/internal/relay/engines_test.go
+++ b/internal/relay/engines_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A call that releases and is not answered in its short time tells nothing of how long kept connections last: it was silence that
-// ended it, not the connection. One that breaks does.
+// Guards against a release call that times out being recorded as a lost idle connection: the engine was silent, but the connection
+// was intact. A connection that breaks during the call must be recorded.
 func TestReleaseTimeoutIsNoConnectionLoss(t *testing.T) {
 	for name, c := range map[string]struct {
 		breaks bool
@@ -22,22 +22,22 @@
 			}
 			defer l.Close()
 			go func() {
-				nc, err := l.Accept()
+				conn, err := l.Accept()
 				if err != nil {
 					return
 				}
-				defer nc.Close()
-				br := bufio.NewReader(nc)
+				defer conn.Close()
+				br := bufio.NewReader(conn)
 				for i := range 2 {
 					if _, err := http.ReadRequest(br); err != nil {
 						return
 					}
 					if i == 0 {
-						io.WriteString(nc, "HTTP/1.1 204 x\r\n\r\n")
+						io.WriteString(conn, "HTTP/1.1 204 x\r\n\r\n")
 					}
 				}
 				if !c.breaks {
-					br.Peek(1) // until the node gives up
+					br.Peek(1) // returns when the node closes the connection
 				}
 			}()
 			e := NewEngines(testSettings(t), 8, nil)
@@ -48,10 +48,10 @@
 			time.Sleep(minIdleTime + 20*time.Millisecond)
 			before := e.maxIdle()
 			if err := e.Release(l.Addr().String(), "b", 0, 50*time.Millisecond); err == nil {
-				t.Fatal("the second call was answered")
+				t.Fatal("the second call got a response")
 			}
 			if shorter := e.maxIdle() < before; shorter != c.breaks {
-				t.Errorf("connections may rest for %v, %v before", e.maxIdle(), before)
+				t.Errorf("maximum idle time is %v, was %v before the call", e.maxIdle(), before)
 			}
 		})
 	}
--- a/internal/relay/loadreport.go
+++ b/internal/relay/loadreport.go
@@ -12,30 +12,30 @@
 // Bounds of a load report.
 const (
 	maxLoadReport = 512 // bytes of its text
-	maxFigure     = 1e9 // of any figure
+	maxLoadValue  = 1e9 // of any value
 )
 
-// parseLoad reads a load report; nil = there is none, or it is malformed.
-func parseLoad(text string) *scheduler.LoadReport {
+// parseLoadReport parses a load report. It returns nil if there is none or if it is malformed.
+func parseLoadReport(text string) *scheduler.LoadReport {
 	if text == "" || len(text) > maxLoadReport {
 		return nil
 	}
-	rep := &scheduler.LoadReport{}
+	report := &scheduler.LoadReport{}
 	for _, part := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		x, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(x >= 0 && x < maxFigure) {
+		if err != nil || !(x >= 0 && x < maxLoadValue) {
 			return nil
 		}
-		settings.SetReportField(rep, name, x)
+		settings.SetReportField(report, name, x)
 	}
-	if rep.Has == 0 {
+	if report.Has == 0 {
 		return nil
 	}
-	return rep
+	return report
 }
 
-// cachedTokens reads how many prompt tokens a prefill engine had cached; 0 = not stated.
+// cachedTokens returns how many prompt tokens a prefill engine had cached; 0 = not stated, or out of range.
 func cachedTokens(body []byte) int {
 	var b struct {
 		Cached float64 `json:"cached_tokens"`
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -40,19 +40,19 @@
 		"bad settings":   `{"settings":{"classes":[{"effect":"maybe"}]}}`,
 	} {
 		if _, err := Parse([]byte(text), func(n string) string { return env[n] }); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted, want an error", name)
 		}
 	}
 	if _, err := Parse([]byte(`{"settings":`+platform.SettingsJSON+`}`), func(string) string { return "" }); err == nil {
-		t.Error("a node without a name was taken")
+		t.Error("a configuration without a name was accepted")
 	}
 	if _, err := Load(func(string) string { return "" }); err == nil {
-		t.Error("no file was taken")
+		t.Error("a missing configuration file was accepted")
 	}
 }
 
 func TestNodeResponsesPromiseOnlySafeRetries(t *testing.T) {
-	j := &exchange{}
+	e := &exchange{}
 	for _, c := range []struct {
 		a      outcome.Response
 		after  float64
@@ -64,40 +64,40 @@
 		{outcome.Response{HTTPStatus: 409}, 0, 409, false}, {outcome.Response{HTTPStatus: 429, RetryIsSafe: true}, 1, 429, true},
 		{outcome.Response{HTTPStatus: 503}, 0, 500, false}, {outcome.Response{HTTPStatus: 400, RetryIsSafe: true}, 0, 503, false},
 	} {
-		w := j.NodeResponse(c.a, c.after, "x")
-		has := false
-		for _, f := range w.Fields {
-			has = has || f.Name == "Retry-After"
+		response := e.NodeResponse(c.a, c.after, "x")
+		hasRetryAfter := false
+		for _, f := range response.Fields {
+			hasRetryAfter = hasRetryAfter || f.Name == "Retry-After"
 		}
-		if w.Status != c.status || has != c.header {
-			t.Errorf("%+v, %g: %+v", c.a, c.after, w)
+		if response.Status != c.status || hasRetryAfter != c.header {
+			t.Errorf("%+v, %g: %+v", c.a, c.after, response)
 		}
 	}
 }
 
-func TestReportsThatCannotBeReadArePassedOver(t *testing.T) {
-	if r := parseLoad("util=0.61,queue=2,x0=0.25,other=7"); r == nil || r.Utilization != 0.61 || r.Waiting != 2 || r.MemoryShare != 0.25 ||
-		r.Has != scheduler.HasUtilization|scheduler.HasWaiting|scheduler.HasMemoryShare {
+func TestMalformedLoadReportsAreIgnored(t *testing.T) {
+	if r := parseLoadReport("util=0.61,queue=2,x0=0.25,other=7"); r == nil || r.Utilization != 0.61 || r.Waiting != 2 ||
+		r.MemoryShare != 0.25 || r.Has != scheduler.HasUtilization|scheduler.HasWaiting|scheduler.HasMemoryShare {
 		t.Errorf("%+v", r)
 	}
 	for _, bad := range []string{"", "util", "util=", "util=often", "util=-1", "util=NaN", "util=1e300", "=",
 		"other=1", strings.Repeat("x", 1000)} {
-		if r := parseLoad(bad); r != nil {
+		if r := parseLoadReport(bad); r != nil {
 			t.Errorf("%q: %+v", bad, r)
 		}
 	}
 }
 
-// FuzzRequest: whatever a head and body say, what is taken can be told to the module.
+// FuzzRequest checks that a request that is parsed without an error, from any header and body, is valid for the decision module.
 func FuzzRequest(f *testing.F) {
 	f.Add("a1", "chat", "branch", "4.8", "prefix=5c,prompt_len=20,prefix_len=3,max_out=8", "1", `{"max_tokens":3}`)
 	f.Add("", "", "", "NaN", "prompt_len=-1", "x", "[")
 	f.Add("a/../b", "chat", "branch", "1e999", "max_out=1e300,,=", "again", "{}")
 	front := NewFront(testSettings(f), nil, func() bool { return true }, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	f.Fuzz(func(t *testing.T, id, class, tenant, budget, info, again, body string) {
+	f.Fuzz(func(t *testing.T, id, class, tenant, timeLeft, info, retry, body string) {
 		r := &http1.Request{Method: "POST", Path: pathChat, Body: []byte(body), Header: textproto.MIMEHeader{
-			headerID: {id}, headerClass: {class}, headerTenant: {tenant}, headerTimeLeft: {budget},
-			headerInfo: {info}, headerRetry: {again}}}
+			headerID: {id}, headerClass: {class}, headerTenant: {tenant}, headerTimeLeft: {timeLeft},
+			headerInfo: {info}, headerRetry: {retry}}}
 		q, err := front.parseRequest(r)
 		if err != nil {
 			return
@@ -114,7 +114,7 @@
 	})
 }
 
-// FuzzList: whatever discovery says, the host is given a list that it can take.
+// FuzzList checks that any list of discovery that is read without an error is valid for the host.
 func FuzzList(f *testing.F) {
 	f.Add([]byte(`{"version":1,"full":true,"servers":[` +
 		`{"id":"a","addr":"h:1","zone":"z","kind":"read","cell":1,"state":"up","weight":1,"started_ms":5}]}`))
@@ -137,7 +137,7 @@
 	})
 }
 
-// FuzzEvents: what engines say in events is read without harm.
+// FuzzEvents checks that any data in an engine's events yields values within their bounds.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte(`{"usage":{"prompt_tokens_details":{"cached_tokens":4096}}}`))
 	f.Add([]byte(`{"usage":{"prompt_tokens_details":{"cached_tokens":-1e308}}}`))
@@ -148,8 +148,8 @@
 		if cached := cachedTokens(data); cached < 0 || cached > maxTokens {
 			t.Fatal(cached)
 		}
-		if isEvent(data) && !json.Valid(data) {
-			t.Fatal("an event that is none")
+		if isJSONObject(data) && !json.Valid(data) {
+			t.Fatal("invalid JSON is accepted as an object")
 		}
 	})
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -34,7 +34,7 @@
 	pathList  = "/v1/servers"
 )
 
-// charsPerToken is how many characters a token is taken to have, where a request does not state its prompt's length.
+// charsPerToken is the number of characters per token by which the prompt's length is estimated if the request does not state it.
 const charsPerToken = 4
 
 // Bounds of header fields.
@@ -45,13 +45,13 @@
 	maxTokens   = 1 << 20 // more than a body can hold
 )
 
-// requestHeader reads header fields of a request. The first error stands.
+// requestHeader reads header fields of a request and keeps the first error.
 type requestHeader struct {
 	fields textproto.MIMEHeader
 	err    error
 }
 
-// get returns the value of a field that may be given once; "" = it is absent.
+// get returns the value of a field that may be given at most once; "" = absent.
 func (h *requestHeader) get(name string) string {
 	values := h.fields[name]
 	if len(values) > 1 && h.err == nil {
@@ -63,7 +63,7 @@
 	return values[0]
 }
 
-// require returns the value of a field that must be given once.
+// require returns the value of a field that must be given exactly once.
 func (h *requestHeader) require(name string) string {
 	value := h.get(name)
 	if value == "" && h.err == nil {
@@ -72,53 +72,53 @@
 	return value
 }
 
-// parseRequest reads what the scheduler needs of a request. The error says what is wrong with it; clients read it.
-func (f *Front) parseRequest(r *http1.Request) (q scheduler.Request, err error) {
+// parseRequest reads the parts of a request that the scheduler needs. The text of an error is sent to the client.
+func (f *Front) parseRequest(r *http1.Request) (request scheduler.Request, err error) {
 	header := &requestHeader{fields: r.Header}
-	q.ID = header.require(headerID)
+	request.ID = header.require(headerID)
 	class := header.require(headerClass)
 	tenant := header.require(headerTenant)
-	q.Session = header.get(headerSession)
+	request.Session = header.get(headerSession)
 	timeLeft := header.require(headerTimeLeft)
 	info := header.get(headerInfo)
 	retry := header.get(headerRetry)
 	if header.err != nil {
-		return q, header.err
+		return request, header.err
 	}
 	var ok bool
-	if q.Class, ok = f.classes[class]; !ok {
-		return q, fmt.Errorf("there is no class %q", truncate(class))
+	if request.Class, ok = f.classes[class]; !ok {
+		return request, fmt.Errorf("there is no class %q", truncate(class))
 	}
-	if q.Tenant, ok = f.tenants[tenant]; !ok {
-		return q, fmt.Errorf("there is no tenant %q", truncate(tenant))
+	if request.Tenant, ok = f.tenants[tenant]; !ok {
+		return request, fmt.Errorf("there is no tenant %q", truncate(tenant))
 	}
-	if !isID(q.ID) {
-		return q, fmt.Errorf("%s is malformed", headerID)
+	if !isValidID(request.ID) {
+		return request, fmt.Errorf("%s is malformed", headerID)
 	}
-	if len(q.Session) > maxKey {
-		return q, fmt.Errorf("%s is too long", headerSession)
+	if len(request.Session) > maxKey {
+		return request, fmt.Errorf("%s is too long", headerSession)
 	}
-	q.ClientTimeLeft, err = strconv.ParseFloat(timeLeft, 64)
-	if err != nil || !(q.ClientTimeLeft > 0 && q.ClientTimeLeft <= maxTimeLeft) {
-		return q, fmt.Errorf("%s %q is not a time", headerTimeLeft, truncate(timeLeft))
+	request.ClientTimeLeft, err = strconv.ParseFloat(timeLeft, 64)
+	if err != nil || !(request.ClientTimeLeft > 0 && request.ClientTimeLeft <= maxTimeLeft) {
+		return request, fmt.Errorf("%s %q is not a time", headerTimeLeft, truncate(timeLeft))
 	}
 	switch retry {
 	case "":
 	case "1":
-		q.Retry = true
+		request.Retry = true
 	case "again":
-		q.Returned = true
+		request.Returned = true
 	default:
-		return q, fmt.Errorf("%s %q is not known", headerRetry, truncate(retry))
+		return request, fmt.Errorf("%s %q is not known", headerRetry, truncate(retry))
 	}
-	if err = parseInfo(info, &q); err != nil {
-		return q, err
+	if err = parseInfo(info, &request); err != nil {
+		return request, err
 	}
-	return q, checkBody(r.Body, &q)
+	return request, parseBody(r.Body, &request)
 }
 
-// isID tells whether an id can be part of a path without escapes.
-func isID(s string) bool {
+// isValidID reports whether an id can be part of a path without escapes.
+func isValidID(s string) bool {
 	if len(s) > maxID {
 		return false
 	}
@@ -131,8 +131,8 @@
 	return s != "." && s != ".."
 }
 
-// parseInfo reads the members of X-Call-Info; unknown ones are ignored.
-func parseInfo(info string, q *scheduler.Request) error {
+// parseInfo parses the members of X-Call-Info. It ignores unknown ones.
+func parseInfo(info string, request *scheduler.Request) error {
 	if info == "" {
 		return nil
 	}
@@ -141,20 +141,20 @@
 		if !ok {
 			return fmt.Errorf("%s: %q is not name=value", headerInfo, truncate(part))
 		}
-		var to *float64
+		var dest *float64
 		switch name {
 		case "prefix":
 			if len(value) > maxKey {
 				return fmt.Errorf("%s: prefix is too long", headerInfo)
 			}
-			q.Prefix = value
+			request.Prefix = value
 			continue
 		case "prompt_len":
-			to = &q.PromptTokens
+			dest = &request.PromptTokens
 		case "prefix_len":
-			to = &q.PrefixTokens
+			dest = &request.PrefixTokens
 		case "max_out":
-			to = &q.MaxOutputTokens
+			dest = &request.MaxOutputTokens
 		default:
 			continue
 		}
@@ -162,26 +162,27 @@
 		if err != nil || !(n >= 0 && n <= maxTokens) || n != math.Trunc(n) {
 			return fmt.Errorf("%s: %s=%q is not a number of tokens", headerInfo, name, truncate(value))
 		}
-		*to = n
+		*dest = n
 	}
 	return nil
 }
 
-// checkBody checks a body and reads from it what the header does not state.
-func checkBody(body []byte, q *scheduler.Request) error {
+// parseBody validates a body, estimates the prompt's length if the header does not state it, and reads max_tokens if the header does
+// not state the maximum output.
+func parseBody(body []byte, request *scheduler.Request) error {
 	if !json.Valid(body) {
 		return fmt.Errorf("the body is no JSON")
 	}
 	if bytes.TrimLeft(body, " \t\r\n")[0] != '{' {
 		return fmt.Errorf("the body is no object")
 	}
-	if q.PromptTokens == 0 {
-		q.PromptTokens = math.Ceil(float64(len(body)) / charsPerToken)
+	if request.PromptTokens == 0 {
+		request.PromptTokens = math.Ceil(float64(len(body)) / charsPerToken)
 	}
-	if q.PrefixTokens > q.PromptTokens {
+	if request.PrefixTokens > request.PromptTokens {
 		return fmt.Errorf("%s: the prefix is longer than the prompt", headerInfo)
 	}
-	if q.MaxOutputTokens == 0 {
+	if request.MaxOutputTokens == 0 {
 		var b struct {
 			Max float64 `json:"max_tokens"`
 		}
@@ -191,7 +192,7 @@
 		if !(b.Max >= 0 && b.Max <= maxTokens) {
 			return fmt.Errorf("max_tokens is out of range")
 		}
-		q.MaxOutputTokens = b.Max
+		request.MaxOutputTokens = b.Max
 	}
 	return nil
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -13,14 +13,14 @@
 	"dillroute/internal/protocol"
 )
 
-// streamStallTimeout is after how long without an event an engine's stream counts as broken: the client's connection must end within
-// 5 s of a running engine's last event (PROTOCOL, figures).
+// streamStallTimeout is the time without an event after which an engine's stream counts as broken: the client's connection must end
+// within 5 s of the last event of a running engine (PROTOCOL, figures).
 const streamStallTimeout = 4500 * time.Millisecond
 
 // finalEvent is the data of the event that ends a stream (PROTOCOL, nodes to engines).
 const finalEvent = "[DONE]"
 
-// Errors of streams that are not complete.
+// Errors of incomplete or missing streams.
 var (
 	errNoStream     = errors.New("relay: status 200 without a stream")
 	errNoEvent      = errors.New("relay: stream without an event")
@@ -41,13 +41,13 @@
 		return
 	}
 	result.Evidence.ResponseKind = outcome.DecodeDone
-	if rep := parseLoad(a.loadReport); rep != nil {
+	if rep := parseLoadReport(a.loadReport); rep != nil {
 		result.Report = rep
 	}
 	a.engines.pool.PutAfter(conn, response)
 }
 
-// isStream tells whether a response of status 200 is one that a decode attempt streams.
+// isStream reports whether a response with status 200 is a stream that a decode attempt can forward.
 func (a *attempt) isStream(response *http1.Response) bool {
 	contentType := strings.ToLower(response.Header.Get("Content-Type"))
 	return a.spec.Stage == outcome.Decode && response.Chunked && strings.HasPrefix(contentType, "text/event-stream")
@@ -89,17 +89,17 @@
 	}
 }
 
-// beginStream begins the response to the client with the first event of the engine, once the response is granted to this attempt. Any
-// cause but ResponseComplete ends the attempt.
+// beginStream begins the response to the client after the engine's first event, once the response is granted to this attempt. Any cause
+// other than ResponseComplete ends the attempt.
 func (a *attempt) beginStream(first []byte, observer protocol.AttemptObserver, result *protocol.Result) (outcome.Cause, error) {
-	if !isEvent(first) {
+	if !isJSONObject(first) {
 		return outcome.MalformedResponse, errNoEvent
 	}
 	if !observer.RequestGrant() {
 		return a.CauseOf(nil, outcome.ConnectionBroken), nil
 	}
 	result.Evidence.Progress = outcome.Streaming
-	a.StreamingBegan()
+	a.MarkStreaming()
 	if err := a.client.Begin(200, []http1.Field{{Name: "Content-Type", Value: "text/event-stream"}}); err != nil {
 		return outcome.ClientDisconnected, err
 	}
@@ -112,7 +112,8 @@
 	maxWrite = 8 << 10   // of events in one write
 )
 
-// endStream ends a stream: completely, after its last chunk, or with the cause of the error that broke it.
+// endStream writes the pending events and, if the engine's stream ended with its last chunk, completes the response. Otherwise it
+// returns the cause of the error that broke the stream.
 func (a *attempt) endStream(err error, begun bool, pending []byte) (outcome.Cause, error) {
 	if begun && len(pending) > 0 {
 		if _, werr := a.client.Write(pending); werr != nil {
@@ -135,7 +136,7 @@
 	return outcome.ResponseComplete, nil
 }
 
-// readComment keeps a load report in a comment of the stream.
+// readComment records the load report if a comment of the stream has one.
 func (a *attempt) readComment(line []byte) {
 	text := strings.TrimSpace(strings.TrimPrefix(string(line), ":"))
 	if name, value, ok := strings.Cut(text, ":"); ok && strings.EqualFold(strings.TrimSpace(name), headerLoad) {
@@ -143,15 +144,15 @@
 	}
 }
 
-// isEvent tells whether data can be the first event of a response.
-func isEvent(data []byte) bool { return len(data) > 1 && data[0] == '{' && json.Valid(data) }
+// isJSONObject reports whether data is a JSON object, as the first event of a response must be.
+func isJSONObject(data []byte) bool { return len(data) > 1 && data[0] == '{' && json.Valid(data) }
 
-// usageMember is the member of the event that has the token counts.
-var usageMember = []byte(`"usage"`)
+// usageKey is the quoted name of the member with the token counts.
+var usageKey = []byte(`"usage"`)
 
-// usageTokens returns the cached prompt tokens of an event with token counts; ok is false for any other event.
+// usageTokens returns the number of cached prompt tokens from an event with token counts; ok is false for any other event.
 func usageTokens(data []byte) (cached int, ok bool) {
-	if !bytes.Contains(data, usageMember) {
+	if !bytes.Contains(data, usageKey) {
 		return 0, false
 	}
 	var b struct {
--- a/internal/relay/timeouts.go
+++ b/internal/relay/timeouts.go
@@ -6,44 +6,44 @@
 	"dillroute/internal/http1"
 )
 
-// SocketSlack is added to every time limit of the settings on sockets (PROTOCOL, rules).
+// SocketSlack is the tolerance that is added to each time limit of the settings where it is measured on sockets (PROTOCOL, rules).
 const SocketSlack = 50 * time.Millisecond
 
-// Timeouts are those of the protocol's pages. A client that sends nothing, or no complete request, gets a response or a close within 3 s
-// of connecting; a connection without a request may be closed after 2 s, and earlier by eviction: its client connects again. A node
-// that shuts down admits requests for as long as those that it admits may be unanswered when it is killed, which is no shorter than
-// new connections keep coming (0.4 s).
+// Timeouts are the timeouts that the protocol's pages require. If a client sends nothing, or no complete request, the node responds or
+// closes the connection within 3 s of connecting. A connection without a request may be closed after 2 s, or earlier by eviction: its
+// client connects again. A node that shuts down admits requests for as long as those that it admits may be unanswered when it is killed;
+// this is at least as long as new connections arrive (0.4 s).
 var Timeouts = http1.Timeouts{First: 2100 * time.Millisecond, Head: 700 * time.Millisecond, Body: 700 * time.Millisecond,
 	Whole: 700 * time.Millisecond, Idle: 10 * time.Second, EvictableAfter: 100 * time.Millisecond, Write: 4 * time.Second,
-	DrainAccept: stopAccepts, DrainIdle: stopTakes, DrainKeep: true, Linger: 300 * time.Millisecond,
+	DrainAccept: drainAccept, DrainIdle: drainIdle, DrainKeep: true, Linger: 300 * time.Millisecond,
 	Rejection: 100 * time.Millisecond}
 
-// The graceful shutdown (PROTOCOL, figures): SIGKILL comes 0.7 s and the longest client timeout after SIGTERM at the earliest; a timeout
-// over 3 s counts as 3 s.
+// Times of the graceful shutdown (PROTOCOL, figures). SIGKILL follows SIGTERM after 0.7 s plus the longest client timeout at the earliest;
+// a client timeout over 3 s counts as 3 s.
 const (
-	killAfter   = 700 * time.Millisecond
-	mostCounts  = 3 * time.Second
-	stopAccepts = 550 * time.Millisecond // new connections come for 0.4 s
-	stopTakes   = 2 * time.Second        // clients use their connections for as long as these stay open
-	stopWhole   = 600 * time.Millisecond // a request that comes later than 0.7 s must have ended before SIGKILL, its stream included
-	stopSpare   = 300 * time.Millisecond // reserved for the final responses
+	killDelay         = 700 * time.Millisecond
+	maxCountedTimeout = 3 * time.Second
+	drainAccept       = 550 * time.Millisecond // new connections arrive for 0.4 s
+	drainIdle         = 2 * time.Second        // clients use their connections as long as these are open
+	drainIdleNoResume = 600 * time.Millisecond // a request that arrives after 0.7 s must end before SIGKILL, including its stream
+	responseReserve   = 300 * time.Millisecond // for writing the final responses
 )
 
-// ServerTimeouts are the timeouts of the client side. Where clients do not resume streams, no stream may be cut off, so that a node that
-// shuts down admits only requests whose streams end before it is killed.
+// ServerTimeouts returns the timeouts of the client side. If clients do not resume streams, no stream may be interrupted, so that a node
+// that shuts down admits only requests whose streams end before it is killed.
 func ServerTimeouts(resume bool) http1.Timeouts {
 	t := Timeouts
 	if !resume {
-		t.DrainIdle = stopWhole
+		t.DrainIdle = drainIdleNoResume
 	}
 	return t
 }
 
-// StopBy is the time after SIGTERM within which a node must have responded to all requests. longestTimeout is the longest client
+// StopBy returns the time after SIGTERM within which a node must have responded to all requests. longestTimeout is the longest client
 // timeout, in seconds.
 func StopBy(longestTimeout float64) time.Duration {
-	return min(mostCounts, seconds(longestTimeout)) + killAfter - stopSpare
+	return min(maxCountedTimeout, seconds(longestTimeout)) + killDelay - responseReserve
 }
 
-// RequestLimits bound a client's message, in bytes and fields (PROTOCOL: a body of 256 KiB at most).
+// RequestLimits bound a client's request, in bytes and number of header fields (PROTOCOL: a body of at most 256 KiB).
 var RequestLimits = http1.Limits{Line: 4 << 10, Header: 16 << 10, Headers: 64, Body: 256 << 10}
