--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -44,8 +44,8 @@
 	return cause, err
 }
 
-// stallDeadlineShare is the part of the stall timeout, as its divisor, after which the deadline is extended: extending it for each event
-// would cost more than forwarding the event.
+// stallDeadlineShare divides the stall timeout: the deadline is extended only after this part of the timeout has passed, because
+// extending it for each event would cost more than forwarding the event.
 const stallDeadlineShare = 64
 
 // forwardEvents forwards the events after the first token.
--- a/internal/front/chat.go
+++ b/internal/front/chat.go
@@ -50,14 +50,14 @@
 	var user string
 	for _, m := range []struct {
 		name string
-		to   any
+		dest any
 	}{
 		{"model", &c.Model}, {"stream", &c.Stream}, {"stream_options", &options}, {"n", &c.Choices},
 		{"max_tokens", &legacyMaxTokens}, {"max_completion_tokens", &c.MaxTokens},
 		{"prompt_cache_key", &c.Session}, {"user", &user},
 	} {
 		if raw := o.Get(m.name); raw != nil {
-			if json.Unmarshal(raw, m.to) != nil {
+			if json.Unmarshal(raw, m.dest) != nil {
 				return nil, &FieldError{m.name, "is of the wrong type: " + truncate(string(raw))}
 			}
 		}
--- a/internal/front/chunk.go
+++ b/internal/front/chunk.go
@@ -46,14 +46,14 @@
 	if c.Choices == nil {
 		return Chunk{}, fmt.Errorf("event has no choices")
 	}
-	k := Chunk{}
+	chunk := Chunk{}
 	for _, choice := range c.Choices {
-		k.Token = k.Token || choice.Finish != nil
+		chunk.Token = chunk.Token || choice.Finish != nil
 		for name, v := range choice.Delta {
-			k.Token = k.Token || name != "role" && string(v) != `""` && string(v) != "null"
+			chunk.Token = chunk.Token || name != "role" && string(v) != `""` && string(v) != "null"
 		}
 	}
-	return k, nil
+	return chunk, nil
 }
 
 // errorMember is the quoted name of the error member in a chunk. Inside a string value its quotes would be escaped.
--- a/internal/front/streamcollector.go
+++ b/internal/front/streamcollector.go
@@ -17,8 +17,8 @@
 }
 
 // NewStreamCollector returns a StreamCollector that accepts at most max bytes of chunks.
-func NewStreamCollector(maxSize int) *StreamCollector {
-	return &StreamCollector{choices: map[int]map[string]any{}, max: maxSize}
+func NewStreamCollector(max int) *StreamCollector {
+	return &StreamCollector{choices: map[int]map[string]any{}, max: max}
 }
 
 // Add adds the data of one chunk.
--- a/internal/relay/attempt_test.go
+++ b/internal/relay/attempt_test.go
@@ -50,8 +50,8 @@
 	return timeLeft
 }
 
-// Guards against sending an engine the time that the client had left when the attempt started. The time to connect must be
-// subtracted, and nothing may be written if no time is left.
+// An engine must receive the time that its client has left when the request is written, without the time that connecting took.
+// Nothing may be written if no time is left.
 func TestEnginesAreSentTheTimeLeftAtTheWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timeLeft, err := strconv.ParseFloat(timeLeftSentToEngine(t, 800*time.Millisecond, 300*time.Millisecond), 64)
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -74,15 +74,15 @@
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Limits: f.Limits, Known: f.Known}
-	for _, x := range []struct {
-		to   *string
+	for _, member := range []struct {
+		dest *string
 		name string
 	}{{&c.Name, envName}, {&c.Listen, envListen}, {&c.Discovery, envDiscovery}} {
-		if *x.to == "" {
-			*x.to = getenv(x.name)
+		if *member.dest == "" {
+			*member.dest = getenv(member.name)
 		}
-		if *x.to == "" {
-			return nil, fmt.Errorf("configuration: neither %s nor its member in the file is set", x.name)
+		if *member.dest == "" {
+			return nil, fmt.Errorf("configuration: neither %s nor its member in the file is set", member.name)
 		}
 	}
 	var err error
--- a/internal/relay/discovery_list.go
+++ b/internal/relay/discovery_list.go
@@ -59,11 +59,11 @@
 		return nil, fmt.Errorf("relay: list: %w", err)
 	}
 	if list.Version < 0 {
-		return nil, fmt.Errorf("relay: list: version %d", list.Version)
+		return nil, fmt.Errorf("relay: list: version %d is negative", list.Version)
 	}
 	for i, server := range list.Servers {
 		if !server.valid() {
-			return nil, fmt.Errorf("relay: list: servers[%d] has no id, or the state %q", i, truncate(server.State))
+			return nil, fmt.Errorf("relay: list: servers[%d] has no id or an unknown state (%q)", i, truncate(server.State))
 		}
 	}
 	return list, nil
