--- a/lab/platform/discovery.go
+++ b/lab/platform/discovery.go
@@ -115,7 +115,7 @@
 	d.version++
 	d.endpoints[id] = endpoint
 	d.changed[id] = d.version
-	d.wakeCalls()
+	d.wakeWatches()
 }
 
 // SetState sets the state of an entry.
@@ -127,11 +127,11 @@
 	defer d.mu.Unlock()
 	d.body = body
 	d.silent = silent
-	d.wakeCalls()
+	d.wakeWatches()
 }
 
 // wakeCalls lets held calls look at discovery again. The lock is held.
-func (d *Discovery) wakeCalls() {
+func (d *Discovery) wakeWatches() {
 	close(d.update)
 	d.update = make(chan struct{})
 }
@@ -159,21 +159,21 @@
 }
 
 // answer is what a call is answered, as it was at one moment.
-type answer struct {
+type discoveryResponse struct {
 	list   endpointList
 	body   string
 	silent bool
 }
 
 // await holds a call until there is news after a version, a fault, or the end of its time; false means that the call has ended.
-func (d *Discovery) await(ctx context.Context, after int, hold time.Duration) (answer, bool) {
-	timeout := time.After(hold)
+func (d *Discovery) awaitUpdate(ctx context.Context, after int, maxWait time.Duration) (discoveryResponse, bool) {
+	timeout := time.After(maxWait)
 	timedOut := false
 	for {
 		d.mu.Lock()
 		if timedOut || after < d.version || d.body != "" || d.silent {
 			defer d.mu.Unlock()
-			return answer{list: d.list(after), body: d.body, silent: d.silent}, true
+			return discoveryResponse{list: d.list(after), body: d.body, silent: d.silent}, true
 		}
 		update := d.update
 		d.mu.Unlock()
@@ -182,7 +182,7 @@
 		case <-timeout:
 			timedOut = true
 		case <-ctx.Done():
-			return answer{}, false
+			return discoveryResponse{}, false
 		}
 	}
 }
@@ -193,20 +193,20 @@
 	if from := r.URL.Query().Get("from"); from != "" {
 		after, _ = strconv.Atoi(from)
 	}
-	holdMS, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	a, ok := d.await(r.Context(), after, time.Duration(holdMS)*time.Millisecond)
+	maxWaitMS, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
+	response, ok := d.awaitUpdate(r.Context(), after, time.Duration(maxWaitMS)*time.Millisecond)
 	switch {
 	case !ok:
 		return
-	case a.silent:
+	case response.silent:
 		<-r.Context().Done()
 		return
-	case a.body != "":
-		w.Write([]byte(a.body))
+	case response.body != "":
+		w.Write([]byte(response.body))
 		return
 	}
-	w.Write(a.list.text())
-	for _, endpoint := range a.list.Endpoints {
+	w.Write(response.list.text())
+	for _, endpoint := range response.list.Endpoints {
 		state := RecordedState(endpoint.State)
 		d.platform.Log.Add(record.Record{Kind: record.ListDelivered, Node: d.platform.Node, Engine: endpoint.ID, State: state})
 	}
--- a/lab/platform/engine.go
+++ b/lab/platform/engine.go
@@ -33,7 +33,7 @@
 	startDelay       time.Duration
 	hung             chan struct{} // closed when the engine recovers; nil = it does not hang
 	frozen           bool          // it hangs and notices no close either
-	lost             chan struct{} // closed when the engine loses the attempts that it has taken
+	attemptsLost             chan struct{} // closed when the engine loses the attempts that it has taken
 	streamsStarted   int
 	streamsCompleted int
 }
--- a/lab/platform/exchange.go
+++ b/lab/platform/exchange.go
@@ -26,7 +26,7 @@
 	operation Operation
 	fault     Fault
 	base      record.Record // what all records of the attempt share
-	waits     bool          // it is a decode attempt, and waits for the state of its call
+	waitsForState     bool          // it is a decode attempt, and waits for the state of its call
 }
 
 // serve serves a release or an attempt.
@@ -58,7 +58,7 @@
 func (x *exchange) serveAttempt() bool {
 	e := x.engine
 	remaining, _ := strconv.ParseFloat(x.request.Header.Get("X-Budget"), 64)
-	e.platform.noteAttempt(x.operation.Name, x.request.Header, remaining)
+	e.platform.trackAttempt(x.operation.Name, x.request.Header, remaining)
 	x.base = record.Record{
 		Op:         x.operation.Name,
 		Try:        x.operation.Attempt,
@@ -75,11 +75,11 @@
 	} else {
 		holder := e.platform.stateHolder(x.call)
 		x.base.State = stateID(x.call, holder)
-		x.waits = holder != ""
+		x.waitsForState = holder != ""
 	}
 	x.record(record.Arrive)
 	defer x.record(record.AttemptEnded)
-	if x.waits {
+	if x.waitsForState {
 		e.platform.addWaiting(x.call, 1)
 		defer x.stopWaiting()
 	}
@@ -99,8 +99,8 @@
 
 // stopWaiting notes that the attempt does not wait for the state of its call any more.
 func (x *exchange) stopWaiting() {
-	if x.waits {
-		x.waits = false
+	if x.waitsForState {
+		x.waitsForState = false
 		x.engine.platform.addWaiting(x.call, -1)
 	}
 }
--- a/lab/platform/fault.go
+++ b/lab/platform/fault.go
@@ -83,8 +83,8 @@
 func (e *Engine) LoseAttempts() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	close(e.lost)
-	e.lost = make(chan struct{})
+	close(e.attemptsLost)
+	e.attemptsLost = make(chan struct{})
 }
 
 // SetStartDelay sets how long the engine waits before it serves a request.
@@ -109,7 +109,7 @@
 // awaitRecovery waits while the engine hangs; false means that the connection ended first, or that the attempt was lost.
 func (x *exchange) awaitRecovery() bool {
 	x.engine.mu.Lock()
-	hung, lost, disconnected := x.engine.hung, x.engine.lost, x.disconnected
+	hung, lost, disconnected := x.engine.hung, x.engine.attemptsLost, x.disconnected
 	if x.engine.frozen {
 		disconnected = nil
 	}
--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -24,7 +24,7 @@
 	mu         sync.Mutex // guards the fields below
 	engines    map[string]*Engine
 	states     map[string]map[string]bool // by call: the engines that reserve a state for it
-	waiting    map[string]int             // by call: attempts that have arrived at decode engines and have not fetched its state
+	waitingAttempts    map[string]int             // by call: attempts that have arrived at decode engines and have not fetched its state
 	operations map[string]Operation       // by call
 	budgets    map[string][]Budget        // by name of an operation
 	headers    map[string][]http.Header   // by name of an operation
@@ -54,7 +54,7 @@
 		Node:       node,
 		engines:    map[string]*Engine{},
 		states:     map[string]map[string]bool{},
-		waiting:    map[string]int{},
+		waitingAttempts:    map[string]int{},
 		operations: map[string]Operation{},
 		budgets:    map[string][]Budget{},
 		headers:    map[string][]http.Header{},
@@ -77,7 +77,7 @@
 		PrefillTime:   defaultPrefillTime,
 		platform:      p,
 		conns:         map[net.Conn]bool{},
-		lost:          make(chan struct{}),
+		attemptsLost:          make(chan struct{}),
 	}
 	if err := e.listen(); err != nil {
 		panic(err) // loopback without ports: no test can run
@@ -140,7 +140,7 @@
 }
 
 // noteAttempt keeps the header fields and the budget of an attempt that has arrived.
-func (p *Platform) noteAttempt(operation string, header http.Header, remainingSeconds float64) {
+func (p *Platform) trackAttempt(operation string, header http.Header, remainingSeconds float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	budget := Budget{RemainingSeconds: remainingSeconds, ReceivedAt: float64(time.Now().UnixNano()) / 1e9}
--- a/lab/platform/state.go
+++ b/lab/platform/state.go
@@ -36,7 +36,7 @@
 // releaseUnneededStates carries out a release call: it ends the states of a call at all engines, unless an attempt waits for them.
 func (p *Platform) releaseUnneededStates(call string) {
 	p.mu.Lock()
-	needed := p.waiting[call] > 0
+	needed := p.waitingAttempts[call] > 0
 	p.mu.Unlock()
 	if !needed {
 		p.releaseStates(call, "released")
@@ -44,12 +44,12 @@
 }
 
 // addWaiting counts an attempt that waits for the state of a call (1), or that does so no longer (-1).
-func (p *Platform) addWaiting(call string, attempts int) {
+func (p *Platform) addWaiting(call string, delta int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.waiting[call] += attempts
-	if p.waiting[call] == 0 {
-		delete(p.waiting, call)
+	p.waitingAttempts[call] += delta
+	if p.waitingAttempts[call] == 0 {
+		delete(p.waitingAttempts, call)
 	}
 }
 
--- a/lab/soak/agent.go
+++ b/lab/soak/agent.go
@@ -22,7 +22,7 @@
 
 const (
 	// oldAddressGrace is how long an agent that has moved keeps its old connections.
-	oldAddressGrace = 1500 * time.Millisecond
+	oldAddressOverlap = 1500 * time.Millisecond
 	// silencePollInterval is how often a held call looks whether a silence has ended.
 	silencePollInterval = 20 * time.Millisecond
 )
@@ -38,11 +38,11 @@
 	endpoints    map[string]platform.Endpoint
 	changed      map[string]int // version at which an entry changed last
 	delivered    map[string]int // versions of entries that count as delivered to the node
-	delayedUntil time.Time      // until then, a change may count as delivered later
-	silences     int            // faults under way that silence the agent
-	calls        int            // that were ever made
-	heldCalls    map[int]bool   // by number
-	stalledCalls map[int]bool   // those of them that will never be answered
+	deliveryDelayedUntil time.Time      // until then, a change may count as delivered later
+	activeSilences     int            // faults under way that silence the agent
+	watchesStarted        int            // that were ever made
+	pendingWatches    map[int]bool   // by number
+	stalledWatches map[int]bool   // those of them that will never be answered
 	update       chan struct{}  // closed at a change
 	server       *http.Server
 	address      string
@@ -57,8 +57,8 @@
 		endpoints:     map[string]platform.Endpoint{},
 		changed:       map[string]int{},
 		delivered:     map[string]int{},
-		heldCalls:     map[int]bool{},
-		stalledCalls:  map[int]bool{},
+		pendingWatches:     map[int]bool{},
+		stalledWatches:  map[int]bool{},
 		update:        make(chan struct{}),
 	}
 	a.synchronize()
@@ -105,8 +105,8 @@
 	if err := a.listen("127.0.0.1:0"); err != nil {
 		return err
 	}
-	a.allowDelay(reloadTime)
-	time.AfterFunc(oldAddressGrace, func() { old.Close() })
+	a.allowDeliveryDelay(reloadTime)
+	time.AfterFunc(oldAddressOverlap, func() { old.Close() })
 	return nil
 }
 
@@ -120,22 +120,22 @@
 // StallWatches makes the calls that are held now wait without end.
 func (a *Agent) StallWatches() {
 	a.mu.Lock()
-	for call := range a.heldCalls {
-		a.stalledCalls[call] = true
+	for watch := range a.pendingWatches {
+		a.stalledWatches[watch] = true
 	}
 	a.mu.Unlock()
-	a.allowDelay(watchRecoveryTime)
+	a.allowDeliveryDelay(watchRecoveryTime)
 }
 
 // Silence makes the agent answer nothing and follow no changes, or ends that: changes count as delivered at its end.
 func (a *Agent) Silence(on bool) {
 	a.mu.Lock()
 	if on {
-		a.silences++
+		a.activeSilences++
 	} else {
-		a.silences--
+		a.activeSilences--
 	}
-	ended := a.silences == 0
+	ended := a.activeSilences == 0
 	a.mu.Unlock()
 	if ended {
 		a.synchronize()
@@ -143,11 +143,11 @@
 }
 
 // allowDelay lets changes count as delivered later, by up to a time from now.
-func (a *Agent) allowDelay(d time.Duration) {
+func (a *Agent) allowDeliveryDelay(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if until := time.Now().Add(d); until.After(a.delayedUntil) {
-		a.delayedUntil = until
+	if until := time.Now().Add(d); until.After(a.deliveryDelayedUntil) {
+		a.deliveryDelayedUntil = until
 	}
 }
 
@@ -163,7 +163,7 @@
 func (a *Agent) apply(endpoint platform.Endpoint, version int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.silences > 0 || version <= a.changed[endpoint.ID] {
+	if a.activeSilences > 0 || version <= a.changed[endpoint.ID] {
 		return
 	}
 	a.endpoints[endpoint.ID] = endpoint
@@ -171,7 +171,7 @@
 	a.version = max(a.version, version)
 	close(a.update)
 	a.update = make(chan struct{})
-	if delay := time.Until(a.delayedUntil); delay > 0 {
+	if delay := time.Until(a.deliveryDelayedUntil); delay > 0 {
 		time.AfterFunc(delay, func() { a.recordDelivery(endpoint, version) })
 		return
 	}
@@ -240,8 +240,8 @@
 	if from := r.URL.Query().Get("from"); from != "" {
 		after, _ = strconv.Atoi(from)
 	}
-	holdMS, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	if !a.await(r.Context(), after, time.Duration(holdMS)*time.Millisecond) {
+	maxWaitMS, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
+	if !a.awaitUpdate(r.Context(), after, time.Duration(maxWaitMS)*time.Millisecond) {
 		return
 	}
 	a.mu.Lock()
@@ -258,27 +258,27 @@
 
 // await holds a call until the list has another version or the time is over, and as long as the agent is silent or the call is
 // stalled; false means that the call has ended.
-func (a *Agent) await(ctx context.Context, version int, hold time.Duration) bool {
-	timeout := time.After(hold)
+func (a *Agent) awaitUpdate(ctx context.Context, version int, maxWait time.Duration) bool {
+	timeout := time.After(maxWait)
 	timedOut := false
 	a.mu.Lock()
-	a.calls++
-	call := a.calls
-	a.heldCalls[call] = true
+	a.watchesStarted++
+	watch := a.watchesStarted
+	a.pendingWatches[watch] = true
 	a.mu.Unlock()
 	defer func() {
 		a.mu.Lock()
-		delete(a.heldCalls, call)
-		delete(a.stalledCalls, call)
+		delete(a.pendingWatches, watch)
+		delete(a.stalledWatches, watch)
 		a.mu.Unlock()
 	}()
 	for {
 		a.mu.Lock()
 		update := a.update
 		changed := a.version != version
-		mute := a.silences > 0 || a.stalledCalls[call]
+		suppressed := a.activeSilences > 0 || a.stalledWatches[watch]
 		a.mu.Unlock()
-		if !mute && (timedOut || changed) {
+		if !suppressed && (timedOut || changed) {
 			return true
 		}
 		select {
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -64,8 +64,8 @@
 
 // How clients behave. Shares are those of operations, or of attempts.
 const (
-	meanPause           = 120 * time.Millisecond
-	longPauseShare      = 0.03                   // of pauses last seconds, in which idle connections end
+	meanThinkTime           = 120 * time.Millisecond
+	longThinkTimeShare      = 0.03                   // of pauses last seconds, in which idle connections end
 	disconnectShare     = 0.10                   // of attempts end by their client's leaving
 	maxDisconnectDelay  = 600 * time.Millisecond // after which it leaves at the latest
 	halfCloseShare      = 0.02                   // of attempts: their client closes its sending side and waits for the response
@@ -88,8 +88,8 @@
 		}
 	}()
 	for {
-		pause := time.Duration(c.rng.ExpFloat64() * float64(meanPause))
-		if c.rng.Float64() < longPauseShare {
+		pause := time.Duration(c.rng.ExpFloat64() * float64(meanThinkTime))
+		if c.rng.Float64() < longThinkTimeShare {
 			pause = time.Duration((1 + 4*c.rng.Float64()) * float64(time.Second))
 		}
 		select {
@@ -97,7 +97,7 @@
 			return
 		case <-time.After(pause):
 		}
-		c.perform(stop)
+		c.performOperation(stop)
 	}
 }
 
@@ -119,7 +119,7 @@
 }
 
 // perform makes one operation, with as many attempts as it takes.
-func (c *client) perform(stop <-chan struct{}) {
+func (c *client) performOperation(stop <-chan struct{}) {
 	request := c.drawRequest()
 	for attempt := 0; attempt < maxAttempts; {
 		n := c.pickNode()
@@ -217,8 +217,8 @@
 		return record.Unreachable, 0
 	}
 	c.fleet.log.Add(sent)
-	var over atomic.Bool // the attempt has ended, by its response or by its client's leaving
-	if timer := c.misbehave(conn, request.ID, base, &over); timer != nil {
+	var ended atomic.Bool // the attempt has ended, by its response or by its client's leaving
+	if timer := c.scheduleClientFault(conn, request.ID, base, &ended); timer != nil {
 		defer timer.Stop()
 	}
 	response, reusable := receive(conn, request, func() {
@@ -226,7 +226,7 @@
 		first.Kind = record.FirstToken
 		c.fleet.log.Add(first)
 	})
-	if !over.CompareAndSwap(false, true) {
+	if !ended.CompareAndSwap(false, true) {
 		return abandoned, 0
 	}
 	if reusable {
@@ -235,7 +235,7 @@
 		conn.Close()
 	}
 	if response.Outcome == record.Cut && conn.used {
-		c.fleet.noteUnanswered(n, request, sent.T)
+		c.fleet.addUnanswered(n, request, sent.T)
 		c.recordDisconnect(request.ID, base)
 		return abandoned, 0 // the records of this attempt allow no other response under its number
 	}
@@ -248,11 +248,11 @@
 
 // misbehave makes some clients leave before the response, and others close their sending side. It returns the timer of a client that
 // leaves; nil = it stays.
-func (c *client) misbehave(conn *clientConn, id string, base record.Record, over *atomic.Bool) *time.Timer {
+func (c *client) scheduleClientFault(conn *clientConn, id string, base record.Record, ended *atomic.Bool) *time.Timer {
 	if c.rng.Float64() < disconnectShare {
 		delay := time.Duration(c.rng.Float64() * float64(maxDisconnectDelay))
 		return time.AfterFunc(delay, func() {
-			if over.CompareAndSwap(false, true) {
+			if ended.CompareAndSwap(false, true) {
 				c.recordDisconnect(id, base)
 				conn.Close()
 			}
--- a/lab/soak/evaluate.go
+++ b/lab/soak/evaluate.go
@@ -20,8 +20,8 @@
 
 // A request without a response counts as lost by a kill of its node in this time around it (s).
 const (
-	killedBefore = 0.2
-	killedAfter  = 6
+	killWindowBefore = 0.2
+	killWindowAfter  = 6
 )
 
 // rulesConfig holds the figures of the rules, as the platform's settings and pages give them.
@@ -30,7 +30,7 @@
 		Classes: map[string]rules.Class{
 			"chat":   {Effect: "repeatable", Group: "all"},
 			"commit": {Effect: "once", Group: "all"},
-			"keyed":  {Effect: "by_key", Group: "cell", KeyTTL: keyedWindow},
+			"keyed":  {Effect: "by_key", Group: "cell", KeyTTL: keyedDeduplicationWindow},
 		},
 		Engines:           map[string]rules.Engine{},
 		AnswerSlack:       0.058,
@@ -56,7 +56,7 @@
 func (f *Fleet) evaluate() *Report {
 	received := map[string]string{}
 	for _, n := range f.nodes {
-		n.reviewLogs(received)
+		n.checkLogs(received)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -106,7 +106,7 @@
 // killedAt reports whether a node was killed within seconds of a time.
 func (f *Fleet) killedAt(n *Node, t float64) bool {
 	for _, x := range f.log.All() {
-		if x.Kind == record.NodeKilled && x.Node == n.name && x.T > t-killedBefore && x.T < t+killedAfter {
+		if x.Kind == record.NodeKilled && x.Node == n.name && x.T > t-killWindowBefore && x.T < t+killWindowAfter {
 			return true
 		}
 	}
@@ -118,12 +118,12 @@
 	end := time.Since(f.startedAt)
 	served, total := servedOf(f.recoveryOutcomes)
 	if total > 0 && served < minServedShare*total {
-		f.addFinding(end, "recovery", fmt.Sprintf("%v in the last %v", f.recoveryOutcomes, recoveryWatch))
+		f.addFinding(end, "recovery", fmt.Sprintf("%v in the last %v", f.recoveryOutcomes, recoveryWindow))
 	}
 	for name, outcomes := range f.recoveryByNode {
 		served, total := servedOf(outcomes)
 		if total >= minNodeRequests && served < minNodeServedShare*total {
-			f.addFinding(end, "recovery", fmt.Sprintf("%s: %v in the last %v", name, outcomes, recoveryWatch))
+			f.addFinding(end, "recovery", fmt.Sprintf("%s: %v in the last %v", name, outcomes, recoveryWindow))
 		}
 	}
 }
--- a/lab/soak/fault_client.go
+++ b/lab/soak/fault_client.go
@@ -16,7 +16,7 @@
 // pipelineRequests makes clients send many requests at once on one connection; some leave between the responses.
 func pipelineRequests(t *injection) {
 	n := t.drawNode()
-	if !n.takesClients() {
+	if !n.isInService() {
 		return
 	}
 	var clients sync.WaitGroup
@@ -58,7 +58,7 @@
 // badClients sends bad requests, and reports those that get neither a response nor a close in time.
 func badClients(t *injection) {
 	n := t.drawNode()
-	if !n.takesClients() {
+	if !n.isInService() {
 		return
 	}
 	var clients sync.WaitGroup
@@ -91,14 +91,14 @@
 }
 
 // crowdConnectTimeout bounds the time in which one idle client of fillDescriptors connects.
-const crowdConnectTimeout = 50 * time.Millisecond
+const idleConnectTimeout = 50 * time.Millisecond
 
 // fillDescriptors makes idle clients fill a node's descriptors for a while.
 func fillDescriptors(t *injection) {
 	n := t.drawNode()
 	var conns []net.Conn
 	for range nodeSockets {
-		conn, err := net.DialTimeout("tcp", n.address, crowdConnectTimeout)
+		conn, err := net.DialTimeout("tcp", n.address, idleConnectTimeout)
 		if err != nil {
 			break
 		}
--- a/lab/soak/fault_engine.go
+++ b/lab/soak/fault_engine.go
@@ -28,7 +28,7 @@
 )
 
 // stall makes an engine stand still.
-func stall(e *platform.Engine, kind string) {
+func stallEngine(e *platform.Engine, kind string) {
 	if kind == stallFrozen {
 		e.SetFrozen(true)
 		return
@@ -46,7 +46,7 @@
 		if !strings.HasPrefix(id, "read") && t.rng.IntN(3) == 0 {
 			stalled = append(stalled, id)
 			t.note("%s", id)
-			stall(t.fleet.engine(id), kind)
+			stallEngine(t.fleet.engine(id), kind)
 		}
 	}
 	t.pause(1200*time.Millisecond, 3*time.Second)
@@ -81,7 +81,7 @@
 }
 
 // silenceConnections makes the open connections to an engine carry nothing any more, the idle ones too.
-func silenceConnections(t *injection) {
+func blackholeEngineConnections(t *injection) {
 	id := t.drawEngine()
 	if id == "" {
 		return
@@ -93,7 +93,7 @@
 }
 
 // swallowConnections makes the open connections to half of all engines carry nothing any more; new ones work.
-func swallowConnections(t *injection) {
+func blackholeConnectionsOfHalf(t *injection) {
 	for range 1 + t.rng.IntN(3) {
 		for _, id := range t.fleet.ids() {
 			if t.rng.IntN(2) == 0 {
--- a/lab/soak/fault_node.go
+++ b/lab/soak/fault_node.go
@@ -131,7 +131,7 @@
 // reloadNodes gives nodes that are ready new configurations: some of them several in a row, and some one first that cannot be parsed.
 func reloadNodes(t *injection) {
 	for _, n := range t.drawNodes(max(1, len(t.fleet.nodes)/2)) {
-		if !n.takesClients() || !n.reserve() {
+		if !n.isInService() || !n.reserve() {
 			continue
 		}
 		for range 1 + t.rng.IntN(3) {
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -44,7 +44,7 @@
 }
 
 // firstEngines are the roles of the engines with which a scenario begins.
-var firstEngines = []string{"read", "read", "read", "read", "write", "write", "write", "write", "both", "both"}
+var initialEngineRoles = []string{"read", "read", "read", "read", "write", "write", "write", "write", "both", "both"}
 
 // newFleet starts the engines of a scenario.
 func newFleet(s Scenario) *Fleet {
@@ -61,7 +61,7 @@
 		recoveryByNode:   map[string]map[record.Outcome]int{},
 	}
 	f.platform.LosesResponse = f.losesResponse
-	for _, role := range firstEngines {
+	for _, role := range initialEngineRoles {
 		f.addEngine(role)
 	}
 	return f
@@ -78,7 +78,7 @@
 }
 
 // Play plays a scenario to its end.
-func Play(s Scenario) (*Report, error) {
+func Run(s Scenario) (*Report, error) {
 	f := newFleet(s)
 	defer f.close()
 	rng := rand.New(rand.NewPCG(s.Seed, 1))
@@ -101,11 +101,11 @@
 	}
 	time.Sleep(warmUp)
 	f.injectFaults()
-	time.Sleep(recoveryTime - recoveryWatch)
+	time.Sleep(recoveryTime - recoveryWindow)
 	f.mu.Lock()
 	f.recoveryFrom = time.Now()
 	f.mu.Unlock()
-	time.Sleep(recoveryWatch)
+	time.Sleep(recoveryWindow)
 	close(stop)
 	clients.Wait()
 	f.stopAll()
@@ -132,7 +132,7 @@
 		}
 		f.nodes = append(f.nodes, n)
 		for _, id := range f.engineIDs {
-			f.connect(n, id)
+			f.addRoute(n, id)
 		}
 		if n.agent, err = f.registry.StartAgent(n.name, n.engineAddress); err != nil {
 			return err
@@ -181,7 +181,7 @@
 }
 
 // connect starts the proxy from a node to an engine. The lock is held, or the scenario has not begun.
-func (f *Fleet) connect(n *Node, id string) {
+func (f *Fleet) addRoute(n *Node, id string) {
 	proxy, err := NewProxy(f.engines[id].Address())
 	if err != nil {
 		panic(err) // loopback without ports: no scenario can be played
@@ -198,7 +198,7 @@
 	f.engines[id] = f.platform.StartEngine(id, role)
 	f.engineIDs = append(f.engineIDs, id)
 	for _, n := range f.nodes {
-		f.connect(n, id)
+		f.addRoute(n, id)
 	}
 	started := int64(0) // long ago: only engines that start in the scenario are warming up
 	if len(f.nodes) > 0 {
@@ -245,7 +245,7 @@
 func (f *Fleet) pickNode(rng *rand.Rand) *Node {
 	var inService []*Node
 	for _, n := range f.nodes {
-		if n.takesClients() {
+		if n.isInService() {
 			inService = append(inService, n)
 		}
 	}
@@ -278,7 +278,7 @@
 }
 
 // noteUnanswered keeps a request without a response for evaluateUnanswered.
-func (f *Fleet) noteUnanswered(n *Node, request platform.Request, sentAt float64) {
+func (f *Fleet) addUnanswered(n *Node, request platform.Request, sentAt float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unanswered = append(f.unanswered, unansweredRequest{node: n, id: request.ID, operation: request.Operation, sentAt: sentAt})
--- a/lab/soak/node.go
+++ b/lab/soak/node.go
@@ -49,7 +49,7 @@
 	`"target_s":1.5,"worth":1}`
 
 const (
-	keyedWindow = 1.0 // s, key_ttl_s of keyedClass
+	keyedDeduplicationWindow = 1.0 // s, key_ttl_s of keyedClass
 	cells       = 2
 )
 
@@ -77,7 +77,7 @@
 }
 
 // takesClients reports whether clients are sent to the node.
-func (n *Node) takesClients() bool {
+func (n *Node) isInService() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.inService
@@ -153,16 +153,16 @@
 }
 
 // suspectLine matches lines of a node's log that must not appear.
-var suspectLine = regexp.MustCompile(`level=ERROR|^panic:|^fatal error:|DATA RACE|rule violated`)
+var forbiddenLine = regexp.MustCompile(`level=ERROR|^panic:|^fatal error:|DATA RACE|rule violated`)
 
 // expectedLine matches those of them that a fault asks for: a configuration that cannot be read.
-var expectedLine = regexp.MustCompile(`configuration rejected`)
+var allowedLine = regexp.MustCompile(`configuration rejected`)
 
 // requestReceived begins the log line of a request that a node has read, up to its id.
 const requestReceived = `msg="request received" request=`
 
 // reviewLogs looks through the logs of all processes of the node, and adds the requests that it has read to received.
-func (n *Node) reviewLogs(received map[string]string) {
+func (n *Node) checkLogs(received map[string]string) {
 	for _, path := range n.logPaths {
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -170,7 +170,7 @@
 			continue
 		}
 		for line := range strings.Lines(string(text)) {
-			if suspectLine.MatchString(line) && !expectedLine.MatchString(line) {
+			if forbiddenLine.MatchString(line) && !allowedLine.MatchString(line) {
 				n.fleet.report("log", "%s: %s", filepath.Base(path), strings.TrimSpace(line))
 			}
 			if _, rest, found := strings.Cut(line, requestReceived); found {
--- a/lab/soak/pipeline.go
+++ b/lab/soak/pipeline.go
@@ -79,7 +79,7 @@
 		c.fleet.log.Add(first)
 	})
 	if response.Outcome == record.Cut && !isFirst { // the node may close the connection behind any response
-		c.fleet.noteUnanswered(n, request, record.Now())
+		c.fleet.addUnanswered(n, request, record.Now())
 		disconnect := base
 		disconnect.Kind = record.ClientDisconnected
 		c.fleet.log.Add(disconnect)
--- a/lab/soak/process.go
+++ b/lab/soak/process.go
@@ -23,10 +23,10 @@
 }
 
 // start starts a process with a known endpoint list; awaitReady puts it into service.
-func (n *Node) start(known []byte) error { return n.startUnder(known, nil) }
+func (n *Node) start(known []byte) error { return n.startWithFailures(known, nil) }
 
 // startUnder is start where the watched system calls fail as given from the beginning.
-func (n *Node) startUnder(known []byte, fail func(call uint32) syscall.Errno) error {
+func (n *Node) startWithFailures(known []byte, fail func(call uint32) syscall.Errno) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.starts++
--- a/lab/soak/proxy.go
+++ b/lab/soak/proxy.go
@@ -162,7 +162,7 @@
 }
 
 // silenced reports whether nothing is forwarded from a connection now.
-func (p *Proxy) silenced(c net.Conn) bool {
+func (p *Proxy) isBlackholed(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode == Blackhole || p.mode == CutOff || p.blackholed[c]
@@ -296,7 +296,7 @@
 	buffer := make([]byte, forwardBufferBytes)
 	for {
 		n, err := from.Read(buffer)
-		for err == nil && p.silenced(from) {
+		for err == nil && p.isBlackholed(from) {
 			time.Sleep(modePollInterval)
 			if peerClosed(from) {
 				err = io.EOF
--- a/lab/soak/scenario.go
+++ b/lab/soak/scenario.go
@@ -28,7 +28,7 @@
 const (
 	warmUp        = time.Second     // before the first fault
 	recoveryTime  = 8 * time.Second // after the last fault
-	recoveryWatch = 4 * time.Second // the last part of it, in which all should be well again
+	recoveryWindow = 4 * time.Second // the last part of it, in which all should be well again
 )
 
 // Finding is something that must not happen.
--- a/lab/soak/scenario_test.go
+++ b/lab/soak/scenario_test.go
@@ -77,11 +77,11 @@
 }
 
 // A node starts though the system calls by which it opens its socket and reads its configuration fail for a moment.
-func TestNodeStartsThoughSystemCallsFailForAMoment(t *testing.T) {
+func TestNodeStartsDespiteTransientSystemCallFailures(t *testing.T) {
 	s := newFixture(t)
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		until := time.Now().Add(700 * time.Millisecond)
-		if err := s.node.startUnder(s.node.agent.Snapshot(), func(call uint32) syscall.Errno {
+		if err := s.node.startWithFailures(s.node.agent.Snapshot(), func(call uint32) syscall.Errno {
 			if time.Now().Before(until) {
 				return errno
 			}
@@ -91,9 +91,9 @@
 		}
 		s.node.awaitReady()
 		s.node.mu.Lock()
-		in := s.node.inService
+		inService := s.node.inService
 		s.node.mu.Unlock()
-		if !in {
+		if !inService {
 			t.Fatalf("socket and open fail with %v for 0.7 s: the node is not ready\n%s", errno, s.logs())
 		}
 		s.node.stop(0, 0)
@@ -102,7 +102,7 @@
 }
 
 // Lists are followed and requests are served though the wall clock is stepped, forward or back.
-func TestWallClockStepsChangeNothing(t *testing.T) {
+func TestWallClockStepsAffectNeitherDiscoveryNorRequests(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour, -3 * time.Second, 3 * time.Second} {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
@@ -129,7 +129,7 @@
 }
 
 // A stop takes its time and loses no request though the wall clock is stepped meanwhile.
-func TestWallClockStepsDuringAStop(t *testing.T) {
+func TestShutdownIsUnaffectedByWallClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
@@ -140,10 +140,10 @@
 			time.AfterFunc(300*time.Millisecond, func() { s.node.clock.Step(int64(step)) })
 			s.node.stop(300*time.Millisecond, 0)
 			s.stopClients()
-			read := map[string]string{}
-			s.node.reviewLogs(read)
+			received := map[string]string{}
+			s.node.checkLogs(received)
 			for _, c := range s.fleet.unanswered {
-				if _, ok := read[c.id]; ok {
+				if _, ok := received[c.id]; ok {
 					t.Errorf("%s was read, and its connection closed with no answer", c.operation)
 				}
 			}
@@ -166,7 +166,7 @@
 }
 
 // A new configuration that cannot be read at the moment of SIGHUP takes effect when it can.
-func TestNewConfigurationIsTakenThoughItCannotBeReadAtOnce(t *testing.T) {
+func TestReloadRetriesAfterTransientReadFailure(t *testing.T) {
 	s := newFixture(t)
 	s.startNode()
 	var failing atomic.Bool
@@ -189,7 +189,7 @@
 }
 
 // Clients that connect in the first moments of a stop get a response though no connection can be accepted for a part of them.
-func TestStopAcceptsThoughAcceptFailsForAMoment(t *testing.T) {
+func TestShutdownAcceptsConnectionsAfterTransientAcceptFailure(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EPROTO} {
 		s := newFixture(t)
 		s.startNode()
@@ -207,7 +207,7 @@
 			time.Sleep(10 * time.Millisecond)
 			c := s.fleet.newClient(fmt.Sprintf("c%d", i), 1, uint64(i))
 			all.Add(1)
-			go func() { defer all.Done(); c.perform(make(chan struct{})) }()
+			go func() { defer all.Done(); c.performOperation(make(chan struct{})) }()
 		}
 		all.Wait()
 		<-stopped
@@ -218,11 +218,11 @@
 	}
 }
 
-func TestNodeServesThoughTheReaderOfItsLogHasGone(t *testing.T) { testServingWithLog(t, true) }
-func TestNodeServesThoughTheReaderOfItsLogIsStuck(t *testing.T) { testServingWithLog(t, false) }
+func TestNodeServesWhenItsLogPipeIsClosed(t *testing.T) { testServingWithLogPipe(t, true) }
+func TestNodeServesWhenItsLogPipeIsFull(t *testing.T) { testServingWithLogPipe(t, false) }
 
 // testServingWithLog checks that a node serves on, and stops in time, whatever becomes of the reader of its log.
-func testServingWithLog(t *testing.T, gone bool) {
+func testServingWithLogPipe(t *testing.T, pipeClosed bool) {
 	t.Helper()
 	s := newFixture(t)
 	r, w, err := os.Pipe()
@@ -233,7 +233,7 @@
 	s.node.logFile = w
 	s.startNode()
 	w.Close()
-	if gone {
+	if pipeClosed {
 		r.Close()
 	}
 	s.startClients(12)
@@ -250,7 +250,7 @@
 }
 
 // Requests survive a moment in which no connection to an engine can be made, and nearly all are served.
-func TestRequestsOutliveAMomentWithoutConnections(t *testing.T) {
+func TestRequestsSurviveTransientConnectFailures(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH} {
 		s := newFixture(t)
 		s.startNode()
@@ -275,7 +275,7 @@
 
 // States are released in time though the decode attempts that would fetch them were written to connections that carry nothing any more:
 // an attempt that has not reached a running engine is not in flight.
-func TestSilentConnectionsDoNotHoldStates(t *testing.T) {
+func TestStatesAreReleasedWhenDecodeConnectionsAreBlackholed(t *testing.T) {
 	s := newFixture(t)
 	s.startNode()
 	s.startClients(16)
@@ -325,7 +325,7 @@
 
 // The same without failed connections: what is written to open connections is swallowed, again and again, while new ones work. Engines
 // are heard of then, so that hearing of an engine is no proof that an attempt there has arrived.
-func TestStatesAreReleasedWhenOpenConnectionsSwallow(t *testing.T) {
+func TestStatesAreReleasedWhenOpenConnectionsAreBlackholed(t *testing.T) {
 	s := newFixture(t)
 	s.startNode()
 	s.startClients(24)
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -87,7 +87,7 @@
 			if text := os.Getenv("SOAK_TROUBLES"); text != "" {
 				scenario.Faults = strings.Split(text, ",")
 			}
-			r, err := Play(scenario)
+			r, err := Run(scenario)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/lab/soak/staterelease_test.go
+++ b/lab/soak/staterelease_test.go
@@ -9,7 +9,7 @@
 )
 
 // playStalls stalls one in three decode engines again and again, and checks the rules.
-func playStalls(t *testing.T, kind string) {
+func runStalls(t *testing.T, kind string) {
 	s := newFixture(t)
 	s.startNode()
 	s.startClients(24)
@@ -20,7 +20,7 @@
 		for _, id := range s.fleet.engineIDs {
 			if id[0] != 'r' && rng.IntN(3) == 0 {
 				stalled = append(stalled, id)
-				stall(s.fleet.engine(id), kind)
+				stallEngine(s.fleet.engine(id), kind)
 			}
 		}
 		time.Sleep(1200*time.Millisecond + time.Duration(rng.Float64()*float64(2*time.Second)))
@@ -51,11 +51,11 @@
 
 // Guards against an incident in which states stayed at prefill engines for good: a release at the limit was acknowledged beside an attempt
 // that its decode engine had taken, freed nothing while the attempt waited, and was not made again when the attempt had ended.
-func TestStatesAreReleasedOnceTheAttemptsThatWaitForThemHaveEnded(t *testing.T) {
+func TestStatesAreReleasedAfterWaitingAttemptsEnd(t *testing.T) {
 	for _, kind := range []string{stallResets, stallGoesOn, stallFrozen, stallLosesAttempts} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			playStalls(t, kind)
+			runStalls(t, kind)
 		})
 	}
 }
--- a/lab/soak/supervisor.go
+++ b/lab/soak/supervisor.go
@@ -106,13 +106,13 @@
 
 // respond decides a call. Opening another file than the watched one always goes on.
 func (s *Supervisor) respond(n *notification) notificationResponse {
-	goOn := notificationResponse{id: n.id, flags: notifyContinue}
+	proceed := notificationResponse{id: n.id, flags: notifyContinue}
 	if n.callNumber == unix.SYS_OPENAT && s.openedPath(n) != s.watchedFile {
-		return goOn
+		return proceed
 	}
 	errno := s.decideCall(uint32(n.callNumber))
 	if errno == 0 {
-		return goOn
+		return proceed
 	}
 	return notificationResponse{id: n.id, error: -int32(errno)}
 }
