--- a/lab/platform/client.go
+++ b/lab/platform/client.go
@@ -21,26 +21,26 @@
 	Tenant         string
 	Session        string
 	ResponseTokens int
-	Timeout        time.Duration // that the client states and waits
-	ID             string        // "" = a new one
-	ExtraHeader    string        // further header lines, each with its line end
+	Timeout        time.Duration // stated in X-Budget; the client waits a little longer for the response head
+	ID             string        // call ID; "": Send assigns a new one
+	ExtraHeader    string        // further header lines, each ending with CRLF
 }
 
-// Response is what a client got.
+// Response is the result of a request as its client saw it.
 type Response struct {
 	Status     int
 	Text       string
-	Complete   bool   // the stream came to its last chunk
-	RetryAfter string // of the header
+	Complete   bool   // the stream ended with its last chunk
+	RetryAfter string // value of the Retry-After header
 	Outcome    record.Outcome
 	Err        error
 	Duration   time.Duration
 }
 
-// lastCallID is the last of the ids that requests without one were given.
+// lastCallID is the last ID that was assigned to a request without one.
 var lastCallID atomic.Uint64
 
-// Encode returns the bytes of the request.
+// Encode returns the request as it is sent: header and body.
 func (r Request) Encode() string {
 	body := fmt.Sprintf(`{"model":"chat","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`,
 		r.ResponseTokens, r.Operation)
@@ -51,7 +51,7 @@
 		fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", r.ExtraHeader, len(body), body)
 }
 
-// Send sends a request on a connection of its own, waits for the response, and records both.
+// Send sends a request on a new connection, waits for the response, and records both.
 func (p *Platform) Send(address string, r Request) Response {
 	if r.ID == "" {
 		r.ID = fmt.Sprintf("%016x", lastCallID.Add(1))
@@ -77,7 +77,8 @@
 	return response
 }
 
-// FinalRecord is the record of a response: base with its outcome, its error, and whether its text is what it should be.
+// FinalRecord returns the record of a response: base with its outcome, its error, and whether its text is the expected one. The text of
+// a failed response must be a prefix of the expected one.
 func FinalRecord(base record.Record, r Request, response Response) record.Record {
 	final := base
 	final.Kind = record.FinalResponse
@@ -98,11 +99,11 @@
 const (
 	// headGrace is how much longer than its timeout a client waits for the head of a response.
 	headGrace = time.Second
-	// streamTimeout bounds the time of a stream.
+	// streamTimeout bounds the time for reading a stream.
 	streamTimeout = 20 * time.Second
 )
 
-// receive reads the response. A stream that ends without its last chunk has failed; a missing head means a cut connection.
+// receive reads the response. A stream without its last chunk counts as failed, and a missing head as a cut connection.
 func (p *Platform) receive(conn net.Conn, r Request, base record.Record) Response {
 	conn.SetReadDeadline(time.Now().Add(r.Timeout + headGrace))
 	head, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -126,7 +127,7 @@
 	return response
 }
 
-// StatusOutcome returns the outcome of a response by its status; one that is served may still fail in its stream.
+// StatusOutcome returns the outcome of a response according to its status. A response with status 200 may still fail in its stream.
 func StatusOutcome(status int) record.Outcome {
 	switch status {
 	case http.StatusOK:
@@ -137,7 +138,7 @@
 	return record.Failed
 }
 
-// ReadEvents reads the events of a stream to its end and returns their text, also with an error.
+// ReadEvents reads the events of a stream to its end and returns their text. With an error, it returns the text read so far.
 func ReadEvents(body io.Reader) (string, error) {
 	text := ""
 	lines := bufio.NewScanner(body)
--- a/lab/platform/discovery.go
+++ b/lab/platform/discovery.go
@@ -32,30 +32,30 @@
 	version   int
 	endpoints map[string]Endpoint
 	changed   map[string]int // version at which an entry changed last
-	update    chan struct{}  // closed at a change
-	body      string         // is sent in place of lists; "" = lists are sent
-	silent    bool           // nothing is sent
+	update    chan struct{}  // closed and replaced at each change
+	body      string         // sent instead of lists; "": lists are sent
+	silent    bool           // no response is sent
 	server    *http.Server
 	listener  net.Listener
 }
 
-// endpointList is a response of discovery. The order of its fields is that of the wire.
+// endpointList is a response of discovery. Its fields are in the order in which they are sent.
 type endpointList struct {
-	Full      bool       `json:"full"` // all endpoints, not only those that changed
+	Full      bool       `json:"full"` // the list has all endpoints, not only those that changed
 	Endpoints []Endpoint `json:"servers"`
 	Version   int        `json:"version"`
 }
 
-// text is the list in discovery's form.
+// text returns the list as discovery sends it.
 func (l endpointList) text() []byte {
 	text, _ := json.Marshal(l) // strings and numbers always encode
 	return text
 }
 
-// wholeList in place of a version asks for all endpoints.
+// wholeList is passed instead of a version to request all endpoints.
 const wholeList = -1
 
-// StartDiscovery starts an agent that lists the engines given.
+// StartDiscovery starts an agent that lists the given engines as up.
 func (p *Platform) StartDiscovery(engines ...*Engine) *Discovery {
 	d := &Discovery{
 		platform:  p,
@@ -70,11 +70,11 @@
 	return d
 }
 
-// Listen opens a server at a new address; earlier servers go on.
+// Listen starts a server at a new address. Earlier servers keep running.
 func (d *Discovery) Listen() {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		panic(err) // loopback without ports: no test can run
+		panic(err) // no loopback port is available: no test can run
 	}
 	server := &http.Server{Handler: http.HandlerFunc(d.serve)}
 	d.mu.Lock()
@@ -88,7 +88,7 @@
 	}()
 }
 
-// Address is the newest address.
+// Address returns the newest address.
 func (d *Discovery) Address() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -102,10 +102,10 @@
 	return d.server
 }
 
-// Close closes the newest server with all its connections.
+// Close closes the newest server and all its connections.
 func (d *Discovery) Close() { d.HTTPServer().Close() }
 
-// Update changes an entry, or adds it.
+// Update changes an entry, or adds it if there is none with this ID. The change function runs under the agent's lock.
 func (d *Discovery) Update(id string, change func(*Endpoint)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -121,7 +121,7 @@
 // SetState sets the state of an entry.
 func (d *Discovery) SetState(id, state string) { d.Update(id, func(e *Endpoint) { e.State = state }) }
 
-// SetFault sets a body that is sent in place of lists, "" for none; silent makes discovery send nothing at all.
+// SetFault sets a body that is sent instead of lists ("": lists are sent); silent makes discovery send no response at all.
 func (d *Discovery) SetFault(body string, silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -130,20 +130,20 @@
 	d.wakeWatches()
 }
 
-// wakeCalls lets held calls look at discovery again. The lock is held.
+// wakeWatches makes waiting watches check the agent's state again. The caller holds the lock.
 func (d *Discovery) wakeWatches() {
 	close(d.update)
 	d.update = make(chan struct{})
 }
 
-// Snapshot is the whole list in discovery's form.
+// Snapshot returns the whole list as discovery sends it.
 func (d *Discovery) Snapshot() []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.list(wholeList).text()
 }
 
-// list is what has changed after a version, or the whole list. The lock is held.
+// list returns the entries that changed after a version, or the whole list for a negative version. The caller holds the lock.
 func (d *Discovery) list(after int) endpointList {
 	list := endpointList{Full: after < 0, Endpoints: []Endpoint{}, Version: d.version}
 	for id, endpoint := range d.endpoints {
@@ -158,14 +158,15 @@
 	return list
 }
 
-// answer is what a call is answered, as it was at one moment.
+// discoveryResponse is what a call is answered with, taken under one lock.
 type discoveryResponse struct {
 	list   endpointList
 	body   string
 	silent bool
 }
 
-// await holds a call until there is news after a version, a fault, or the end of its time; false means that the call has ended.
+// awaitUpdate blocks until there is a change after the given version, a fault is set, or maxWait has passed. It returns false if the
+// call is canceled first.
 func (d *Discovery) awaitUpdate(ctx context.Context, after int, maxWait time.Duration) (discoveryResponse, bool) {
 	timeout := time.After(maxWait)
 	timedOut := false
@@ -187,7 +188,7 @@
 	}
 }
 
-// serve answers a call, and records which states of endpoints the node was sent.
+// serve answers a call, and records the states of the endpoints that it sent to the node.
 func (d *Discovery) serve(w http.ResponseWriter, r *http.Request) {
 	after := wholeList
 	if from := r.URL.Query().Get("from"); from != "" {
@@ -212,7 +213,7 @@
 	}
 }
 
-// RecordedState returns how records name a state of discovery.
+// RecordedState returns the name that records use for a state of discovery; "" for an unknown state.
 func RecordedState(state string) string {
 	switch state {
 	case "up":
--- a/lab/platform/engine.go
+++ b/lab/platform/engine.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Roles of engines, in the words of discovery.
+// Roles of engines, as discovery names them.
 const (
 	rolePrefill = "read"
 	roleDecode  = "write"
@@ -31,9 +31,9 @@
 	faults           []Fault // of the next responses
 	stopped          bool
 	startDelay       time.Duration
-	hung             chan struct{} // closed when the engine recovers; nil = it does not hang
-	frozen           bool          // it hangs and notices no close either
-	attemptsLost             chan struct{} // closed when the engine loses the attempts that it has taken
+	hung             chan struct{} // closed when the engine recovers; nil: it does not hang
+	frozen           bool          // while it hangs, it does not detect closed connections either
+	attemptsLost     chan struct{} // closed when the engine loses the attempts that it has received
 	streamsStarted   int
 	streamsCompleted int
 }
@@ -53,28 +53,28 @@
 	return nil
 }
 
-// Address is where the engine listens.
+// Address returns the address on which the engine listens.
 func (e *Engine) Address() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.address
 }
 
-// StreamsStarted returns how many streams have begun.
+// StreamsStarted returns the number of streams that have begun.
 func (e *Engine) StreamsStarted() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.streamsStarted
 }
 
-// StreamsCompleted returns how many streams were written up to their last chunk.
+// StreamsCompleted returns the number of streams that were written up to and including their last chunk.
 func (e *Engine) StreamsCompleted() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.streamsCompleted
 }
 
-// Stop ends the engine as the end of its process does: connections are reset and new ones refused.
+// Stop ends the engine as the exit of its process would: open connections are reset and new ones refused.
 func (e *Engine) Stop() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -114,7 +114,7 @@
 	}
 }
 
-// serve serves the requests of one connection in turn.
+// serve serves the requests of one connection one after another.
 func (e *Engine) serve(conn net.Conn) {
 	defer e.platform.goroutines.Done()
 	defer func() {
@@ -143,7 +143,7 @@
 	}
 }
 
-// watch reports on two channels when the peer has closed its side, or when its next request begins.
+// watch returns two channels: one is closed when the peer has closed its side, the other when the peer's next request begins.
 func watch(reader *bufio.Reader) (disconnected, nextRequest <-chan struct{}) {
 	closed, readable := make(chan struct{}), make(chan struct{})
 	go func() {
--- a/lab/platform/exchange.go
+++ b/lab/platform/exchange.go
@@ -12,24 +12,25 @@
 	"dillroute/lab/record"
 )
 
-// exchange is one request at an engine and its response. Its methods return whether the connection can carry another request.
+// exchange is one request at an engine and its response. The methods that serve or write return whether the connection can carry
+// another request.
 type exchange struct {
 	engine       *Engine
 	conn         net.Conn
 	request      *http.Request
 	disconnected <-chan struct{} // closed when the peer has closed its side
 	nextRequest  <-chan struct{} // closed when the peer's next request begins
-	lost         bool            // the engine has lost the request; the connection stays open and silent
+	lost         bool            // the engine has lost the request; the connection stays open and carries nothing more
 
-	// Of a request for a known call.
-	call      string
-	operation Operation
-	fault     Fault
-	base      record.Record // what all records of the attempt share
-	waitsForState     bool          // it is a decode attempt, and waits for the state of its call
+	// The fields below are set for a request of a known call only.
+	call          string
+	operation     Operation
+	fault         Fault
+	base          record.Record // the fields that all records of the attempt share
+	waitsForState bool          // it is a decode attempt that waits for the state of its call
 }
 
-// serve serves a release or an attempt.
+// serve serves a release call or an attempt.
 func (x *exchange) serve() bool {
 	platform := x.engine.platform
 	if call, found := strings.CutPrefix(x.request.URL.Path, "/v1/holds/"); found && x.request.Method == http.MethodDelete {
@@ -45,7 +46,7 @@
 	return x.serveAttempt()
 }
 
-// serveRelease releases the states of a call that no attempt waits for; the response tells nothing of what was released.
+// serveRelease releases the states of a call unless an attempt waits for them. The response doesn't say whether any was released.
 func (x *exchange) serveRelease(call string) bool {
 	if !x.awaitRecovery() {
 		return false
@@ -54,7 +55,7 @@
 	return x.write("HTTP/1.1 204 x\r\n\r\n") && x.awaitNext()
 }
 
-// serveAttempt serves an attempt of either stage. The attempt counts as ended when the next request begins or the connection ends.
+// serveAttempt serves an attempt of either stage. The attempt ends when the next request on the connection begins, or with the connection.
 func (x *exchange) serveAttempt() bool {
 	e := x.engine
 	remaining, _ := strconv.ParseFloat(x.request.Header.Get("X-Budget"), 64)
@@ -97,7 +98,7 @@
 	return x.serveDecode() && x.awaitNext()
 }
 
-// stopWaiting notes that the attempt does not wait for the state of its call any more.
+// stopWaiting records that the attempt no longer waits for the state of its call.
 func (x *exchange) stopWaiting() {
 	if x.waitsForState {
 		x.waitsForState = false
@@ -105,7 +106,7 @@
 	}
 }
 
-// servePrefill reads a prompt and reserves its state.
+// servePrefill processes a prompt and reserves its state.
 func (x *exchange) servePrefill() bool {
 	e := x.engine
 	switch x.fault {
@@ -116,7 +117,7 @@
 		return x.reject(http.StatusServiceUnavailable)
 	case IncompleteRejection:
 		return x.respondIncomplete("503 x\r\nX-Rejected: 1")
-	case CloseBeforeResponse: // the prefill has succeeded just then
+	case CloseBeforeResponse: // the prefill has already succeeded
 		e.platform.reserveState(x.base.Node, x.call, e.ID, "")
 		return false
 	}
@@ -141,7 +142,7 @@
 	return x.fault != DelayedSecondResponse || x.sendSecondResponse()
 }
 
-// serveDecode generates the response of an attempt whose state is reserved, or that needs none.
+// serveDecode generates the response of an attempt whose state is reserved, or which needs none.
 func (x *exchange) serveDecode() bool {
 	platform := x.engine.platform
 	switch {
@@ -176,14 +177,14 @@
 	return x.stream()
 }
 
-// record adds what happened to the attempt to the log.
+// record adds a record of the attempt to the log.
 func (x *exchange) record(kind record.Kind) {
 	entry := x.base
 	entry.Kind = kind
 	x.engine.platform.Log.Add(entry)
 }
 
-// wait waits; false means that the peer has closed its side first.
+// wait waits for a duration, and returns false if the peer closes its side first.
 func (x *exchange) wait(d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -203,7 +204,7 @@
 	}
 }
 
-// awaitNext waits for the next request on the connection; false means that there is none.
+// awaitNext waits for the next request on the connection, and returns false if the peer closes its side instead.
 func (x *exchange) awaitNext() bool {
 	select {
 	case <-x.disconnected:
@@ -218,19 +219,19 @@
 	return err == nil
 }
 
-// writeAndStall writes a part of a response and nothing more, until the peer closes its side.
+// writeAndStall writes a part of a response, then waits without writing until the peer closes its side.
 func (x *exchange) writeAndStall(text string) bool {
 	x.write(text)
 	<-x.disconnected
 	return false
 }
 
-// respond writes a complete response; each line of header has its line end.
+// respond writes a complete response; each line of header ends with CRLF.
 func (x *exchange) respond(status int, header, body string) bool {
 	return x.write(fmt.Sprintf("HTTP/1.1 %d x\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body))
 }
 
-// reject responds that the attempt never ran.
+// reject writes a rejection, which says that the attempt never ran.
 func (x *exchange) reject(status int) bool {
 	x.stopWaiting()
 	return x.respond(status, "X-Rejected: 1\r\n", "")
--- a/lab/platform/fault.go
+++ b/lab/platform/fault.go
@@ -2,61 +2,61 @@
 
 import "time"
 
-// Fault is what an engine does wrong with one response.
+// Fault is a deviation of an engine in one response.
 type Fault string
 
-// Faults of a response. Those marked valid keep the protocol: a node has to cope with them without an error.
+// Faults of a response. Those marked valid conform to the protocol: a node has to handle them without an error.
 const (
 	NoFault                   Fault = ""
-	NoiseForHead              Fault = "noise"         // noise in place of the head; the connection stays open
+	NoiseForHead              Fault = "noise"         // bytes that are not HTTP instead of the head; the connection stays open
 	MalformedHead             Fault = "bad head"      // a head that cannot be parsed
 	EndlessHead               Fault = "endless head"  // a head that does not end
 	MalformedChunkSize        Fault = "bad chunk"     // in mid-stream, a chunk size that cannot be parsed
 	ChunkSizeMismatch         Fault = "misfit chunk"  // in mid-stream, a chunk longer than its size
 	HugeChunk                 Fault = "huge chunk"    // in mid-stream, a chunk of 3 GB of which 4 MB are sent
 	CloseMidStream            Fault = "cut"           // the connection closes in mid-stream
-	StallMidStream            Fault = "silent"        // nothing more is sent in mid-stream
+	StallMidStream            Fault = "silent"        // from mid-stream on, nothing more is sent
 	CloseBeforeResponse       Fault = "cut before"    // the connection closes before the response
 	InterimResponses          Fault = "interim"       // valid: 1xx responses before the final one
 	MalformedLoadReport       Fault = "bad report"    // valid: a load report that cannot be parsed
-	SecondResponse            Fault = "second answer" // valid: another response right behind the final one
-	DelayedSecondResponse     Fault = "late answer"   // valid: another response some milliseconds behind the final one
-	NoFinalEvent              Fault = "no final"      // the stream ends in good order without its final event
+	SecondResponse            Fault = "second answer" // valid: another response immediately after the final one
+	DelayedSecondResponse     Fault = "late answer"   // valid: another response some milliseconds after the final one
+	NoFinalEvent              Fault = "no final"      // the stream ends with its last chunk but without its final event
 	CloseInLastChunk          Fault = "cut last"      // the connection closes within the last chunk
-	EndlessComments           Fault = "comments"      // in mid-stream, comments without end in place of events
+	EndlessComments           Fault = "comments"      // in mid-stream, comments without end instead of events
 	IncompleteRejection       Fault = "half reject"   // a rejection whose body does not end
 	IncompletePrefillResponse Fault = "half read"     // a prefill response whose body does not end
 	InternalError             Fault = "500"           // status 500
-	Rejection                 Fault = "rejects"       // status 503 that says that the request never ran
-	Unavailable               Fault = "503"           // status 503 without that
+	Rejection                 Fault = "rejects"       // status 503 with the header that says that the request never ran
+	Unavailable               Fault = "503"           // status 503 without that header
 	StateMissing              Fault = "no state"      // the state is lost: status 410
 )
 
-// QueueFaults sets the faults of the next responses, one each.
+// QueueFaults adds faults to the queue: each of the next responses takes one.
 func (e *Engine) QueueFaults(faults ...Fault) {
 	e.mu.Lock()
 	e.faults = append(e.faults, faults...)
 	e.mu.Unlock()
 }
 
-// PendingFaults returns how many of the queued faults no request has met yet.
+// PendingFaults returns the number of queued faults that no response has taken yet.
 func (e *Engine) PendingFaults() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.faults)
 }
 
-// ClearFaults drops the faults that no request has met.
+// ClearFaults removes the queued faults that no response has taken.
 func (e *Engine) ClearFaults() {
 	e.mu.Lock()
 	e.faults = nil
 	e.mu.Unlock()
 }
 
-// SetHung makes the engine accept connections and requests without serving them, until it is called with false.
+// SetHung makes the engine accept connections and requests without serving them (true), or ends that (false).
 func (e *Engine) SetHung(hung bool) { e.setHung(hung, false) }
 
-// SetFrozen is SetHung for an engine whose process stands still: it notices no close either until it goes on.
+// SetFrozen is SetHung for an engine whose process is suspended: until it resumes, it does not detect closed connections either.
 func (e *Engine) SetFrozen(frozen bool) { e.setHung(frozen, true) }
 
 func (e *Engine) setHung(hung, frozen bool) {
@@ -71,15 +71,15 @@
 	}
 }
 
-// recover ends a hang. The lock is held.
+// recover ends a hang. The caller holds the lock.
 func (e *Engine) recover() {
 	close(e.hung)
 	e.hung = nil
 	e.frozen = false
 }
 
-// LoseAttempts makes an engine that hangs lose the attempts that it has taken, as one does whose machine vanishes: they end, and their
-// connections stay open and silent.
+// LoseAttempts makes a hung engine lose the attempts that it has received, as when its machine vanishes: the attempts end, and their
+// connections stay open and carry nothing more.
 func (e *Engine) LoseAttempts() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -87,14 +87,14 @@
 	e.attemptsLost = make(chan struct{})
 }
 
-// SetStartDelay sets how long the engine waits before it serves a request.
+// SetStartDelay sets how long the engine waits before it starts to serve a request.
 func (e *Engine) SetStartDelay(d time.Duration) {
 	e.mu.Lock()
 	e.startDelay = d
 	e.mu.Unlock()
 }
 
-// nextFault takes the fault of the next response, and returns it with the present start delay.
+// nextFault takes the next fault off the queue, and returns it with the current start delay.
 func (e *Engine) nextFault() (Fault, time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -106,7 +106,7 @@
 	return fault, e.startDelay
 }
 
-// awaitRecovery waits while the engine hangs; false means that the connection ended first, or that the attempt was lost.
+// awaitRecovery waits while the engine hangs. It returns false if the connection ends first or the attempt is lost.
 func (x *exchange) awaitRecovery() bool {
 	x.engine.mu.Lock()
 	hung, lost, disconnected := x.engine.hung, x.engine.attemptsLost, x.disconnected
--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -1,5 +1,5 @@
 // Package platform emulates the users' platform, on which `dillroute serve --relay` runs: engines, discovery and clients on loopback
-// sockets, with faults on command. What passes is recorded for lab/rules. Speeds are not those of real engines.
+// sockets, with faults that tests inject. It records the traffic for lab/rules. Its speeds are not those of real engines.
 package platform
 
 import (
@@ -14,34 +14,34 @@
 	"dillroute/lab/record"
 )
 
-// Platform holds what its engines share.
+// Platform is an emulated platform: the state that its engines share. New creates one. Its methods are safe for concurrent use.
 type Platform struct {
 	Log  *record.Log
-	Node string // that records name where no route says otherwise
-	// LosesResponse reports whether what an engine sends over the connection from an address reaches nobody; nil = it always does.
+	Node string // node named in records of attempts that came over no registered route
+	// LosesResponse reports whether bytes that an engine sends on the connection from peer are lost on the way; nil: none are.
 	LosesResponse func(engine string, peer net.Addr) bool
 
-	mu         sync.Mutex // guards the fields below
-	engines    map[string]*Engine
-	states     map[string]map[string]bool // by call: the engines that reserve a state for it
-	waitingAttempts    map[string]int             // by call: attempts that have arrived at decode engines and have not fetched its state
-	operations map[string]Operation       // by call
-	budgets    map[string][]Budget        // by name of an operation
-	headers    map[string][]http.Header   // by name of an operation
-	routes     map[string]string          // nodes, by the address at which each alone reaches an engine
+	mu              sync.Mutex // guards the fields below
+	engines         map[string]*Engine
+	states          map[string]map[string]bool // by call ID: the engines that reserve a state for it
+	waitingAttempts map[string]int             // by call ID: attempts that have arrived at decode engines and have not fetched its state
+	operations      map[string]Operation       // by call ID
+	budgets         map[string][]Budget        // by name of the operation
+	headers         map[string][]http.Header   // by name of the operation
+	routes          map[string]string          // nodes, by the address that only this node uses to reach an engine
 
-	goroutines sync.WaitGroup // of engines and discovery
+	goroutines sync.WaitGroup // of engines and discovery agents
 }
 
-// Operation is what a call was made for.
+// Operation is the client operation that a call belongs to.
 type Operation struct {
 	Name           string
 	Class          string
-	Attempt        int // of the client, from 0
+	Attempt        int // number of the client's attempt, from 0
 	ResponseTokens int
 }
 
-// Budget is the time that an attempt said to be left, and when it did.
+// Budget is the remaining time that an attempt stated, and when the engine received it.
 type Budget struct {
 	RemainingSeconds float64
 	ReceivedAt       float64 // Unix seconds
@@ -50,25 +50,25 @@
 // New returns a platform without engines.
 func New(node string, log *record.Log) *Platform {
 	return &Platform{
-		Log:        log,
-		Node:       node,
-		engines:    map[string]*Engine{},
-		states:     map[string]map[string]bool{},
-		waitingAttempts:    map[string]int{},
-		operations: map[string]Operation{},
-		budgets:    map[string][]Budget{},
-		headers:    map[string][]http.Header{},
-		routes:     map[string]string{},
+		Log:             log,
+		Node:            node,
+		engines:         map[string]*Engine{},
+		states:          map[string]map[string]bool{},
+		waitingAttempts: map[string]int{},
+		operations:      map[string]Operation{},
+		budgets:         map[string][]Budget{},
+		headers:         map[string][]http.Header{},
+		routes:          map[string]string{},
 	}
 }
 
-// Speeds of an engine that has just been started.
+// Default speeds of an engine.
 const (
 	defaultTokenInterval = 2 * time.Millisecond
 	defaultPrefillTime   = 3 * time.Millisecond
 )
 
-// StartEngine starts an engine; role is read, write or both.
+// StartEngine starts an engine on a loopback port; role is read, write or both.
 func (p *Platform) StartEngine(id, role string) *Engine {
 	e := &Engine{
 		ID:            id,
@@ -77,10 +77,10 @@
 		PrefillTime:   defaultPrefillTime,
 		platform:      p,
 		conns:         map[net.Conn]bool{},
-		attemptsLost:          make(chan struct{}),
+		attemptsLost:  make(chan struct{}),
 	}
 	if err := e.listen(); err != nil {
-		panic(err) // loopback without ports: no test can run
+		panic(err) // no loopback port is available: no test can run
 	}
 	p.mu.Lock()
 	p.engines[id] = e
@@ -88,7 +88,7 @@
 	return e
 }
 
-// Stop stops all engines, and waits for the goroutines of engines and of discovery servers that were closed.
+// Stop stops all engines and waits for all goroutines of engines and discovery agents. The caller closes the agents first.
 func (p *Platform) Stop() {
 	p.mu.Lock()
 	var engines []*Engine
@@ -102,14 +102,14 @@
 	p.goroutines.Wait()
 }
 
-// RegisterRoute notes that a node alone reaches an engine at an address, so that records name the node.
+// RegisterRoute registers an address that only one node uses to reach an engine, so that records of its attempts name the node.
 func (p *Platform) RegisterRoute(node, address string) {
 	p.mu.Lock()
 	p.routes[address] = node
 	p.mu.Unlock()
 }
 
-// callingNode returns the node that made a request to the address given.
+// callingNode returns the node that sent a request to an address.
 func (p *Platform) callingNode(address string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,19 +119,19 @@
 	return p.Node
 }
 
-// losesResponse reports whether what an engine sends over the connection from an address reaches nobody.
+// losesResponse reports whether bytes that an engine sends on the connection from peer are lost on the way.
 func (p *Platform) losesResponse(engine string, peer net.Addr) bool {
 	return p.LosesResponse != nil && p.LosesResponse(engine, peer)
 }
 
-// RegisterCall makes an id known, as the client that sends it does.
+// RegisterCall registers the ID of a call before a client sends it. Engines treat other IDs as calls that no client sent.
 func (p *Platform) RegisterCall(call string, operation Operation) {
 	p.mu.Lock()
 	p.operations[call] = operation
 	p.mu.Unlock()
 }
 
-// operation returns what a call is for; found is false for an id that no client sent.
+// operation returns the operation of a call; found is false for an ID that no client sent.
 func (p *Platform) operation(call string) (operation Operation, found bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,7 +139,7 @@
 	return operation, found
 }
 
-// noteAttempt keeps the header fields and the budget of an attempt that has arrived.
+// trackAttempt stores the header fields and the budget of an attempt that has arrived.
 func (p *Platform) trackAttempt(operation string, header http.Header, remainingSeconds float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,12 +162,12 @@
 	return slices.Clone(p.headers[operation])
 }
 
-// EventText is the text of one event of a response. It holds its position, so that any gap shows.
+// EventText returns the text of one event of a response. It contains the event's position, so that a comparison detects any gap.
 func EventText(operation string, position int) string {
 	return fmt.Sprintf("%s.%d ", operation, position)
 }
 
-// ResponseText is the text of a complete response.
+// ResponseText returns the text of a complete response.
 func ResponseText(operation string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
--- a/lab/platform/settings.go
+++ b/lab/platform/settings.go
@@ -5,7 +5,7 @@
 	"os"
 )
 
-// SettingsJSON is a settings object as the platform gives it: two classes, one tenant, and three kinds of engines named by their roles.
+// SettingsJSON is a settings object in the platform's format: two classes, one tenant, and three kinds of engines named after their roles.
 const SettingsJSON = `{"accounts":[{"name":"branch","quota_per_s":100,"share":1}],"balancers":1,
 "classes":[{"effect":"repeatable","group":"all","hard_limit_s":4,"key_ttl_s":5,"late_value":0.3,"name":"chat","streamed":true,
 "target_s":1,"worth":1},
@@ -20,7 +20,7 @@
 "rank":0,"registry_mode":"pushed",
 "report":{"fields":["cpu","waiting","x0"],"how":"inline"},"tariffs":{"waste":0.03},"tick_s":0.002,"zone":0}`
 
-// ConfigText is the text of a node's configuration file. known is the endpoint list that the node starts with; nil = none.
+// ConfigText returns the text of a node's configuration file. known is the endpoint list that the node starts with; nil: none.
 func ConfigText(settings, listen, discovery string, known []byte, memoryMB, sockets int) []byte {
 	if known == nil {
 		known = []byte("null")
@@ -35,12 +35,12 @@
 		"settings":  json.RawMessage(settings),
 	})
 	if err != nil {
-		panic(err) // the settings or the known list that the test gave are not JSON
+		panic(err) // the test passed settings or an endpoint list that are not JSON
 	}
 	return text
 }
 
-// WriteConfig replaces a configuration file in one step.
+// WriteConfig replaces a configuration file atomically.
 func WriteConfig(path string, text []byte) error {
 	if err := os.WriteFile(path+".new", text, 0o644); err != nil {
 		return err
--- a/lab/platform/state.go
+++ b/lab/platform/state.go
@@ -2,17 +2,17 @@
 
 import "dillroute/lab/record"
 
-// stateID names the state of a call at an engine in records.
+// stateID returns the name that records use for the state of a call at an engine.
 func stateID(call, engine string) string { return call + "@" + engine }
 
-// CallsWithState returns for how many calls an engine reserves a state.
+// CallsWithState returns the number of calls for which at least one engine reserves a state.
 func (p *Platform) CallsWithState() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.states)
 }
 
-// reserveState notes that an engine reserves a state for a call; note is that of its record.
+// reserveState reserves a state for a call at an engine and records that with the given note.
 func (p *Platform) reserveState(node, call, engine, note string) {
 	p.mu.Lock()
 	operation := p.operations[call]
@@ -33,7 +33,7 @@
 	})
 }
 
-// releaseUnneededStates carries out a release call: it ends the states of a call at all engines, unless an attempt waits for them.
+// releaseUnneededStates handles a release call: it ends the states of a call at all engines, unless an attempt waits for them.
 func (p *Platform) releaseUnneededStates(call string) {
 	p.mu.Lock()
 	needed := p.waitingAttempts[call] > 0
@@ -43,7 +43,7 @@
 	}
 }
 
-// addWaiting counts an attempt that waits for the state of a call (1), or that does so no longer (-1).
+// addWaiting changes the number of attempts that wait for the state of a call: delta is 1 when one starts to wait, -1 when it stops.
 func (p *Platform) addWaiting(call string, delta int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,7 +53,7 @@
 	}
 }
 
-// releaseStates ends the states of a call at all engines.
+// releaseStates ends the states of a call at all engines, and records the cause.
 func (p *Platform) releaseStates(call, cause string) {
 	p.mu.Lock()
 	engines := p.states[call]
@@ -64,7 +64,7 @@
 	}
 }
 
-// stateHolder returns an engine that reserves a state for a call; "" = there is none.
+// stateHolder returns an engine that reserves a state for a call; "" if there is none.
 func (p *Platform) stateHolder(call string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/lab/platform/stream.go
+++ b/lab/platform/stream.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// streamHead begins the response of a stream.
+// streamHead is the status line and header of a streamed response.
 const streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// Events of a stream, beside those with its text.
+// Events of a stream other than those that carry its text.
 const (
 	usageEvent = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":20,\"completion_tokens\":9," +
 		"\"prompt_tokens_details\":{\"cached_tokens\":4}}}\n\n"
 	finalEvent = "data: [DONE]\n\n"
 )
 
-// secondResponseDelay is how long after the final response a delayed second response follows.
+// secondResponseDelay is the time between the final response and the second one of DelayedSecondResponse.
 const secondResponseDelay = 10 * time.Millisecond
 
-// commentInterval is the time between two comments of EndlessComments.
+// commentInterval is the time between two SSE comments of EndlessComments.
 const commentInterval = 10 * time.Millisecond
 
-// stream writes the events of a response, and injects the fault of the exchange halfway or at its end.
+// stream writes the events of a response. It injects the fault of the exchange in the middle of the stream or at its end.
 func (x *exchange) stream() bool {
 	e := x.engine
 	x.write(streamHead)
@@ -41,7 +41,7 @@
 	return x.endStream()
 }
 
-// breakStream injects a fault of mid-stream, if the exchange has one, and returns whether it has ended the stream.
+// breakStream injects the fault of the exchange if it is a mid-stream fault, and reports whether it has ended the stream.
 func (x *exchange) breakStream() bool {
 	switch x.fault {
 	case CloseMidStream:
@@ -101,7 +101,7 @@
 	return true
 }
 
-// sendSecondResponse writes a stream that no client asked for, some milliseconds behind the final response.
+// sendSecondResponse writes a stream that no request asked for, some milliseconds after the final response.
 func (x *exchange) sendSecondResponse() bool {
 	time.Sleep(secondResponseDelay)
 	return x.write(streamHead + "30\r\ndata: {\"choices\":[{\"delta\":{\"content\":\"no\"}}]}\n\n\r\n0\r\n\r\n")
--- a/lab/soak/agent.go
+++ b/lab/soak/agent.go
@@ -14,52 +14,52 @@
 	"dillroute/lab/record"
 )
 
-// Times after which a change counts as delivered to a node at the latest (PROTOCOL and STANDING of the platform).
+// Latest times at which a change counts as delivered to a node (PROTOCOL and STANDING of the platform).
 const (
 	watchRecoveryTime = 6 * time.Second // after a watch has stalled
 	reloadTime        = 4 * time.Second // after a new configuration
 )
 
 const (
-	// oldAddressGrace is how long an agent that has moved keeps its old connections.
+	// oldAddressOverlap is how long an agent that has moved keeps its old server open.
 	oldAddressOverlap = 1500 * time.Millisecond
-	// silencePollInterval is how often a held call looks whether a silence has ended.
+	// silencePollInterval is how often a pending watch checks whether a silence has ended.
 	silencePollInterval = 20 * time.Millisecond
 )
 
-// Agent is the discovery agent of one node, on the node's own machine.
+// Agent is the discovery agent of one node, on the node's own machine. A watch is a call that waits for the next change of the list.
 type Agent struct {
 	registry      *Registry
 	node          string
-	engineAddress func(engine string) string // at which the node reaches an engine
+	engineAddress func(engine string) string // returns the address at which the node reaches an engine
 
-	mu           sync.Mutex // guards the fields below
-	version      int        // of the list as the agent has it
-	endpoints    map[string]platform.Endpoint
-	changed      map[string]int // version at which an entry changed last
-	delivered    map[string]int // versions of entries that count as delivered to the node
-	deliveryDelayedUntil time.Time      // until then, a change may count as delivered later
-	activeSilences     int            // faults under way that silence the agent
-	watchesStarted        int            // that were ever made
-	pendingWatches    map[int]bool   // by number
-	stalledWatches map[int]bool   // those of them that will never be answered
-	update       chan struct{}  // closed at a change
-	server       *http.Server
-	address      string
+	mu                   sync.Mutex // guards the fields below
+	version              int        // of the agent's list
+	endpoints            map[string]platform.Endpoint
+	changed              map[string]int // version at which an entry changed last
+	delivered            map[string]int // versions of entries that count as delivered to the node
+	deliveryDelayedUntil time.Time      // changes made before this time count as delivered only at this time
+	activeSilences       int            // number of active faults that silence the agent
+	watchesStarted       int            // number of watches since the start
+	pendingWatches       map[int]bool   // by number
+	stalledWatches       map[int]bool   // pending watches that are never answered
+	update               chan struct{}  // closed and replaced at each change
+	server               *http.Server
+	address              string
 }
 
-// StartAgent starts the agent of a node.
+// StartAgent starts the agent of a node with the current list. engineAddress returns the address at which the node reaches an engine.
 func (r *Registry) StartAgent(node string, engineAddress func(string) string) (*Agent, error) {
 	a := &Agent{
-		registry:      r,
-		node:          node,
-		engineAddress: engineAddress,
-		endpoints:     map[string]platform.Endpoint{},
-		changed:       map[string]int{},
-		delivered:     map[string]int{},
-		pendingWatches:     map[int]bool{},
-		stalledWatches:  map[int]bool{},
-		update:        make(chan struct{}),
+		registry:       r,
+		node:           node,
+		engineAddress:  engineAddress,
+		endpoints:      map[string]platform.Endpoint{},
+		changed:        map[string]int{},
+		delivered:      map[string]int{},
+		pendingWatches: map[int]bool{},
+		stalledWatches: map[int]bool{},
+		update:         make(chan struct{}),
 	}
 	a.synchronize()
 	if err := a.listen("127.0.0.1:0"); err != nil {
@@ -71,7 +71,7 @@
 	return a, nil
 }
 
-// listen opens a server, in place of the one before.
+// listen starts a server that replaces the previous one.
 func (a *Agent) listen(address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -93,13 +93,14 @@
 	return a.server, a.address
 }
 
-// Address is the newest address.
+// Address returns the newest address.
 func (a *Agent) Address() string {
 	_, address := a.current()
 	return address
 }
 
-// Move listens at a new address; the old server closes a little later. The node learns the address from its configuration.
+// Move starts a server at a new address, and closes the old one after oldAddressOverlap. The caller writes the new address to the node's
+// configuration.
 func (a *Agent) Move() error {
 	old, _ := a.current()
 	if err := a.listen("127.0.0.1:0"); err != nil {
@@ -110,14 +111,14 @@
 	return nil
 }
 
-// ResetWatches resets all held calls.
+// ResetWatches closes the server with all pending watches, and starts another one at the same address.
 func (a *Agent) ResetWatches() error {
 	old, address := a.current()
 	old.Close()
 	return a.listen(address)
 }
 
-// StallWatches makes the calls that are held now wait without end.
+// StallWatches makes the watches that are pending now wait forever.
 func (a *Agent) StallWatches() {
 	a.mu.Lock()
 	for watch := range a.pendingWatches {
@@ -127,7 +128,8 @@
 	a.allowDeliveryDelay(watchRecoveryTime)
 }
 
-// Silence makes the agent answer nothing and follow no changes, or ends that: changes count as delivered at its end.
+// Silence makes the agent send no responses and apply no changes, or ends that. Changes made meanwhile count as delivered at the end of
+// the silence.
 func (a *Agent) Silence(on bool) {
 	a.mu.Lock()
 	if on {
@@ -142,7 +144,7 @@
 	}
 }
 
-// allowDelay lets changes count as delivered later, by up to a time from now.
+// allowDeliveryDelay makes changes within the given time from now count as delivered only when that time is over.
 func (a *Agent) allowDeliveryDelay(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -151,7 +153,7 @@
 	}
 }
 
-// synchronize applies the whole list.
+// synchronize applies the registry's whole list.
 func (a *Agent) synchronize() {
 	endpoints, changed := a.registry.snapshot()
 	for id, endpoint := range endpoints {
@@ -159,7 +161,7 @@
 	}
 }
 
-// apply applies a change, and answers held calls with it.
+// apply applies a change, and answers pending watches with it.
 func (a *Agent) apply(endpoint platform.Endpoint, version int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -185,7 +187,8 @@
 	a.recordDeliveryLocked(endpoint, version)
 }
 
-// recordDeliveryLocked is recordDelivery with the lock held. A version that is older than what was delivered is not recorded.
+// recordDeliveryLocked is recordDelivery for callers that hold the lock. A version that is not newer than the delivered one is not
+// recorded.
 func (a *Agent) recordDeliveryLocked(endpoint platform.Endpoint, version int) {
 	if version <= a.delivered[endpoint.ID] {
 		return
@@ -198,27 +201,27 @@
 // endpointList is a response of discovery.
 type endpointList struct {
 	Version   int                 `json:"version"`
-	Full      bool                `json:"full"` // all endpoints, not only those that changed
+	Full      bool                `json:"full"` // the list has all endpoints, not only those that changed
 	Endpoints []platform.Endpoint `json:"servers"`
 }
 
-// text is the list in discovery's form.
+// text returns the list as discovery sends it.
 func (l endpointList) text() []byte {
 	text, _ := json.Marshal(l) // strings and numbers always encode
 	return text
 }
 
-// wholeList in place of a version asks for all endpoints.
+// wholeList is passed instead of a version to request all endpoints.
 const wholeList = -1
 
-// Snapshot is the whole list as the agent has it, in discovery's form.
+// Snapshot returns the agent's whole list as discovery sends it.
 func (a *Agent) Snapshot() []byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.list(wholeList).text()
 }
 
-// list is what has changed after a version, or the whole list. The lock is held.
+// list returns the entries that changed after a version, or the whole list for a negative version. The caller holds the lock.
 func (a *Agent) list(after int) endpointList {
 	list := endpointList{Version: a.version, Full: after < 0, Endpoints: []platform.Endpoint{}}
 	for id, endpoint := range a.endpoints {
@@ -234,7 +237,7 @@
 	return list
 }
 
-// serve answers a call, and records what was delivered.
+// serve answers a call, and records the entries that it delivered.
 func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
 	after := wholeList
 	if from := r.URL.Query().Get("from"); from != "" {
@@ -256,8 +259,8 @@
 	}
 }
 
-// await holds a call until the list has another version or the time is over, and as long as the agent is silent or the call is
-// stalled; false means that the call has ended.
+// awaitUpdate blocks until the list has another version than the given one or maxWait has passed, and as long as the agent is silent or
+// the watch is stalled. It returns false if the call is canceled first.
 func (a *Agent) awaitUpdate(ctx context.Context, version int, maxWait time.Duration) bool {
 	timeout := time.After(maxWait)
 	timedOut := false
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -17,14 +17,14 @@
 	"dillroute/lab/record"
 )
 
-// connectTimeout bounds the time in which a client connects.
+// connectTimeout is a client's timeout for connecting to a node.
 const connectTimeout = time.Second
 
 // clientConn is a client's connection to a node.
 type clientConn struct {
 	net.Conn
 	reader *bufio.Reader
-	used   bool // it has carried a request, or its sending side is closed
+	used   bool // it has carried a request, or the client has closed its sending side
 }
 
 // dial opens a connection to a node.
@@ -36,51 +36,51 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// idle reports whether neither bytes nor the end have come on a connection that waits for its next request.
+// idle reports whether a connection without a request in progress has received neither bytes nor a close.
 func (k *clientConn) idle() bool {
 	k.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := k.reader.Peek(1)
 	return errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// client makes one operation after another, over connections that it reuses. One goroutine uses it.
+// client performs one operation after another over connections that it reuses. Only one goroutine may use it.
 type client struct {
 	fleet      *Fleet
 	name       string
 	rng        *rand.Rand
-	conns      map[*Node]*clientConn // idle ones
-	operations int                   // that were begun
+	conns      map[*Node]*clientConn // idle connections, one for each node
+	operations int                   // number of operations begun
 }
 
-// newClient returns a client whose choices are drawn from a seed and a stream of it.
+// newClient returns a client whose random generator is initialized with a seed and a stream number.
 func (f *Fleet) newClient(name string, seed, stream uint64) *client {
 	return &client{fleet: f, name: name, rng: rand.New(rand.NewPCG(seed, stream)), conns: map[*Node]*clientConn{}}
 }
 
-// lastCallID is the last id of a request that a client made.
+// lastCallID is the last ID that was assigned to a call.
 var lastCallID atomic.Uint64
 
 func newCallID() string { return fmt.Sprintf("%016x", lastCallID.Add(1)) }
 
-// How clients behave. Shares are those of operations, or of attempts.
+// Behavior of clients. Each share says what it is a share of.
 const (
-	meanThinkTime           = 120 * time.Millisecond
-	longThinkTimeShare      = 0.03                   // of pauses last seconds, in which idle connections end
-	disconnectShare     = 0.10                   // of attempts end by their client's leaving
-	maxDisconnectDelay  = 600 * time.Millisecond // after which it leaves at the latest
-	halfCloseShare      = 0.02                   // of attempts: their client closes its sending side and waits for the response
-	immediateRetryShare = 0.3                    // of rejections are retried without regard to Retry-After
+	meanThinkTime       = 120 * time.Millisecond
+	longThinkTimeShare  = 0.03                   // of pauses, which last seconds: nodes close idle connections meanwhile
+	disconnectShare     = 0.10                   // of attempts, whose client disconnects
+	maxDisconnectDelay  = 600 * time.Millisecond // latest time of the disconnect after the attempt was sent
+	halfCloseShare      = 0.02                   // of attempts, whose client closes its sending side and waits for the response
+	immediateRetryShare = 0.3                    // of rejections, which are retried immediately in spite of Retry-After
 	unreachablePause    = 50 * time.Millisecond  // after an attempt that could not connect
 	maxAttempts         = 4
 	maxResponseTokens   = 60
-	shortTimeoutShare   = 0.05 // of operations have hardly any time
-	stoppingNodeShare   = 0.7  // of attempts go to a node that stops, where a connection to one is open
+	shortTimeoutShare   = 0.05 // of operations, whose timeout is at most 0.32 s
+	stoppingNodeShare   = 0.7  // of attempts of clients with an open connection to a stopping node, which go to that node
 )
 
-// classes are those of requests, drawn alike.
+// classes are the classes of requests; each entry is drawn with the same probability.
 var classes = []string{"chat", "chat", "commit", "keyed"}
 
-// run makes operations until stop is closed.
+// run performs operations until stop is closed.
 func (c *client) run(stop <-chan struct{}) {
 	defer func() {
 		for _, conn := range c.conns {
@@ -101,7 +101,7 @@
 	}
 }
 
-// drawRequest draws the next operation.
+// drawRequest draws the request of the next operation.
 func (c *client) drawRequest() platform.Request {
 	c.operations++
 	request := platform.Request{
@@ -118,7 +118,7 @@
 	return request
 }
 
-// perform makes one operation, with as many attempts as it takes.
+// performOperation performs one operation with up to maxAttempts attempts.
 func (c *client) performOperation(stop <-chan struct{}) {
 	request := c.drawRequest()
 	for attempt := 0; attempt < maxAttempts; {
@@ -148,7 +148,8 @@
 	}
 }
 
-// pickNode draws the node of the next attempt: one in service, or now and then one that stops and to which a connection is still open.
+// pickNode draws the node of the next attempt: a node in service or, with probability stoppingNodeShare, a stopping node to which a
+// connection is still open.
 func (c *client) pickNode() *Node {
 	if n := c.stoppingNode(); n != nil && c.rng.Float64() < stoppingNodeShare {
 		return n
@@ -156,8 +157,8 @@
 	return c.fleet.pickNode(c.rng)
 }
 
-// stoppingNode returns a node that stops and to which a connection is still open; nil = there is none. Nothing is drawn for it, so that
-// a scenario without stops has the same operations whatever the share.
+// stoppingNode returns a stopping node to which a connection is still open; nil if there is none. It draws no random numbers, so that
+// a scenario without stops has the same operations whatever the value of stoppingNodeShare.
 func (c *client) stoppingNode() *Node {
 	for _, n := range c.fleet.nodes {
 		conn := c.conns[n]
@@ -175,11 +176,11 @@
 
 // Outcomes of an attempt that are not recorded.
 const (
-	resend    record.Outcome = "crossed" // it could not be written, because the node had closed the idle connection: it is sent again
-	abandoned record.Outcome = "over"    // its client has left, or may not repeat it
+	resend    record.Outcome = "crossed" // not written, because the node had closed the idle connection: the request is sent again
+	abandoned record.Outcome = "over"    // the client has disconnected, or may not retry
 )
 
-// connect returns the idle connection to a node, or a new one.
+// connect returns the idle connection to a node if it is still usable, or a new one.
 func (c *client) connect(n *Node) (*clientConn, error) {
 	if conn := c.conns[n]; conn != nil {
 		delete(c.conns, n)
@@ -191,7 +192,7 @@
 	return dial(n)
 }
 
-// attempt makes one attempt and records it. It returns the wait of Retry-After with a rejection.
+// attempt makes one attempt and records it. With a rejection, it returns the delay of the Retry-After header.
 func (c *client) attempt(n *Node, request platform.Request, number int) (outcome record.Outcome, retryAfter time.Duration) {
 	conn, err := c.connect(n)
 	if err != nil {
@@ -217,7 +218,7 @@
 		return record.Unreachable, 0
 	}
 	c.fleet.log.Add(sent)
-	var ended atomic.Bool // the attempt has ended, by its response or by its client's leaving
+	var ended atomic.Bool // the attempt has ended, by its response or by the client's disconnect
 	if timer := c.scheduleClientFault(conn, request.ID, base, &ended); timer != nil {
 		defer timer.Stop()
 	}
@@ -237,7 +238,7 @@
 	if response.Outcome == record.Cut && conn.used {
 		c.fleet.addUnanswered(n, request, sent.T)
 		c.recordDisconnect(request.ID, base)
-		return abandoned, 0 // the records of this attempt allow no other response under its number
+		return abandoned, 0 // no retry: the rules allow no other response under this attempt's number
 	}
 	conn.used = true
 	c.fleet.log.Add(finalRecord(base, request, response))
@@ -246,8 +247,8 @@
 	return response.Outcome, time.Duration(after * float64(time.Second))
 }
 
-// misbehave makes some clients leave before the response, and others close their sending side. It returns the timer of a client that
-// leaves; nil = it stays.
+// scheduleClientFault makes some clients disconnect before the response, and others close their sending side. It returns the timer of
+// the disconnect; nil if the client stays connected.
 func (c *client) scheduleClientFault(conn *clientConn, id string, base record.Record, ended *atomic.Bool) *time.Timer {
 	if c.rng.Float64() < disconnectShare {
 		delay := time.Duration(c.rng.Float64() * float64(maxDisconnectDelay))
@@ -272,7 +273,7 @@
 	c.fleet.log.Add(disconnect)
 }
 
-// finalRecord is the record of a response, with the request's id and the status in its note.
+// finalRecord returns the record of a response, with the request's ID and the status in its note.
 func finalRecord(base record.Record, request platform.Request, response platform.Response) record.Record {
 	final := platform.FinalRecord(base, request, response)
 	final.Note = fmt.Sprintf("%s status %d", request.ID, response.Status)
@@ -285,11 +286,11 @@
 const (
 	// headGrace is how much longer than its timeout a client waits for the head of a response.
 	headGrace = time.Second
-	// streamTimeout bounds the time of a stream.
+	// streamTimeout bounds the time for reading a stream.
 	streamTimeout = 20 * time.Second
 )
 
-// receive reads a response, and calls first when a stream begins. reusable reports whether the connection can carry another request.
+// receive reads a response, and calls first when a stream begins. reusable is true if the connection can carry another request.
 func receive(conn *clientConn, request platform.Request, first func()) (response platform.Response, reusable bool) {
 	conn.SetReadDeadline(time.Now().Add(request.Timeout + headGrace))
 	if _, err := conn.reader.Peek(1); err != nil {
--- a/lab/soak/clock.go
+++ b/lab/soak/clock.go
@@ -10,16 +10,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// clockBytes is the length of a clock's file: nanoseconds as int64.
+// clockBytes is the size of a clock's file, which holds the clock's offset in nanoseconds as an int64.
 const clockBytes = 8
 
-// Clock steps the wall clock of the processes of one node, through a file that testdata/clock.c maps.
+// Clock steps the wall clock of the processes of one node. The offset is in a file that testdata/clock.c maps into each process.
 type Clock struct {
 	path   string
 	offset []byte
 }
 
-// NewClock creates the file of a clock that is not stepped.
+// NewClock creates a clock's file, with an offset of 0.
 func NewClock(path string) (*Clock, error) {
 	if err := os.WriteFile(path, make([]byte, clockBytes), 0o644); err != nil {
 		return nil, err
@@ -33,13 +33,13 @@
 	return &Clock{path: path, offset: offset}, err
 }
 
-// Step sets by how many nanoseconds the clock is wrong.
+// Step sets the clock's offset from the real time, in nanoseconds.
 func (c *Clock) Step(ns int64) { *(*int64)(unsafe.Pointer(&c.offset[0])) = ns }
 
 // Close unmaps the file.
 func (c *Clock) Close() { unix.Munmap(c.offset) }
 
-// BuildClock compiles the library that steps clocks, and returns its path.
+// BuildClock compiles the C source of the library that steps clocks into the directory dir, and returns the library's path.
 func BuildClock(source, dir string) (string, error) {
 	library := filepath.Join(dir, "clock.so")
 	out, err := exec.Command("gcc", "-O2", "-shared", "-fPIC", "-o", library, source).CombinedOutput()
--- a/lab/soak/evaluate.go
+++ b/lab/soak/evaluate.go
@@ -11,20 +11,20 @@
 	"dillroute/lab/rules"
 )
 
-// Shares that must be served in the last seconds, when all faults are over.
+// Minimum shares of served requests in the recovery window, when all faults are over.
 const (
-	minServedShare     = 0.9 // by the fleet
-	minNodeServedShare = 0.7 // by each node
-	minNodeRequests    = 12  // below which a node's share says little
+	minServedShare     = 0.9 // of the whole fleet
+	minNodeServedShare = 0.7 // of each node
+	minNodeRequests    = 12  // a node with fewer requests isn't checked, because its share says little
 )
 
-// A request without a response counts as lost by a kill of its node in this time around it (s).
+// An unanswered request is excused if its node was killed within these times before or after the request was sent (s).
 const (
 	killWindowBefore = 0.2
 	killWindowAfter  = 6
 )
 
-// rulesConfig holds the figures of the rules, as the platform's settings and pages give them.
+// rulesConfig returns the parameters of the rules, as the platform's settings and pages state them.
 func (f *Fleet) rulesConfig() rules.Config {
 	config := rules.Config{
 		Classes: map[string]rules.Class{
@@ -37,7 +37,7 @@
 		StatedTimeSlack:   0.15 + newConnectionDelay.Seconds(),
 		DrainGrace:        0.3,
 		StateReleaseLimit: 1.3,
-		Skew:              0.25, // what a loaded machine adds
+		Skew:              0.25, // delay that a loaded machine may add
 	}
 	for _, id := range f.engineIDs {
 		config.Engines[id] = rules.Engine{Cell: strconv.Itoa(cellOf(id))}
@@ -45,14 +45,14 @@
 	return config
 }
 
-// cellOf is the cell of an engine, by the number in its id.
+// cellOf returns the cell of an engine, which follows from the number in its ID.
 func cellOf(id string) int {
 	_, text, _ := strings.Cut(id, "-")
 	number, _ := strconv.Atoi(text)
 	return number % cells
 }
 
-// evaluate collects the findings and the figures of a scenario that has ended.
+// evaluate returns the findings and the figures of a scenario that has ended.
 func (f *Fleet) evaluate() *Report {
 	received := map[string]string{}
 	for _, n := range f.nodes {
@@ -85,25 +85,25 @@
 	return time.Duration((t - float64(f.startedAt.UnixNano())/1e9) * float64(time.Second))
 }
 
-// addFinding adds a finding. The lock is held.
+// addFinding adds a finding. The caller holds the lock.
 func (f *Fleet) addFinding(at time.Duration, kind, text string) {
 	f.findings = append(f.findings, Finding{At: at, Kind: kind, Text: text})
 }
 
-// evaluateUnanswered looks for requests that a node has received without responding, though it was not killed. received holds the
-// node by request id. The lock is held.
+// evaluateUnanswered reports requests that a node received and did not answer, unless the node was killed. received maps the IDs of
+// received requests to the names of their nodes. The caller holds the lock.
 func (f *Fleet) evaluateUnanswered(received map[string]string) {
 	for _, r := range f.unanswered {
 		node, found := received[r.id]
 		if !found || f.killedAt(r.node, r.sentAt) {
 			continue
 		}
-		text := fmt.Sprintf("%s (%s) was read by %s, and its connection closed with no answer", r.operation, r.id, node)
+		text := fmt.Sprintf("%s (%s) was received by %s, but its connection closed without a response", r.operation, r.id, node)
 		f.addFinding(f.sinceStart(r.sentAt), "rule 1", text)
 	}
 }
 
-// killedAt reports whether a node was killed within seconds of a time.
+// killedAt reports whether a node was killed around the time t: from killWindowBefore before it to killWindowAfter after it.
 func (f *Fleet) killedAt(n *Node, t float64) bool {
 	for _, x := range f.log.All() {
 		if x.Kind == record.NodeKilled && x.Node == n.name && x.T > t-killWindowBefore && x.T < t+killWindowAfter {
@@ -113,7 +113,7 @@
 	return false
 }
 
-// evaluateRecovery looks at the last seconds, in which nearly all must be served. The lock is held.
+// evaluateRecovery checks that nearly all requests of the recovery window were served. The caller holds the lock.
 func (f *Fleet) evaluateRecovery() {
 	end := time.Since(f.startedAt)
 	served, total := servedOf(f.recoveryOutcomes)
@@ -128,7 +128,7 @@
 	}
 }
 
-// servedOf returns how many requests were served, and how many there were.
+// servedOf returns the numbers of served requests and of all requests.
 func servedOf(outcomes map[record.Outcome]int) (served, total float64) {
 	for outcome, n := range outcomes {
 		if outcome == record.Served {
--- a/lab/soak/node.go
+++ b/lab/soak/node.go
@@ -50,7 +50,7 @@
 
 const (
 	keyedDeduplicationWindow = 1.0 // s, key_ttl_s of keyedClass
-	cells       = 2
+	cells                    = 2
 )
 
 // configSeed is the seed in the text of platform.ConfigText.
--- a/lab/soak/scenario.go
+++ b/lab/soak/scenario.go
@@ -26,8 +26,8 @@
 
 // Times of a scenario.
 const (
-	warmUp        = time.Second     // before the first fault
-	recoveryTime  = 8 * time.Second // after the last fault
+	warmUp         = time.Second     // before the first fault
+	recoveryTime   = 8 * time.Second // after the last fault
 	recoveryWindow = 4 * time.Second // the last part of it, in which all should be well again
 )
 
--- a/lab/soak/scenario_test.go
+++ b/lab/soak/scenario_test.go
@@ -219,7 +219,7 @@
 }
 
 func TestNodeServesWhenItsLogPipeIsClosed(t *testing.T) { testServingWithLogPipe(t, true) }
-func TestNodeServesWhenItsLogPipeIsFull(t *testing.T) { testServingWithLogPipe(t, false) }
+func TestNodeServesWhenItsLogPipeIsFull(t *testing.T)   { testServingWithLogPipe(t, false) }
 
 // testServingWithLog checks that a node serves on, and stops in time, whatever becomes of the reader of its log.
 func testServingWithLogPipe(t *testing.T, pipeClosed bool) {
