--- a/lab/soak/agent.go
+++ b/lab/soak/agent.go
@@ -38,7 +38,7 @@
 	endpoints            map[string]platform.Endpoint
 	changed              map[string]int // version at which an entry changed last
 	delivered            map[string]int // versions of entries that count as delivered to the node
-	deliveryDelayedUntil time.Time      // changes made before this time count as delivered only at this time
+	deliveryDelayedUntil time.Time      // a change before this time counts as delivered at this time, or when a response delivers it
 	activeSilences       int            // number of active faults that silence the agent
 	watchesStarted       int            // number of watches since the start
 	pendingWatches       map[int]bool   // by number
@@ -128,8 +128,8 @@
 	a.allowDeliveryDelay(watchRecoveryTime)
 }
 
-// Silence makes the agent send no responses and apply no changes, or ends that. Changes made meanwhile count as delivered at the end of
-// the silence.
+// Silence makes the agent send no responses and apply no changes (true), or ends that (false). Changes made meanwhile count as delivered
+// at the end of the silence.
 func (a *Agent) Silence(on bool) {
 	a.mu.Lock()
 	if on {
@@ -144,7 +144,8 @@
 	}
 }
 
-// allowDeliveryDelay makes changes within the given time from now count as delivered only when that time is over.
+// allowDeliveryDelay lets changes within the given time from now count as delivered later: at the end of that time, or when a response
+// delivers them.
 func (a *Agent) allowDeliveryDelay(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -238,7 +238,7 @@
 	if response.Outcome == record.Cut && conn.used {
 		c.fleet.addUnanswered(n, request, sent.T)
 		c.recordDisconnect(request.ID, base)
-		return abandoned, 0 // no retry: the rules allow no other response under this attempt's number
+		return abandoned, 0 // not resent: after these records, no other response is allowed under the attempt's number
 	}
 	conn.used = true
 	c.fleet.log.Add(finalRecord(base, request, response))
--- a/lab/soak/fault.go
+++ b/lab/soak/fault.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// faults are the faults that can be injected, by the name under which a scenario chooses them.
+// faults maps the names of faults, as scenarios use them, to the functions that inject them.
 var faults = map[string]func(t *injection){
 	"stop":      stopNodes,
 	"kill":      killNodes,
@@ -34,7 +34,7 @@
 	"clock":     stepClocks,
 }
 
-// FaultNames returns the names of all faults, in order.
+// FaultNames returns the names of all faults in alphabetical order.
 func FaultNames() []string {
 	var names []string
 	for name := range faults {
@@ -44,10 +44,10 @@
 	return names
 }
 
-// maxFaultPause bounds the pause between two faults of one sequence.
+// maxFaultPause is the maximum pause between two faults of one sequence.
 const maxFaultPause = 400 * time.Millisecond
 
-// injectFaults injects faults until the scenario's time is over, in as many sequences at once as it asks for.
+// injectFaults injects faults until the scenario's duration has passed, in as many parallel sequences as the scenario states.
 func (f *Fleet) injectFaults() {
 	end := time.Now().Add(f.scenario.Duration)
 	names := f.scenario.Faults
@@ -69,7 +69,7 @@
 	slices.SortFunc(f.events, func(a, b FaultEvent) int { return int(a.At - b.At) })
 }
 
-// inject injects one fault, records it, and pauses.
+// inject injects one fault and waits until it is over, records it, and pauses.
 func (f *Fleet) inject(name string, rng *rand.Rand) {
 	t := &injection{fleet: f, rng: rng}
 	start := time.Now()
@@ -84,30 +84,30 @@
 	t.pause(0, maxFaultPause)
 }
 
-// injection is one fault under way.
+// injection is one fault while it is injected. Its draw methods add what they drew to its notes.
 type injection struct {
 	fleet *Fleet
 	rng   *rand.Rand
-	notes []string // what was drawn
+	notes []string // the drawn parameters, for the fault's event
 }
 
 func (t *injection) note(format string, args ...any) {
 	t.notes = append(t.notes, fmt.Sprintf(format, args...))
 }
 
-// pause waits for a drawn time.
+// pause waits for a random time between least and most.
 func (t *injection) pause(least, most time.Duration) {
 	time.Sleep(least + time.Duration(t.rng.Float64()*float64(most-least)))
 }
 
-// drawNode draws a node.
+// drawNode draws one node.
 func (t *injection) drawNode() *Node {
 	n := t.fleet.nodes[t.rng.IntN(len(t.fleet.nodes))]
 	t.note("%s", n.name)
 	return n
 }
 
-// drawNodes draws up to so many nodes.
+// drawNodes draws at least one and at most the given number of nodes.
 func (t *injection) drawNodes(most int) []*Node {
 	nodes := slices.Clone(t.fleet.nodes)
 	t.rng.Shuffle(len(nodes), func(i, k int) { nodes[i], nodes[k] = nodes[k], nodes[i] })
@@ -118,7 +118,7 @@
 	return nodes
 }
 
-// drawEngine draws an engine that is listed as up; "" = there is none.
+// drawEngine draws an engine that is listed as up; "" if there is none.
 func (t *injection) drawEngine() string {
 	ids := t.fleet.registry.upIDs()
 	if len(ids) == 0 {
@@ -129,7 +129,7 @@
 	return id
 }
 
-// drawReplaceableEngine is drawEngine, but "" where no other engine of its kind is up.
+// drawReplaceableEngine is drawEngine, but returns "" if no other engine of the same kind is up.
 func (t *injection) drawReplaceableEngine() string {
 	id := t.drawEngine()
 	if id == "" || !t.fleet.registry.hasPeers(id) {
--- a/lab/soak/fault_client.go
+++ b/lab/soak/fault_client.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// pipeliningClients is how many clients pipeline requests at once.
+// pipeliningClients is the number of clients that pipeline requests concurrently.
 const pipeliningClients = 3
 
-// pipelineRequests makes clients send many requests at once on one connection; some leave between the responses.
+// pipelineRequests makes clients send several requests at once on one connection; some clients disconnect between the responses.
 func pipelineRequests(t *injection) {
 	n := t.drawNode()
 	if !n.isInService() {
@@ -35,13 +35,13 @@
 const (
 	// badClientLimit is the time in which a node must respond to a bad client or close its connection (DAYS of the platform, bad clients).
 	badClientLimit = 3 * time.Second
-	// badClientSlack is what a loaded machine may add.
+	// badClientSlack is the delay that a loaded machine may add.
 	badClientSlack = 300 * time.Millisecond
-	// badClientCount is how many bad clients come at once.
+	// badClientCount is the number of bad clients that connect at once.
 	badClientCount = 10
 )
 
-// badRequests are texts that cannot be served.
+// badRequests are incomplete or malformed requests, which cannot be served.
 var badRequests = []string{
 	"GET / HTTP/1.1\r\n",
 	"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 40\r\n\r\n{\"half",
@@ -55,7 +55,7 @@
 	"",
 }
 
-// badClients sends bad requests, and reports those that get neither a response nor a close in time.
+// badClients sends bad requests, and reports those after which the node neither responds nor closes the connection in time.
 func badClients(t *injection) {
 	n := t.drawNode()
 	if !n.isInService() {
@@ -68,14 +68,14 @@
 		go func() {
 			defer clients.Done()
 			if ignoresBadRequest(n, text) {
-				t.fleet.report("bad client", "%s gave neither an error nor a close in %v to %.60q", n.name, badClientLimit, text)
+				t.fleet.report("bad client", "%s neither responded nor closed the connection in %v after %.60q", n.name, badClientLimit, text)
 			}
 		}()
 	}
 	clients.Wait()
 }
 
-// ignoresBadRequest sends a text, and reports whether the node neither responds nor closes the connection in time.
+// ignoresBadRequest sends a bad request, and reports whether the node neither responds nor closes the connection in time.
 func ignoresBadRequest(n *Node, text string) bool {
 	start := time.Now()
 	conn, err := net.DialTimeout("tcp", n.address, connectTimeout)
@@ -90,10 +90,10 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// crowdConnectTimeout bounds the time in which one idle client of fillDescriptors connects.
+// idleConnectTimeout is the connect timeout of each idle client of fillDescriptors.
 const idleConnectTimeout = 50 * time.Millisecond
 
-// fillDescriptors makes idle clients fill a node's descriptors for a while.
+// fillDescriptors opens connections without requests until they use up a node's file descriptors, and closes them after a while.
 func fillDescriptors(t *injection) {
 	n := t.drawNode()
 	var conns []net.Conn
--- a/lab/soak/fault_discovery.go
+++ b/lab/soak/fault_discovery.go
@@ -7,7 +7,7 @@
 	"dillroute/lab/platform"
 )
 
-// silenceDiscovery silences agents; an engine drains within a second of their return.
+// silenceDiscovery silences agents, and drains an engine within a second after the end of the silence.
 func silenceDiscovery(t *injection) {
 	nodes := t.drawNodes(len(t.fleet.nodes))
 	for _, n := range nodes {
@@ -21,7 +21,7 @@
 	drainEngine(t)
 }
 
-// breakWatches stalls or resets held calls of discovery; an engine drains right after.
+// breakWatches stalls or resets pending watches of discovery, and drains an engine shortly after.
 func breakWatches(t *injection) {
 	nodes := t.drawNodes(len(t.fleet.nodes))
 	stall := t.rng.IntN(2) == 0
@@ -37,12 +37,12 @@
 	drainEngine(t)
 }
 
-// setState changes the state in which an engine is listed.
+// setState changes the listed state of an engine.
 func (t *injection) setState(id, state string) {
 	t.fleet.registry.Update(id, func(e *platform.Endpoint) { e.State = state })
 }
 
-// drainEngine drains an engine for a while.
+// drainEngine lists an engine as draining for a while.
 func drainEngine(t *injection) {
 	id := t.drawReplaceableEngine()
 	if id == "" {
@@ -53,7 +53,7 @@
 	t.setState(id, "up")
 }
 
-// replaceEngine replaces an engine by a new one of its role.
+// replaceEngine drains, removes and stops an engine, and adds a new one of the same role.
 func replaceEngine(t *injection) {
 	id := t.drawReplaceableEngine()
 	if id == "" {
--- a/lab/soak/fault_engine.go
+++ b/lab/soak/fault_engine.go
@@ -8,7 +8,7 @@
 	"dillroute/lab/platform"
 )
 
-// hangEngine makes an engine accept requests without serving them.
+// hangEngine makes an engine accept requests without serving them for a while.
 func hangEngine(t *injection) {
 	id := t.drawEngine()
 	if id == "" {
@@ -19,15 +19,15 @@
 	t.fleet.engine(id).SetHung(false)
 }
 
-// Kinds of stalls: what becomes of an engine that stands still with what it has taken.
+// Kinds of stalls, by what happens to the attempts that a stalled engine has received.
 const (
-	stallGoesOn        = "goes on"
-	stallResets        = "resets its connections"
-	stallFrozen        = "notices closes late"
-	stallLosesAttempts = "loses attempts in silence"
+	stallGoesOn        = "goes on"                   // the engine resumes them
+	stallResets        = "resets its connections"    // their connections are reset
+	stallFrozen        = "notices closes late"       // the engine resumes them, and only then detects closed connections
+	stallLosesAttempts = "loses attempts in silence" // the engine loses them, and their connections stay open
 )
 
-// stall makes an engine stand still.
+// stallEngine starts a stall of an engine.
 func stallEngine(e *platform.Engine, kind string) {
 	if kind == stallFrozen {
 		e.SetFrozen(true)
@@ -36,8 +36,7 @@
 	e.SetHung(true)
 }
 
-// stallDecodeEngines makes a third of the engines that decode stand still with what they have taken. They go on, break their connections,
-// notice closes late, or lose what they have taken in silence.
+// stallDecodeEngines stalls each engine that decodes with a probability of one third. All stalls are of one kind, which is drawn.
 func stallDecodeEngines(t *injection) {
 	kind := []string{stallGoesOn, stallResets, stallFrozen, stallLosesAttempts}[t.rng.IntN(4)]
 	t.note("kind=%q", kind)
@@ -66,7 +65,7 @@
 	}
 }
 
-// restartEngine resets all connections of an engine, a few times in a row, as restarts at the same address do.
+// restartEngine resets all connections of an engine a few times in a row, as restarts at the same address would.
 func restartEngine(t *injection) {
 	id := t.drawEngine()
 	if id == "" {
@@ -80,7 +79,7 @@
 	}
 }
 
-// silenceConnections makes the open connections to an engine carry nothing any more, the idle ones too.
+// blackholeEngineConnections makes the open connections to one engine, including idle ones, carry nothing more.
 func blackholeEngineConnections(t *injection) {
 	id := t.drawEngine()
 	if id == "" {
@@ -92,7 +91,8 @@
 	t.pause(0, time.Second)
 }
 
-// swallowConnections makes the open connections to half of all engines carry nothing any more; new ones work.
+// blackholeConnectionsOfHalf makes the open connections to half of all engines carry nothing more, one to three times. New connections
+// work.
 func blackholeConnectionsOfHalf(t *injection) {
 	for range 1 + t.rng.IntN(3) {
 		for _, id := range t.fleet.ids() {
@@ -107,8 +107,8 @@
 	}
 }
 
-// cutOffEngines cuts the machines of four in five engines of one role, or of two in five of all, off some nodes. Some engine can be
-// reached, as far as other faults let it: where none can, no state can be released.
+// cutOffEngines cuts the machines of 80% of the engines of one role, or of 40% of all engines, off from some nodes. It leaves some engines
+// reachable, unless other faults affect them: without a reachable engine, no state could be released.
 func cutOffEngines(t *injection) {
 	roles := []string{"read", "write", ""}
 	role := roles[t.rng.IntN(len(roles))]
@@ -131,10 +131,10 @@
 	setModes(proxies, Forward)
 }
 
-// cutOffShare is the share of the engines of one role that cutOffEngines cuts off.
+// cutOffShare is the probability that cutOffEngines cuts off an engine of the drawn role.
 const cutOffShare = 0.8
 
-// setModes changes the mode of several proxies at once.
+// setModes changes the mode of several proxies concurrently.
 func setModes(proxies []*Proxy, m Mode) {
 	var all sync.WaitGroup
 	for _, p := range proxies {
@@ -147,7 +147,7 @@
 	all.Wait()
 }
 
-// responseFaults are the faults of responses that are drawn from.
+// responseFaults are the faults from which queueResponseFaults draws.
 var responseFaults = []platform.Fault{
 	platform.NoiseForHead,
 	platform.MalformedHead,
@@ -172,7 +172,7 @@
 	platform.StateMissing,
 }
 
-// queueResponseFaults gives the next responses of an engine a fault each.
+// queueResponseFaults injects a fault into each of the next responses of an engine.
 func queueResponseFaults(t *injection) {
 	id := t.drawEngine()
 	if id == "" {
@@ -186,7 +186,7 @@
 	t.pause(0, time.Second)
 }
 
-// degradeNetwork degrades the connections to engines: those of all nodes to one engine, or those of one node to some engines.
+// degradeNetwork degrades connections to engines for a while: those of all nodes to one engine, or those of one node to some engines.
 func degradeNetwork(t *injection) {
 	mode := []Mode{Blackhole, Fragment, DelayNew}[t.rng.IntN(3)]
 	t.note("mode=%v", mode)
@@ -200,7 +200,7 @@
 	}
 }
 
-// drawProxies draws the proxies of one engine, or some of one node.
+// drawProxies draws all proxies to one engine, or some proxies of one node.
 func (t *injection) drawProxies() []*Proxy {
 	if t.rng.IntN(2) == 0 {
 		id := t.drawEngine()
--- a/lab/soak/fault_node.go
+++ b/lab/soak/fault_node.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// reserve reserves a node for a stop, a kill or a reload, which cannot overlap on one node; false means that another fault has it.
+// reserve reserves a node for a stop, a kill or a reload, which cannot overlap on one node. It returns false if another fault has
+// reserved the node.
 func (n *Node) reserve() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -25,7 +26,7 @@
 	n.mu.Unlock()
 }
 
-// restart starts the next process of a node, with the endpoint list that its agent has now.
+// restart starts the next process of a node with the agent's current endpoint list.
 func (n *Node) restart() {
 	if err := n.start(n.agent.Snapshot()); err != nil {
 		n.fleet.report("start", "%s: %v", n.name, err)
@@ -34,7 +35,7 @@
 	n.awaitReady()
 }
 
-// stopNodes restarts nodes as planned; some get a new configuration meanwhile.
+// stopNodes performs planned restarts of nodes. Some nodes get a new configuration or further signals meanwhile.
 func stopNodes(t *injection) {
 	var stops sync.WaitGroup
 	for _, n := range t.drawNodes(max(1, len(t.fleet.nodes)/4)) {
@@ -42,7 +43,7 @@
 			continue
 		}
 		serving := 200*time.Millisecond + time.Duration(t.rng.Int64N(int64(200*time.Millisecond)))
-		extra := time.Duration(0) // SIGKILL comes at the earliest
+		extra := time.Duration(0) // SIGKILL follows after the minimum time
 		if t.rng.IntN(3) == 0 {
 			extra = time.Duration(t.rng.Int64N(int64(maxExtraStopTime)))
 		}
@@ -64,7 +65,7 @@
 	stops.Wait()
 }
 
-// reloadAroundStop sends SIGHUP a few milliseconds before or after the SIGTERM that follows.
+// reloadAroundStop sends SIGHUP up to 20 ms before or after the SIGTERM that the caller sends next.
 func (t *injection) reloadAroundStop(n *Node) {
 	gap := time.Duration(t.rng.Int64N(int64(20 * time.Millisecond)))
 	if t.rng.IntN(2) == 0 {
@@ -76,7 +77,7 @@
 	t.note("(with SIGHUP)")
 }
 
-// signalDuringStop sends a series of SIGHUP and SIGTERM within the stop that follows.
+// signalDuringStop schedules several SIGHUP and SIGTERM signals during the stop that the caller starts next.
 func (t *injection) signalDuringStop(n *Node) {
 	for range 2 + t.rng.IntN(4) {
 		signal := syscall.SIGHUP
@@ -93,7 +94,7 @@
 	t.note("(with a series of signals)")
 }
 
-// killNodes kills nodes and starts them anew.
+// killNodes kills nodes and restarts them.
 func killNodes(t *injection) {
 	var starts sync.WaitGroup
 	for _, n := range t.drawNodes(max(1, len(t.fleet.nodes)/3)) {
@@ -112,7 +113,7 @@
 	t.pause(0, time.Second)
 }
 
-// reload gives a node a new configuration, in which discovery has moved.
+// reload moves the node's discovery agent, writes a configuration with the new address, and makes the node read it.
 func (n *Node) reload() {
 	if err := n.agent.Move(); err != nil {
 		n.fleet.report("reload", "%v", err)
@@ -128,7 +129,7 @@
 	n.signal(syscall.SIGHUP)
 }
 
-// reloadNodes gives nodes that are ready new configurations: some of them several in a row, and some one first that cannot be parsed.
+// reloadNodes gives nodes in service one to three new configurations in a row. Some of these follow one that cannot be parsed.
 func reloadNodes(t *injection) {
 	for _, n := range t.drawNodes(max(1, len(t.fleet.nodes)/2)) {
 		if !n.isInService() || !n.reserve() {
@@ -148,7 +149,7 @@
 	t.pause(500*time.Millisecond, 3*time.Second)
 }
 
-// pauseNodes suspends nodes for up to 0.15 s, again and again.
+// pauseNodes repeatedly suspends nodes for up to 0.15 s.
 func pauseNodes(t *injection) {
 	nodes := t.drawNodes(3)
 	for range 10 {
@@ -163,7 +164,7 @@
 	}
 }
 
-// callErrors are the errors of the watched system calls that Linux documents.
+// callErrors are the errors that Linux documents for the watched system calls.
 var callErrors = map[uint32][]syscall.Errno{
 	syscall.SYS_SOCKET: {syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM},
 	syscall.SYS_CONNECT: {syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.EAGAIN, syscall.ECONNREFUSED, syscall.ETIMEDOUT,
@@ -173,7 +174,7 @@
 		syscall.EPROTO, syscall.ENETDOWN, syscall.EPERM},
 }
 
-// failSystemCalls makes system calls of nodes fail: some of them for seconds, or nearly all for a moment.
+// failSystemCalls makes system calls of nodes fail: 5% to 30% of them for up to 3 s, or 95% for up to 0.5 s.
 func failSystemCalls(t *injection) {
 	nodes := t.drawNodes(4)
 	share := 0.05 + 0.25*t.rng.Float64()
@@ -201,7 +202,7 @@
 	t.pause(100*time.Millisecond, longest)
 }
 
-// stepClocks steps the wall clocks of nodes, forward or back, by seconds or by an hour.
+// stepClocks steps the wall clocks of nodes forward or back by seconds or by an hour.
 func stepClocks(t *injection) {
 	for _, n := range t.drawNodes(len(t.fleet.nodes)) {
 		step := []time.Duration{2 * time.Second, 30 * time.Second, time.Hour}[t.rng.IntN(3)]
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -13,7 +13,7 @@
 	"dillroute/lab/record"
 )
 
-// Fleet is a scenario under way.
+// Fleet is a running scenario: its nodes, engines, registry and results.
 type Fleet struct {
 	scenario  Scenario
 	startedAt time.Time
@@ -24,15 +24,15 @@
 
 	mu               sync.Mutex // guards the fields below, and the nodes' routes
 	engines          map[string]*platform.Engine
-	engineIDs        []string // by age
+	engineIDs        []string // in order of their start
 	enginesStarted   int
 	findings         []Finding
 	events           []FaultEvent
 	outcomes         map[record.Outcome]int
 	unanswered       []unansweredRequest
-	recoveryFrom     time.Time                         // when the last seconds began; zero = not yet
-	recoveryOutcomes map[record.Outcome]int            // in the last seconds
-	recoveryByNode   map[string]map[record.Outcome]int // in the last seconds
+	recoveryFrom     time.Time                         // start of the recovery window; zero before it
+	recoveryOutcomes map[record.Outcome]int            // in the recovery window
+	recoveryByNode   map[string]map[record.Outcome]int // in the recovery window, by name of the node
 }
 
 // unansweredRequest is a request on a reused connection that closed without a response.
@@ -43,10 +43,10 @@
 	sentAt    float64 // Unix seconds
 }
 
-// firstEngines are the roles of the engines with which a scenario begins.
+// initialEngineRoles are the roles of the engines with which a scenario begins.
 var initialEngineRoles = []string{"read", "read", "read", "read", "write", "write", "write", "write", "both", "both"}
 
-// newFleet starts the engines of a scenario.
+// newFleet creates the fleet of a scenario and starts its engines; addNodes adds the nodes.
 func newFleet(s Scenario) *Fleet {
 	log := &record.Log{}
 	f := &Fleet{
@@ -67,7 +67,7 @@
 	return f
 }
 
-// losesResponse reports whether a proxy swallows what an engine sends over the connection from an address.
+// losesResponse reports whether a proxy drops what an engine sends on the connection from peer.
 func (f *Fleet) losesResponse(engine string, peer net.Addr) bool {
 	for _, p := range f.proxies(engine) {
 		if p.LosesResponse(peer) {
@@ -77,7 +77,7 @@
 	return false
 }
 
-// Play plays a scenario to its end.
+// Run runs a scenario to its end and returns its report.
 func Run(s Scenario) (*Report, error) {
 	f := newFleet(s)
 	defer f.close()
@@ -112,7 +112,7 @@
 	return f.evaluate(), nil
 }
 
-// addNodes creates the nodes, with an agent and a clock each.
+// addNodes creates the nodes, each with its address, clock, proxies and discovery agent. It doesn't start their processes.
 func (f *Fleet) addNodes(rng *rand.Rand) error {
 	for i := range f.scenario.Nodes {
 		name := fmt.Sprintf("n%d", i)
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// startAll starts all nodes and waits until they are ready.
+// startAll starts the processes of all nodes and waits until they are ready.
 func (f *Fleet) startAll() error {
 	for _, n := range f.nodes {
 		if err := n.start(n.agent.Snapshot()); err != nil {
@@ -157,7 +157,7 @@
 	f.forAllNodes(func(n *Node) { n.stop(0, 0) })
 }
 
-// forAllNodes calls do for all nodes at once, and waits.
+// forAllNodes calls do for all nodes concurrently, and waits until all calls have returned.
 func (f *Fleet) forAllNodes(do func(*Node)) {
 	var calls sync.WaitGroup
 	for _, n := range f.nodes {
@@ -170,7 +170,7 @@
 	calls.Wait()
 }
 
-// freeAddress returns an address on loopback at which nothing listens, and from which nothing connects.
+// freeAddress returns a loopback address on which nothing listens and from which no connection is made.
 func freeAddress(i int) (string, error) {
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.0.1.%d:0", 1+i))
 	if err != nil {
@@ -180,17 +180,17 @@
 	return listener.Addr().String(), nil
 }
 
-// connect starts the proxy from a node to an engine. The lock is held, or the scenario has not begun.
+// addRoute starts the proxy from a node to an engine. The caller holds the lock, or the scenario has not begun.
 func (f *Fleet) addRoute(n *Node, id string) {
 	proxy, err := NewProxy(f.engines[id].Address())
 	if err != nil {
-		panic(err) // loopback without ports: no scenario can be played
+		panic(err) // no loopback port is available: no scenario can be run
 	}
 	n.routes[id] = proxy
 	f.platform.RegisterRoute(n.name, proxy.Address())
 }
 
-// addEngine starts an engine and lists it.
+// addEngine starts an engine of the given role and lists it as up.
 func (f *Fleet) addEngine(role string) {
 	f.mu.Lock()
 	f.enginesStarted++
@@ -200,7 +200,7 @@
 	for _, n := range f.nodes {
 		f.addRoute(n, id)
 	}
-	started := int64(0) // long ago: only engines that start in the scenario are warming up
+	started := int64(0) // 1970: only engines that start during the scenario are in slow start
 	if len(f.nodes) > 0 {
 		started = time.Now().UnixMilli()
 	}
@@ -210,7 +210,7 @@
 	})
 }
 
-// proxies returns the proxies of all nodes to an engine.
+// proxies returns the proxies to an engine, one for each node.
 func (f *Fleet) proxies(id string) []*Proxy {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -228,7 +228,7 @@
 	return n.routes[id]
 }
 
-// ids returns the ids of all engines by age.
+// ids returns the IDs of all engines in order of their start.
 func (f *Fleet) ids() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -241,7 +241,7 @@
 	return f.engines[id]
 }
 
-// pickNode draws a node that takes clients; nil = there is none.
+// pickNode draws a node in service; nil if there is none.
 func (f *Fleet) pickNode(rng *rand.Rand) *Node {
 	var inService []*Node
 	for _, n := range f.nodes {
@@ -255,7 +255,7 @@
 	return inService[rng.IntN(len(inService))]
 }
 
-// report adds a finding of this moment.
+// report adds a finding with the current time.
 func (f *Fleet) report(kind, format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -277,14 +277,14 @@
 	f.recoveryByNode[n.name][outcome]++
 }
 
-// noteUnanswered keeps a request without a response for evaluateUnanswered.
+// addUnanswered stores a request without a response for evaluateUnanswered.
 func (f *Fleet) addUnanswered(n *Node, request platform.Request, sentAt float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unanswered = append(f.unanswered, unansweredRequest{node: n, id: request.ID, operation: request.Operation, sentAt: sentAt})
 }
 
-// close ends all processes, proxies, engines and agents.
+// close stops all processes, proxies, engines and agents.
 func (f *Fleet) close() {
 	for _, n := range f.nodes {
 		n.close()
--- a/lab/soak/launch.go
+++ b/lab/soak/launch.go
@@ -11,22 +11,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// Environment variables of a process that becomes a node (Launch).
+// Environment variables of a process that Launch turns into a node.
 const (
-	envProgram     = "SOAK_PROGRAM" // the program that it becomes
-	envDescriptors = "SOAK_FILES"   // how many descriptors the program may open
-	envClock       = "SOAK_CLOCK"   // the file that holds by how much its wall clock is stepped
+	envProgram     = "SOAK_PROGRAM" // path of the program to execute
+	envDescriptors = "SOAK_FILES"   // limit of the program's open file descriptors
+	envClock       = "SOAK_CLOCK"   // path of the file with the offset of its wall clock (Clock)
 )
 
 const (
 	// notifierFD is the descriptor of the socket on which the supervisor receives the notifier.
 	notifierFD = 3
-	// exitLaunchFailed is the exit status of a process that could not become a node, as of a shell that finds no program.
+	// exitLaunchFailed is the exit status if the program cannot be executed, the same as a shell's for a command that is not found.
 	exitLaunchFailed = 127
 )
 
-// Launch turns this process into the program that the environment names, under a filter that passes the watched system calls to the
-// supervisor first. It returns at once where the environment names none.
+// Launch replaces this process by the program that the environment names, under a seccomp filter that passes the watched system calls
+// to the supervisor first. It returns immediately if the environment names no program.
 func Launch() {
 	program := os.Getenv(envProgram)
 	if program == "" {
@@ -39,7 +39,7 @@
 	}
 }
 
-// launch sets the limit and the filter, sends the notifier to the supervisor, and executes the program.
+// launch sets the descriptor limit and the filter, sends the notifier to the supervisor, and executes the program.
 func launch(program string) error {
 	descriptors, err := strconv.ParseUint(os.Getenv(envDescriptors), 10, 64)
 	if err != nil {
@@ -61,10 +61,10 @@
 	return syscall.Exec(program, append([]string{program}, os.Args[1:]...), os.Environ())
 }
 
-// watchedCalls are the system calls that the supervisor decides.
+// watchedCalls are the system calls for which the supervisor decides whether they fail.
 var watchedCalls = []uint32{unix.SYS_SOCKET, unix.SYS_CONNECT, unix.SYS_ACCEPT4, unix.SYS_OPENAT}
 
-// installFilter sets the filter on this thread and returns the descriptor of its notifier (seccomp(2), seccomp_unotify(2)).
+// installFilter installs the filter on the calling thread and returns the descriptor of its notifier (seccomp(2), seccomp_unotify(2)).
 func installFilter() (int, error) {
 	filter := watchFilter()
 	program := unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
@@ -79,7 +79,8 @@
 	return int(fd), nil
 }
 
-// watchFilter is the filter program: the watched calls jump to its last instruction, which notifies the supervisor; others go on.
+// watchFilter returns the filter program. Watched calls jump to its last instruction, which notifies the supervisor; other calls are
+// allowed.
 func watchFilter() []unix.SockFilter {
 	const callNumber = 0 // offset in struct seccomp_data
 	filter := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: callNumber}}
--- a/lab/soak/node.go
+++ b/lab/soak/node.go
@@ -16,13 +16,13 @@
 	"dillroute/lab/platform"
 )
 
-// Limits of a node.
+// Resource limits of a node.
 const (
 	nodeSockets  = 256
 	nodeMemoryMB = 96
 )
 
-// Node is one place of the fleet, in which one process after another runs.
+// Node is one node of the fleet. Its processes run one after another, with the same name, address and configuration file.
 type Node struct {
 	fleet   *Fleet
 	name    string
@@ -31,32 +31,32 @@
 	agent   *Agent
 	routes  map[string]*Proxy // to engines; guarded by the fleet's lock
 	clock   *Clock
-	config  string   // path of the configuration
-	logFile *os.File // of all processes; nil = a file for each
+	config  string   // path of the configuration file
+	logFile *os.File // receives the logs of all processes; nil: each process has a file of its own
 
 	mu           sync.Mutex // guards the fields below
-	process      *process   // the last that was started
+	process      *process   // the one that was started last
 	starts       int
-	inService    bool // clients are sent to it
-	reserved     bool // a fault stops, restarts or reloads it
+	inService    bool // new client connections go to it
+	reserved     bool // a fault is stopping, restarting or reloading it
 	terminatedAt time.Time
 	killedAt     time.Time
 	logPaths     []string
 }
 
-// keyedClass is a class whose repeats the engines of one cell recognize for a while.
+// keyedClass is a class whose repeated requests are deduplicated by the engines of one cell for a limited time.
 const keyedClass = `{"effect":"by_key","group":"cell","hard_limit_s":4,"key_ttl_s":1,"late_value":0.3,"name":"keyed","streamed":true,` +
 	`"target_s":1.5,"worth":1}`
 
 const (
-	keyedDeduplicationWindow = 1.0 // s, key_ttl_s of keyedClass
+	keyedDeduplicationWindow = 1.0 // seconds; key_ttl_s of keyedClass
 	cells                    = 2
 )
 
 // configSeed is the seed in the text of platform.ConfigText.
 const configSeed = "8c1f30d27a5be964"
 
-// writeConfig writes the configuration with the endpoint list that the node starts with.
+// writeConfig writes the node's configuration file; known is the endpoint list that the node starts with.
 func (n *Node) writeConfig(known []byte) error {
 	settings := strings.Replace(platform.SettingsJSON, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, len(n.fleet.nodes)), 1)
 	settings = strings.Replace(settings, `"classes":[`, `"classes":[`+keyedClass+`,`, 1)
@@ -66,7 +66,7 @@
 	return platform.WriteConfig(n.config, []byte(text))
 }
 
-// engineAddress is where the node reaches an engine; "" = it does not.
+// engineAddress returns the address at which the node reaches an engine; "" if it has no route to it.
 func (n *Node) engineAddress(engine string) string {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
@@ -76,28 +76,28 @@
 	return ""
 }
 
-// takesClients reports whether clients are sent to the node.
+// isInService reports whether clients open new connections to the node.
 func (n *Node) isInService() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.inService
 }
 
-// stopping reports whether the node was sent SIGTERM and has not ended. Clients use the connections that it leaves open.
+// stopping reports whether the node was sent SIGTERM and its process has not ended. Clients use the connections that it leaves open.
 func (n *Node) stopping() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.terminatedAt.IsZero() && n.killedAt.IsZero() && n.process.endedAt.IsZero()
 }
 
-// Times of the check that a node is ready.
+// Times of readiness checks.
 const (
-	readyTimeout      = 10 * time.Second // of a start
+	readyTimeout      = 10 * time.Second // after a start
 	readyPollInterval = 20 * time.Millisecond
-	readyCallTimeout  = time.Second // of one call
+	readyCallTimeout  = time.Second // of one health check
 )
 
-// awaitReady waits until the node says that it is ready, and has clients sent to it.
+// awaitReady waits until the node's health check succeeds, and puts the node into service. It reports a node that isn't ready in time.
 func (n *Node) awaitReady() {
 	start := time.Now()
 	n.mu.Lock()
@@ -119,7 +119,7 @@
 	n.fleet.report("ready", "%s was not ready in %v", n.name, readyTimeout)
 }
 
-// ready reports whether a node's health endpoint says that it is ready.
+// ready reports whether a node's health check succeeds.
 func ready(address string) bool {
 	conn, err := net.DialTimeout("tcp", address, readyCallTimeout)
 	if err != nil {
@@ -152,16 +152,16 @@
 	n.clock.Close()
 }
 
-// suspectLine matches lines of a node's log that must not appear.
+// forbiddenLine matches lines that must not appear in a node's log.
 var forbiddenLine = regexp.MustCompile(`level=ERROR|^panic:|^fatal error:|DATA RACE|rule violated`)
 
-// expectedLine matches those of them that a fault asks for: a configuration that cannot be read.
+// allowedLine matches exceptions from forbiddenLine, which a fault causes: a configuration that cannot be read.
 var allowedLine = regexp.MustCompile(`configuration rejected`)
 
-// requestReceived begins the log line of a request that a node has read, up to its id.
+// requestReceived is the part of a log line that precedes the ID of a request that the node has received.
 const requestReceived = `msg="request received" request=`
 
-// reviewLogs looks through the logs of all processes of the node, and adds the requests that it has read to received.
+// checkLogs reports forbidden lines in the logs of all processes of the node, and adds the IDs of received requests to received.
 func (n *Node) checkLogs(received map[string]string) {
 	for _, path := range n.logPaths {
 		text, err := os.ReadFile(path)
--- a/lab/soak/pipeline.go
+++ b/lab/soak/pipeline.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// pipelinedRequests is how many requests a client sends at once.
+	// pipelinedRequests is the number of requests that a client sends at once.
 	pipelinedRequests = 5
 	// pipelinedTimeout is the timeout that each of them states.
 	pipelinedTimeout = 3 * time.Second
 )
 
-// pipeline sends several requests at once on a connection of its own and reads their responses in order, or leaves after some.
+// pipeline sends several requests at once on a new connection and reads their responses in order, or disconnects after some of them.
 func (c *client) pipeline(n *Node) {
 	conn, err := dial(n)
 	if err != nil {
@@ -36,7 +36,7 @@
 		awaited = c.rng.IntN(pipelinedRequests)
 	}
 	for i, request := range requests[:awaited] {
-		request.Timeout *= time.Duration(i + 1) // each waits for those before it as well
+		request.Timeout *= time.Duration(i + 1) // each one also waits for the ones before it
 		if !c.receivePipelined(n, conn, request, i == 0) {
 			return
 		}
@@ -66,7 +66,7 @@
 	return requests
 }
 
-// receivePipelined reads and records one response of a pipeline; false means that no further one can be read.
+// receivePipelined reads and records one response of a pipeline. It returns false if no further response can be read.
 func (c *client) receivePipelined(n *Node, conn *clientConn, request platform.Request, isFirst bool) bool {
 	base := record.Record{Op: request.Operation, Class: request.Class, Node: n.name}
 	sent := base
@@ -78,7 +78,7 @@
 		first.Kind = record.FirstToken
 		c.fleet.log.Add(first)
 	})
-	if response.Outcome == record.Cut && !isFirst { // the node may close the connection behind any response
+	if response.Outcome == record.Cut && !isFirst { // the node may close the connection after any response
 		c.fleet.addUnanswered(n, request, record.Now())
 		disconnect := base
 		disconnect.Kind = record.ClientDisconnected
--- a/lab/soak/process.go
+++ b/lab/soak/process.go
@@ -11,21 +11,21 @@
 	"dillroute/lab/record"
 )
 
-// process is one process of a node. The node's lock guards the fields from err on.
+// process is one process of a node. The node's lock guards err and the fields after it.
 type process struct {
 	cmd        *exec.Cmd
 	supervisor Supervisor
 	ended      chan struct{} // closed when the process has ended
 
-	err           error // with which it ended
+	err           error // result of waiting for its end
 	endedAt       time.Time
 	stopRequested bool // it was sent SIGTERM or killed
 }
 
-// start starts a process with a known endpoint list; awaitReady puts it into service.
+// start starts a process with the endpoint list known; awaitReady puts it into service.
 func (n *Node) start(known []byte) error { return n.startWithFailures(known, nil) }
 
-// startUnder is start where the watched system calls fail as given from the beginning.
+// startWithFailures is start for a process whose watched system calls fail from the beginning as fail decides.
 func (n *Node) startWithFailures(known []byte, fail func(call uint32) syscall.Errno) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -62,7 +62,8 @@
 	return nil
 }
 
-// command is this very program, which becomes the node's program under the filter of system calls (Launch).
+// command returns the command of a new process. It runs this program, which Launch replaces by the node's program under the system call
+// filter.
 func (n *Node) command(logFile *os.File) (*exec.Cmd, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -83,7 +84,7 @@
 	return cmd, nil
 }
 
-// awaitEnd waits for the end of a process, and reports one that ends by itself.
+// awaitEnd waits for the end of a process, and reports a process that ends without having been stopped or killed.
 func (n *Node) awaitEnd(p *process) {
 	err := p.cmd.Wait()
 	n.mu.Lock()
@@ -94,12 +95,12 @@
 	starts := n.starts
 	n.mu.Unlock()
 	if !requested {
-		n.fleet.report("crash", "%s (start %d) ended by itself: %v", n.name, starts, err)
+		n.fleet.report("crash", "%s (start %d) exited unexpectedly: %v", n.name, starts, err)
 	}
 	close(p.ended)
 }
 
-// signal sends a signal to the process.
+// signal sends a signal to the node's current process, if any.
 func (n *Node) signal(s syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -108,7 +109,8 @@
 	}
 }
 
-// kill kills the process and waits for its end. Both moments are recorded: the process may have acted until the second.
+// kill kills the process and waits for its end. The time before the signal and the time of the end are both recorded, because the
+// process may have acted in between.
 func (n *Node) kill() {
 	n.mu.Lock()
 	p := n.process
@@ -126,14 +128,14 @@
 	n.mu.Unlock()
 }
 
-// Times of a planned restart (PROTOCOL of the platform, figures). The settings' longest deadline is over 3 s, so it counts as that.
+// Times of a planned restart (PROTOCOL of the platform, figures). The settings' longest deadline is over 3 s, so it counts as 3 s.
 const (
-	minStopTime      = 3700 * time.Millisecond // that a process is given
-	maxExtraStopTime = 600 * time.Millisecond  // that some are given beyond it
+	minStopTime      = 3700 * time.Millisecond // minimum time from SIGTERM to SIGKILL
+	maxExtraStopTime = 600 * time.Millisecond  // maximum time that some processes get in addition
 )
 
-// stop ends the process as a planned restart does: with SIGTERM, and with SIGKILL when its time is over. Clients are sent to it for a
-// further time serving.
+// stop ends the process as a planned restart does: it sends SIGTERM, and SIGKILL after minStopTime + extra. The node stays in service
+// for the time serving after SIGTERM.
 func (n *Node) stop(serving, extra time.Duration) {
 	n.mu.Lock()
 	p := n.process
@@ -152,7 +154,7 @@
 		err := p.err
 		n.mu.Unlock()
 		if err != nil {
-			n.fleet.report("crash", "%s ended after SIGTERM with %v", n.name, err)
+			n.fleet.report("crash", "%s exited after SIGTERM with an error: %v", n.name, err)
 		}
 	case <-time.After(minStopTime + extra):
 		n.kill()
