--- a/lab/soak/proxy.go
+++ b/lab/soak/proxy.go
@@ -10,16 +10,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Mode is how a proxy forwards what it is sent.
+// Mode is how a proxy forwards data. The zero value forwards everything.
 type Mode int
 
 // Modes of a proxy.
 const (
 	Forward   Mode = iota
 	Blackhole      // nothing is forwarded in either direction, and connections stay open
-	Fragment       // what comes is forwarded in fragments of a few bytes
-	DelayNew       // new connections carry nothing for most of a second
-	CutOff         // open connections carry nothing and stay open, and new ones never come up
+	Fragment       // data is forwarded in fragments of a few bytes
+	DelayNew       // new connections carry nothing for the first newConnectionDelay
+	CutOff         // open connections carry nothing and stay open, and new ones are never established
 )
 
 func (m Mode) String() string {
@@ -45,31 +45,31 @@
 	fragmentBytes = 7
 	// fragmentInterval is the pause between two fragments.
 	fragmentInterval = 50 * time.Microsecond
-	// modePollInterval is how often a silenced connection looks at its mode again.
+	// modePollInterval is how often a connection that carries nothing checks the mode again.
 	modePollInterval = 10 * time.Millisecond
-	// acceptQueueFillers is more than the shortest accept queue holds, with the connection that the proxy has accepted.
+	// acceptQueueFillers is more connections than the shortest accept queue holds, including the one that the proxy has accepted.
 	acceptQueueFillers = 8
-	// fillerTimeout is how long a connection to the own address takes at the most that the kernel does not drop.
+	// fillerTimeout is the longest time for establishing a connection to the proxy itself, unless the kernel drops the connection request.
 	fillerTimeout = 30 * time.Millisecond
-	// queuedTimeout is for how long connections are taken for those that came up under CutOff.
+	// queuedTimeout is the time after CutOff during which accepted connections count as established under CutOff.
 	queuedTimeout = 20 * time.Millisecond
-	// forwardBufferBytes is the most that one read forwards.
+	// forwardBufferBytes is the maximum number of bytes that are forwarded after one read.
 	forwardBufferBytes = 16 << 10
 )
 
-// Proxy forwards connections to one address, and degrades them on command.
+// Proxy forwards connections to one address, and degrades them according to its mode. Its methods are safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 	target   string
 
 	mu         sync.Mutex // guards the fields below
 	mode       Mode
-	conns      map[net.Conn]bool // of both sides
-	blackholed map[net.Conn]bool // those of them that carry nothing any more
-	fillers    []net.Conn        // connections of its own that keep the accept queue full under CutOff
+	conns      map[net.Conn]bool // connections from clients and to the target
+	blackholed map[net.Conn]bool // those of conns that carry nothing more
+	fillers    []net.Conn        // the proxy's connections to itself that keep the accept queue full under CutOff
 }
 
-// NewProxy starts a proxy to an address; Close ends it.
+// NewProxy starts a proxy to an address on a loopback port; Close stops it.
 func NewProxy(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -80,10 +80,10 @@
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// SetMode changes the mode. All connections are reset at the end of Blackhole and of CutOff; what they had swallowed stays lost.
+// SetMode changes the mode. All connections are reset at the end of Blackhole and of CutOff; data that was not forwarded stays lost.
 func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
 	previous := p.mode
@@ -106,8 +106,8 @@
 	}
 }
 
-// fillAcceptQueue makes the kernel drop what asks for a new connection, as a machine that is cut off does: the accept queue is made
-// as short as can be, and filled.
+// fillAcceptQueue makes the kernel drop requests for new connections, as if the machine were cut off: it makes the accept queue as short
+// as possible and fills it.
 func (p *Proxy) fillAcceptQueue() {
 	p.setAcceptQueue(0)
 	for range acceptQueueFillers {
@@ -131,7 +131,7 @@
 	p.fillers = nil
 }
 
-// setAcceptQueue sets the length of the accept queue.
+// setAcceptQueue sets the length of the listener's accept queue.
 func (p *Proxy) setAcceptQueue(length int) {
 	raw, err := p.listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
@@ -140,35 +140,34 @@
 	raw.Control(func(fd uintptr) { unix.Listen(int(fd), length) })
 }
 
-// currentMode returns the mode as it is now.
 func (p *Proxy) currentMode() Mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
 }
 
-// BlackholeConnections makes all present connections carry nothing any more, without closing them; new ones are forwarded.
+// BlackholeConnections makes all open connections carry nothing more, without closing them. New connections are forwarded.
 func (p *Proxy) BlackholeConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.blackholeAll()
 }
 
-// blackholeAll is BlackholeConnections where the lock is held.
+// blackholeAll is BlackholeConnections for callers that hold the lock.
 func (p *Proxy) blackholeAll() {
 	for c := range p.conns {
 		p.blackholed[c] = true
 	}
 }
 
-// silenced reports whether nothing is forwarded from a connection now.
+// isBlackholed reports whether data from a connection is not forwarded now.
 func (p *Proxy) isBlackholed(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode == Blackhole || p.mode == CutOff || p.blackholed[c]
 }
 
-// LosesResponse reports whether what the target sends over the connection from an address of the proxy is not forwarded.
+// LosesResponse reports whether data that the target sends on the proxy's connection from the address peer is not forwarded.
 func (p *Proxy) LosesResponse(peer net.Addr) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -191,14 +190,14 @@
 	clear(p.blackholed)
 }
 
-// Close ends the proxy.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	p.SetMode(Forward)
 	p.listener.Close()
 	p.Reset()
 }
 
-// reset closes a connection with a reset.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -206,7 +205,7 @@
 	c.Close()
 }
 
-// accept accepts connections until the listener is closed. Under CutOff it keeps the first one and takes no other.
+// accept accepts connections until the listener is closed. Under CutOff, it accepts one connection, which it resets at the end of CutOff.
 func (p *Proxy) accept() {
 	for {
 		c, err := p.listener.Accept()
@@ -226,7 +225,7 @@
 	}
 }
 
-// resetQueued resets the connections that have come up in the accept queue under CutOff: what was written to them is lost.
+// resetQueued resets connections that were established in the accept queue under CutOff, so that data written to them is lost.
 func (p *Proxy) resetQueued() {
 	l := p.listener.(*net.TCPListener)
 	l.SetDeadline(time.Now().Add(queuedTimeout))
@@ -257,7 +256,7 @@
 func (p *Proxy) serve(c net.Conn) {
 	if p.currentMode() == DelayNew {
 		time.Sleep(newConnectionDelay)
-		if peerClosed(c) { // nobody would read the response
+		if peerClosed(c) { // the peer would not read the response
 			p.untrack(c)
 			c.Close()
 			return
@@ -277,7 +276,7 @@
 	p.forward(upstream, c)
 }
 
-// peerClosed reports whether the connection is no longer established in both directions.
+// peerClosed reports whether a connection is no longer established in both directions.
 func peerClosed(c net.Conn) bool {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -291,7 +290,7 @@
 	return !established
 }
 
-// forward copies one direction. An end of sending closes both connections, an error resets them.
+// forward copies one direction. The end of the data closes both connections, an error resets them.
 func (p *Proxy) forward(from, to net.Conn) {
 	buffer := make([]byte, forwardBufferBytes)
 	for {
@@ -321,7 +320,7 @@
 	}
 }
 
-// write writes bytes, in fragments where the mode says so.
+// write writes bytes, in fragments if the mode is Fragment.
 func (p *Proxy) write(to net.Conn, b []byte) error {
 	for len(b) > 0 {
 		n := len(b)
--- a/lab/soak/registry.go
+++ b/lab/soak/registry.go
@@ -9,7 +9,7 @@
 	"dillroute/lab/record"
 )
 
-// Registry is the endpoint list that all agents follow.
+// Registry is the endpoint list from which all agents receive changes. Its methods are safe for concurrent use.
 type Registry struct {
 	log *record.Log
 
@@ -20,12 +20,12 @@
 	agents    []*Agent
 }
 
-// NewRegistry returns an empty list.
+// NewRegistry returns a registry without endpoints, whose agents record deliveries in log.
 func NewRegistry(log *record.Log) *Registry {
 	return &Registry{log: log, endpoints: map[string]platform.Endpoint{}, changed: map[string]int{}}
 }
 
-// Update changes an entry, or adds it, and passes it to the agents.
+// Update changes an entry, or adds it if there is none with this ID, and passes it to the agents.
 func (r *Registry) Update(id string, change func(*platform.Endpoint)) {
 	r.mu.Lock()
 	endpoint := r.endpoints[id]
@@ -42,7 +42,7 @@
 	}
 }
 
-// upIDs returns the ids of the endpoints that are up, in order.
+// upIDs returns the sorted IDs of the endpoints that are up.
 func (r *Registry) upIDs() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +56,7 @@
 	return ids
 }
 
-// hasPeers reports whether other endpoints of an endpoint's kind are up.
+// hasPeers reports whether another endpoint of the same kind is up.
 func (r *Registry) hasPeers(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,7 +69,7 @@
 	return false
 }
 
-// snapshot returns the whole list, and the versions at which its entries changed last.
+// snapshot returns copies of the whole list and of the versions at which its entries changed last.
 func (r *Registry) snapshot() (endpoints map[string]platform.Endpoint, changed map[string]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/soak/scenario.go
+++ b/lab/soak/scenario.go
@@ -1,7 +1,7 @@
-// Package soak plays many real processes of `dillroute serve --relay` on loopback under faults that overlap in time: stops, kills,
-// restarts, new configurations, failing discovery, engines and connections that misbehave, bad clients, system calls that fail and wall
-// clocks that are stepped. The rules (lab/rules) judge what passed on the sockets; the nodes' logs and exit statuses are evaluated as
-// well. Everything is drawn from one seed. Times vary with the load of the machine.
+// Package soak runs many real processes of `dillroute serve --relay` on loopback under faults that overlap in time: stops, kills,
+// restarts, new configurations, failing discovery, faulty engines and connections, bad clients, failing system calls and stepped wall
+// clocks. It checks the recorded traffic against the rules (lab/rules), and the nodes' logs and exit statuses for errors. All random
+// choices are drawn from one seed, but times vary with the load of the machine.
 package soak
 
 import (
@@ -11,29 +11,29 @@
 	"dillroute/lab/record"
 )
 
-// Scenario is what is to be played.
+// Scenario describes one run.
 type Scenario struct {
 	Seed           uint64
 	Nodes          int
 	ClientsPerNode int
-	Duration       time.Duration // in which faults begin
-	Program        string        // the node's program, linked against the C library
-	ClockLib       string        // the library that steps clocks (BuildClock)
-	Directory      string        // for logs and configurations
-	Faults         []string      // names of those that are drawn from; empty = all
-	Parallel       int           // faults at a time
+	Duration       time.Duration // period in which faults begin
+	Program        string        // path of the node's program, linked against the C library
+	ClockLib       string        // path of the library that steps clocks (BuildClock)
+	Directory      string        // directory for logs and configurations
+	Faults         []string      // names of the faults that may be drawn; empty: all
+	Parallel       int           // number of concurrent faults; at least 1 is used
 }
 
 // Times of a scenario.
 const (
 	warmUp         = time.Second     // before the first fault
 	recoveryTime   = 8 * time.Second // after the last fault
-	recoveryWindow = 4 * time.Second // the last part of it, in which all should be well again
+	recoveryWindow = 4 * time.Second // last part of recoveryTime, in which the fleet must serve again
 )
 
-// Finding is something that must not happen.
+// Finding is an observation of something that must not happen.
 type Finding struct {
-	At   time.Duration // since the scenario began
+	At   time.Duration // since the start of the scenario
 	Kind string        // "rule N", log, crash, start, ready, reload, bad client, setup or recovery
 	Text string
 }
@@ -42,9 +42,9 @@
 	return fmt.Sprintf("%7.3f s %s: %s", f.At.Seconds(), f.Kind, f.Text)
 }
 
-// FaultEvent is a fault as it was injected.
+// FaultEvent describes an injected fault.
 type FaultEvent struct {
-	At       time.Duration // since the scenario began
+	At       time.Duration // since the start of the scenario
 	Duration time.Duration
 	Text     string
 }
@@ -58,7 +58,7 @@
 	Findings         []Finding
 	Events           []FaultEvent
 	Outcomes         map[record.Outcome]int
-	RecoveryOutcomes map[record.Outcome]int // of the last seconds, when all faults were over
+	RecoveryOutcomes map[record.Outcome]int // in the recovery window, when all faults were over
 	Unanswered       int                    // requests on reused connections that closed without a response
-	FailedCalls      map[string]int         // system calls that were made to fail, by number and error
+	FailedCalls      map[string]int         // numbers of failed system calls, by call number and error
 }
--- a/lab/soak/scenario_test.go
+++ b/lab/soak/scenario_test.go
@@ -17,7 +17,7 @@
 	"dillroute/lab/rules"
 )
 
-// fixture is one node on its platform, with clients.
+// fixture is a fleet of one node, with clients.
 type fixture struct {
 	*testing.T
 	fleet   *Fleet
@@ -26,7 +26,7 @@
 	stopped chan struct{}
 }
 
-// newFixture creates a node that has not been started.
+// newFixture creates a fixture whose node has not been started.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	program, clockLib := build(t)
@@ -47,7 +47,7 @@
 	s.node.awaitReady()
 }
 
-// startClients starts clients that make operations until stopClients.
+// startClients starts clients that perform operations until stopClients is called.
 func (s *fixture) startClients(clients int) {
 	s.stop, s.stopped = make(chan struct{}), make(chan struct{}, clients)
 	for i := range clients {
@@ -63,7 +63,7 @@
 	}
 }
 
-// checkRules reports violations of the rules, and findings.
+// checkRules reports violations of the rules and other findings as test errors.
 func (s *fixture) checkRules() {
 	s.Helper()
 	for _, v := range rules.Check(s.fleet.log.All(), s.fleet.rulesConfig()) {
@@ -76,7 +76,7 @@
 	}
 }
 
-// A node starts though the system calls by which it opens its socket and reads its configuration fail for a moment.
+// A node becomes ready even if the system calls that open its socket and its configuration file fail during the first 0.7 s.
 func TestNodeStartsDespiteTransientSystemCallFailures(t *testing.T) {
 	s := newFixture(t)
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
@@ -94,14 +94,14 @@
 		inService := s.node.inService
 		s.node.mu.Unlock()
 		if !inService {
-			t.Fatalf("socket and open fail with %v for 0.7 s: the node is not ready\n%s", errno, s.logs())
+			t.Fatalf("node is not ready after socket and open failed with %v for 0.7 s\n%s", errno, s.logs())
 		}
 		s.node.stop(0, 0)
 	}
 	s.checkRules()
 }
 
-// Lists are followed and requests are served though the wall clock is stepped, forward or back.
+// A step of the wall clock, forward or back, must not keep a node from applying endpoint lists and serving requests.
 func TestWallClockStepsAffectNeitherDiscoveryNorRequests(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour, -3 * time.Second, 3 * time.Second} {
 		t.Run(step.String(), func(t *testing.T) {
@@ -111,7 +111,7 @@
 			s.startClients(8)
 			time.Sleep(300 * time.Millisecond)
 			s.node.clock.Step(int64(step))
-			for i := range 300 { // a busy discovery: each change is an answer, and a call that follows it
+			for i := range 300 { // frequent discovery calls: each change answers one, and the node makes the next
 				s.fleet.registry.Update("both-9", func(x *platform.Endpoint) { x.Weight = 1 + float64(i)/100 })
 				time.Sleep(40 * time.Millisecond)
 			}
@@ -122,13 +122,13 @@
 			s.stopClients()
 			s.checkRules()
 			if refused, served := s.fleet.outcomes[record.Rejected], s.fleet.outcomes[record.Served]; served < 9*refused {
-				t.Errorf("outcomes %v", s.fleet.outcomes)
+				t.Errorf("outcomes %v, want at least nine served for each rejected", s.fleet.outcomes)
 			}
 		})
 	}
 }
 
-// A stop takes its time and loses no request though the wall clock is stepped meanwhile.
+// A step of the wall clock during a shutdown must not make the shutdown late, nor leave a received request without a response.
 func TestShutdownIsUnaffectedByWallClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
@@ -144,18 +144,18 @@
 			s.node.checkLogs(received)
 			for _, c := range s.fleet.unanswered {
 				if _, ok := received[c.id]; ok {
-					t.Errorf("%s was read, and its connection closed with no answer", c.operation)
+					t.Errorf("%s was received, but its connection closed without a response", c.operation)
 				}
 			}
 			if took := s.node.stopDuration(); took > minStopTime {
-				t.Errorf("the stop took %v", took)
+				t.Errorf("shutdown took %v", took)
 			}
 			s.checkRules()
 		})
 	}
 }
 
-// logs returns what the node's processes have logged.
+// logs returns the logs of the node's processes.
 func (s *fixture) logs() string {
 	text := ""
 	for _, path := range s.node.logPaths {
@@ -165,7 +165,7 @@
 	return text
 }
 
-// A new configuration that cannot be read at the moment of SIGHUP takes effect when it can.
+// A new configuration file that cannot be opened when SIGHUP arrives takes effect once it can be opened.
 func TestReloadRetriesAfterTransientReadFailure(t *testing.T) {
 	s := newFixture(t)
 	s.startNode()
@@ -188,7 +188,7 @@
 	s.checkRules()
 }
 
-// Clients that connect in the first moments of a stop get a response though no connection can be accepted for a part of them.
+// Clients that connect early in a shutdown get a response even if accept fails during the first 0.2 s.
 func TestShutdownAcceptsConnectionsAfterTransientAcceptFailure(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EPROTO} {
 		s := newFixture(t)
@@ -221,7 +221,8 @@
 func TestNodeServesWhenItsLogPipeIsClosed(t *testing.T) { testServingWithLogPipe(t, true) }
 func TestNodeServesWhenItsLogPipeIsFull(t *testing.T)   { testServingWithLogPipe(t, false) }
 
-// testServingWithLog checks that a node serves on, and stops in time, whatever becomes of the reader of its log.
+// testServingWithLogPipe checks that a node continues to serve, and stops in time, when its log goes to a pipe that is closed or that
+// nobody reads.
 func testServingWithLogPipe(t *testing.T, pipeClosed bool) {
 	t.Helper()
 	s := newFixture(t)
@@ -240,16 +241,16 @@
 	time.Sleep(4 * time.Second)
 	s.stopClients()
 	if served := s.fleet.outcomes[record.Served]; served < 100 {
-		t.Errorf("outcomes %v", s.fleet.outcomes)
+		t.Errorf("outcomes %v, want at least 100 served", s.fleet.outcomes)
 	}
 	s.node.stop(0, 0)
 	if took := s.node.stopDuration(); took > minStopTime {
-		t.Errorf("the stop took %v", took)
+		t.Errorf("shutdown took %v", took)
 	}
 	s.checkRules()
 }
 
-// Requests survive a moment in which no connection to an engine can be made, and nearly all are served.
+// Nearly all requests are served even if no connection to an engine can be opened for 0.4 s.
 func TestRequestsSurviveTransientConnectFailures(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH} {
 		s := newFixture(t)
@@ -273,8 +274,8 @@
 	}
 }
 
-// States are released in time though the decode attempts that would fetch them were written to connections that carry nothing any more:
-// an attempt that has not reached a running engine is not in flight.
+// States must be released in time even if the decode attempts that would fetch them were written to connections that carry nothing more:
+// an attempt that has not reached a running engine does not count as in flight.
 func TestStatesAreReleasedWhenDecodeConnectionsAreBlackholed(t *testing.T) {
 	s := newFixture(t)
 	s.startNode()
@@ -288,19 +289,14 @@
 	s.checkRules()
 }
 
-// Reported from a pre-production run: states of requests that may be repeated were neither used nor released in time, on nodes that no
-// signal and no list change had reached. The prefills were answered; the decode attempts had been written to connections that were open
-// already, and were never taken.
+// Guards against states of repeatable requests that are neither used nor released in time when several decode engines are cut off at
+// once. Open connections to them accept decode attempts but carry nothing, and new connections fail only after the connect timeout, which
+// uses up most of the states' time.
 //
-// How it came about: the machines of several decode engines were cut off together. Their open connections took what was written and
-// carried nothing; connections to others of them failed after the connect timeout, which used up most of the states' time.
-//
-// Cause: a written attempt counted as in flight, and three guards each relied on another to end it before the limit on the state: the
-// scheduler cancels only attempts that are overdue, which failed connections put off, and only with two attempts left; the release
-// beside a silent attempt left such classes to the scheduler; the host looked once.
-//
-// Proof: the pauses before the writes are the connect timeout, the ejections are those of failed connections; here the node's debug log
-// has the one look ("attempt silent") and no release before the end of the client's time.
+// A written attempt counted as in flight, and each of three mechanisms relied on another one to end it before the limit on the state:
+// the scheduler cancels only overdue attempts, which failed connections delay, and only with two attempts left; the release beside a
+// silent attempt left these classes to the scheduler; the host checked only once (log line "attempt silent"). So nothing released the
+// states before the end of the client's time.
 func TestStatesAreReleasedWhenDecodeEnginesAreCutOff(t *testing.T) {
 	s := newFixture(t)
 	s.startNode()
@@ -323,8 +319,8 @@
 	s.checkRules()
 }
 
-// The same without failed connections: what is written to open connections is swallowed, again and again, while new ones work. Engines
-// are heard of then, so that hearing of an engine is no proof that an attempt there has arrived.
+// As TestStatesAreReleasedWhenDecodeEnginesAreCutOff, but without failed connections: open connections repeatedly stop carrying data,
+// while new ones work. Nodes keep receiving responses from the engines, which doesn't prove that an earlier attempt has arrived there.
 func TestStatesAreReleasedWhenOpenConnectionsAreBlackholed(t *testing.T) {
 	s := newFixture(t)
 	s.startNode()
@@ -353,7 +349,7 @@
 	}
 }
 
-// stopDuration returns how long the last stop took.
+// stopDuration returns the time from the last SIGTERM to the end of the process.
 func (n *Node) stopDuration() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -18,7 +18,7 @@
 	os.Exit(m.Run())
 }
 
-// build builds the node's program as it is deployed, and the library that steps clocks.
+// build builds the node's program, linked as for deployment, and the library that steps clocks.
 func build(t *testing.T) (program, clockLib string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -39,7 +39,7 @@
 	return program, clockLib
 }
 
-// envNumber returns the number in an environment variable, or a default.
+// envNumber returns the number in an environment variable, or a default if it isn't set to a number.
 func envNumber(name string, or int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
@@ -47,7 +47,7 @@
 	return or
 }
 
-// logDirectory returns where the logs of a scenario go; they stay where SOAK_LOGS names a directory.
+// logDirectory returns the directory for the logs of a scenario: one within SOAK_LOGS, which is kept, or else a temporary one.
 func logDirectory(t *testing.T, name string) string {
 	t.Helper()
 	logs := os.Getenv("SOAK_LOGS")
@@ -61,9 +61,9 @@
 	return dir
 }
 
-// Processes under overlapping faults keep the rules, do not crash, and serve again when the faults are over. SOAK_SEEDS=5-14 plays
-// other seeds, SOAK_NODES, SOAK_SECONDS and SOAK_PARALLEL larger scenarios, SOAK_TROUBLES=stop,drain chosen faults; SOAK_LOGS names a
-// directory in which the nodes' logs stay.
+// Processes under overlapping faults must follow the rules, not crash, and serve again when the faults are over. SOAK_SEEDS=5-14 selects
+// other seeds, SOAK_NODES, SOAK_SECONDS and SOAK_PARALLEL set the size of the scenario, SOAK_TROUBLES=stop,drain selects faults, and
+// SOAK_LOGS names a directory in which the nodes' logs are kept.
 func TestSoak(t *testing.T) {
 	program, clockLib := build(t)
 	from, to := 1, 1
--- a/lab/soak/staterelease_test.go
+++ b/lab/soak/staterelease_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// playStalls stalls one in three decode engines again and again, and checks the rules.
+// runStalls repeatedly stalls about one in three decode engines, and checks the rules.
 func runStalls(t *testing.T, kind string) {
 	s := newFixture(t)
 	s.startNode()
@@ -31,7 +31,8 @@
 	s.checkRules()
 }
 
-// endStall has engines go on. Attempts that they lose are lost after the releases at the limit, and a while before they go on.
+// endStall ends a stall of engines. With stallLosesAttempts, the attempts are lost 2 s before the engines resume, but only after the
+// releases at the limit.
 func (s *fixture) endStall(ids []string, kind string) {
 	for _, id := range ids {
 		switch kind {
@@ -49,8 +50,8 @@
 	}
 }
 
-// Guards against an incident in which states stayed at prefill engines for good: a release at the limit was acknowledged beside an attempt
-// that its decode engine had taken, freed nothing while the attempt waited, and was not made again when the attempt had ended.
+// Guards against states that stay at prefill engines forever. A release at the limit was acknowledged while an attempt that a decode
+// engine had received still waited for the state, so it released nothing. It was not repeated after the attempt had ended.
 func TestStatesAreReleasedAfterWaitingAttemptsEnd(t *testing.T) {
 	for _, kind := range []string{stallResets, stallGoesOn, stallFrozen, stallLosesAttempts} {
 		t.Run(kind, func(t *testing.T) {
--- a/lab/soak/supervisor.go
+++ b/lab/soak/supervisor.go
@@ -32,30 +32,31 @@
 	flags uint32
 }
 
-// Commands and flags of a notifier (linux/seccomp.h).
+// Commands and flags of a seccomp notifier (linux/seccomp.h).
 const (
 	notifyReceive  = 0xc0502100 // SECCOMP_IOCTL_NOTIF_RECV
 	notifySend     = 0xc0182101 // SECCOMP_IOCTL_NOTIF_SEND
 	notifyContinue = 1          // SECCOMP_USER_NOTIF_FLAG_CONTINUE
 )
 
-// Supervisor decides which of the watched system calls of one process fail.
+// Supervisor decides which of the watched system calls of one process fail. No call fails until Fail is called.
 type Supervisor struct {
-	watchedFile string // the one file whose opening is decided; others open as they do
+	watchedFile string // path of the only file for which openat may fail
 
 	mu     sync.Mutex                      // guards the fields below
-	decide func(call uint32) syscall.Errno // nil = no call fails
-	failed map[string]int                  // calls that were made to fail, by number and error
+	decide func(call uint32) syscall.Errno // nil: no call fails
+	failed map[string]int                  // numbers of failed calls, by call number and error
 }
 
-// Fail sets which watched calls fail from now on, and how; nil = none. decide is called under a lock, one call at a time.
+// Fail sets a function that returns the error of each watched call from now on; 0 lets the call proceed, and a nil function lets all
+// calls proceed. decide runs under the supervisor's lock, for one call at a time.
 func (s *Supervisor) Fail(decide func(call uint32) syscall.Errno) {
 	s.mu.Lock()
 	s.decide = decide
 	s.mu.Unlock()
 }
 
-// addFailed adds how many calls were made to fail to total, by number and error.
+// addFailed adds the numbers of failed calls, by call number and error, to total.
 func (s *Supervisor) addFailed(total map[string]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +65,7 @@
 	}
 }
 
-// decideCall returns the error of a call; 0 = it goes on.
+// decideCall returns the error with which a call fails; 0 if it proceeds.
 func (s *Supervisor) decideCall(call uint32) syscall.Errno {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +105,7 @@
 	}
 }
 
-// respond decides a call. Opening another file than the watched one always goes on.
+// respond returns the response to a notification. Opening any file other than the watched one always proceeds.
 func (s *Supervisor) respond(n *notification) notificationResponse {
 	proceed := notificationResponse{id: n.id, flags: notifyContinue}
 	if n.callNumber == unix.SYS_OPENAT && s.openedPath(n) != s.watchedFile {
@@ -117,9 +118,9 @@
 	return notificationResponse{id: n.id, error: -int32(errno)}
 }
 
-// openedPath reads the path that a call of openat names; "" = it cannot be read.
+// openedPath reads the path argument of an openat call from the process's memory; "" if it cannot be read.
 func (s *Supervisor) openedPath(n *notification) string {
-	b := make([]byte, len(s.watchedFile)+1) // enough to tell the watched file from others
+	b := make([]byte, len(s.watchedFile)+1) // one byte more than the watched path, so that a longer path with this prefix differs
 	local := []unix.Iovec{{Base: &b[0], Len: uint64(len(b))}}
 	remote := []unix.RemoteIovec{{Base: uintptr(n.args[1]), Len: len(b)}}
 	k, err := unix.ProcessVMReadv(int(n.pid), local, remote, 0)
@@ -130,7 +131,7 @@
 	return string(text)
 }
 
-// start starts a command under a supervisor. The command is this very program, which calls Launch.
+// start starts a command under the supervisor. The command runs this program, which calls Launch.
 func (s *Supervisor) start(cmd *exec.Cmd) error {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -151,10 +152,10 @@
 // receiveNotifier receives the notifier that the launched process sends on a socket, and serves it until the process ends.
 func (s *Supervisor) receiveNotifier(socket int) {
 	defer unix.Close(socket)
-	rights := make([]byte, unix.CmsgSpace(4)) // of one descriptor
+	rights := make([]byte, unix.CmsgSpace(4)) // space for one descriptor
 	_, n, _, _, err := unix.Recvmsg(socket, make([]byte, 1), rights, 0)
 	if err != nil || n == 0 {
-		return // the launch has failed, and the process's log has the cause
+		return // the launch has failed; the cause is in the process's log
 	}
 	messages, err := unix.ParseSocketControlMessage(rights[:n])
 	if err != nil {
--- a/lab/soak/testdata/clock.c
+++ b/lab/soak/testdata/clock.c
@@ -1,5 +1,5 @@
-/* Steps the wall clock of one process: loaded by LD_PRELOAD, it leads the clock_gettime of the process's own vDSO to a
- * function that adds what a shared file says (nanoseconds, int64) to CLOCK_REALTIME. The monotonic clock is left alone. */
+/* Steps the wall clock of one process. Loaded with LD_PRELOAD, it patches clock_gettime in the process's vDSO to jump to a
+ * function that adds the offset in a shared file (nanoseconds, int64) to CLOCK_REALTIME. The monotonic clock is unchanged. */
 #define _GNU_SOURCE
 #include <elf.h>
 #include <fcntl.h>
