--- a/lab/soak/fault_client.go
+++ b/lab/soak/fault_client.go
@@ -68,7 +68,7 @@
 		go func() {
 			defer clients.Done()
 			if ignoresBadRequest(n, text) {
-				t.fleet.report("bad client", "%s neither responded nor closed the connection in %v after %.60q", n.name, badClientLimit, text)
+				t.fleet.report("bad client", "%s neither responded nor closed the connection in %v: %.60q", n.name, badClientLimit, text)
 			}
 		}()
 	}
