--- a/lab/soak/staterelease_test.go
+++ b/lab/soak/staterelease_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// playStalls stalls one in three decode engines again and again, and checks the rules.
-func playStalls(t *testing.T, kind string) {
+// runStalls repeatedly stalls about one in three decode engines, and checks the rules.
+func runStalls(t *testing.T, kind string) {
 	s := newFixture(t)
 	s.startNode()
 	s.startClients(24)
@@ -20,7 +20,7 @@
 		for _, id := range s.fleet.engineIDs {
 			if id[0] != 'r' && rng.IntN(3) == 0 {
 				stalled = append(stalled, id)
-				stall(s.fleet.engine(id), kind)
+				stallEngine(s.fleet.engine(id), kind)
 			}
 		}
 		time.Sleep(1200*time.Millisecond + time.Duration(rng.Float64()*float64(2*time.Second)))
@@ -31,7 +31,8 @@
 	s.checkRules()
 }
 
-// endStall has engines go on. Attempts that they lose are lost after the releases at the limit, and a while before they go on.
+// endStall ends a stall of engines. With stallLosesAttempts, the attempts are lost 2 s before the engines resume, but only after the
+// releases at the limit.
 func (s *fixture) endStall(ids []string, kind string) {
 	for _, id := range ids {
 		switch kind {
@@ -49,13 +50,13 @@
 	}
 }
 
-// Guards against an incident in which states stayed at prefill engines for good: a release at the limit was acknowledged beside an attempt
-// that its decode engine had taken, freed nothing while the attempt waited, and was not made again when the attempt had ended.
-func TestStatesAreReleasedOnceTheAttemptsThatWaitForThemHaveEnded(t *testing.T) {
+// Guards against states that stay at prefill engines forever. A release at the limit was acknowledged while an attempt that a decode
+// engine had received still waited for the state, so it released nothing. It was not repeated after the attempt had ended.
+func TestStatesAreReleasedAfterWaitingAttemptsEnd(t *testing.T) {
 	for _, kind := range []string{stallResets, stallGoesOn, stallFrozen, stallLosesAttempts} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			playStalls(t, kind)
+			runStalls(t, kind)
 		})
 	}
 }
