--- a/lab/emulator/consul.go
+++ b/lab/emulator/consul.go
@@ -26,12 +26,12 @@
 	Truncate       bool // bodies are shorter than their Content-Length
 	Errors         bool // status 500
 	NoIndex        bool // responses have no X-Consul-Index
-	VersionsBehind int  // responses are so many versions old
+	VersionsBehind int  // responses are this many versions old
 	Empty          bool // the list is empty
 	Malformed      bool // the list lacks fields that Consul always sends
 }
 
-// ConsulServer emulates Consul's health endpoint with blocking queries, on loopback.
+// ConsulServer emulates Consul's health endpoint with blocking queries on a loopback socket.
 type ConsulServer struct {
 	server  *http.Server
 	address string
@@ -39,30 +39,30 @@
 
 	mu       sync.Mutex // guards the fields below
 	index    uint64
-	versions [][]Instance  // the last ones, newest last
-	changed  chan struct{} // closed at a change
+	versions [][]Instance  // the latest versions of the list, newest last
+	changed  chan struct{} // closed at each change
 	faults   ConsulFaults
 }
 
 const (
 	// versionsLimit is how many versions of the list a server keeps for VersionsBehind.
 	versionsLimit = 20
-	// defaultWait is how long a blocking query without a wait is held (Consul's documentation, blocking queries).
+	// defaultWait is how long a blocking query without the parameter wait may block (Consul's documentation, blocking queries).
 	defaultWait = 5 * time.Minute
 )
 
-// NewConsulServer returns a server that does not run yet, with its first index.
+// NewConsulServer returns a stopped server whose first index is the given one, or 1 if that is 0.
 func NewConsulServer(index uint64) *ConsulServer {
 	return &ConsulServer{index: max(1, index), versions: [][]Instance{nil}, changed: make(chan struct{})}
 }
 
-// Start opens the socket, at the same address each time.
+// Start starts the server. Each start after the first listens at the same address.
 func (s *ConsulServer) Start() error {
 	address := s.address
 	if address == "" {
 		address = defaultListen
 	}
-	listener, err := listenAgain(address)
+	listener, err := listenWithRetry(address)
 	if err != nil {
 		return err
 	}
@@ -80,13 +80,13 @@
 	return nil
 }
 
-// Stop ends the server; Start starts it again.
+// Stop stops the server and closes its connections. Start may start it again.
 func (s *ConsulServer) Stop() {
 	s.cancel()
 	s.server.Close()
 }
 
-// Address is where the server listens, from its first start on.
+// Address returns the address at which the server listens; it is empty before the first start.
 func (s *ConsulServer) Address() string { return s.address }
 
 // SetInstances replaces the list and answers the blocking queries.
@@ -115,13 +115,13 @@
 	s.wakeQueries()
 }
 
-// wakeQueries lets blocking queries look at the server again. The lock is held.
+// wakeQueries makes all blocking queries check the server's state again. The caller holds the lock.
 func (s *ConsulServer) wakeQueries() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// handleHealth serves a blocking query.
+// handleHealth serves a blocking query. Under a fault it responds at once, or never if the fault is Hang.
 func (s *ConsulServer) handleHealth(w http.ResponseWriter, r *http.Request) {
 	knownIndex, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
@@ -154,7 +154,7 @@
 	}
 }
 
-// respondList responds with a list, or with what the faults make of it.
+// respondList responds with a list, altered by the faults.
 func respondList(w http.ResponseWriter, index uint64, list []Instance, faults ConsulFaults) {
 	if faults.Errors {
 		http.Error(w, "no cluster leader", http.StatusInternalServerError)
@@ -180,7 +180,7 @@
 	w.Write(text)
 }
 
-// entry is the instance in the form of Consul's health endpoint.
+// entry returns the instance in the format of Consul's health endpoint.
 func (i Instance) entry() map[string]any {
 	host, portText, _ := net.SplitHostPort(i.Address)
 	port, _ := strconv.Atoi(portText)
--- a/lab/emulator/decode.go
+++ b/lab/emulator/decode.go
@@ -9,7 +9,7 @@
 	"dillroute/lab/record"
 )
 
-// serveDecode serves the decode stage, or both stages where no state is named and the engine may read prompts.
+// serveDecode serves the decode stage. If the request names no KV state and the engine may prefill, it serves both stages.
 func (j *job) serveDecode() {
 	hasState := j.request.Transfer != nil && j.request.Transfer.DoRemotePrefill
 	if !hasState && !j.engine.LocalPrefill && j.engine.Role != roleMixed {
@@ -47,7 +47,7 @@
 	}
 }
 
-// sendResponse generates the response and sends it in one piece.
+// sendResponse generates the complete response and sends it without streaming.
 func (j *job) sendResponse(tokens int) {
 	created := time.Now().Unix()
 	var text strings.Builder
@@ -72,7 +72,7 @@
 	})
 }
 
-// streamResponse generates the response and sends each token as an event.
+// streamResponse generates the response and sends each token as a server-sent event.
 func (j *job) streamResponse(tokens int) {
 	j.response.Header().Set("Content-Type", "text/event-stream")
 	events := &eventWriter{job: j, faults: j.engine.faults.Load()}
@@ -100,12 +100,12 @@
 	events.send("[DONE]")
 }
 
-// decodeStep takes the time of one token; false means that the job was canceled.
+// decodeStep waits for the duration of one decode step. It returns false if the job was canceled.
 func (j *job) decodeStep() bool {
 	return sleep(j.ctx, j.stepDuration()) && j.process.ctx.Err() == nil
 }
 
-// stepDuration is the time of a decode step under the present load and faults.
+// stepDuration returns the duration of a decode step under the current load and faults.
 func (j *job) stepDuration() time.Duration {
 	p := j.process
 	p.mu.Lock()
@@ -127,13 +127,13 @@
 	return map[string]any{"prompt_tokens": j.tokens, "completion_tokens": tokens, "total_tokens": j.tokens + tokens}
 }
 
-// deltaChunk is an event with a piece of the response; finishReason is nil in all but the last.
+// deltaChunk returns the JSON text of an event with a piece of the response. finishReason is nil in all events but the last.
 func (j *job) deltaChunk(created int64, delta map[string]any, finishReason any) string {
 	choice := map[string]any{"index": 0, "delta": delta, "finish_reason": finishReason}
 	return j.chunk(created, map[string]any{"choices": []any{choice}})
 }
 
-// chunk is the JSON text of an event with the fields given, beside those that all events of a response share.
+// chunk returns the JSON text of an event with the given fields and those that all events of a response share.
 func (j *job) chunk(created int64, fields map[string]any) string {
 	fields["id"] = "chatcmpl-" + j.requestID
 	fields["object"] = "chat.completion.chunk"
--- a/lab/emulator/engine.go
+++ b/lab/emulator/engine.go
@@ -15,7 +15,7 @@
 	"dillroute/lab/record"
 )
 
-// Engine is an emulated engine on a loopback socket. Kill and Start may be called any number of times, in turn.
+// Engine is an emulated engine on a loopback socket. It may be started and killed any number of times, in turn.
 type Engine struct {
 	Settings
 	log    *record.Log
@@ -29,7 +29,7 @@
 	startedAt float64 // Unix seconds
 }
 
-// process is what an engine loses when it stops.
+// process is the state of a running engine that is lost when the engine stops.
 type process struct {
 	ctx       context.Context
 	stop      context.CancelFunc
@@ -51,25 +51,26 @@
 	rng              *rand.Rand
 }
 
-// New returns an engine that does not run yet. The log may be nil.
+// New returns a stopped engine. The log may be nil.
 func New(s Settings, l *record.Log) *Engine {
 	e := &Engine{Settings: s.WithDefaults(), log: l}
 	e.faults.Store(&Faults{})
 	return e
 }
 
-// Start opens the socket, at the same address each time; slowStart says that the engine begins at a part of its speed.
+// Start starts the engine. Each start after the first listens at the same address. If slowStart is set, the engine begins at
+// SlowStartShare of its speed.
 func (e *Engine) Start(slowStart bool) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.process != nil {
-		return fmt.Errorf("emulator: %s runs already", e.ID)
+		return fmt.Errorf("emulator: %s is already running", e.ID)
 	}
 	address := e.Listen
 	if e.address != "" {
 		address = e.address
 	}
-	listener, err := listenAgain(address)
+	listener, err := listenWithRetry(address)
 	if err != nil {
 		return err
 	}
@@ -83,11 +84,11 @@
 	}
 	e.process = p
 	e.startedAt = record.Now()
-	slowStarts := 0.0
+	slowStartFlag := 0.0
 	if slowStart {
-		slowStarts = 1
+		slowStartFlag = 1
 	}
-	e.log.Add(record.Record{Kind: record.EngineStarted, Engine: e.ID, Tokens: slowStarts, T: e.startedAt})
+	e.log.Add(record.Record{Kind: record.EngineStarted, Engine: e.ID, Tokens: slowStartFlag, T: e.startedAt})
 	go e.server.Serve(&slowListener{Listener: listener, engine: e})
 	return nil
 }
@@ -106,14 +107,14 @@
 	return p
 }
 
-// wakeQueue lets the requests in the queue look again whether they may run or have been canceled.
+// wakeQueue makes the queued requests check again whether they may run or have been canceled.
 func (p *process) wakeQueue() {
 	p.mu.Lock()
 	p.capacityChanged.Broadcast()
 	p.mu.Unlock()
 }
 
-// Kill stops the engine at once, with all its connections, requests and KV states.
+// Kill stops the engine at once and drops its connections, requests and KV states. It does nothing if the engine is stopped.
 func (e *Engine) Kill() {
 	e.mu.Lock()
 	p, server := e.process, e.server
@@ -123,21 +124,21 @@
 		return
 	}
 	p.stop()
-	e.loseStates(p) // before the connections are waited for: on a busy machine that takes seconds
+	e.loseStates(p) // before the wait for the handlers, which takes seconds on a busy machine
 	server.Close()
 	p.handlers.Wait()
-	e.loseStates(p) // and those that a prefill added meanwhile
+	e.loseStates(p) // the states that a prefill stored in the meantime
 	e.log.Add(record.Record{Kind: record.EngineStopped, Engine: e.ID})
 }
 
-// Address is where the engine listens, from its first start on.
+// Address returns the address at which the engine listens; it is empty before the first start.
 func (e *Engine) Address() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.address
 }
 
-// Started returns the Unix time of the last start, and whether the engine runs.
+// Started returns the Unix time of the last start, and whether the engine is running.
 func (e *Engine) Started() (at float64, running bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -158,7 +159,7 @@
 	e.mu.Unlock()
 }
 
-// speedShare is the present share of the engine's full speed, after slow start and faults.
+// speedShare returns the current share of the engine's full speed, reduced by slow start and faults.
 func (e *Engine) speedShare(p *process) float64 {
 	share := 1.0
 	if p.slowStart && e.SlowStartSeconds > 0 {
@@ -171,7 +172,7 @@
 	return share
 }
 
-// sleep waits; false means that the context ended first.
+// sleep waits for a duration. It returns false if the context ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/lab/emulator/eventwriter.go
+++ b/lab/emulator/eventwriter.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// eventWriter sends the events of a stream one by one and injects the faults of streams.
+// eventWriter sends the events of a stream and injects the faults that interrupt streams.
 type eventWriter struct {
 	job    *job
-	faults *Faults // as they were when the stream began
+	faults *Faults // of the engine when the stream began
 	sent   int     // events
 }
 
-// send sends an event; false means that the stream is over.
+// send sends an event. It returns false if the stream has ended.
 func (w *eventWriter) send(data string) bool {
 	faults, j := w.faults, w.job
 	switch {
@@ -40,7 +40,7 @@
 	return http.NewResponseController(j.response).Flush() == nil
 }
 
-// hijack takes the connection from the HTTP server after all that was written has been sent.
+// hijack flushes the response and takes over the connection from the HTTP server.
 func (w *eventWriter) hijack() (net.Conn, error) {
 	controller := http.NewResponseController(w.job.response)
 	controller.Flush()
@@ -48,17 +48,17 @@
 	return conn, err
 }
 
-// closeConnection closes the connection without the last chunk.
+// closeConnection closes the connection without sending the last chunk.
 func (w *eventWriter) closeConnection() {
 	if conn, err := w.hijack(); err == nil {
 		conn.Close()
 	}
 }
 
-// halfCloseTimeout bounds the wait for the other side after a half close.
+// halfCloseTimeout bounds the wait for the router to close its side after a half close.
 const halfCloseTimeout = 5 * time.Second
 
-// halfCloseConnection closes the sending side alone, and the connection when the router closes its side.
+// halfCloseConnection closes only the sending side. It closes the whole connection when the router has closed its side.
 func (w *eventWriter) halfCloseConnection() {
 	conn, err := w.hijack()
 	if err != nil {
--- a/lab/emulator/handlers.go
+++ b/lab/emulator/handlers.go
@@ -10,10 +10,10 @@
 	"dillroute/lab/record"
 )
 
-// modelList answers GET /v1/models.
+// modelList is the response to GET /v1/models.
 const modelList = `{"object":"list","data":[{"id":"standin","object":"model","created":0,"owned_by":"lab"}]}`
 
-// handler serves the calls of one process of the engine.
+// handler returns the HTTP handler of one process of the engine.
 func (e *Engine) handler(p *process) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { e.handleChat(p, w, r) })
@@ -26,13 +26,13 @@
 	return mux
 }
 
-// handleChat serves a chat request of either stage.
+// handleChat serves a chat request for the prefill stage, the decode stage or both.
 func (e *Engine) handleChat(p *process, w http.ResponseWriter, r *http.Request) {
 	p.handlers.Add(1)
 	defer p.handlers.Done()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // an incomplete request never ran
+		return // an incomplete request is not run
 	}
 	var parsed request
 	if err := json.Unmarshal(body, &parsed); err != nil || len(parsed.Messages) == 0 {
@@ -52,7 +52,7 @@
 		prefill:   parsed.Transfer != nil && parsed.Transfer.DoRemoteDecode,
 	}
 	j.record(record.Arrive, "")
-	if j.playRequestFault() {
+	if j.injectRequestFault() {
 		return
 	}
 	e.addLoadReport(p, w)
@@ -68,7 +68,7 @@
 	}
 }
 
-// handleFaults replaces the engine's faults by those of the body.
+// handleFaults replaces the engine's faults with those in the body.
 func (e *Engine) handleFaults(w http.ResponseWriter, r *http.Request) {
 	var faults Faults
 	decoder := json.NewDecoder(r.Body)
@@ -81,7 +81,7 @@
 	fmt.Fprintln(w, "{}")
 }
 
-// respondError responds with an error in the published form.
+// respondError responds with an error in the format of the chat API.
 func respondError(w http.ResponseWriter, status int, code, message string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -90,7 +90,7 @@
 	})
 }
 
-// sendingNode returns the name of the node that sent a request, from its Via field.
+// sendingNode returns the name of the node that sent a request, from the Via header field.
 func sendingNode(r *http.Request) string {
 	_, name, _ := strings.Cut(r.Header.Get("Via"), " ")
 	return name
--- a/lab/emulator/job.go
+++ b/lab/emulator/job.go
@@ -15,13 +15,13 @@
 	request   *request
 	ctx       context.Context
 	requestID string // X-Request-Id
-	node      string // that sent it
+	node      string // the node that sent the request
 	digest    uint64 // of the prompt
 	tokens    int    // of the prompt
-	prefill   bool   // it asks for the prefill stage alone
+	prefill   bool   // the request is for the prefill stage only
 }
 
-// record adds what happened to the job to the log; the note begins with the job's stage.
+// record adds an event of the job to the log. The record's note begins with the job's stage.
 func (j *job) record(kind record.Kind, note string) {
 	mark := j.request.Mark
 	stage := "decode"
@@ -47,17 +47,17 @@
 	})
 }
 
-// reject responds with an error that says that the job never ran.
+// reject responds with an error, which means that the job was not run, and records the rejection.
 func (j *job) reject(status int, code, message string) {
 	j.record(record.AttemptRejected, code)
 	respondError(j.response, status, code, message)
 }
 
-// canceled reports whether the client has left or the engine has stopped.
+// canceled reports whether the client has disconnected or the engine has stopped.
 func (j *job) canceled() bool { return j.ctx.Err() != nil || j.process.ctx.Err() != nil }
 
-// acquireSlot waits for a slot and for memory, in a bounded queue. It returns false where the queue is full; otherwise releaseSlot
-// must follow, also for a job that was canceled while it waited.
+// acquireSlot waits in a bounded queue for a slot and memory. It returns false if the queue is full or the job needs more memory than
+// the engine has. Otherwise the caller must call releaseSlot, even if the job was canceled while it waited.
 func (j *job) acquireSlot(memoryTokens int) bool {
 	p, e := j.process, j.engine
 	stop := context.AfterFunc(j.ctx, p.wakeQueue)
@@ -71,7 +71,7 @@
 	defer func() { p.waiting-- }()
 	for p.running >= e.Slots || p.memoryTokens+memoryTokens > e.MemoryTokens {
 		if j.canceled() {
-			break // the next sleep ends the job, and releaseSlot returns what is taken here
+			break // the job ends at its next sleep, and releaseSlot returns the slot and memory acquired here
 		}
 		p.capacityChanged.Wait()
 	}
@@ -80,7 +80,7 @@
 	return true
 }
 
-// releaseSlot returns the slot and the memory of acquireSlot.
+// releaseSlot returns the slot and memory that acquireSlot acquired.
 func (j *job) releaseSlot(memoryTokens int) {
 	p := j.process
 	p.mu.Lock()
@@ -90,7 +90,7 @@
 	p.mu.Unlock()
 }
 
-// acquireSlotOrReject is acquireSlot that rejects the job where the queue is full.
+// acquireSlotOrReject calls acquireSlot and rejects the job if that returns false.
 func (j *job) acquireSlotOrReject(memoryTokens int) bool {
 	if !j.acquireSlot(memoryTokens) {
 		j.reject(http.StatusServiceUnavailable, "engine_full", "slots and queue are full")
--- a/lab/emulator/kvstate.go
+++ b/lab/emulator/kvstate.go
@@ -14,16 +14,17 @@
 	"dillroute/lab/record"
 )
 
-// kvState is the KV state of a prompt that waits for a decode engine to fetch it.
+// kvState is the KV state of a prompt, stored until a decode engine fetches it.
 type kvState struct {
 	digest uint64
 	tokens int
 	mark   Mark
 
-	fetches int // that are under way; guarded by process.mu
+	fetches int // in progress; guarded by process.mu
 }
 
-// releasedIDs holds the ids that were last released without a state: a prefill of one of them that ends later leaves no state.
+// releasedIDs holds the most recent ids that were released before they had a state. A prefill for one of them that ends later stores no
+// state.
 type releasedIDs struct {
 	ids  [256]string
 	next int
@@ -36,7 +37,7 @@
 
 func (r *releasedIDs) contains(id string) bool { return slices.Contains(r.ids[:], id) }
 
-// loseStates drops all states, as the end of a process does.
+// loseStates drops all states, because their process has ended.
 func (e *Engine) loseStates(p *process) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,7 +48,7 @@
 	}
 }
 
-// endState drops a state, if it is there, and returns whether it was.
+// endState drops a state if it exists, and reports whether it did.
 func (e *Engine) endState(p *process, id, cause string) bool {
 	p.mu.Lock()
 	state, found := p.states[id]
@@ -77,7 +78,7 @@
 // maxReleaseBytes bounds the body of a release call.
 const maxReleaseBytes = 1 << 16
 
-// handleRelease releases the state that a call names.
+// handleRelease serves a state release call. If the state is being fetched, the call is acknowledged and has no effect.
 func (e *Engine) handleRelease(p *process, w http.ResponseWriter, r *http.Request) {
 	if e.ReleaseUnsupported {
 		respondError(w, http.StatusNotFound, "unknown_path", "no such call")
@@ -97,13 +98,13 @@
 		p.released.add(body.ID)
 	}
 	p.mu.Unlock()
-	if !fetched { // else the call is acknowledged and has no effect
+	if !fetched {
 		e.endState(p, body.ID, "released")
 	}
 	io.WriteString(w, "{}")
 }
 
-// beginFetch returns a state that is to be fetched, and keeps it from release calls until endFetch.
+// beginFetch returns a state to be fetched, and protects it from release calls until endFetch.
 func (p *process) beginFetch(id string) (state *kvState, found bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,7 +121,7 @@
 	state.fetches--
 }
 
-// handleFetch sends a state to the engine that fetches it. The state ends when all of it has been sent.
+// handleFetch sends a state to the engine that fetches it. The state is dropped once it has been transferred completely.
 func (e *Engine) handleFetch(p *process, w http.ResponseWriter, r *http.Request) {
 	p.handlers.Add(1)
 	defer p.handlers.Done()
@@ -147,19 +148,19 @@
 // stateClient fetches states from other engines.
 var stateClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Second}}
 
-// CloseIdleConnections closes the idle connections over which engines fetch states from each other.
+// CloseIdleConnections closes the idle connections that all engines share to fetch states from each other.
 func CloseIdleConnections() { stateClient.CloseIdleConnections() }
 
 // fetchTimeout bounds the transfer of a state.
 const fetchTimeout = 10 * time.Second
 
-// Errors of a fetch, whose text the router is sent.
+// Errors of a fetch. The response to the router contains their text.
 var (
 	errNoStateAddress = errors.New("the transfer parameters name no place")
 	errStateMissing   = errors.New("the state is not there")
 )
 
-// fetchState fetches the state from the prefill engine over its socket, and returns the digest of its prompt.
+// fetchState fetches the KV state from the prefill engine, and returns the digest of the state's prompt.
 func (j *job) fetchState() (uint64, error) {
 	transfer := j.request.Transfer
 	if transfer.Host == nil || transfer.Port == nil {
--- a/lab/emulator/listener.go
+++ b/lab/emulator/listener.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// A new listener may find its address still in use while the previous socket closes.
+// Attempts to listen, and the pause between them. The address may still be in use while the previous socket closes.
 const (
 	listenAttempts = 50
 	listenPause    = 10 * time.Millisecond
 )
 
-// listenAgain listens at an address at which another listener may just be closing.
-func listenAgain(address string) (net.Listener, error) {
+// listenWithRetry listens at an address and retries while a previous listener there is still closing.
+func listenWithRetry(address string) (net.Listener, error) {
 	var listener net.Listener
 	var err error
 	for range listenAttempts {
@@ -25,13 +25,13 @@
 	return nil, err
 }
 
-// slowListener delays accepted connections while the engine has the fault of slow handshakes.
+// slowListener delays accepted connections while the engine has the fault HandshakeDelayMS.
 type slowListener struct {
 	net.Listener
 	engine *Engine
 }
 
-// Accept returns the next connection, delayed by the fault as it is now.
+// Accept returns the next connection, delayed by the current value of the fault.
 func (l *slowListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -44,14 +44,14 @@
 	return conn, nil
 }
 
-// slowConn delivers its first byte no earlier than a given time.
+// slowConn is a connection whose first read waits until a given time.
 type slowConn struct {
 	net.Conn
 	until time.Time
 	once  sync.Once
 }
 
-// Read waits for the time of the first byte, and reads.
+// Read reads from the connection; the first call waits until the given time.
 func (c *slowConn) Read(p []byte) (int, error) {
 	c.once.Do(func() { time.Sleep(time.Until(c.until)) })
 	return c.Conn.Read(p)
--- a/lab/emulator/loadreport.go
+++ b/lab/emulator/loadreport.go
@@ -8,12 +8,12 @@
 
 // loadReport is the load that an engine reports with its responses.
 type loadReport struct {
-	memoryShare float64 // of the KV memory that is in use
+	memoryShare float64 // share of the KV memory that is in use
 	waiting     float64
 	running     float64
 }
 
-// addLoadReport adds the load in the form of ORCA, as it was when last refreshed.
+// addLoadReport adds the load report to the response's header in ORCA's JSON format. The load is as of its last refresh.
 func (e *Engine) addLoadReport(p *process, w http.ResponseWriter) {
 	p.mu.Lock()
 	interval := e.LoadReportIntervalMS * max(1, e.faults.Load().LoadReportSlowFactor)
@@ -31,7 +31,7 @@
 		`"num_requests_waiting":%g,"num_requests_running":%g}}`, load.memoryShare, load.waiting, load.running))
 }
 
-// handleMetrics responds with the present load under vLLM's metric names.
+// handleMetrics responds with the current load under vLLM's metric names.
 func (e *Engine) handleMetrics(p *process, w http.ResponseWriter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/lab/emulator/prefill.go
+++ b/lab/emulator/prefill.go
@@ -10,14 +10,14 @@
 	"dillroute/lab/record"
 )
 
-// prefixCache holds which beginnings of prompts an engine has cached. The oldest are evicted first.
+// prefixCache records which prefixes of prompts an engine has cached. The oldest are evicted first.
 type prefixCache struct {
-	tokens map[uint64]int // by digest of the messages
+	tokens map[uint64]int // length of a prefix, by digest of its messages
 	order  []uint64       // oldest first
 	total  int            // sum of tokens
 }
 
-// add caches every beginning of a prompt, and returns how many of its tokens were cached before.
+// add caches every prefix of a prompt, and returns how many of its tokens were already cached.
 func (c *prefixCache) add(messages []Message, limitTokens int) (cachedTokens int) {
 	sum := 0
 	for i := range messages {
@@ -40,17 +40,18 @@
 	return cachedTokens
 }
 
-// cachePrompt caches the prompt, and returns how many of its tokens were cached before.
+// cachePrompt caches the prompt, and returns how many of its tokens were already cached.
 func (j *job) cachePrompt() (cachedTokens int) {
 	j.process.mu.Lock()
 	defer j.process.mu.Unlock()
 	return j.process.prefixes.add(j.request.Messages, j.engine.MemoryTokens)
 }
 
-// prefillOverheadTokens is the time of a prefill beside that of its tokens, as tokens.
+// prefillOverheadTokens is the cost of a prefill in addition to its tokens, expressed as a number of tokens.
 const prefillOverheadTokens = 50
 
-// readPrompt takes the time of reading so many tokens, after the prefills that came before. False means that the job was canceled.
+// readPrompt waits for the duration of a prefill of this many tokens, which begins after the engine's earlier prefills have ended. It
+// returns false if the job was canceled.
 func (j *job) readPrompt(tokens int) bool {
 	p := j.process
 	duration := seconds(float64(tokens+prefillOverheadTokens) / (j.engine.PrefillTokensPerSecond * j.engine.speedShare(p)))
@@ -93,7 +94,7 @@
 	}
 }
 
-// storeState reserves memory for the KV state; false means that the request was released while its prompt was read.
+// storeState reserves memory for the KV state. It returns false if the request was released during the prefill.
 func (j *job) storeState() bool {
 	p := j.process
 	p.mu.Lock()
@@ -106,7 +107,7 @@
 	return true
 }
 
-// expireState drops the state when nobody has fetched or released it in time. The goroutine ends with the process.
+// expireState drops the state if it has not been fetched or released within its TTL. The goroutine ends with the process at the latest.
 func (j *job) expireState() {
 	p := j.process
 	p.handlers.Add(1)
@@ -118,7 +119,7 @@
 	}()
 }
 
-// prefillResponse is the response of the prefill stage, with the parameters by which a decode engine fetches the state.
+// prefillResponse returns the response of the prefill stage. It holds the parameters with which a decode engine fetches the state.
 func (j *job) prefillResponse(cachedTokens int) map[string]any {
 	host, portText, _ := net.SplitHostPort(j.engine.Address())
 	port, _ := strconv.Atoi(portText)
--- a/lab/emulator/protocol.go
+++ b/lab/emulator/protocol.go
@@ -2,13 +2,13 @@
 
 import "encoding/json"
 
-// Mark travels in a request as the unknown member "x_lab", which a router must forward unchanged. Engines record what they serve
-// under it, and it may fix the length of the response.
+// Mark identifies a request in the records of engines, and may fix the length of its response. It is sent as the request's member "x_lab",
+// which is unknown to routers: they must forward it unchanged.
 type Mark struct {
-	Operation      string `json:"op"`  // what the client wants done; its attempts share it
-	Attempt        int    `json:"try"` // of the client, from 0
+	Operation      string `json:"op"`  // the operation, shared by all attempts of the client at it
+	Attempt        int    `json:"try"` // number of the client's attempt, from 0
 	Class          string `json:"class"`
-	ResponseTokens int    `json:"answer,omitempty"` // 0 = a length drawn from the prompt
+	ResponseTokens int    `json:"answer,omitempty"` // 0 = a length derived from the prompt's digest
 }
 
 // Message is a message of a prompt.
@@ -17,7 +17,7 @@
 	Content string `json:"content"`
 }
 
-// request is a chat request as an engine reads it.
+// request is the part of a chat request that an engine evaluates.
 type request struct {
 	Model               string    `json:"model"`
 	Messages            []Message `json:"messages"`
@@ -41,7 +41,7 @@
 	Port            *int            `json:"remote_port"`
 }
 
-// maxTokens is the most tokens that the response may have; 0 = no bound.
+// maxTokens returns the maximum number of tokens of the response; 0 = no limit.
 func (r *request) maxTokens() int {
 	if r.MaxCompletionTokens > 0 {
 		return r.MaxCompletionTokens
@@ -49,7 +49,7 @@
 	return r.MaxTokens
 }
 
-// tokensOf estimates the tokens of a prompt, as the node does for plain text: four bytes a token, and four tokens a message.
+// tokensOf estimates the number of tokens of a prompt as the node does for plain text: four bytes per token, plus four tokens per message.
 func tokensOf(messages []Message) int {
 	tokens := 0
 	for _, m := range messages {
--- a/lab/emulator/release_test.go
+++ b/lab/emulator/release_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// A release call during a fetch is acknowledged and leaves the state as it is: a router must not take the one for the other.
+// A release call during a fetch is acknowledged but does not release the state. A router must not take the acknowledgment
+// for a release.
 func TestReleaseDuringAFetchHasNoEffect(t *testing.T) {
 	e := New(Settings{ID: "p", Role: rolePrefill, TransferTokensPerSecond: 100}, nil)
 	if err := e.Start(false); err != nil {
@@ -19,7 +20,7 @@
 	p.states["a"] = &kvState{tokens: 50}
 	p.memoryTokens += 50
 	p.mu.Unlock()
-	holds := func() bool {
+	hasState := func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.states["a"] != nil
@@ -34,11 +35,11 @@
 		return response.StatusCode
 	}
 	state, _ := p.beginFetch("a")
-	if status := release(); status != http.StatusOK || !holds() {
-		t.Errorf("during a fetch: got status %d, held %v, want it acknowledged and held", status, holds())
+	if status := release(); status != http.StatusOK || !hasState() {
+		t.Errorf("release during a fetch: got status %d, state stored %v, want status 200 and true", status, hasState())
 	}
 	p.endFetch(state)
-	if status := release(); status != http.StatusOK || holds() {
-		t.Errorf("after the fetch: got status %d, held %v, want it released", status, holds())
+	if status := release(); status != http.StatusOK || hasState() {
+		t.Errorf("release after the fetch: got status %d, state stored %v, want status 200 and false", status, hasState())
 	}
 }
--- a/lab/emulator/settings.go
+++ b/lab/emulator/settings.go
@@ -7,28 +7,28 @@
 	roleMixed   = "mixed"
 )
 
-// Settings are those of one engine. api/engine.schema.json describes their JSON form.
+// Settings are the settings of one engine. api/engine.schema.json describes their JSON form.
 type Settings struct {
 	ID                      string  `json:"id"`
-	Listen                  string  `json:"listen"` // host:port; port 0 draws one at the first start
+	Listen                  string  `json:"listen"` // host:port; port 0 = the system chooses a port at the first start
 	Role                    string  `json:"role"`   // prefill, decode or mixed
-	Slots                   int     `json:"slots"`  // requests that run at once
-	QueueLimit              int     `json:"queue"`  // requests that wait for a slot
+	Slots                   int     `json:"slots"`  // maximum number of requests that run at once
+	QueueLimit              int     `json:"queue"`  // maximum number of requests that wait for a slot
 	MemoryTokens            int     `json:"memory_tokens"`
 	PrefillTokensPerSecond  float64 `json:"read_per_s"`
-	DecodeStepMS            float64 `json:"step_ms"`     // time of a decode step without other requests
-	DecodeStepPerSequenceMS float64 `json:"per_seq_ms"`  // time that each running request adds to a decode step
-	TransferTokensPerSecond float64 `json:"move_per_s"`  // speed at which KV states leave the engine
-	SlowStartShare          float64 `json:"cold_share"`  // share of its speed right after a cold start
-	SlowStartSeconds        float64 `json:"cold_s"`      // time in which it reaches its full speed; 0 = at once
-	LocalPrefill            bool    `json:"local_read"`  // a decode engine reads prompts itself where there is no KV state
-	StateTTLSeconds         float64 `json:"state_ttl_s"` // after this time an unclaimed KV state is dropped
-	LoadReportIntervalMS    float64 `json:"report_ms"`   // the reported load is refreshed this often
-	ReleaseUnsupported      bool    `json:"no_release"`  // the release call answers 404
+	DecodeStepMS            float64 `json:"step_ms"`     // base duration of a decode step
+	DecodeStepPerSequenceMS float64 `json:"per_seq_ms"`  // added to a decode step by each running request
+	TransferTokensPerSecond float64 `json:"move_per_s"`  // rate at which KV states are sent to other engines
+	SlowStartShare          float64 `json:"cold_share"`  // share of the full speed right after a cold start
+	SlowStartSeconds        float64 `json:"cold_s"`      // time until the engine reaches its full speed; 0 = at once
+	LocalPrefill            bool    `json:"local_read"`  // a decode engine prefills prompts itself if there is no KV state
+	StateTTLSeconds         float64 `json:"state_ttl_s"` // a KV state that is neither fetched nor released is dropped after this time
+	LoadReportIntervalMS    float64 `json:"report_ms"`   // time between refreshes of the load report
+	ReleaseUnsupported      bool    `json:"no_release"`  // the release call is answered with 404
 	Seed                    uint64  `json:"seed"`
 }
 
-// Defaults of settings that are not given.
+// Default values of the settings.
 const (
 	defaultListen                  = "127.0.0.1:0"
 	defaultSlots                   = 32
@@ -43,7 +43,7 @@
 	defaultLoadReportIntervalMS    = 100
 )
 
-// WithDefaults returns the settings with defaults in place of zero values.
+// WithDefaults returns the settings with zero values replaced by defaults.
 func (s Settings) WithDefaults() Settings {
 	setDefault(&s.Listen, defaultListen)
 	setDefault(&s.Slots, defaultSlots)
@@ -59,9 +59,9 @@
 	return s
 }
 
-func setDefault[T comparable](value *T, byDefault T) {
+func setDefault[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
-		*value = byDefault
+		*value = defaultValue
 	}
 }
--- a/lab/emulator/text.go
+++ b/lab/emulator/text.go
@@ -1,6 +1,6 @@
 // Package emulator emulates the systems around a node: prefill, decode and mixed engines that speak the protocol of vLLM's
-// disaggregated serving, and a Consul server that lists them. They were written for the project, from public specifications; nothing
-// here is a measurement of a real engine. Engines and list server have faults on command, and record what they see (lab/record).
+// disaggregated serving, and a Consul server that lists them. They are written from public specifications; no figure here was
+// measured on a real engine. The engines and the Consul server inject faults on request, and the engines record what they see (lab/record).
 package emulator
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest names a prompt.
+// Digest returns a hash of a prompt that identifies it.
 func Digest(messages []Message) uint64 {
 	h := xxhash.New()
 	for _, m := range messages {
@@ -22,10 +22,10 @@
 	return h.Sum64()
 }
 
-// TokenText returns the text of a response at a position. It holds the position, so that any repetition, gap or confusion of
-// responses shows.
+// TokenText returns the token at a position of the response to a prompt. Its text contains the position, so that repeated or missing
+// tokens and mixed-up responses are detected.
 func TokenText(digest uint64, position int) string {
-	x := digest ^ uint64(position)*0x9e3779b97f4a7c15 // the mixing steps of splitmix64
+	x := digest ^ uint64(position)*0x9e3779b97f4a7c15 // mixed as in splitmix64
 	x ^= x >> 29
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 32
@@ -34,7 +34,7 @@
 
 var vocabulary = strings.Fields("roster visit carer kōrero morning evening swap cover whānau travel shift break call kai note")
 
-// ResponseLength returns how many tokens the response to a prompt has.
+// ResponseLength returns the number of tokens of the response to a prompt; maxTokens 0 = no limit.
 func ResponseLength(digest uint64, mark Mark, maxTokens int) int {
 	tokens := mark.ResponseTokens
 	if tokens <= 0 {
@@ -46,7 +46,7 @@
 	return tokens
 }
 
-// ResponseText returns the text of a complete response.
+// ResponseText returns the text of a complete response of this many tokens.
 func ResponseText(digest uint64, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
@@ -55,14 +55,14 @@
 	return b.String()
 }
 
-// ExpectedResponse returns the complete response to a request, and how many tokens it has.
+// ExpectedResponse returns the text of the complete response to a request, and its number of tokens.
 func ExpectedResponse(messages []Message, mark Mark, maxTokens int) (text string, tokens int) {
 	digest := Digest(messages)
 	tokens = ResponseLength(digest, mark, maxTokens)
 	return ResponseText(digest, tokens), tokens
 }
 
-// PromptText returns the text of a prompt of about so many tokens.
+// PromptText returns the text of a prompt of about this many tokens, generated from the seed.
 func PromptText(seed uint64, tokens int) string {
 	var b strings.Builder
 	for i := 0; b.Len() < tokens*4-8; i++ {
--- a/lab/scenario/check.go
+++ b/lab/scenario/check.go
@@ -8,7 +8,7 @@
 	"dillroute/internal/config"
 )
 
-// Check checks what refers to names of the script, and returns config.Problems if something is wrong.
+// Check checks the kinds and ends of faults, and all references to names of the script. It returns config.Problems if it finds any.
 func (s *Script) Check() error {
 	c := &checker{script: s, engineIDs: s.engineIDs()}
 	for i, g := range s.Engines {
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// checker collects what is wrong with a script.
+// checker collects the problems of a script.
 type checker struct {
 	script    *Script
 	engineIDs []string
@@ -34,48 +34,48 @@
 	c.problems = append(c.problems, config.Problem{Pointer: pointer, Text: fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) checkGroup(at string, g Group) {
+func (c *checker) checkGroup(pointer string, g Group) {
 	if !c.hasKind(g.Kind) {
-		c.add(at+"/kind", "no kind is named %q", g.Kind)
+		c.add(pointer+"/kind", "no kind is named %q", g.Kind)
 	}
-	c.checkZone(at, g.Zone)
+	c.checkZone(pointer, g.Zone)
 }
 
-func (c *checker) checkFault(at string, f Fault) {
-	if _, known := faultPlayers[f.Kind]; !known {
-		c.add(at+"/kind", "%q is not known", f.Kind)
+func (c *checker) checkFault(pointer string, f Fault) {
+	if _, known := faultInjectors[f.Kind]; !known {
+		c.add(pointer+"/kind", "%q is not known", f.Kind)
 	}
 	if f.At+f.Len > c.script.LengthSeconds {
-		c.add(at+"/len_s", "it ends at %g, after the day's length, %g", f.At+f.Len, c.script.LengthSeconds)
+		c.add(pointer+"/len_s", "the fault ends at %g s, after the end of the scenario at %g s", f.At+f.Len, c.script.LengthSeconds)
 	}
 	if f.Class != "" && !slices.ContainsFunc(c.script.Classes, func(k Class) bool { return k.Name == f.Class }) {
-		c.add(at+"/class", "no class is named %q", f.Class)
+		c.add(pointer+"/class", "no class is named %q", f.Class)
 	}
 	if (f.Kind == "role_change" || f.To != "") && !c.hasKind(f.To) {
-		c.add(at+"/to", "no kind is named %q", f.To)
+		c.add(pointer+"/to", "no kind is named %q", f.To)
 	}
-	c.checkZone(at, f.Zone)
+	c.checkZone(pointer, f.Zone)
 	for i, pattern := range f.Engines {
-		c.checkPattern(fmt.Sprintf("%s/engines/%d", at, i), pattern)
+		c.checkPattern(fmt.Sprintf("%s/engines/%d", pointer, i), pattern)
 	}
 }
 
-func (c *checker) checkZone(at, zone string) {
+func (c *checker) checkZone(pointer, zone string) {
 	if zone != "" && !slices.Contains(c.script.Zones, zone) {
-		c.add(at+"/zone", "%q is not one of zones", zone)
+		c.add(pointer+"/zone", "%q is not one of zones", zone)
 	}
 }
 
-// checkPattern checks that a shell pattern names an engine.
-func (c *checker) checkPattern(at, pattern string) {
+// checkPattern checks that a shell pattern matches the id of an engine.
+func (c *checker) checkPattern(pointer, pattern string) {
 	matches := func(id string) bool {
 		ok, _ := path.Match(pattern, id)
 		return ok
 	}
 	if _, err := path.Match(pattern, ""); err != nil {
-		c.add(at, "the pattern %q is malformed", pattern)
+		c.add(pointer, "the pattern %q is malformed", pattern)
 	} else if !slices.ContainsFunc(c.engineIDs, matches) {
-		c.add(at, "no engine is named %q", pattern)
+		c.add(pointer, "no engine is named %q", pattern)
 	}
 }
 
--- a/lab/scenario/clients.go
+++ b/lab/scenario/clients.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// idleStep is by how much time advances while no session starts (s).
+	// idleStep is the time between two checks of the session rate while it is 0 (s).
 	idleStep = 0.1
-	// maxStep is the longest time between two looks at the rate of sessions (s).
+	// maxStep is the longest time between two checks of the session rate while it is positive (s).
 	maxStep = 0.5
-	// maxTurnTokens is the size of the longest turn.
+	// maxTurnTokens is the maximum size of a turn.
 	maxTurnTokens = 20000
-	// hotPrefixTokens is the least size of the hot prefix.
+	// hotPrefixTokens is the minimum size of the hot prefix.
 	hotPrefixTokens = 1500
 	// ownPrefixTokens is the size of a session's own prefix.
 	ownPrefixTokens = 16
-	// impatience is the part of its patience that an impatient client waits.
-	impatience = 0.3
+	// impatientPatienceShare is the share of its patience that an impatient client waits.
+	impatientPatienceShare = 0.3
 )
 
-// startSessions starts sessions by a Poisson process whose rate follows the script, until its end.
+// startSessions starts sessions until the end of the script, as a Poisson process whose rate follows the script.
 func (r *run) startSessions() {
 	rng := rand.New(rand.NewPCG(r.script.Seed, 2))
 	at := 0.0
@@ -56,7 +56,8 @@
 	}
 }
 
-// sessionRate returns how many sessions a second start at a time of the run; 0 = none, also once all requests have been sent.
+// sessionRate returns the number of sessions that start per second at a time of the run (s). It is 0 once the maximum number of requests
+// has been sent.
 func (r *run) sessionRate(at float64) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,7 +68,7 @@
 	return rate
 }
 
-// factorAt returns the factor of the load at a share of the run.
+// factorAt returns the load factor at a share of the run.
 func (l *Load) factorAt(share float64) float64 {
 	if len(l.Shape) == 0 {
 		return 1
@@ -86,7 +87,7 @@
 	return last[1]
 }
 
-// drawByShare draws one of the items by their shares.
+// drawByShare draws an item with a probability proportional to its share.
 func drawByShare[T any](rng *rand.Rand, items []T, shareOf func(T) float64) *T {
 	total := 0.0
 	for _, item := range items {
@@ -106,7 +107,7 @@
 	return mean * math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2)
 }
 
-// session is a client that sends turns, each with all that went before.
+// session is a conversation of one client: each turn is sent with all earlier turns and their responses.
 type session struct {
 	rng    *rand.Rand
 	seed   uint64
@@ -114,7 +115,7 @@
 	tenant *Tenant
 }
 
-// runSession sends the turns of a session one after another.
+// runSession sends the turns of a session in sequence. The session ends early if a response is missing or incorrect.
 func (r *run) runSession(seed uint64) {
 	rng := rand.New(rand.NewPCG(r.script.Seed^0xabcdef, seed))
 	s := &session{
@@ -125,8 +126,8 @@
 	}
 	messages := []emulator.Message{{Role: "system", Content: r.systemPrompt(s)}}
 	for turn := 0; ; turn++ {
-		words := emulator.PromptText(seed*31+uint64(turn), r.drawTurnTokens(s)+4)
-		messages = append(messages, emulator.Message{Role: "user", Content: words})
+		prompt := emulator.PromptText(seed*31+uint64(turn), r.drawTurnTokens(s)+4)
+		messages = append(messages, emulator.Message{Role: "user", Content: prompt})
 		drawnTokens := lognormal(rng, s.class.AnswerTokens, s.class.AnswerSigma)
 		responseTokens := int(max(2, min(float64(s.class.MaxTokens), drawnTokens)))
 		text, correct := r.runOperation(s, fmt.Sprintf("s%d.%d", seed, turn), messages, responseTokens)
@@ -154,7 +155,7 @@
 	return int(min(size, maxTurnTokens))
 }
 
-// systemPrompt draws the text that a session begins with: the hot prefix, a shared one, or the session's own.
+// systemPrompt draws the system prompt of a session: the hot prefix, a shared prefix, or one of the session's own.
 func (r *run) systemPrompt(s *session) string {
 	r.mu.Lock()
 	hotShare, hotSeed := r.hotShare, r.hotSeed
@@ -164,7 +165,7 @@
 	}
 	if s.class.Prefixes > 0 && s.rng.Float64() < s.class.PrefixShare {
 		x := s.rng.Float64()
-		prefix := int(x * x * float64(s.class.Prefixes)) // the square makes a few prefixes common
+		prefix := int(x * x * float64(s.class.Prefixes)) // squared, so that a few prefixes are common
 		return emulator.PromptText(uint64(1000+prefix), s.class.PrefixTokens)
 	}
 	return emulator.PromptText(s.seed*7919, ownPrefixTokens)
@@ -179,7 +180,7 @@
 	patience := (s.class.Patience + s.class.PatiencePerK*float64(promptTokens)/1000) * r.script.Clients.AttemptShare
 	r.mu.Lock()
 	if r.impatientShare > 0 && s.rng.Float64() < r.impatientShare {
-		patience *= impatience
+		patience *= impatientPatienceShare
 	}
 	r.mu.Unlock()
 	request := client.Request{
@@ -200,7 +201,8 @@
 	return request
 }
 
-// runOperation sends a request and retries it as clients do. It returns the text of a served response and whether it is correct.
+// runOperation sends a request, with the retries of the script's clients. It returns the text of the response if the request was served,
+// and whether that text is correct.
 func (r *run) runOperation(s *session, op string, messages []emulator.Message, responseTokens int) (text string, correct bool) {
 	request := r.newRequest(s, op, messages, responseTokens)
 	for attempt := 0; ; attempt++ {
@@ -225,7 +227,8 @@
 	}
 }
 
-// pickNode draws a node as a simple load balancer does, at random: a dead node too until the balancer has detected its failure.
+// pickNode draws a node at random, as a simple load balancer does. A node that is down may be drawn until the balancer has detected its
+// failure.
 func (r *run) pickNode(rng *rand.Rand) *nodeSlot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -241,8 +244,8 @@
 	return candidates[rng.IntN(len(candidates))]
 }
 
-// mayRetry reports whether a client retries: always after a rejection or where no node was reached; else only where a repetition
-// does no harm.
+// mayRetry reports whether a client may retry. It may after a rejection or if no node was reached, otherwise only if a repetition is
+// harmless. A request that was canceled for a reason other than a timeout is not retried.
 func mayRetry(c *Class, result client.Result) bool {
 	if errors.Is(result.Err, context.Canceled) && result.Outcome != record.TimedOut {
 		return false
--- a/lab/scenario/convert.go
+++ b/lab/scenario/convert.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// benchDay is the part of a bench's day file that a script can hold. Its fields have the names of the file; times are in
-// microseconds, but where a name says otherwise.
+// benchDay is the part of a bench's day file that has a counterpart in a script. Its fields have the names that the file uses. Times are
+// in microseconds unless a name says otherwise.
 type benchDay struct {
 	Site     string
 	Family   string
@@ -93,23 +93,23 @@
 }
 
 const (
-	// microseconds is how many units of a day file make a second.
+	// microseconds is the number of a day file's time units in a second.
 	microseconds = 1e6
-	// answerSlackSeconds is the slack of rule 1, which day files do not give.
+	// answerSlackSeconds is the slack of rule 1, which day files do not contain.
 	answerSlackSeconds = 0.05
-	// shapePoints is about how many points the curve of the load is reduced to.
+	// shapePoints is the approximate number of points to which the load curve is reduced.
 	shapePoints = 20
 )
 
-// Convert turns a bench's day file into a script of so many sessions a second; length 0 keeps the length of the day (s). What has
-// no counterpart on sockets (prices, shares of tenants) is left out.
+// Convert converts a bench's day file into a script with a rate of sessions per second and a length in seconds; length 0 keeps the length
+// of the day. What has no counterpart on sockets (prices, shares of tenants) is omitted.
 func Convert(text []byte, rate, length float64) (*Script, error) {
 	var day benchDay
 	if err := json.Unmarshal(text, &day); err != nil {
 		return nil, fmt.Errorf("not a day file: %w", err)
 	}
 	if day.Family != "twostage" || len(day.Fam.Engines) == 0 || len(day.Tiers) == 0 || day.Length <= 0 {
-		return nil, fmt.Errorf("not a day of readers and writers: family %q, %d kinds of engine", day.Family, len(day.Fam.Engines))
+		return nil, fmt.Errorf("not a day with prefill and decode engines: family %q, %d kinds of engine", day.Family, len(day.Fam.Engines))
 	}
 	dayLength := day.Length / microseconds
 	if length <= 0 {
@@ -128,7 +128,7 @@
 	return s, s.Check()
 }
 
-// newScript returns the script of a day without what the day lists.
+// newScript returns the script of a day without its kinds, engines, classes and faults.
 func newScript(day *benchDay, rate, length, timeFactor float64) *Script {
 	tier := day.Tiers[0]
 	return &Script{
@@ -137,7 +137,7 @@
 		LengthSeconds: length,
 		Nodes:         max(1, len(day.Balancers)),
 		Zones:         zonesOf(day),
-		Load:          Load{SessionsPerSecond: rate, Shape: thinnedShape(day.Traffic.Shape)},
+		Load:          Load{SessionsPerSecond: rate, Shape: downsampleShape(day.Traffic.Shape)},
 		Clients: Clients{
 			Retries:               day.Clients.Retries,
 			Backoff:               day.Clients.BackoffUS / microseconds,
@@ -179,13 +179,13 @@
 	}
 }
 
-// addEngines adds the engines of a day and returns their ids, in the order of the day.
+// addEngines adds the engines of a day and returns their ids, in the order of the day file.
 func (s *Script) addEngines(day *benchDay) ([]string, error) {
 	var ids []string
 	counts := map[string]int{}
 	for _, server := range day.Servers {
 		if server.Kind < 0 || server.Kind >= len(s.Kinds) {
-			return nil, fmt.Errorf("a server is of kind %d of %d", server.Kind, len(s.Kinds))
+			return nil, fmt.Errorf("a server has kind %d, but the number of kinds is %d", server.Kind, len(s.Kinds))
 		}
 		g := Group{Kind: s.Kinds[server.Kind].Name, Count: 1, Cell: fmt.Sprint("c", server.Cell), Speed: server.Speed}
 		if server.Zone < len(s.Zones) {
@@ -212,7 +212,7 @@
 	return "mixed"
 }
 
-// zonesOf returns the zones of a day; a single zone is none.
+// zonesOf returns the zones of a day, or nil if there is only one.
 func zonesOf(day *benchDay) []string {
 	if len(day.Zones) < 2 {
 		return nil
@@ -220,8 +220,9 @@
 	return day.Zones
 }
 
-// thinnedShape reduces the day's curve of the load to a few points, whose times are shares of the day.
-func thinnedShape(points [][2]float64) [][2]float64 {
+// downsampleShape reduces the load curve of a day to about shapePoints points. Their times are shares of the day, and their loads are
+// relative to the mean.
+func downsampleShape(points [][2]float64) [][2]float64 {
 	if len(points) == 0 {
 		return nil
 	}
@@ -235,11 +236,11 @@
 	}
 	mean := sum / float64(len(points))
 	step := max(1, len(points)/shapePoints)
-	var thinned [][2]float64
+	var downsampled [][2]float64
 	for i := 0; i < len(points); i += step {
-		thinned = append(thinned, [2]float64{points[i][0] / end, points[i][1] / mean})
+		downsampled = append(downsampled, [2]float64{points[i][0] / end, points[i][1] / mean})
 	}
-	return thinned
+	return downsampled
 }
 
 func (s *Script) addClasses(day *benchDay) {
@@ -271,28 +272,28 @@
 	}
 }
 
-// addFaults adds the faults of a day; ids are those of its engines.
+// addFaults adds the faults of a day. ids are the ids of its engines, in the order of the day file.
 func (s *Script) addFaults(day *benchDay, ids []string, timeFactor float64) {
-	for _, b := range day.Faults {
+	for _, benchFault := range day.Faults {
 		f := Fault{
-			Kind:  b.Kind,
-			At:    b.At / microseconds * timeFactor,
-			Len:   b.Len / microseconds * timeFactor,
-			Size:  b.Size,
-			Extra: b.Extra,
-			Part:  b.Part,
+			Kind:  benchFault.Kind,
+			At:    benchFault.At / microseconds * timeFactor,
+			Len:   benchFault.Len / microseconds * timeFactor,
+			Size:  benchFault.Size,
+			Extra: benchFault.Extra,
+			Part:  benchFault.Part,
 		}
-		for _, i := range b.On {
+		for _, i := range benchFault.On {
 			if i >= 0 && i < len(ids) {
 				f.Engines = append(f.Engines, ids[i])
 			}
 		}
-		f.adapt(day, b.Which, s)
+		f.adapt(day, benchFault.Which, s)
 		s.Faults = append(s.Faults, f)
 	}
 }
 
-// adapt turns the figures of a bench's fault into those of its counterpart.
+// adapt converts the values of a bench's fault to the units and defaults of its counterpart in a script.
 func (f *Fault) adapt(day *benchDay, which int, s *Script) {
 	if f.Part == 0 && len(f.Engines) == 0 {
 		f.Part = defaultPart
@@ -307,25 +308,25 @@
 			f.Zone = s.Zones[which]
 		}
 	case "discovery_stale":
-		f.Size = inUnit(f.Size, microseconds)
+		f.Size = toUnit(f.Size, microseconds)
 	case "balancer_roll":
 		f.Part = 1
 		f.Size = math.Max(0.05, math.Min(1, f.Size))
-		f.Extra = inUnit(f.Extra, microseconds)
+		f.Extra = toUnit(f.Extra, microseconds)
 	case "handshake_slow", "pauses":
-		f.Size = inUnit(f.Size, 1e3) // from microseconds to milliseconds
+		f.Size = toUnit(f.Size, 1e3) // from microseconds to milliseconds
 	}
 	if !slices.Contains(FaultKinds(), f.Kind) {
-		return // Check reports a kind that is the bench's alone
+		return // the kind exists on the bench only: Check reports it
 	}
 	f.Len = math.Min(f.Len, s.LengthSeconds-f.At)
 }
 
-// inUnit divides a time of a day file by a unit, unless the file gives the time in that unit already.
-func inUnit(figure, unit float64) float64 {
-	const leastMicroseconds = 1000 // no time in microseconds is as short
-	if figure > leastMicroseconds {
-		return figure / unit
+// toUnit converts a time of a day file from microseconds to a unit, unless the file already gives the time in that unit.
+func toUnit(value, unit float64) float64 {
+	const minMicroseconds = 1000 // times in microseconds are longer than this
+	if value > minMicroseconds {
+		return value / unit
 	}
-	return figure
+	return value
 }
--- a/lab/scenario/defaults.go
+++ b/lab/scenario/defaults.go
@@ -2,10 +2,10 @@
 
 import "cmp"
 
-// setDefault sets a figure that the script does not give.
-func setDefault[T comparable](figure *T, value T) { *figure = cmp.Or(*figure, value) }
+// setDefault sets a field to a value if the script does not give it.
+func setDefault[T comparable](field *T, value T) { *field = cmp.Or(*field, value) }
 
-// defaults fills in what the script does not give.
+// defaults sets the default values of fields that the script does not give.
 func (s *Script) defaults() {
 	setDefault(&s.Nodes, 2)
 	if len(s.Tenants) == 0 {
@@ -43,7 +43,7 @@
 	setDefault(&r.SlowStartSeconds, 5)
 }
 
-// defaults takes the slow start of the rules where the kind gives none.
+// defaults sets the default values of a kind. Those of its slow start are taken from the rules.
 func (k *Kind) defaults(rules Rules) {
 	setDefault(&k.Slots, 32)
 	setDefault(&k.Queue, 32)
--- a/lab/scenario/enginefaults.go
+++ b/lab/scenario/enginefaults.go
@@ -10,14 +10,14 @@
 	"dillroute/lab/emulator"
 )
 
-// States of an engine in the endpoint list, beside ready.
+// States of an engine in the endpoint list, other than ready.
 const (
 	stateDraining = "draining"
 	stateGone     = "gone"
 )
 
-// engineFault returns a player that sets a fault of the emulator on the affected engines.
-func engineFault(set func(*emulator.Faults, Fault)) faultPlayer {
+// engineFault returns an injector that sets a fault of the emulator on the affected engines.
+func engineFault(set func(*emulator.Faults, Fault)) faultInjector {
 	return func(r *run, f Fault) func() {
 		engines := r.affectedEngines(f, defaultPart)
 		for _, e := range engines {
@@ -31,7 +31,7 @@
 	}
 }
 
-// stopEngines kills engines; the list says so after its delay. The returned function starts them again, cold.
+// stopEngines kills engines and delivers the changed list after the list delay. The returned function restarts them in slow start.
 func (r *run) stopEngines(engines []*emulator.Engine) (restart func()) {
 	var wg sync.WaitGroup
 	for _, e := range engines {
@@ -48,7 +48,7 @@
 		for _, e := range engines {
 			e.SetFaults(emulator.Faults{})
 			if err := e.Start(true); err != nil {
-				fmt.Fprintln(r.options.Out, e.ID, "does not come back:", err)
+				fmt.Fprintln(r.options.Out, e.ID, "failed to restart:", err)
 				continue
 			}
 			r.fleet.SetState(e.ID, "")
@@ -70,55 +70,55 @@
 	return r.stopEngines(r.affectedEngines(f, allEngines))
 }
 
-// degrade slows engines in steps, and then they stop.
+// degrade slows engines down in steps and then stops them.
 func (r *run) degrade(f Fault) func() {
 	const (
-		steps       = 8
-		defaultSlow = 6   // the factor at the last step
-		slowPart    = 0.7 // of the fault's length, until the engines stop
+		steps             = 8
+		defaultSlowFactor = 6   // slowdown factor of the last step
+		slowShare         = 0.7 // share of the fault's length after which the engines stop
 	)
 	engines := r.affectedEngines(f, defaultPart)
 	for step := range steps {
-		done := float64(step+1) / steps
+		progress := float64(step+1) / steps
 		for _, e := range engines {
 			e.ChangeFaults(func(faults *emulator.Faults) {
-				faults.SlowFactor = 1 + (cmp.Or(f.Size, defaultSlow)-1)*done
+				faults.SlowFactor = 1 + (cmp.Or(f.Size, defaultSlowFactor)-1)*progress
 			})
 		}
-		if !r.sleepUntil(f.At + f.Len*slowPart*done) {
+		if !r.sleepUntil(f.At + f.Len*slowShare*progress) {
 			return nil
 		}
 	}
 	return r.stopEngines(engines)
 }
 
-// partitionZone cuts a zone off from the others: no node or engine of one side reaches the other side.
+// partitionZone separates a zone from the others: nodes and engines on one side do not reach engines on the other side.
 func (r *run) partitionZone(f Fault) func() {
 	zone := f.Zone
 	if zone == "" && len(r.script.Zones) > 0 {
 		zone = r.script.Zones[0]
 	}
 	var inside, outside []string
-	place := func(itsZone, name string) {
-		if itsZone == zone {
+	assignSide := func(memberZone, name string) {
+		if memberZone == zone {
 			inside = append(inside, name)
 		} else {
 			outside = append(outside, name)
 		}
 	}
 	for _, slot := range r.nodes {
-		place(slot.zone, slot.name)
+		assignSide(slot.zone, slot.name)
 	}
 	members := r.fleet.Members()
 	for _, m := range members {
-		place(m.Zone, m.ID)
+		assignSide(m.Zone, m.ID)
 	}
 	for _, m := range members {
-		cut := inside
+		unreachable := inside
 		if m.Zone == zone {
-			cut = outside
+			unreachable = outside
 		}
-		r.fleet.Engine(m.ID).ChangeFaults(func(faults *emulator.Faults) { faults.UnreachablePeers = cut })
+		r.fleet.Engine(m.ID).ChangeFaults(func(faults *emulator.Faults) { faults.UnreachablePeers = unreachable })
 	}
 	return func() {
 		for _, m := range members {
@@ -127,21 +127,21 @@
 	}
 }
 
-// drain lists engines as draining.
+// drain lists engines as draining for the length of the fault.
 func (r *run) drain(f Fault) func() {
 	engines := r.affectedEngines(f, defaultPart)
-	list := func(state string) {
+	setState := func(state string) {
 		for _, e := range engines {
 			r.fleet.SetState(e.ID, state)
 		}
 		r.deliverList()
 	}
-	list(stateDraining)
-	return func() { list("") }
+	setState(stateDraining)
+	return func() { setState("") }
 }
 
-// roleChange restarts engines as another kind, for good. The list says so after its delay, and then gives two changes at once: a
-// start and a role.
+// roleChange restarts engines as another kind, permanently. After the list delay, the list shows two changes at once: a new start and
+// a new role.
 func (r *run) roleChange(f Fault) func() {
 	i := slices.IndexFunc(r.script.Kinds, func(k Kind) bool { return k.Name == f.To })
 	for _, e := range r.affectedEngines(f, defaultPart) {
@@ -149,22 +149,22 @@
 		e.SetRole(r.script.Kinds[i].Role)
 		r.fleet.SetKind(e.ID, f.To)
 		if err := e.Start(true); err != nil {
-			fmt.Fprintln(r.options.Out, e.ID, "does not come back:", err)
+			fmt.Fprintln(r.options.Out, e.ID, "failed to restart:", err)
 		}
 	}
 	r.deliverList()
 	return nil
 }
 
-// randomEngineRestarts kills single engines at random, Size of them a second, and starts each again, cold, after Extra seconds.
-// The list says both after its delay.
+// randomEngineRestarts kills single engines at random, Size of them per second, and restarts each in slow start after Extra seconds.
+// The list shows both changes after the list delay.
 func (r *run) randomEngineRestarts(f Fault) func() {
 	const (
-		defaultRate     = 0.1 // a second
+		defaultRate     = 0.1 // restarts per second
 		defaultDowntime = 2.0 // s
-		stream          = 78  // of random numbers, apart from those of other faults
+		rngStream       = 78  // PCG stream, different from those of other faults
 	)
-	rng := rand.New(rand.NewPCG(r.script.Seed, stream))
+	rng := rand.New(rand.NewPCG(r.script.Seed, rngStream))
 	engines := r.affectedEngines(Fault{Engines: f.Engines, Part: allEngines}, allEngines)
 	var wg sync.WaitGroup
 	defer wg.Wait()
--- a/lab/scenario/faults.go
+++ b/lab/scenario/faults.go
@@ -12,14 +12,15 @@
 	"dillroute/lab/emulator"
 )
 
-// faultPlayer starts a fault and returns what ends it, or nil where the fault has ended by itself.
-type faultPlayer func(*run, Fault) (end func())
+// faultInjector starts a fault and returns a function that ends it, or nil if the fault has already ended or is permanent.
+type faultInjector func(*run, Fault) (end func())
 
-// faultPlayers are the kinds of faults that can be played, by the bench's names. It is filled by init, since players use it.
-var faultPlayers map[string]faultPlayer
+// faultInjectors holds the injector of each kind of fault, by the bench's name of the kind. It is set by init because injectors refer to
+// it.
+var faultInjectors map[string]faultInjector
 
 func init() {
-	faultPlayers = map[string]faultPlayer{
+	faultInjectors = map[string]faultInjector{
 		"crash":          (*run).crash,
 		"mass_restart":   (*run).massRestart,
 		"zone_loss":      (*run).zoneLoss,
@@ -52,36 +53,37 @@
 	}
 }
 
-// FaultKinds returns the names of the faults that can be played.
-func FaultKinds() []string { return slices.Sorted(maps.Keys(faultPlayers)) }
+// FaultKinds returns the sorted names of the kinds of faults that a script may contain.
+func FaultKinds() []string { return slices.Sorted(maps.Keys(faultInjectors)) }
 
-// The parts of the engines that faults affect where the script does not say it.
+// Shares of the engines that a fault affects if the script gives none.
 const (
 	defaultPart     = 0.2
 	massRestartPart = 0.6
 	allEngines      = 1.0
 )
 
-// playFault waits for a fault's time, starts the fault and ends it.
-func (r *run) playFault(f Fault) {
+// runFault waits until a fault is due, starts it and ends it after its length.
+func (r *run) runFault(f Fault) {
 	if !r.sleepUntil(f.At) {
 		return
 	}
 	fmt.Fprintf(r.options.Out, "%6.1f s  %s begins\n", f.At, f.Kind)
-	end := faultPlayers[f.Kind](r, f)
+	end := faultInjectors[f.Kind](r, f)
 	r.sleepUntil(f.At + f.Len)
 	if end != nil {
 		end()
 	}
-	fmt.Fprintf(r.options.Out, "%6.1f s  %s is over\n", time.Since(r.start).Seconds(), f.Kind)
+	fmt.Fprintf(r.options.Out, "%6.1f s  %s ended\n", time.Since(r.start).Seconds(), f.Kind)
 }
 
-// affectedEngines returns the engines of a fault: those named, or a part of all, drawn from the seed of the script.
+// affectedEngines returns the engines that a fault affects: those it names, or a share of all engines or of its zone, drawn from the
+// script's seed.
 func (r *run) affectedEngines(f Fault, part float64) []*emulator.Engine {
 	var engines []*emulator.Engine
 	for _, m := range r.fleet.Members() {
 		matches := slices.ContainsFunc(f.Engines, func(pattern string) bool {
-			ok, _ := path.Match(pattern, m.ID) // Check has refused malformed patterns
+			ok, _ := path.Match(pattern, m.ID) // Check rejects malformed patterns
 			return ok
 		})
 		if matches || len(f.Engines) == 0 && (f.Zone == "" || f.Zone == m.Zone) {
--- a/lab/scenario/fleetplan.go
+++ b/lab/scenario/fleetplan.go
@@ -2,26 +2,26 @@
 
 import "fmt"
 
-// FleetPlan describes a large fleet and the faults that it meets.
+// FleetPlan describes a large fleet, its load and its faults. Script turns it into a script.
 type FleetPlan struct {
 	Nodes, Engines          int
 	SessionsPerSecond       float64
 	Length                  float64 // s
-	NodeRestartsPerSecond   float64 // of single nodes, at random
-	EngineRestartsPerSecond float64 // of single engines, at random; they start cold
+	NodeRestartsPerSecond   float64 // rate of restarts of single nodes, at random
+	EngineRestartsPerSecond float64 // rate of restarts of single engines, at random, with slow start
 	ListDelay               float64 // s
 	ListServer              bool    // nodes poll one list server
-	RestartAllNodes         bool    // near the end, a fifth at a time
-	Load                    float64 // as a part of what the engines can do, instead of SessionsPerSecond; 0 = that holds
+	RestartAllNodes         bool    // all nodes restart near the end, a fifth at a time
+	Load                    float64 // share of the engines' capacity; 0 = SessionsPerSecond applies
 	Faults                  []Fault
 	Seed                    uint64
 }
 
-// cellPattern is the kinds of the engines of each cell.
+// cellPattern lists the kinds of the engines in a cell.
 var cellPattern = []string{"prefill", "decode", "decode", "prefill", "decode", "mixed"}
 
-// Script returns the script of a plan: prefill, decode and a few mixed engines in cells, two classes as users have them, nodes
-// restarted at random from the seed and, near the end, all of them within one second.
+// Script returns the script of a plan. It has prefill, decode and a few mixed engines in cells, two classes as users have them, and the
+// faults of the plan: nodes restart at random from the seed and, near the end, all of them within one second.
 func (p FleetPlan) Script() *Script {
 	s := &Script{
 		Name:          fmt.Sprintf("fleet of %d nodes and %d engines", p.Nodes, p.Engines),
@@ -88,7 +88,7 @@
 	}
 }
 
-// faults returns the faults of the plan's figures, and then those that it lists.
+// faults returns the faults that follow from the plan's rates and RestartAllNodes, and then those in Faults.
 func (p FleetPlan) faults() []Fault {
 	var faults []Fault
 	begin, length := p.Length*0.05, p.Length*0.85
@@ -104,14 +104,14 @@
 	return append(faults, p.Faults...)
 }
 
-// prefillFixedTokens is what a prefill costs beside its new tokens, in tokens, at emulated engines.
+// prefillFixedTokens is the cost of a prefill at an emulated engine in addition to its new tokens, expressed as a number of tokens.
 const prefillFixedTokens = 50
 
-// Capacity returns how many sessions a second the engines can serve, by the stage with less capacity: prompts processed, and
-// responses made with all slots in use. Prefixes are taken to be cached where their prompts are processed, and mixed engines to
-// decode: it is the capacity of a fleet whose prefix affinity holds. A fleet that has lost it, or that spreads its prompts, has less.
+// Capacity returns how many sessions per second the engines can serve. The stage with less capacity determines it: prefill, or decode
+// with all slots in use. It assumes that mixed engines only decode and that each prompt is prefilled where its prefix is cached, as in
+// a fleet with working prefix affinity. A fleet that has lost its affinity, or that spreads its prompts, has less capacity.
 func (s *Script) Capacity() float64 {
-	var prefill, decode float64 // tokens a second
+	var prefill, decode float64 // tokens per second
 	s.eachEngine(func(_ string, k Kind, g Group) {
 		if k.Role == "prefill" {
 			prefill += k.PrefillTokensPerSecond * g.Speed
@@ -119,25 +119,25 @@
 			decode += k.decodeTokensPerSecond(g.Speed)
 		}
 	})
-	var share, prompt, answer float64
+	var totalShare, promptTokens, responseTokens float64
 	for _, c := range s.Classes {
-		share += c.Share
-		prompt += c.Share * c.Turns * (c.NewTokens + prefillFixedTokens)
-		answer += c.Share * c.Turns * c.AnswerTokens
+		totalShare += c.Share
+		promptTokens += c.Share * c.Turns * (c.NewTokens + prefillFixedTokens)
+		responseTokens += c.Share * c.Turns * c.AnswerTokens
 	}
-	return share * min(prefill/max(1, prompt), decode/max(1, answer))
+	return totalShare * min(prefill/max(1, promptTokens), decode/max(1, responseTokens))
 }
 
-// RestartFaults returns the faults of a release: all engines restart in steps, so many at a time, with one step every few seconds
-// from a time on (s). Each is down for a time.
-func RestartFaults(engines []string, atATime int, from, every, down float64) []Fault {
+// RestartFaults returns the faults of a release: all of the given engines restart in batches. The first batch stops at start and
+// the others follow at the interval. Each engine is down for the downtime (all in seconds).
+func RestartFaults(engines []string, batchSize int, start, interval, downtime float64) []Fault {
 	var faults []Fault
-	for i := 0; i < len(engines); i += atATime {
+	for i := 0; i < len(engines); i += batchSize {
 		faults = append(faults, Fault{
 			Kind:    "crash",
-			At:      from + every*float64(i/atATime),
-			Len:     down,
-			Engines: engines[i:min(len(engines), i+atATime)],
+			At:      start + interval*float64(i/batchSize),
+			Len:     downtime,
+			Engines: engines[i:min(len(engines), i+batchSize)],
 		})
 	}
 	return faults
--- a/lab/scenario/lists.go
+++ b/lab/scenario/lists.go
@@ -7,7 +7,7 @@
 	"dillroute/lab/fleet"
 )
 
-// deliverList delivers the endpoint list as it stands now to every node, as late as lists are at present.
+// deliverList delivers the current endpoint list to every node after the current list delay. It does not wait for the delivery.
 func (r *run) deliverList() {
 	list := r.fleet.List()
 	r.mu.Lock()
@@ -33,7 +33,8 @@
 	}
 }
 
-// nodeListDelay draws the delay of a list file (s): a quarter more or less than the delay of the list.
+// nodeListDelay draws the delay of a node's list file (s): the list delay, varied by up to a quarter in either direction, plus the extra
+// delay of odd nodes.
 func (r *run) nodeListDelay(slot *nodeSlot, delay float64) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,7 +45,7 @@
 	return nodeDelay
 }
 
-// deliverToServer gives a list to the list server after a delay (s), unless the server has a newer one by then.
+// deliverToServer sets the list of the list server after a delay (s), unless the server has a newer list by then.
 func (r *run) deliverToServer(list fleet.Snapshot, serial int, delay float64) {
 	if !r.sleepUntil(time.Since(r.start).Seconds() + delay) {
 		return
@@ -58,7 +59,7 @@
 	r.fleet.UpdateListServer(list, r.listServer, r.nodeNames())
 }
 
-// deliverToNode writes a list to the node's file after a delay, unless the file holds a newer one by then.
+// deliverToNode writes a list to a node's list file after a delay, unless the file has a newer list by then.
 func (r *run) deliverToNode(slot *nodeSlot, list fleet.Snapshot, serial int, delay time.Duration) {
 	select {
 	case <-time.After(delay):
@@ -72,6 +73,6 @@
 	}
 	slot.listSerial = serial
 	if err := r.fleet.WriteListFile(list, slot.name, r.listFile(slot)); err != nil {
-		fmt.Fprintln(r.options.Out, "list not given to", slot.name, err)
+		fmt.Fprintln(r.options.Out, "endpoint list not delivered to", slot.name, err)
 	}
 }
--- a/lab/scenario/loadfaults.go
+++ b/lab/scenario/loadfaults.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// override changes figures of the run and returns what restores them; both run under the lock.
+// override changes values of the run and returns a function that restores them. Both run with r.mu locked.
 func (r *run) override(change, restore func()) (end func()) {
 	locked := func(f func()) {
 		r.mu.Lock()
@@ -13,20 +13,20 @@
 	return func() { locked(restore) }
 }
 
-// burst multiplies the rate of sessions by Size.
+// burst multiplies the session rate by Size.
 func (r *run) burst(f Fault) func() {
 	factor := cmp.Or(f.Size, 2)
 	return r.override(func() { r.loadFactor *= factor }, func() { r.loadFactor /= factor })
 }
 
-// lengthenPrompts makes a share (Extra) of a class's prompts longer by a factor (Size).
+// lengthenPrompts multiplies the size of a share (Extra) of a class's turns by a factor (Size).
 func (r *run) lengthenPrompts(f Fault) func() {
 	class := cmp.Or(f.Class, r.script.Classes[0].Name)
 	tail := heavyTail{factor: cmp.Or(f.Size, 10), share: cmp.Or(f.Extra, 0.02)}
 	return r.override(func() { r.heavyTails[class] = tail }, func() { delete(r.heavyTails, class) })
 }
 
-// hotKey makes a share (Size) of sessions begin with one new prefix.
+// hotKey makes a share (Size) of the sessions begin with the same new prefix.
 func (r *run) hotKey(f Fault) func() {
 	return r.override(
 		func() {
@@ -36,18 +36,18 @@
 		func() { r.hotShare = 0 })
 }
 
-// makeImpatient makes a share (Size) of clients wait a part of their patience only.
+// makeImpatient makes a share (Size) of the clients wait only a share of their patience.
 func (r *run) makeImpatient(f Fault) func() {
 	return r.override(func() { r.impatientShare = cmp.Or(f.Size, 0.3) }, func() { r.impatientShare = 0 })
 }
 
-// delayList delays the endpoint list by Size seconds.
+// delayList delays the endpoint list by Size additional seconds.
 func (r *run) delayList(f Fault) func() {
 	delay := cmp.Or(f.Size, 3)
 	return r.override(func() { r.extraListDelay += delay }, func() { r.extraListDelay -= delay })
 }
 
-// delayListOfOddNodes delays the endpoint list of every second node by Size seconds.
+// delayListOfOddNodes delays the endpoint list of every second node by Size additional seconds.
 func (r *run) delayListOfOddNodes(f Fault) func() {
 	delay := cmp.Or(f.Size, 10)
 	return r.override(func() { r.extraDelayOfOddNodes += delay }, func() { r.extraDelayOfOddNodes -= delay })
--- a/lab/scenario/machine.go
+++ b/lab/scenario/machine.go
@@ -9,40 +9,40 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Machine says how near the machine, not the fleet, was to its limits during a run. Where goroutines wake late, every figure of
-// the run is the machine's: nodes, engines, clients and the checker share it.
+// Machine describes how close the machine was to its limits during a run. Nodes, engines, clients and the checker share the machine: if
+// goroutines wake up late, all figures of the run reflect the machine and not the fleet.
 type Machine struct {
 	Cores           int     `json:"cores"`
 	CPU             float64 `json:"cpu"`         // share of the cores that this process used
-	WakeLatenessP50 float64 `json:"late_p50_s"`  // by how much a sleeping goroutine woke late, at the median
-	WakeLatenessP99 float64 `json:"late_p99_s"`  // at the 99th percentile
-	WakeLatenessMax float64 `json:"late_most_s"` // at most
+	WakeLatenessP50 float64 `json:"late_p50_s"`  // lateness of a sleeping goroutine's wake-up, median
+	WakeLatenessP99 float64 `json:"late_p99_s"`  // 99th percentile
+	WakeLatenessMax float64 `json:"late_most_s"` // maximum
 }
 
-// A machine was the limit if goroutines woke later than a rule's slack, or if nearly all cores were in use: clients and engines
-// are late by themselves then.
+// The machine was the limit if goroutines woke up later than a rule's slack, or if nearly all cores were in use. Clients and engines are
+// then late by themselves.
 const (
 	maxLateness = 0.05 // at the 99th percentile (s)
 	maxCPU      = 0.9  // share of the cores
 )
 
-// Limit reports whether the machine was the limit.
-func (m Machine) Limit() bool { return m.WakeLatenessP99 > maxLateness || m.CPU > maxCPU }
+// Saturated reports whether the machine limited the run's results.
+func (m Machine) Saturated() bool { return m.WakeLatenessP99 > maxLateness || m.CPU > maxCPU }
 
 // String returns the figures as the report prints them.
 func (m Machine) String() string {
 	s := fmt.Sprintf("machine: %.0f%% of %d cores, wake-ups late by %.1f ms at the median, %.0f ms at the 99th percentile, %.0f ms at most",
 		100*m.CPU, m.Cores, 1000*m.WakeLatenessP50, 1000*m.WakeLatenessP99, 1000*m.WakeLatenessMax)
-	if m.Limit() {
-		s += "\nTHE MACHINE WAS THE LIMIT, not the fleet: figures of service tell of it"
+	if m.Saturated() {
+		s += "\nTHE MACHINE WAS THE LIMIT, not the fleet: the figures above describe the machine"
 	}
 	return s
 }
 
-// meter measures the machine during a run.
+// meter measures the CPU usage and the lateness of wake-ups during a run.
 type meter struct {
-	began      time.Time
-	cpu        time.Duration
+	startedAt  time.Time
+	cpuAtStart time.Duration
 	lateness   *hdrhistogram.Histogram // µs
 	quit, done chan struct{}
 }
@@ -50,17 +50,17 @@
 // sampleInterval is the time between two wake-ups whose lateness is measured.
 const sampleInterval = 5 * time.Millisecond
 
-// maxSample is the greatest lateness that the histogram holds (µs).
+// maxSample is the greatest lateness that the histogram can record (µs).
 const maxSample = 60_000_000
 
-// startMeter starts the measurement; stop ends its goroutine.
+// startMeter starts the measurement. The caller must call stop, which ends its goroutine.
 func startMeter() *meter {
 	m := &meter{
-		began:    time.Now(),
-		cpu:      cpuTime(),
-		lateness: hdrhistogram.New(1, maxSample, 3),
-		quit:     make(chan struct{}),
-		done:     make(chan struct{}),
+		startedAt:  time.Now(),
+		cpuAtStart: cpuTime(),
+		lateness:   hdrhistogram.New(1, maxSample, 3),
+		quit:       make(chan struct{}),
+		done:       make(chan struct{}),
 	}
 	go m.run()
 	return m
@@ -71,13 +71,13 @@
 	timer := time.NewTimer(sampleInterval)
 	defer timer.Stop()
 	for {
-		due := time.Now().Add(sampleInterval)
-		timer.Reset(time.Until(due))
+		wakeDue := time.Now().Add(sampleInterval)
+		timer.Reset(time.Until(wakeDue))
 		select {
 		case <-m.quit:
 			return
 		case <-timer.C:
-			m.lateness.RecordValue(min(maxSample, max(1, time.Since(due).Microseconds())))
+			m.lateness.RecordValue(min(maxSample, max(1, time.Since(wakeDue).Microseconds())))
 		}
 	}
 }
@@ -90,14 +90,14 @@
 	cores := runtime.GOMAXPROCS(0)
 	return Machine{
 		Cores:           cores,
-		CPU:             (cpuTime() - m.cpu).Seconds() / time.Since(m.began).Seconds() / float64(cores),
+		CPU:             (cpuTime() - m.cpuAtStart).Seconds() / time.Since(m.startedAt).Seconds() / float64(cores),
 		WakeLatenessP50: latenessAt(50),
 		WakeLatenessP99: latenessAt(99),
 		WakeLatenessMax: float64(m.lateness.Max()) / 1e6,
 	}
 }
 
-// cpuTime returns what this process has used so far, in user and system time.
+// cpuTime returns the user and system CPU time that this process has used so far.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
--- a/lab/scenario/nodefaults.go
+++ b/lab/scenario/nodefaults.go
@@ -9,20 +9,21 @@
 	"time"
 )
 
-// restartNode kills a node and starts it again after a downtime (s).
+// restartNode kills a node and restarts it after a downtime (s).
 func (r *run) restartNode(slot *nodeSlot, downtime float64) {
 	r.killNode(slot)
 	time.Sleep(seconds(downtime))
 	if err := r.startNode(slot); err != nil {
-		fmt.Fprintln(r.options.Out, slot.name, "does not come back:", err)
+		fmt.Fprintln(r.options.Out, slot.name, "failed to restart:", err)
 	}
 }
 
-// rollingRestart kills and restarts nodes in batches: Part of them in all, Size of them at once, each down for Extra seconds.
+// rollingRestart kills and restarts nodes in batches. Part is the share of all nodes that restart, Size the share in a batch, and Extra
+// the downtime of each node (s).
 func (r *run) rollingRestart(f Fault) func() {
 	const (
-		defaultShare    = 1.0 // of the nodes, in all
-		defaultBatch    = 0.2 // of the nodes, at once
+		defaultShare    = 1.0 // share of the nodes that restart
+		defaultBatch    = 0.2 // share of the nodes in a batch
 		defaultDowntime = 0.5 // s
 	)
 	nodes := float64(len(r.nodes))
@@ -46,14 +47,14 @@
 	return nil
 }
 
-// randomNodeRestarts kills and restarts single nodes at random: Size of them a second, each down for Extra seconds.
+// randomNodeRestarts kills and restarts single nodes at random, Size of them per second, each with a downtime of Extra seconds.
 func (r *run) randomNodeRestarts(f Fault) func() {
 	const (
-		defaultRate     = 0.5 // a second
+		defaultRate     = 0.5 // restarts per second
 		defaultDowntime = 0.3 // s
-		stream          = 77  // of random numbers, apart from those of other faults
+		rngStream       = 77  // PCG stream, different from those of other faults
 	)
-	rng := rand.New(rand.NewPCG(r.script.Seed, stream))
+	rng := rand.New(rand.NewPCG(r.script.Seed, rngStream))
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for at := f.At; ; {
@@ -76,7 +77,7 @@
 	}
 }
 
-// claimRestart marks a node as restarting; it returns false where the node is restarting already, or down.
+// claimRestart marks a node as restarting. It returns false if the node is already restarting or is down.
 func (r *run) claimRestart(slot *nodeSlot) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/scenario/nodes.go
+++ b/lab/scenario/nodes.go
@@ -10,7 +10,7 @@
 	"dillroute/lab/record"
 )
 
-// nodeSlot is the place of a node, which may be down. run.mu guards the fields from node to restarting.
+// nodeSlot is the name, zone and rank of a node, and the running node if there is one. run.mu guards the fields from node to restarting.
 type nodeSlot struct {
 	name, zone string
 	rank       int
@@ -25,19 +25,19 @@
 }
 
 const (
-	// launchAttempts is how often the start of a node is tried: the socket of the one before it may still be closing.
+	// launchAttempts is the maximum number of attempts to start a node: the socket of its predecessor may still be closing.
 	launchAttempts = 100
-	// launchRetryInterval is the time between two of them.
+	// launchRetryInterval is the time between two attempts to start a node.
 	launchRetryInterval = 10 * time.Millisecond
-	// readyTimeout is how long a started node is waited for.
+	// readyTimeout bounds the wait for a started node to become ready.
 	readyTimeout = 10 * time.Second
-	// readyPollInterval is the time between two looks at whether a started node is ready.
+	// readyPollInterval is the time between two checks of whether a started node is ready.
 	readyPollInterval = time.Millisecond
-	// shutdownTimeout is what a node is given to end gracefully.
+	// shutdownTimeout bounds the graceful shutdown of a node.
 	shutdownTimeout = 2 * time.Second
 )
 
-// startNodes starts all nodes, each with the first list.
+// startNodes starts all nodes with the initial endpoint list.
 func (r *run) startNodes() error {
 	if r.listServer != nil {
 		r.fleet.UpdateListServer(r.fleet.List(), r.listServer, r.nodeNames())
@@ -69,7 +69,8 @@
 	return names
 }
 
-// startNode starts a node at the address that it had before, with nothing but its last list, and waits until it is ready.
+// startNode starts a node and waits until it is ready. A restarted node listens at its previous address and has no state but its latest
+// endpoint list.
 func (r *run) startNode(slot *nodeSlot) error {
 	node, started, err := r.launch(slot)
 	if err != nil {
@@ -105,7 +106,7 @@
 	return node, started, err
 }
 
-// killNode ends a node at once.
+// killNode kills a node at once. It does nothing if the node is down.
 func (r *run) killNode(slot *nodeSlot) {
 	r.mu.Lock()
 	node := slot.node
@@ -120,7 +121,7 @@
 	r.log.Add(record.Record{Kind: record.NodeKilled, Node: slot.name, Note: "until now"})
 }
 
-// stopNodes ends all nodes gracefully.
+// stopNodes shuts all nodes down gracefully.
 func (r *run) stopNodes() {
 	var wg sync.WaitGroup
 	for _, slot := range r.nodes {
@@ -137,27 +138,27 @@
 }
 
 const (
-	// filesPerRequest is how many descriptors a request in flight holds where all run in one process: its client's, two of its
-	// node, its engine's, and at times one for the transfer of its state.
-	filesPerRequest = 5
-	// minNodeFiles is the least share of the descriptors that a node is given.
-	minNodeFiles = 60
+	// descriptorsPerRequest is the number of descriptors that a request in flight uses if all parts run in one process: one of its
+	// client, two of its node, one of its engine, and at times one for the transfer of its state.
+	descriptorsPerRequest = 5
+	// minNodeDescriptors is the minimum number of descriptors that a node may use.
+	minNodeDescriptors = 60
 )
 
-// nodeFiles returns a node's share of the descriptors of the process; 0 = the node finds its own limit.
-func (r *run) nodeFiles() int {
+// nodeDescriptors returns a node's share of the process's descriptors; 0 = the node determines its own limit.
+func (r *run) nodeDescriptors() int {
 	if r.options.Files <= 0 {
 		return 0
 	}
-	return max(minNodeFiles, r.options.Files*2/filesPerRequest/r.script.Nodes)
+	return max(minNodeDescriptors, r.options.Files*2/descriptorsPerRequest/r.script.Nodes)
 }
 
-// apiKey returns the key of a tenant's requests.
+// apiKey returns the API key of a tenant.
 func apiKey(t Tenant) string { return "bad-day-key-" + t.Name }
 
 func (r *run) listFile(slot *nodeSlot) string { return filepath.Join(r.dir, slot.name+".json") }
 
-// object is a JSON object of a node's configuration; its shape is that of api/config.schema.json.
+// object is a JSON object of a node's configuration, as described by api/config.schema.json.
 type object map[string]any
 
 // nodeConfig returns the text of a node's configuration.
@@ -168,7 +169,7 @@
 		"node":       node,
 		"local_read": r.script.Limits.LocalPrefill,
 		"engines":    object{"file": r.listFile(slot), "poll_s": 0.1},
-		"limits":     object{"max_attempts": r.script.Limits.MaxAttempts, "stall_s": 5, "shutdown_s": 2, "files": r.nodeFiles()},
+		"limits":     object{"max_attempts": r.script.Limits.MaxAttempts, "stall_s": 5, "shutdown_s": 2, "files": r.nodeDescriptors()},
 		"rules":      r.rulesConfig(),
 	}
 	r.addLists(config)
@@ -214,14 +215,14 @@
 }
 
 func (r *run) rulesConfig() object {
-	figures := r.script.Rules
+	ruleValues := r.script.Rules
 	return object{
-		"answer_slack_s": figures.AnswerSlack,
-		"drain_grace_s":  figures.DrainGrace,
-		"cold_share":     figures.SlowStartShare,
-		"cold_s":         figures.SlowStartSeconds,
-		"fall_multiple":  figures.OverloadMultiple,
-		"tip_after_s":    figures.SlowStartWindow,
-		"let_go_by_s":    figures.StateReleaseLimit,
+		"answer_slack_s": ruleValues.AnswerSlack,
+		"drain_grace_s":  ruleValues.DrainGrace,
+		"cold_share":     ruleValues.SlowStartShare,
+		"cold_s":         ruleValues.SlowStartSeconds,
+		"fall_multiple":  ruleValues.OverloadMultiple,
+		"tip_after_s":    ruleValues.SlowStartWindow,
+		"let_go_by_s":    ruleValues.StateReleaseLimit,
 	}
 }
--- a/lab/scenario/progress.go
+++ b/lab/scenario/progress.go
@@ -9,17 +9,17 @@
 // progressInterval is the time between two calls of Options.Progress.
 const progressInterval = time.Second
 
-// Progress is the state of a run under way.
+// Progress is the state of a run in progress.
 type Progress struct {
 	T, Length           float64 // s
 	Ended, ServedInTime int     // operations
 	Records             int
 	Up, Starts          int // nodes
 	Violations          int
-	SlowStartUse        float64 // greatest part of a slow-start budget that was used
+	SlowStartUse        float64 // greatest share of a slow-start budget that has been used
 }
 
-// reportProgress calls Options.Progress until stop is called; stop waits for its goroutine to end.
+// reportProgress calls Options.Progress periodically until stop is called; stop waits for the goroutine to end.
 func (r *run) reportProgress(checker *rules.Checker, counts *tally) (stop func()) {
 	quit := make(chan struct{})
 	ended := make(chan struct{})
--- a/lab/scenario/report.go
+++ b/lab/scenario/report.go
@@ -18,65 +18,65 @@
 type Report struct {
 	Name             string             `json:"name"`
 	Seed             uint64             `json:"seed"`
-	Began            float64            `json:"began"` // Unix seconds
+	StartedAt        float64            `json:"began"` // Unix seconds
 	Length           float64            `json:"length_s"`
 	Rows             []Row              `json:"rows"`
 	Violations       []rules.Violation  `json:"violations"`
 	Records          int                `json:"records"`
-	ViolationCount   int                `json:"broken"` // of all violations; Violations holds the first of each rule
+	ViolationCount   int                `json:"broken"` // number of all violations; Violations holds only the first ones of each rule
 	ViolationsByRule map[int]int        `json:"broken_by_rule"`
 	Machine          Machine            `json:"machine"`
-	Unfinished       string             `json:"unfinished,omitempty"` // what still ran when the run was cut off
+	Unfinished       string             `json:"unfinished,omitempty"` // what was still running when the run was aborted
 	SlowStartUse     rules.SlowStartUse `json:"cold_use"`
-	Fairness         map[string]float64 `json:"fairness"`    // Jain's index of the work sent to the engines of a kind
-	ReadyP99         float64            `json:"ready_p99_s"` // from the start of a node until it is ready
+	Fairness         map[string]float64 `json:"fairness"`    // Jain's index of the work sent to the engines of each kind
+	ReadyP99         float64            `json:"ready_p99_s"` // time from the start of a node until it is ready
 	Starts           int                `json:"node_starts"`
 	Series           []Point            `json:"series"`
-	LostByCause      map[string]int     `json:"lost_why"` // attempts without a final response, by what the client saw
+	LostByCause      map[string]int     `json:"lost_why"` // attempts without a final response, by the error that the client saw
 }
 
-// Row counts the operations of a class that were first sent during a fault.
+// Row counts the operations of a class whose first attempt was sent during a fault.
 type Row struct {
 	Fault           string  `json:"trouble"` // noFault, or wholeRun for all operations
 	Class           string  `json:"class"`
-	Asked           int     `json:"asked"`
+	Sent            int     `json:"asked"`
 	ServedInTime    int     `json:"served_in_time"`
 	ServedLate      int     `json:"served_late"`
 	Rejected        int     `json:"refused"`
 	Failed          int     `json:"failed"`
-	Lost            int     `json:"lost"` // cut off by a killed node, or no node was reached
-	Disconnected    int     `json:"left"` // the client disconnected by its own choice
+	Lost            int     `json:"lost"` // no node was reached, no first token in time, or a broken connection, as of a killed node
+	Disconnected    int     `json:"left"` // the client disconnected on purpose
 	FirstTokenP50   float64 `json:"first_token_p50_s"`
 	FirstTokenP99   float64 `json:"first_token_p99_s"`
 	TokensPerSecond float64 `json:"tokens_per_s"` // mean over the streams
 
 	firstTokenDelays *hdrhistogram.Histogram // µs
 	streams          int
-	tokenRateSum     float64 // tokens a second, over the streams
+	tokenRateSum     float64 // sum of the tokens per second of all streams
 }
 
-// Names of rows that stand for no fault and for the whole run.
+// Names of the rows for the times without a fault and for the whole run.
 const (
 	noFault  = "quiet"
 	wholeRun = "all"
 )
 
-// Point counts what happened in a few seconds of a run.
+// Point is one point of a report's time series. It covers a few seconds of the run.
 type Point struct {
 	T            float64            `json:"t_s"`
 	Asked        int                `json:"asked"`
 	Served       int                `json:"served"`
-	SlowStartUse float64            `json:"cold_use"` // greatest part of a slow-start budget that was used so far
-	Fairness     map[string]float64 `json:"fairness"` // Jain's index over the engines of a kind, in these seconds
+	SlowStartUse float64            `json:"cold_use"` // greatest share of a slow-start budget that was used so far
+	Fairness     map[string]float64 `json:"fairness"` // Jain's index of the work sent to the engines of each kind in these seconds
 	Up           int                `json:"nodes_up"`
 }
 
-// report returns the report of a run that is over; the caller adds what it measured itself.
+// report returns the report of a run that has ended. The caller sets Records, Machine and Unfinished.
 func (r *run) report(checker *rules.Checker, counts *tally) *Report {
 	report := &Report{
 		Name:       r.script.Name,
 		Seed:       r.script.Seed,
-		Began:      counts.start,
+		StartedAt:  counts.start,
 		Length:     r.script.LengthSeconds,
 		Violations: checker.Close(),
 		Fairness:   map[string]float64{},
@@ -104,7 +104,7 @@
 	return report
 }
 
-// jainIndex returns Jain's index of fairness: 1 = all values alike, 1/n = one has all.
+// jainIndex returns Jain's fairness index: 1 = all values are equal, 1/n = only one of n values is not zero.
 func jainIndex(values []float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, x := range values {
@@ -117,12 +117,12 @@
 	return sum * sum / (float64(len(values)) * squares)
 }
 
-// Print writes the report as a table.
+// Print writes the report as text for a person.
 func (r *Report) Print(w io.Writer) {
-	fmt.Fprintf(w, "%s, seed %d, %.0f s, on loopback with stand-in engines\n\n", r.Name, r.Seed, r.Length)
+	fmt.Fprintf(w, "%s, seed %d, %.0f s, on loopback with emulated engines\n\n", r.Name, r.Seed, r.Length)
 	r.printRows(w)
 	if len(r.LostByCause) > 0 {
-		fmt.Fprintln(w, "\ntries without an answer, by what the client saw:")
+		fmt.Fprintln(w, "\nattempts without a final response, by the error that the client saw:")
 		for _, cause := range slices.SortedFunc(maps.Keys(r.LostByCause), func(a, b string) int {
 			return cmp.Or(cmp.Compare(r.LostByCause[b], r.LostByCause[a]), cmp.Compare(a, b))
 		}) {
@@ -131,10 +131,10 @@
 	}
 	fmt.Fprintf(w, "\n%s\n", r.Machine)
 	if r.Unfinished != "" {
-		fmt.Fprintf(w, "cut off: %s\n", r.Unfinished)
+		fmt.Fprintf(w, "run aborted: %s\n", r.Unfinished)
 	}
 	if len(r.Violations) == 0 {
-		fmt.Fprintf(w, "\nno rule broken, by %d records of the sockets\n", r.Records)
+		fmt.Fprintf(w, "\nno rule violated in %d records of the sockets\n", r.Records)
 		return
 	}
 	r.printViolations(w)
@@ -144,28 +144,28 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "trouble\tclass\tasked\tin time\tlate\trefused\tfailed\tlost\tleft\tp50 first\tp99 first\ttokens/s\t")
 	for _, x := range r.Rows {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f s\t%.3f s\t%.1f\t\n", x.Fault, x.Class, x.Asked, x.ServedInTime,
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f s\t%.3f s\t%.1f\t\n", x.Fault, x.Class, x.Sent, x.ServedInTime,
 			x.ServedLate, x.Rejected, x.Failed, x.Lost, x.Disconnected, x.FirstTokenP50, x.FirstTokenP99, x.TokensPerSecond)
 	}
 	t.Flush()
 }
 
-// printedPerRule is how many violations of each rule are printed in full; the JSON report has more.
+// printedPerRule is the maximum number of violations of each rule that are printed; the JSON report contains more.
 const printedPerRule = 5
 
 func (r *Report) printViolations(w io.Writer) {
-	fmt.Fprintf(w, "\n%d BREACHES OF THE RULES\n", r.ViolationCount)
+	fmt.Fprintf(w, "\n%d RULE VIOLATIONS\n", r.ViolationCount)
 	for _, rule := range slices.Sorted(maps.Keys(r.ViolationsByRule)) {
-		fmt.Fprintf(w, "rule %d, %d times; the first:\n", rule, r.ViolationsByRule[rule])
+		fmt.Fprintf(w, "rule %d, %d violations; the first ones:\n", rule, r.ViolationsByRule[rule])
 		printed := 0
 		for _, v := range r.Violations {
 			if v.Rule == rule && printed < printedPerRule {
 				printed++
-				fmt.Fprintf(w, "  %6.1f s  %s\n", v.T-r.Began, v)
+				fmt.Fprintf(w, "  %6.1f s  %s\n", v.T-r.StartedAt, v)
 			}
 		}
 	}
 }
 
-// JSON returns the report for programs.
+// JSON returns the report as indented JSON.
 func (r *Report) JSON() ([]byte, error) { return json.MarshalIndent(r, "", " ") }
--- a/lab/scenario/run.go
+++ b/lab/scenario/run.go
@@ -20,77 +20,77 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Node is a running node, whatever started it.
+// Node is a running node, in this process or in another one.
 type Node interface {
 	Addr() net.Addr
-	// Ready reports whether the node may be sent requests.
+	// Ready reports whether the node accepts requests.
 	Ready() bool
-	// Stop kills the node: the requests in flight get no response.
+	// Stop kills the node; requests in flight get no response.
 	Stop()
-	// Shutdown ends the node gracefully, within the wait.
+	// Shutdown shuts the node down gracefully and waits at most this long.
 	Shutdown(wait time.Duration)
 }
 
-// Launch starts a node from the text of its configuration.
+// Launch starts a node from the JSON text of its configuration.
 type Launch func(name string, config []byte) (Node, error)
 
 // Options are the options of a run.
 type Options struct {
 	Launch   Launch
-	Out      io.Writer      // for the start and end of faults; nil = none
+	Out      io.Writer      // messages about the start and end of faults; nil = discarded
 	Progress func(Progress) // called once a second; nil = never
-	Skew     float64        // that the checker allows for scheduling (s); 0 = defaultSkew
-	Files    int            // descriptors of the process that nodes, engines and clients share; 0 = each node has a limit of its own
+	Skew     float64        // scheduling delay that the checker tolerates (s); 0 = defaultSkew
+	Files    int            // descriptors that nodes, engines and clients share in this process; 0 = each node has its own limit
 }
 
 const (
-	// defaultSkew is what the checker allows for scheduling if the options do not say it (s).
+	// defaultSkew is the scheduling delay that the checker tolerates if Options.Skew is 0 (s).
 	defaultSkew = 0.25
-	// overtimeSeconds is how long after its length a run may go on until its clients are told to stop (s).
+	// overtimeSeconds is how long a run may exceed its length before its clients and faults are canceled (s).
 	overtimeSeconds = 30.0
-	// finalWaitSeconds is how long after that the run ends without the tasks that still run (s).
+	// finalWaitSeconds is how long the run then waits for canceled tasks before it ends without them (s).
 	finalWaitSeconds = 20.0
-	// releaseMargin is how much longer than rule 5 allows a run waits for states to be released before it ends (s).
+	// releaseMargin is added to the time that rule 5 allows for state releases, for which the run waits before it ends (s).
 	releaseMargin = 0.2
 )
 
-// run is one run of a script. The fields up to tasks do not change once the run has started.
+// run is one run of a script. The fields before tasks do not change once the run has started.
 type run struct {
 	script     *Script
 	options    Options
-	dir        string // of the list files
+	dir        string // directory of the list files
 	log        *record.Log
 	fleet      *fleet.Fleet
 	client     *client.Client
-	listServer *emulator.ConsulServer // nil = a list file for each node
+	listServer *emulator.ConsulServer // nil = each node has a list file
 	nodes      []*nodeSlot
 	start      time.Time
-	ctx        context.Context // ends the run early
+	ctx        context.Context // its end aborts the run
 
 	tasks sync.WaitGroup // clients, faults and list deliveries
 
-	serverMu     sync.Mutex // guards servedSerial and the order of lists at the list server
-	servedSerial int        // of the newest list that the list server has
+	serverMu     sync.Mutex // guards servedSerial and orders the updates of the list server
+	servedSerial int        // serial of the list server's current list
 
-	mu                   sync.Mutex // guards all that follows, and the changing fields of nodes
+	mu                   sync.Mutex // guards the fields below, and the changing fields of nodes
 	listSerial           int
-	extraListDelay       float64 // added to the script's delay of lists (s)
-	extraDelayOfOddNodes float64 // added for every second node (s)
+	extraListDelay       float64 // added to the script's list delay (s)
+	extraDelayOfOddNodes float64 // added to the list delay of every second node (s)
 	loadFactor           float64
 	heavyTails           map[string]heavyTail // by class
-	hotShare             float64              // of sessions that begin with the hot prefix
+	hotShare             float64              // share of the sessions that begin with the hot prefix
 	hotSeed              uint64
-	impatientShare       float64 // of requests whose client waits a part of its patience only
+	impatientShare       float64 // share of the requests whose client waits only a share of its patience
 	rng                  *rand.Rand
 	requests             int
 	nodeStarts           int
-	readyTimes           *hdrhistogram.Histogram // from the start of a node until it is ready (µs)
+	readyTimes           *hdrhistogram.Histogram // times from the start of a node until it is ready (µs)
 }
 
-// heavyTail makes a share of a class's prompts longer by a factor.
+// heavyTail multiplies the size of a share of a class's turns by a factor.
 type heavyTail struct{ factor, share float64 }
 
-// Run plays a script and reports. The context ends the run early.
+// Run runs a script and returns its report. The end of the context aborts the run.
 func Run(ctx context.Context, script *Script, options Options) (*Report, error) {
 	dir, err := os.MkdirTemp("", "dillroute-scenario-")
 	if err != nil {
@@ -128,7 +128,7 @@
 		r.stopNodes()
 		return nil, err
 	}
-	return r.play(ctx, checker, counts), nil
+	return r.execute(ctx, checker, counts), nil
 }
 
 func newRun(script *Script, options Options, dir string) *run {
@@ -143,8 +143,8 @@
 	}
 }
 
-// play starts clients and faults before the running nodes, waits for their end and reports.
-func (r *run) play(ctx context.Context, checker *rules.Checker, counts *tally) *Report {
+// execute starts the clients and faults once the nodes are running, waits for their end and returns the report.
+func (r *run) execute(ctx context.Context, checker *rules.Checker, counts *tally) *Report {
 	ctx, cancel := context.WithTimeout(ctx, seconds(r.script.LengthSeconds+overtimeSeconds))
 	defer cancel()
 	r.ctx = ctx
@@ -154,7 +154,7 @@
 		r.tasks.Add(1)
 		go func() {
 			defer r.tasks.Done()
-			r.playFault(f)
+			r.runFault(f)
 		}()
 	}
 	if r.options.Progress != nil {
@@ -176,8 +176,8 @@
 	return report
 }
 
-// awaitTasks waits until all clients and faults have ended. Once the context has ended it waits a bounded time and returns what
-// still runs.
+// awaitTasks waits until all clients, faults and list deliveries have ended. Once the context has ended it waits at most
+// finalWaitSeconds, and describes what is still running.
 func (r *run) awaitTasks(ctx context.Context) (unfinished string) {
 	ended := make(chan struct{})
 	go func() {
@@ -193,12 +193,12 @@
 	case <-ended:
 		return ""
 	case <-time.After(seconds(finalWaitSeconds)):
-		return fmt.Sprintf("clients or troubles still ran %.0f s after the day was to end; goroutines: %d",
+		return fmt.Sprintf("clients or faults were still running %.0f s after they were canceled; goroutines: %d",
 			finalWaitSeconds, runtime.NumGoroutine())
 	}
 }
 
-// awaitStateReleases gives states that wait at engines the time that rule 5 allows before the record ends.
+// awaitStateReleases waits for the time that rule 5 allows for the release of held states, and then ends the record.
 func (r *run) awaitStateReleases() {
 	time.Sleep(seconds(r.script.Rules.StateReleaseLimit + r.options.Skew + releaseMargin))
 	r.log.Add(record.Record{Kind: record.RecordEnded})
@@ -206,7 +206,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// sleepUntil waits until a time of the run (s), at most until the end of the script. It returns false if the run was ended.
+// sleepUntil waits until a time of the run (s), but not beyond the end of the script. It returns false if the run was aborted.
 func (r *run) sleepUntil(at float64) bool {
 	at = min(at, r.script.LengthSeconds+0.001)
 	timer := time.NewTimer(time.Until(r.start.Add(seconds(at))))
@@ -219,7 +219,7 @@
 	}
 }
 
-// engineMembers returns the engines of the script as the fleet starts them.
+// engineMembers returns the engines of the script as members of the fleet.
 func (r *run) engineMembers() []fleet.Member {
 	var members []fleet.Member
 	r.script.eachEngine(func(id string, k Kind, g Group) {
@@ -244,21 +244,21 @@
 	return members
 }
 
-// checkerListLag is how long a node may take to read its list once the list has been delivered (s).
+// checkerListLag is the time that the checker allows a node to read a delivered list (s).
 const checkerListLag = 0.2
 
-// checkerConfig returns the figures of the rules and what the checker needs to know of classes and engines.
+// checkerConfig returns the checker's configuration: the parameters of the rules, and the classes and engines of the script.
 func (r *run) checkerConfig() rules.Config {
-	figures := r.script.Rules
+	ruleValues := r.script.Rules
 	config := rules.Config{
 		Classes:           map[string]rules.Class{},
 		Engines:           map[string]rules.Engine{},
-		AnswerSlack:       figures.AnswerSlack,
-		DrainGrace:        figures.DrainGrace,
+		AnswerSlack:       ruleValues.AnswerSlack,
+		DrainGrace:        ruleValues.DrainGrace,
 		ListLag:           checkerListLag,
-		OverloadMultiple:  figures.OverloadMultiple,
-		SlowStartWindow:   figures.SlowStartWindow,
-		StateReleaseLimit: figures.StateReleaseLimit,
+		OverloadMultiple:  ruleValues.OverloadMultiple,
+		SlowStartWindow:   ruleValues.SlowStartWindow,
+		StateReleaseLimit: ruleValues.StateReleaseLimit,
 		Skew:              r.options.Skew,
 	}
 	for _, c := range r.script.Classes {
@@ -277,7 +277,8 @@
 	return config
 }
 
-// decodeTokensPerSecond returns the rate of a warm engine of the kind with all slots in use, at a speed.
+// decodeTokensPerSecond returns the decode rate of an engine of the kind after its slow start, with all slots in use. speed is the factor
+// of the engine's group.
 func (k Kind) decodeTokensPerSecond(speed float64) float64 {
 	slots := float64(k.Slots)
 	return slots / ((k.StepMS + k.PerSeqMS*slots) / 1000 / speed)
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -23,7 +23,7 @@
 	return node.StartChat(cfg, node.WithLogger(slog.New(slog.NewTextHandler(io.Discard, nil))))
 }
 
-func TestShortScenarioKeepsTheRules(t *testing.T) {
+func TestShortScenarioViolatesNoRule(t *testing.T) {
 	text, err := os.ReadFile("../../examples/scenario/short.json")
 	if err != nil {
 		t.Fatal(err)
@@ -48,11 +48,11 @@
 		}
 	}
 	if served < 50 {
-		t.Errorf("only %d served: %+v", served, r.Rows)
+		t.Errorf("got %d operations served, want at least 50: %+v", served, r.Rows)
 	}
 }
 
-func TestScriptsAreChecked(t *testing.T) {
+func TestParseAcceptsExampleScriptsAndReportsProblems(t *testing.T) {
 	files, _ := filepath.Glob("../../examples/scenario/*.json")
 	for _, f := range files {
 		text, err := os.ReadFile(f)
@@ -76,7 +76,7 @@
 	}
 }
 
-// A day file as the bench writes it, made up here: times in microseconds, engines by their place.
+// benchDay is an invented day file in the bench's format: times are in microseconds, and engines are referred to by their position.
 const benchDay = `{"site":"made-up","family":"twostage","length":10000000,"noise":5,"zones":["z"],"front_notice":1000000,
 "drain_grace":250000,"fall_multiple":4,"fall_for":1500000,"traffic":{"shape":[[0,1],[10000000,2]]},
 "clients":{"retries":1,"try_share":0.8,"backoff_us":200000},"discovery":{"notice":500000},"allow":{"max_attempts":4},
@@ -96,18 +96,19 @@
 		t.Fatal(err)
 	}
 	if len(s.Engines) != 3 || s.Kinds[0].Role != "prefill" || s.Classes[0].Effect != "once" || s.Nodes != 2 || s.LengthSeconds != 5 {
-		t.Fatalf("%+v", s)
+		t.Fatalf("got script %+v", s)
 	}
-	if tr := s.Faults[0]; tr.At != 1 || tr.Len != 1.5 || tr.Engines[0] != "w-c0-2" {
-		t.Fatalf("%+v", tr)
+	if fault := s.Faults[0]; fault.At != 1 || fault.Len != 1.5 || fault.Engines[0] != "w-c0-2" {
+		t.Fatalf("got fault %+v", fault)
 	}
 	if _, err := scenario.Convert([]byte(`{"family":"proxy"}`), 1, 1); err == nil {
-		t.Fatal("another family")
+		t.Fatal("got no error for a day of another family")
 	}
 }
 
-// play runs a script made from the short one.
-func play(t *testing.T, change func(*scenario.Script)) *scenario.Report {
+// runShortScript runs the short example script, with its faults removed and then changed by change, and reports rule violations as
+// test errors.
+func runShortScript(t *testing.T, change func(*scenario.Script)) *scenario.Report {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/scenario/short.json")
 	if err != nil {
@@ -131,10 +132,10 @@
 	return r
 }
 
-// Half the nodes have a list that is three seconds older: on it, an engine that drains, one that has stopped and one that has
-// changed its role are as they were.
-func TestHalfTheNodesHaveAnOlderList(t *testing.T) {
-	r := play(t, func(s *scenario.Script) {
+// Half of the nodes have an endpoint list that is three seconds older than that of the others. It does not yet show that one engine is
+// draining, one has stopped and one has changed its role.
+func TestNoRuleIsViolatedWhileHalfTheNodesHaveAnOlderList(t *testing.T) {
+	r := runShortScript(t, func(s *scenario.Script) {
 		s.Nodes, s.LengthSeconds = 6, 7
 		s.Faults = []scenario.Fault{
 			{Kind: "stale_half", At: 0.5, Len: 6, Size: 3},
@@ -144,15 +145,15 @@
 		}
 	})
 	for _, row := range r.Rows {
-		if row.Fault == "all" && float64(row.ServedInTime+row.ServedLate+row.Disconnected) < 0.7*float64(row.Asked) {
-			t.Errorf("%+v", row)
+		if row.Fault == "all" && float64(row.ServedInTime+row.ServedLate+row.Disconnected) < 0.7*float64(row.Sent) {
+			t.Errorf("got less than 70%% of the operations served or disconnected: %+v", row)
 		}
 	}
 }
 
-// An engine that all nodes had removed starts again, cold, for all of them at once.
+// Engines that all nodes have removed restart in slow start and become available to all nodes at the same time.
 func TestColdEngineBeforeAllNodesAtOnce(t *testing.T) {
-	r := play(t, func(s *scenario.Script) {
+	r := runShortScript(t, func(s *scenario.Script) {
 		s.Nodes, s.LengthSeconds, s.Load.SessionsPerSecond, s.Rules.SlowStartSeconds = 20, 8, 60, 3
 		for i := range s.Kinds {
 			s.Kinds[i].SlowStartSeconds = 3
@@ -160,22 +161,22 @@
 		s.Faults = []scenario.Fault{{Kind: "crash", At: 2, Len: 1.5, Engines: []string{"decode-a-1", "prefill-a-1"}}}
 	})
 	if r.SlowStartUse.Share > 1 || r.SlowStartUse.Share == 0 {
-		t.Errorf("sends to cold engines came to %.2f of their budget", r.SlowStartUse.Share)
+		t.Errorf("got %.2f of the budget of engines in slow start used, want more than 0 and at most 1", r.SlowStartUse.Share)
 	}
 }
 
-func TestManyNodesRestartWithinASecond(t *testing.T) {
-	r := play(t, func(s *scenario.Script) {
+func TestNoRuleIsViolatedWhenAllNodesRestartWithinASecond(t *testing.T) {
+	r := runShortScript(t, func(s *scenario.Script) {
 		s.Nodes, s.LengthSeconds = 60, 6
 		s.Faults = []scenario.Fault{{Kind: "balancer_roll", At: 3, Len: 1, Part: 1, Size: 0.25, Extra: 0.1}}
 	})
 	if r.Starts != 120 {
-		t.Errorf("%d starts", r.Starts)
+		t.Errorf("got %d node starts, want 120", r.Starts)
 	}
 }
 
-// A release restarts each prefill engine once, and the load of a fleet follows from what its engines can do.
-func TestReleaseRestartsEveryPrefillEngineOnceAndLoadFollowsCapacity(t *testing.T) {
+// A release restarts each prefill engine once, and the load of a fleet is proportional to the capacity of its engines.
+func TestReleaseRestartsEachPrefillEngineOnceAndLoadFollowsCapacity(t *testing.T) {
 	p := scenario.FleetPlan{Nodes: 2, Engines: 24, Length: 60, Load: 0.5}
 	prefillEngines := p.Script().PrefillEngines()
 	p.Faults = scenario.RestartFaults(prefillEngines, 3, 15, 9, 2)
@@ -191,12 +192,13 @@
 	}
 	for _, id := range prefillEngines {
 		if restarts[id] != 1 {
-			t.Errorf("%s is restarted %d times", id, restarts[id])
+			t.Errorf("%s: got %d restarts, want 1", id, restarts[id])
 		}
 	}
 	p.Engines = 48
 	load, doubled := s.Load.SessionsPerSecond, p.Script().Load.SessionsPerSecond
 	if len(prefillEngines) != 8 || doubled < 1.9*load || doubled > 2.1*load {
-		t.Fatalf("%d prefill engines, %g/s; twice the engines: %g/s", len(prefillEngines), load, doubled)
+		t.Fatalf("got %d prefill engines, want 8; got %g/s and, with twice the engines, %g/s, want 1.9 to 2.1 times as much",
+			len(prefillEngines), load, doubled)
 	}
 }
--- a/lab/scenario/script.go
+++ b/lab/scenario/script.go
@@ -1,6 +1,6 @@
-// Package scenario plays a scripted fault scenario through real nodes on loopback: clients, emulated engines, an endpoint list
-// that is delivered late, and faults by the names that the bench gives its kinds. The rules are checked against what passed on
-// the sockets (lab/rules). It starts nodes through a Launch alone.
+// Package scenario runs scripted fault scenarios against real nodes on loopback, with clients, emulated engines, an endpoint list that is
+// delivered late, and faults whose kinds have the bench's names. The rules are checked against what passes on the sockets (lab/rules).
+// Nodes are started only through a Launch function.
 package scenario
 
 import (
@@ -31,7 +31,8 @@
 	Faults        []Fault  `json:"troubles"`
 }
 
-// Load says how many sessions start. Shape holds pairs of a time (share of the run) and a factor, joined by lines.
+// Load describes the rate at which sessions start. Shape holds pairs of a time (share of the run) and a factor of the rate, interpolated
+// linearly.
 type Load struct {
 	SessionsPerSecond float64      `json:"per_s"`
 	MaxRequests       int          `json:"max_asks"`
@@ -54,7 +55,7 @@
 	ReportMS                float64 `json:"report_ms"`
 }
 
-// Group is a number of engines of a kind in a cell.
+// Group is a group of engines of one kind in one cell.
 type Group struct {
 	Kind  string  `json:"kind"`
 	Count int     `json:"count"`
@@ -63,7 +64,7 @@
 	Speed float64 `json:"speed"`
 }
 
-// Class is a class of requests and the distributions of their sizes.
+// Class is a class of requests, with the distributions of their sizes.
 type Class struct {
 	Name                  string  `json:"name"`
 	Effect                string  `json:"effect"`
@@ -76,19 +77,19 @@
 	PatiencePerK          float64 `json:"patience_per_1k_prompt_s"`
 	TokenLatencyObjective float64 `json:"token_aim_s"`
 	MaxTokens             int     `json:"max_tokens"`
-	NewTokens             float64 `json:"new_tokens"`    // of a turn, mean of a log-normal distribution
-	NewSigma              float64 `json:"new_sigma"`     // its sigma
-	AnswerTokens          float64 `json:"answer_tokens"` // mean
+	NewTokens             float64 `json:"new_tokens"`    // size of a turn, mean of a log-normal distribution
+	NewSigma              float64 `json:"new_sigma"`     // sigma of that distribution
+	AnswerTokens          float64 `json:"answer_tokens"` // size of a response, mean of a log-normal distribution
 	AnswerSigma           float64 `json:"answer_sigma"`
 	Prefixes              int     `json:"prefixes"` // number of shared prefixes
 	PrefixTokens          int     `json:"prefix_tokens"`
-	PrefixShare           float64 `json:"prefix_share"` // share of the sessions that begin with one
-	Turns                 float64 `json:"turns"`        // mean number in a session
-	Think                 float64 `json:"think_s"`      // mean time between them (s)
+	PrefixShare           float64 `json:"prefix_share"` // share of the sessions that begin with a shared prefix
+	Turns                 float64 `json:"turns"`        // mean number per session
+	Think                 float64 `json:"think_s"`      // mean time between turns (s)
 	NoStreamShare         float64 `json:"whole"`        // share of the requests that ask for a response without a stream
 }
 
-// Tenant is an account, its share of the sessions, and its quota over all nodes.
+// Tenant describes a tenant: its share of the sessions and its quota over all nodes (requests per second; 0 = no limit).
 type Tenant struct {
 	Name  string  `json:"name"`
 	Share float64 `json:"share"`
@@ -100,17 +101,17 @@
 	Retries               int     `json:"retries"`
 	Backoff               float64 `json:"backoff_s"`
 	DisconnectShare       float64 `json:"hangups"`        // share of the requests whose client disconnects during the stream
-	FailureDetectionDelay float64 `json:"front_notice_s"` // for how long a dead node is still sent requests
-	AttemptShare          float64 `json:"try_share"`      // share of the patience that one attempt is given
+	FailureDetectionDelay float64 `json:"front_notice_s"` // time for which requests are still sent to a dead node
+	AttemptShare          float64 `json:"try_share"`      // share of the patience that a client waits for one attempt
 }
 
-// List says how late the endpoint list is delivered.
+// List describes how the endpoint list is delivered, and with what delay.
 type List struct {
 	Delay  float64 `json:"notice_s"`
-	Server bool    `json:"server"` // nodes poll one list server, instead of a file each
+	Server bool    `json:"server"` // nodes poll one list server instead of reading a file each
 }
 
-// Rules holds the figures of the rules, for the nodes and for the checker.
+// Rules holds the parameters of the rules, for the nodes and for the checker.
 type Rules struct {
 	AnswerSlack       float64 `json:"answer_slack_s"`
 	DrainGrace        float64 `json:"drain_grace_s"`
@@ -121,7 +122,7 @@
 	SlowStartSeconds  float64 `json:"cold_s"`
 }
 
-// Limits holds limits of the nodes.
+// Limits holds settings of the nodes.
 type Limits struct {
 	MaxAttempts  int  `json:"max_attempts"`
 	LocalPrefill bool `json:"local_read"`
@@ -132,18 +133,18 @@
 	Kind    string   `json:"kind"`
 	At      float64  `json:"at_s"`
 	Len     float64  `json:"len_s"`
-	Engines []string `json:"engines,omitempty"` // ids or shell patterns; none = Part of all, drawn
+	Engines []string `json:"engines,omitempty"` // ids or shell patterns; none = a share (Part) of all engines, drawn at random
 	Part    float64  `json:"part,omitempty"`
 	Size    float64  `json:"size,omitempty"`
 	Extra   float64  `json:"extra,omitempty"`
 	Class   string   `json:"class,omitempty"`
 	Zone    string   `json:"zone,omitempty"`
-	To      string   `json:"to,omitempty"` // role_change: the kind that engines become
+	To      string   `json:"to,omitempty"` // the new kind of the engines, for role_change
 }
 
 var schema = config.MustSchema(api.ScenarioSchema)
 
-// Parse reads a script, fills in defaults and checks names.
+// Parse reads a script, sets defaults and checks the script.
 func Parse(text []byte) (*Script, error) {
 	s := &Script{}
 	if err := schema.Decode(text, s); err != nil {
@@ -153,7 +154,7 @@
 	return s, s.Check()
 }
 
-// engineIDs returns the ids of all engines: kind-cell-number.
+// engineIDs returns the ids of all engines, in the form kind-cell-number.
 func (s *Script) engineIDs() []string {
 	var ids []string
 	s.eachEngine(func(id string, _ Kind, _ Group) { ids = append(ids, id) })
--- a/lab/scenario/tally.go
+++ b/lab/scenario/tally.go
@@ -11,54 +11,55 @@
 )
 
 const (
-	// quietSeconds is for how long an operation has no record before it is counted as ended: its client may retry (s).
-	quietSeconds = 15.0
-	// sweepSeconds is the time between two looks for operations that have ended (s).
-	sweepSeconds = quietSeconds / 3
-	// pointSeconds is the length of a point of the series (s).
+	// operationIdleSeconds is the time without a record after which an operation counts as ended (s). Until then its client may retry.
+	operationIdleSeconds = 15.0
+	// sweepSeconds is the time between two sweeps for operations that have ended (s).
+	sweepSeconds = operationIdleSeconds / 3
+	// pointSeconds is the time that a point of the series covers (s).
 	pointSeconds = 2.0
-	// maxPoints bounds the series, whatever the length of the run.
+	// maxPoints bounds the length of the series in long runs.
 	maxPoints = 5000
-	// maxCauses bounds the causes that are counted apart; all others are counted together.
+	// maxCauses bounds the number of causes that are counted separately; all others are counted together.
 	maxCauses = 50
-	// faultAftermath is for how long after its end a fault still counts as on (s).
-	faultAftermath = 1.0
-	// framingEvents is the number of events of a complete stream that carry no text: the chunk with the reason and [DONE].
+	// faultMarginSeconds is the time after its end during which a fault still counts as active (s).
+	faultMarginSeconds = 1.0
+	// framingEvents is the number of events of a complete stream that carry no text: the chunk with finish_reason and [DONE].
 	framingEvents = 2
 )
 
-// tally counts operations as they end. An operation has ended once it has had no record for a while.
+// tally counts operations by their outcome. An operation is counted once it has a final response or disconnect and
+// has had no further record for operationIdleSeconds.
 type tally struct {
 	script      *Script
 	start       float64 // Unix seconds
 	operations  map[string]*operation
 	rows        map[rowKey]*Row
-	sentWork    map[string]float64 // tokens that arrived at each engine
+	sentWork    map[string]float64 // work that arrived at each engine, in tokens
 	windowWork  map[string]float64 // the same since the last point of the series
 	engineKinds map[string]string
 	tenants     map[string]*tenantCounts
 	series      []Point
-	lostByCause map[string]int // attempts without a final response, by what the client saw
+	lostByCause map[string]int // attempts without a final response, by the error that the client saw
 	nodesUp     int
 	lastSweep   float64
 }
 
-// operation is what is known of one operation. Times are in Unix seconds.
+// operation is the state of one operation. Times are in Unix seconds.
 type operation struct {
 	class, tenant   string
-	firstSent       float64       // its first attempt
-	lastSent        float64       // its last attempt
-	final           record.Record // of the last attempt
-	firstTokenDelay float64       // of the last attempt (s); 0 = none has come
+	firstSent       float64       // time of its first attempt
+	lastSent        float64       // time of its last attempt
+	final           record.Record // final response or disconnect of the last attempt; zero = none yet
+	firstTokenDelay float64       // of the last attempt (s); 0 = no token yet
 	firstTokenAt    float64
 	promptTokens    float64
 	lastRecord      float64
 }
 
-// rowKey names a row: a fault and a class.
+// rowKey identifies a row by its fault and class.
 type rowKey struct{ fault, class string }
 
-// tenantCounts counts the requests of a tenant.
+// tenantCounts counts the operations of a tenant.
 type tenantCounts struct{ requests, servedInTime float64 }
 
 func newTally(script *Script, start float64) *tally {
@@ -85,14 +86,14 @@
 func (t *tally) totals() (ended, servedInTime int) {
 	for key, row := range t.rows {
 		if key.fault == wholeRun {
-			ended += row.Asked
+			ended += row.Sent
 			servedInTime += row.ServedInTime
 		}
 	}
 	return ended, servedInTime
 }
 
-// add takes a record. slowStartUse is the greatest part of a slow-start budget that was used so far.
+// add adds a record. slowStartUse is the greatest share of a slow-start budget that was used so far.
 func (t *tally) add(r record.Record, slowStartUse float64) {
 	t.addToSeries(r, slowStartUse)
 	t.addToOperation(r)
@@ -101,7 +102,7 @@
 	}
 }
 
-// addToSeries counts a record in the present point of the series, and begins the next point when it is time.
+// addToSeries counts a record in the current point of the series, after beginning the next point if it is due.
 func (t *tally) addToSeries(r record.Record, slowStartUse float64) {
 	at := r.T - t.start
 	if len(t.series) == 0 {
@@ -131,7 +132,7 @@
 	}
 }
 
-// nextPoint completes the present point of the series and begins the next.
+// nextPoint completes the current point of the series and begins the next one.
 func (t *tally) nextPoint(at, slowStartUse float64) {
 	workByKind := map[string][]float64{}
 	for id, kind := range t.engineKinds {
@@ -150,7 +151,7 @@
 	}
 }
 
-// addToOperation notes a record at its operation.
+// addToOperation updates the operation of a record.
 func (t *tally) addToOperation(r record.Record) {
 	if r.Kind == record.RequestSent {
 		t.requestSent(r)
@@ -177,7 +178,7 @@
 	op.lastRecord = r.T
 }
 
-// requestSent begins an operation, or its next attempt.
+// requestSent begins an operation or its next attempt.
 func (t *tally) requestSent(r record.Record) {
 	op := t.operations[r.Op]
 	if op == nil {
@@ -191,10 +192,10 @@
 	op.final = record.Record{}
 }
 
-// addressPattern matches what differs between causes that are one.
+// addressPattern matches the URLs and addresses in a cause, which are removed so that equal causes are counted together.
 var addressPattern = regexp.MustCompile(`"http://[^"]*"|\d+\.\d+\.\d+\.\d+:\d+`)
 
-// countLoss counts what a client saw instead of a response.
+// countLoss counts an attempt without a final response by the error that its client saw.
 func (t *tally) countLoss(r record.Record) {
 	switch r.Outcome {
 	case record.Served, record.Rejected, record.Failed:
@@ -207,18 +208,19 @@
 	t.lostByCause[cause]++
 }
 
-// sweep counts and forgets operations that have ended.
+// sweep counts and removes the operations that have ended.
 func (t *tally) sweep(now float64) {
 	t.lastSweep = now
 	for id, op := range t.operations {
-		if op.final.Kind != "" && now > op.lastRecord+quietSeconds {
+		if op.final.Kind != "" && now > op.lastRecord+operationIdleSeconds {
 			t.countOperation(op)
 			delete(t.operations, id)
 		}
 	}
 }
 
-// close counts the remaining operations and returns the rows: the whole run, no fault, and then the faults by name.
+// close counts the remaining operations and returns the rows: first those of the whole run, then those without a fault, then those of the
+// faults by name.
 func (t *tally) close() []Row {
 	for _, op := range t.operations {
 		t.countOperation(op)
@@ -240,12 +242,12 @@
 	return rows
 }
 
-// faultsAt names the faults that are on at a time, or noFault.
+// faultsAt returns the kinds of the faults that are active at a time, or noFault if there are none.
 func (t *tally) faultsAt(at float64) []string {
 	var names []string
 	for _, f := range t.script.Faults {
 		since := at - t.start
-		if since >= f.At && since <= f.At+f.Len+faultAftermath && !slices.Contains(names, f.Kind) {
+		if since >= f.At && since <= f.At+f.Len+faultMarginSeconds && !slices.Contains(names, f.Kind) {
 			names = append(names, f.Kind)
 		}
 	}
@@ -255,7 +257,7 @@
 	return names
 }
 
-// countOperation counts an operation in its rows.
+// countOperation counts an operation in the rows of its class, and for its tenant.
 func (t *tally) countOperation(op *operation) {
 	tenant := t.tenants[op.tenant]
 	if tenant == nil {
@@ -273,7 +275,7 @@
 }
 
 func (t *tally) countInRow(row *Row, op *operation) {
-	row.Asked++
+	row.Sent++
 	if op.final.Kind == record.ClientDisconnected {
 		row.Disconnected++
 		return
@@ -290,7 +292,7 @@
 	}
 }
 
-// countServed counts a served operation. The delay of the first token counts from the request of its last attempt.
+// countServed counts a served operation. The delay of the first token is measured from the start of the last attempt.
 func (t *tally) countServed(row *Row, op *operation) {
 	firstToken, perToken := op.timings()
 	if t.meetsObjectives(op, firstToken, perToken) {
@@ -310,8 +312,8 @@
 	}
 }
 
-// timings returns the time to the first token and the time per output token (s), each 0 if the client could not see it: a response
-// without a stream has neither.
+// timings returns the time to the first token and the time per output token (s). Each is 0 if the client could not observe it, as with a
+// response that was not streamed.
 func (op *operation) timings() (firstToken, perToken float64) {
 	events := op.final.Tokens
 	if events == 0 {
