--- a/lab/chart/chart.go
+++ b/lab/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws the time series of a report (lab/scenario) as a PNG.
+// Package chart draws the time series of a scenario report (lab/scenario) as a PNG image.
 package chart
 
 import (
@@ -17,7 +17,7 @@
 	"gonum.org/v1/plot/vg/vgimg"
 )
 
-// colors are the colors of the lines of a panel, in turn.
+// colors are the line colors of a panel, in the order of its lines.
 var colors = []color.Color{
 	color.RGBA{R: 0x1b, G: 0x6c, B: 0xa8, A: 0xff},
 	color.RGBA{R: 0xd1, G: 0x49, B: 0x3f, A: 0xff},
@@ -25,17 +25,17 @@
 	color.RGBA{R: 0x7a, G: 0x5a, B: 0x9c, A: 0xff},
 }
 
-// Sizes of the picture.
+// Dimensions of the image.
 const (
 	width       = 24 * vg.Centimeter
 	height      = 26 * vg.Centimeter
 	padding     = vg.Length(4)  // points
-	rightMargin = vg.Length(10) // points; the last label of an axis overhangs
+	rightMargin = vg.Length(10) // points; the last label of the x axis extends beyond the axis
 	gap         = vg.Length(8)  // points, between panels
 	lineWidth   = vg.Length(1.5)
 )
 
-// panel is one plot of the picture.
+// panel is one of the plots in the image.
 type panel struct {
 	title, axis string
 	lines       []line
@@ -47,7 +47,8 @@
 	value func(scenario.Point) float64
 }
 
-// Draw writes service, running nodes, fairness and the use of slow-start budgets over time to a file.
+// Draw writes a PNG image of requests, running nodes, fairness and the use of slow-start budgets over time to a file. It returns an error
+// if the series has fewer than two points.
 func Draw(report *scenario.Report, path string) error {
 	if len(report.Series) < 2 {
 		return fmt.Errorf("chart: a run of %d points is too short to draw", len(report.Series))
@@ -72,13 +73,13 @@
 		}},
 		{axis: "nodes up", lines: []line{{"up", func(p scenario.Point) float64 { return float64(p.Up) }}}},
 		{axis: "Jain's index over engines", lines: fairness},
-		{axis: "cold budget used, at most so far", lines: []line{
+		{axis: "slow-start budget used, maximum so far", lines: []line{
 			{"share", func(p scenario.Point) float64 { return p.SlowStartUse }},
 		}},
 	}
 }
 
-// drawPanels draws the panels below each other.
+// drawPanels draws the panels one below the other.
 func drawPanels(report *scenario.Report) (*vgimg.Canvas, error) {
 	panels := panelsOf(report)
 	plots := make([][]*plot.Plot, len(panels))
@@ -97,7 +98,7 @@
 	return picture, nil
 }
 
-// write writes a picture to a file.
+// write writes an image to a file as PNG.
 func write(picture *vgimg.Canvas, path string) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -110,7 +111,7 @@
 	return file.Close()
 }
 
-// plot returns the plot of a panel. The last point of the series is incomplete and left out.
+// plot returns the plot of a panel. It omits the last point of the series, which is incomplete.
 func (p panel) plot(series []scenario.Point) (*plot.Plot, error) {
 	result := plot.New()
 	result.Title.Text = p.title
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -1,5 +1,6 @@
-// Package client emulates clients of an OpenAI-style chat API: they send requests, read the response or its stream, check the text,
-// record what came and when, and disconnect when they are told to. Retries are the caller's. It meets the product on sockets alone.
+// Package client emulates clients of an OpenAI-style chat API. A client sends a request, reads the response or its stream, checks the
+// text, records the events with their times, and disconnects early if the request says so. Retries are up to the caller. The package
+// connects to nodes through sockets alone.
 package client
 
 import (
@@ -20,13 +21,13 @@
 )
 
 const (
-	// lateResponseGrace is how long beyond its patience a client still listens, so that a late response is recorded as late.
+	// lateResponseGrace is how long a client waits for a response beyond its patience, so that a late response is recorded as late.
 	lateResponseGrace = 300 * time.Millisecond
-	// dialTimeout is how long a client waits for a connection.
+	// dialTimeout limits how long a client waits for a connection.
 	dialTimeout = time.Second
-	// idleTimeout is how long an idle connection is open.
+	// idleTimeout is how long an idle connection stays open.
 	idleTimeout = 5 * time.Second
-	// maxIdleConnections is how many idle connections to a node stay open.
+	// maxIdleConnections is how many idle connections to one node stay open.
 	maxIdleConnections = 8
 )
 
@@ -35,39 +36,39 @@
 	Model           string
 	Messages        []emulator.Message
 	Mark            emulator.Mark
-	MaxTokens       int           // of the response; 0 = not sent
-	NoStream        bool          // the response comes as one body
+	MaxTokens       int           // limit on the response's length; 0 = not sent
+	NoStream        bool          // asks for the response as one body instead of a stream
 	Session         string        // prompt_cache_key; "" = none
-	Patience        time.Duration // until the first token; 0 = without limit
-	DisconnectAfter int           // events of the stream; 0 = never
-	Key             string        // "" = the client's
-	Tenant          string        // for the record
+	Patience        time.Duration // limit on the time to the first token; 0 = no limit
+	DisconnectAfter int           // number of stream events after which the client disconnects; 0 = never
+	Key             string        // API key; "" = the client's
+	Tenant          string        // only recorded, not sent
 }
 
-// Result is what the client saw of one attempt.
+// Result is the outcome of one attempt as the client sees it.
 type Result struct {
 	Outcome    record.Outcome
-	Status     int    // of HTTP; 0 = no response came
-	Code       string // of the error
-	Retry      bool   // the node says that a retry is harmless
+	Status     int    // HTTP status code; 0 = no response
+	Code       string // code of the error response or error event
+	Retry      bool   // the response declares a retry harmless (X-Should-Retry)
 	RetryAfter time.Duration
 	Text       string
-	OK         bool // the text is correct as far as it came, and complete if the outcome is record.Served
-	Events     int  // of the stream
+	OK         bool // the received text is correct, and complete if the outcome is record.Served
+	Events     int  // number of stream events received
 	Err        error
 }
 
-// errDisconnected is the error of a request whose client disconnected by its own choice.
-var errDisconnected = errors.New("client: left")
+// errDisconnected is the error of a request whose client disconnected as its DisconnectAfter says.
+var errDisconnected = errors.New("client: disconnected early")
 
 // Client sends requests to nodes. It is safe for concurrent use.
 type Client struct {
-	Key  string // API key
+	Key  string // API key of requests without a key of their own
 	Log  *record.Log
 	HTTP *http.Client
 }
 
-// New returns a client; Close ends its connections.
+// New returns a client that records into log. The caller closes its idle connections with Close.
 func New(key string, log *record.Log) *Client {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: maxIdleConnections,
@@ -80,7 +81,7 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.HTTP.CloseIdleConnections() }
 
-// Body returns the body of the request.
+// Body returns the request's JSON body.
 func (r *Request) Body() []byte {
 	members := map[string]any{
 		"model":       r.Model,
@@ -95,11 +96,12 @@
 	if r.Session != "" {
 		members["prompt_cache_key"] = r.Session
 	}
-	body, _ := json.Marshal(members) // strings and numbers encode
+	body, _ := json.Marshal(members) // strings and numbers always encode
 	return body
 }
 
-// Do sends one attempt to the node at an address and reads the response. node is the name that records give the node.
+// Do sends one attempt to the node at address and reads the response. Records name the node as node. When ctx ends, the client
+// disconnects.
 func (c *Client) Do(ctx context.Context, node, address string, r Request) Result {
 	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -108,17 +110,17 @@
 		return Result{Err: err}
 	}
 	log := attemptLog{log: c.Log, request: &r, node: node}
-	patience := startPatience(r.Patience, cancel)
+	timeout := startFirstTokenTimeout(r.Patience, cancel)
 	log.requestSent()
 	result := c.exchange(httpRequest, &r, func() {
-		patience.stop()
+		timeout.stop()
 		log.add(record.FirstToken)
 	})
-	patience.stop()
-	if result.Outcome == record.Cut && patience.expired {
+	timeout.stop()
+	if result.Outcome == record.Cut && timeout.expired {
 		result.Outcome = record.TimedOut
 	}
-	runEnded := ctx.Err() != nil && result.Outcome == record.Cut && !patience.expired
+	runEnded := ctx.Err() != nil && result.Outcome == record.Cut && !timeout.expired
 	if runEnded || r.DisconnectAfter > 0 && errors.Is(result.Err, errDisconnected) {
 		log.add(record.ClientDisconnected)
 		return result
@@ -127,7 +129,7 @@
 	return result
 }
 
-// httpRequest returns the request as it is sent.
+// httpRequest returns the HTTP request for r, addressed to a node.
 func (c *Client) httpRequest(ctx context.Context, address string, r *Request) (*http.Request, error) {
 	url := "http://" + address + "/v1/chat/completions"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(r.Body()))
@@ -143,16 +145,16 @@
 	return request, nil
 }
 
-// patience cancels a request that has had no token when the patience of its client and a grace have passed.
-type patience struct {
-	once    sync.Once // decides between the timer and stop
+// firstTokenTimeout cancels a request that has received no token once the client's patience and lateResponseGrace have passed.
+type firstTokenTimeout struct {
+	once    sync.Once // whichever of the timer and stop runs first takes effect
 	timer   *time.Timer
-	expired bool // may be read after stop
+	expired bool // the timer canceled the request; may be read after stop
 }
 
-// startPatience starts the timer; a limit of 0 sets none.
-func startPatience(limit time.Duration, cancel func()) *patience {
-	p := &patience{}
+// startFirstTokenTimeout starts the timer; a limit of 0 means no timeout.
+func startFirstTokenTimeout(limit time.Duration, cancel func()) *firstTokenTimeout {
+	p := &firstTokenTimeout{}
 	if limit > 0 {
 		p.timer = time.AfterFunc(limit+lateResponseGrace, func() {
 			p.once.Do(func() {
@@ -164,15 +166,15 @@
 	return p
 }
 
-// stop ends the limit: a token or the end of the response has come. It may be called again.
-func (p *patience) stop() {
+// stop disarms the timeout, on the first token or the end of the response. It may be called more than once.
+func (p *firstTokenTimeout) stop() {
 	p.once.Do(func() {})
 	if p.timer != nil {
 		p.timer.Stop()
 	}
 }
 
-// attemptLog records one attempt of a client.
+// attemptLog writes the records of one attempt of a client.
 type attemptLog struct {
 	log     *record.Log
 	request *Request
--- a/lab/client/response.go
+++ b/lab/client/response.go
@@ -19,7 +19,8 @@
 // maxEventBytes is the longest line of a stream that a client reads.
 const maxEventBytes = 1 << 20
 
-// exchange sends a request and reads the response. It calls firstToken when the first part of the text has come.
+// exchange sends a request and reads the response. It calls firstToken on the first event of a stream, or when a response that is one
+// body is complete.
 func (c *Client) exchange(httpRequest *http.Request, r *Request, firstToken func()) Result {
 	result := Result{Outcome: record.Cut}
 	response, err := c.HTTP.Do(httpRequest)
@@ -49,7 +50,7 @@
 	return result
 }
 
-// readError reads the body of an error response.
+// readError reads the body of an error response, which is a rejection if the response declares a retry harmless.
 func (r *Result) readError(body io.Reader) {
 	text, err := io.ReadAll(body)
 	if err != nil {
@@ -63,18 +64,18 @@
 	}
 }
 
-// errorCode returns the code of an error; "" where the body has another shape.
+// errorCode returns the code of an error body, or "" if the body is not an error object.
 func errorCode(body []byte) string {
 	var e struct {
 		Error struct {
 			Code string `json:"code"`
 		} `json:"error"`
 	}
-	_ = json.Unmarshal(body, &e) // a body of another shape has no code
+	_ = json.Unmarshal(body, &e) // any other body has no code
 	return e.Error.Code
 }
 
-// readCompletion reads a response that comes as one body.
+// readCompletion reads a response that is one body instead of a stream.
 func (r *Result) readCompletion(body io.Reader, want string, firstToken func()) {
 	text, err := io.ReadAll(body)
 	if err != nil {
@@ -90,7 +91,7 @@
 		} `json:"choices"`
 	}
 	if err := json.Unmarshal(text, &completion); err != nil || len(completion.Choices) != 1 {
-		r.Err = fmt.Errorf("not a chat completion: %v", err)
+		r.Err = fmt.Errorf("response is not a chat completion with one choice: %v", err)
 		return
 	}
 	r.Text = completion.Choices[0].Message.Content
@@ -98,7 +99,7 @@
 	r.Outcome = record.Served
 }
 
-// chunk is an event of a stream.
+// chunk is the data of one stream event: a part of the response or an error.
 type chunk struct {
 	Error   json.RawMessage `json:"error"`
 	Choices []struct {
@@ -108,7 +109,7 @@
 	} `json:"choices"`
 }
 
-// text returns the part of the response that the chunk carries.
+// text returns the part of the response text in the chunk.
 func (c *chunk) text() string {
 	var text strings.Builder
 	for _, choice := range c.Choices {
@@ -117,7 +118,7 @@
 	return text.String()
 }
 
-// readStream reads server-sent events to the end, or until the client disconnects after a number of them (0 = never).
+// readStream reads server-sent events until the stream ends, or until the client disconnects after disconnectAfter events (0 = never).
 func (r *Result) readStream(body io.Reader, want string, disconnectAfter int, firstToken func()) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
@@ -129,7 +130,7 @@
 			continue
 		}
 		if ended {
-			r.Err = errors.New("something came after the end")
+			r.Err = errors.New("event received after [DONE]")
 			r.Outcome = record.Cut
 			return
 		}
@@ -159,7 +160,7 @@
 	r.endStream(text.String(), want, ended, scanner.Err())
 }
 
-// failStream takes an error event: the text before it must be the beginning of the right one.
+// failStream handles an error event. The text received before it must be a prefix of the expected text.
 func (r *Result) failStream(data, text, want string) {
 	r.Code = errorCode([]byte(data))
 	r.Outcome = record.Failed
@@ -167,7 +168,7 @@
 	r.OK = strings.HasPrefix(want, text)
 }
 
-// endStream takes the end of the connection, which is a complete response only after the last event.
+// endStream handles the end of the body. The response is complete only if [DONE] was received before.
 func (r *Result) endStream(text, want string, ended bool, err error) {
 	r.Text = text
 	r.Err = err
--- a/lab/faultyrouter/engines.go
+++ b/lab/faultyrouter/engines.go
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// maxDecodeAttempts is how many decode engines are tried.
+// maxDecodeAttempts is the maximum number of decode attempts for one request.
 const maxDecodeAttempts = 3
 
-// The paths of engines.
+// Paths of the engine API.
 const (
 	completionsPath = "/v1/chat/completions"
 	releasePath     = "/v1/kv/release"
 )
 
-// post sends a request to an engine.
+// post sends a POST request to an engine.
 func (r *Router) post(e *Engine, path string, body []byte, id string) (*http.Response, error) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+e.Address+path, bytes.NewReader(body))
 	if err != nil {
@@ -30,7 +30,7 @@
 	return r.client.Do(request)
 }
 
-// prefill processes the prompt at an engine and returns the parameters of the state that waits there.
+// prefill has an engine process the prompt. It returns the kv_transfer_params of the prefilled state, which the engine reserves.
 func (r *Router) prefill(e *Engine, m members, id string) (state string, err error) {
 	response, err := r.post(e, completionsPath, m.with(map[string]string{
 		"stream":             "false",
@@ -55,7 +55,7 @@
 
 // release releases the state of a request at an engine.
 func (r *Router) release(e *Engine, id string) {
-	body, _ := json.Marshal(map[string]string{"request_id": id}) // strings encode
+	body, _ := json.Marshal(map[string]string{"request_id": id}) // strings always encode
 	if response, err := r.post(e, releasePath, body, id); err == nil {
 		response.Body.Close()
 	}
@@ -65,13 +65,13 @@
 type decodeResult int
 
 const (
-	responded   decodeResult = iota // the client has a response, complete or broken
+	responded   decodeResult = iota // the client received a response, complete or broken
 	rejected                        // the engine rejected the attempt
-	failed                          // the attempt failed before a token and may have run
-	unreachable                     // the engine did not answer
+	failed                          // the attempt failed before its first event and may have run
+	unreachable                     // no response head was received from the engine
 )
 
-// decode streams the response. An engine that rejects the attempt leaves another one to be tried.
+// decode streams the response of a decode engine to the client. If an engine rejects the attempt, the next engine is tried.
 func (r *Router) decode(w http.ResponseWriter, m members, state, id string, prefillEngine *Engine) {
 	for range maxDecodeAttempts {
 		e := r.pick("decode")
@@ -86,18 +86,18 @@
 		case result == rejected:
 			continue
 		case result == failed && r.defect == RepeatsOnce:
-			state = "null" // the state has gone; the engine processes the prompt again
+			state = "null" // the state is gone; the engine processes the prompt again
 			continue
 		}
-		r.giveUp(prefillEngine, id)
+		r.releaseAfterFailure(prefillEngine, id)
 		reject(w, http.StatusInternalServerError, r.defect == CallsRetryHarmless)
 		return
 	}
-	r.giveUp(prefillEngine, id)
+	r.releaseAfterFailure(prefillEngine, id)
 	reject(w, http.StatusServiceUnavailable, true)
 }
 
-// decodeAt sends one decode attempt and passes its stream on.
+// decodeAt sends one decode attempt and forwards its stream to the client.
 func (r *Router) decodeAt(w http.ResponseWriter, e *Engine, body []byte, id string) decodeResult {
 	response, err := r.post(e, completionsPath, body, id)
 	if err != nil {
@@ -122,14 +122,14 @@
 	return responded
 }
 
-// giveUp releases the state of a request that gets no response.
-func (r *Router) giveUp(prefillEngine *Engine, id string) {
+// releaseAfterFailure releases the state of a request that failed, unless the defect is LeavesState.
+func (r *Router) releaseAfterFailure(prefillEngine *Engine, id string) {
 	if r.defect != LeavesState {
 		r.release(prefillEngine, id)
 	}
 }
 
-// copyStream passes the events of a stream on. It returns how many it passed on, and whether the last event came.
+// copyStream forwards the events of a stream. It returns how many it forwarded, and whether the last event was among them.
 func (r *Router) copyStream(w http.ResponseWriter, body io.Reader) (passed int, complete bool) {
 	var pending []byte
 	buffer := make([]byte, 4096)
--- a/lab/faultyrouter/faultyrouter.go
+++ b/lab/faultyrouter/faultyrouter.go
@@ -1,5 +1,5 @@
-// Package faultyrouter holds a small router that breaks one rule on purpose, as its defect says. The tests of the rule checker
-// (lab/rules) use it: a checker that does not catch each defect checks nothing. The router without a defect breaks no rule.
+// Package faultyrouter provides a small router with a deliberate defect that breaks one rule. The tests of the rule checker (lab/rules)
+// use it to show that the checker detects a violation of each rule. The router without a defect breaks no rule.
 package faultyrouter
 
 import (
@@ -12,40 +12,40 @@
 	"time"
 )
 
-// Defect is the way in which a router breaks a rule.
+// Defect is a deliberate fault by which a router breaks a rule.
 type Defect string
 
-// Defects, each with the rule that it breaks; 0 is the correctness of the text.
+// Defects, each with the rule that it breaks. Rule 0 is the correctness of the response text.
 const (
 	// None is no defect.
 	None Defect = ""
-	// NeverAnswers (rule 1): no response comes.
+	// NeverAnswers (rule 1): the router sends no response.
 	NeverAnswers Defect = "mute"
-	// AnswersLate (rule 1): the response comes after the client's patience.
+	// AnswersLate (rule 1): the router sends the response after the client's patience has passed.
 	AnswersLate Defect = "late"
-	// AnswersTwice (rule 1): the stream goes on after the final response.
+	// AnswersTwice (rule 1): the stream continues after the final response.
 	AnswersTwice Defect = "twice"
-	// SendsAfterAnswer (rule 1): an engine is sent a request after the final response.
+	// SendsAfterAnswer (rule 1): the router sends a request to an engine after the final response.
 	SendsAfterAnswer Defect = "after"
-	// DropsConnection (rule 1): the connection is closed without a response.
+	// DropsConnection (rule 1): the router closes the connection without a response.
 	DropsConnection Defect = "drop"
-	// SkipsEvent (0): an event of the stream is left out.
+	// SkipsEvent (rule 0): the router omits an event of the stream.
 	SkipsEvent Defect = "skip"
-	// RepeatsOnce (rule 2): a request of effect once, which may have run, is retried.
+	// RepeatsOnce (rule 2): the router retries a request of effect "once" that may have run.
 	RepeatsOnce Defect = "repeat"
-	// CallsRetryHarmless (rule 2): the client is told that a retry is harmless after the request may have run.
+	// CallsRetryHarmless (rule 2): the response declares a retry harmless although the request may have run.
 	CallsRetryHarmless Defect = "refuse_ran"
-	// SendsToDraining (rule 3): a draining engine is still sent requests.
+	// SendsToDraining (rule 3): the router still sends requests to a draining engine.
 	SendsToDraining Defect = "drain"
-	// FloodsColdEngine (rule 4): all requests go to the engine that has just started.
+	// FloodsColdEngine (rule 4): the router sends all requests to an engine in slow start.
 	FloodsColdEngine Defect = "flood"
-	// DelaysDecode (rule 5): a reserved state waits before its decode attempt is sent.
+	// DelaysDecode (rule 5): the router delays the decode attempt while the state is reserved.
 	DelaysDecode Defect = "pin"
-	// LeavesState (rule 5): the state is not released when the router gives up.
+	// LeavesState (rule 5): the router does not release the state of a request that failed.
 	LeavesState Defect = "keep_failed"
 )
 
-// How long a defect makes the router wait.
+// Delays that the defects of these names add.
 const (
 	neverAnswersWait = 2 * time.Second        // beyond the client's patience
 	answersLateWait  = 200 * time.Millisecond // beyond the client's patience
@@ -53,7 +53,7 @@
 	afterAnswerWait  = 700 * time.Millisecond
 )
 
-// Engine is an engine as the router knows it.
+// Engine is an entry of the router's engine list. WarmingUp marks an engine in slow start.
 type Engine struct {
 	ID, Address, Role   string
 	Draining, WarmingUp bool
@@ -67,14 +67,14 @@
 	addr     net.Addr
 	client   *http.Client
 	engines  func() []Engine
-	inFlight sync.WaitGroup // requests, and what the router sends after them
+	inFlight sync.WaitGroup // requests, and what the router sends after their responses
 	stopped  chan struct{}
 
 	mu   sync.Mutex
-	next int // for the choice among engines, in turn
+	next int // round-robin position among the engines
 }
 
-// Start starts a router on a free loopback port. It calls engines for each choice of an engine.
+// Start starts a router on a free loopback port. The router calls engines each time it picks an engine. The caller ends it with Stop.
 func Start(defect Defect, name string, engines func() []Engine) (*Router, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -96,7 +96,7 @@
 // Addr returns the address on which the router listens.
 func (r *Router) Addr() net.Addr { return r.addr }
 
-// Stop closes all connections and waits for the router's goroutines.
+// Stop closes all connections and waits for the handlers and the requests that they started.
 func (r *Router) Stop() {
 	close(r.stopped)
 	r.server.Close()
@@ -104,7 +104,8 @@
 	r.client.CloseIdleConnections()
 }
 
-// pick returns an engine of a role, in turn, or nil. Two defects prefer the wrong one.
+// pick returns an engine of a role by round robin, or nil if there is none. FloodsColdEngine prefers an engine in slow start, and
+// SendsToDraining a draining one.
 func (r *Router) pick(role string) *Engine {
 	var candidates []Engine
 	for _, e := range r.engines() {
@@ -127,7 +128,7 @@
 	return &candidates[r.next%len(candidates)]
 }
 
-// wait waits for a time, or until the router stops.
+// wait waits for the duration d, or until the router stops.
 func (r *Router) wait(d time.Duration) {
 	select {
 	case <-r.stopped:
@@ -135,10 +136,10 @@
 	}
 }
 
-// members are the members of a request's JSON object.
+// members holds the members of a request's JSON object by name.
 type members map[string]json.RawMessage
 
-// with returns the text of the request with some members changed.
+// with returns the JSON text of the object with some members replaced or added.
 func (m members) with(changes map[string]string) []byte {
 	changed := members{}
 	for name, value := range m {
@@ -147,7 +148,7 @@
 	for name, value := range changes {
 		changed[name] = json.RawMessage(value)
 	}
-	text, _ := json.Marshal(changed) // raw members were read from valid JSON
+	text, _ := json.Marshal(changed) // raw members come from valid JSON
 	return text
 }
 
@@ -198,7 +199,7 @@
 		go func() {
 			defer r.inFlight.Done()
 			r.wait(afterAnswerWait)
-			_, _ = r.prefill(prefillEngine, m, id+"x") // the engine records the request, whatever comes of it
+			_, _ = r.prefill(prefillEngine, m, id+"x") // the engine records the request, whatever its result
 			r.release(prefillEngine, id+"x")
 		}()
 	}
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet runs a set of emulated engines, keeps the endpoint list that names them, and records what each node has been
-// given of it.
+// Package fleet runs a set of emulated engines, maintains the endpoint list of these engines, and records each delivery of the list to a
+// node.
 package fleet
 
 import (
@@ -15,13 +15,13 @@
 	"dillroute/lab/record"
 )
 
-// Member is one engine and its place.
+// Member is one engine with its kind, cell and zone.
 type Member struct {
 	emulator.Settings
 	Kind, Cell, Zone string
 }
 
-// States of an engine in the endpoint list.
+// States of an engine. The endpoint list does not contain an engine that is gone.
 const (
 	stateReady = "ready"
 	stateGone  = "gone"
@@ -35,10 +35,10 @@
 
 	mu     sync.Mutex
 	states map[string]string // by engine: "" (ready), draining or gone
-	kinds  map[string]string // of engines whose kind has changed
+	kinds  map[string]string // by engine, for those whose kind SetKind has changed
 }
 
-// New returns a fleet that does not run yet. The log may be nil.
+// New returns a fleet whose engines do not run yet. The log may be nil.
 func New(members []Member, log *record.Log) *Fleet {
 	f := &Fleet{
 		log:     log,
@@ -53,7 +53,7 @@
 	return f
 }
 
-// Start starts all engines, warm.
+// Start starts all engines without a slow start.
 func (f *Fleet) Start() error {
 	var errs []error
 	for _, m := range f.members {
@@ -62,7 +62,7 @@
 	return errors.Join(errs...)
 }
 
-// Stop kills all engines and waits for their end.
+// Stop kills all engines and waits until they have ended.
 func (f *Fleet) Stop() {
 	var wg sync.WaitGroup
 	for _, e := range f.engines {
@@ -76,27 +76,27 @@
 	emulator.CloseIdleConnections()
 }
 
-// Engine returns an engine by its id, or nil.
+// Engine returns the engine with an id, or nil if there is none.
 func (f *Fleet) Engine(id string) *emulator.Engine { return f.engines[id] }
 
-// Members returns the members, in their order.
+// Members returns the members in the order in which New received them.
 func (f *Fleet) Members() []Member { return f.members }
 
-// SetState sets what the list says of an engine: "" (ready), "draining" or "gone".
+// SetState sets the state of an engine in the list: "" (ready), "draining" or "gone".
 func (f *Fleet) SetState(id, state string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.states[id] = state
 }
 
-// SetKind sets the kind under which the list names an engine.
+// SetKind sets the kind of an engine in the list.
 func (f *Fleet) SetKind(id, kind string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.kinds[id] = kind
 }
 
-// listEntry is an engine in a list file; its shape is that of api/list.schema.json.
+// listEntry is an engine in a list file, in the format of api/list.schema.json.
 type listEntry struct {
 	ID       string  `json:"id"`
 	Address  string  `json:"address"`
@@ -107,14 +107,14 @@
 	BootTime float64 `json:"boot_time,omitempty"` // Unix seconds
 }
 
-// Snapshot is the endpoint list at a moment.
+// Snapshot is the endpoint list at one point in time.
 type Snapshot struct {
-	Text    []byte            // of the list file
-	States  map[string]string // of each engine: ready, draining or gone
+	Text    []byte            // content of the list file
+	States  map[string]string // by engine: ready, draining or gone
 	entries []listEntry
 }
 
-// List returns the endpoint list as it stands. An engine that has not started cold has no boot time.
+// List returns the current endpoint list. Only an engine that has restarted has a boot time in it.
 func (f *Fleet) List() Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -127,11 +127,11 @@
 			entries = append(entries, f.entry(m, state))
 		}
 	}
-	text, _ := json.MarshalIndent(map[string]any{"engines": entries}, "", " ") // strings and numbers encode
+	text, _ := json.MarshalIndent(map[string]any{"engines": entries}, "", " ") // strings and numbers always encode
 	return Snapshot{Text: text, States: states, entries: entries}
 }
 
-// entry returns the entry of an engine; the caller has the lock.
+// entry returns the list entry of an engine. The caller has locked f.mu.
 func (f *Fleet) entry(m Member, state string) listEntry {
 	engine := f.engines[m.ID]
 	entry := listEntry{
@@ -148,7 +148,7 @@
 	return entry
 }
 
-// WriteListFile replaces the list file of a node in one step, and records the delivery.
+// WriteListFile replaces the list file of a node atomically and records the delivery.
 func (f *Fleet) WriteListFile(s Snapshot, node, path string) error {
 	temporary, err := os.CreateTemp(filepath.Dir(path), ".list-*")
 	if err != nil {
@@ -160,14 +160,15 @@
 		err = os.Rename(temporary.Name(), path)
 	}
 	if err != nil {
-		_ = os.Remove(temporary.Name()) // the first error says what went wrong
+		_ = os.Remove(temporary.Name()) // the caller receives the first error, which is the cause
 		return err
 	}
 	f.recordDelivery(s, before, node)
 	return nil
 }
 
-// UpdateListServer gives the list to a list server, which answers all nodes at once, and records the delivery to each node.
+// UpdateListServer updates the list of a list server, which responds to the waiting polls of all nodes at once. It records the delivery
+// to each node.
 func (f *Fleet) UpdateListServer(s Snapshot, server *emulator.ConsulServer, nodes []string) {
 	var instances []emulator.Instance
 	for _, e := range s.entries {
@@ -182,8 +183,8 @@
 	f.recordDelivery(s, before, nodes...)
 }
 
-// recordDelivery records that nodes were given a list between a time and now. That an engine is ready counts from the earlier time,
-// as a node may read the list before this is called; that it is not counts from now.
+// recordDelivery records that a list was delivered to nodes between the time before and now. A ready engine counts as listed from the
+// earlier time, because a node may read the list before this call. An engine that is draining or gone counts as such from now on.
 func (f *Fleet) recordDelivery(s Snapshot, before float64, nodes ...string) {
 	now := record.Now()
 	for _, node := range nodes {
--- a/lab/knownfailures/list.go
+++ b/lab/knownfailures/list.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// maxKnownFailures is how many tests may be listed.
+// maxKnownFailures is the maximum number of tests that may be listed.
 const maxKnownFailures = 3
 
-// flakyMark begins the fourth field of a test that fails in only a part of its runs.
+// flakyMark begins the fourth field of a test that fails in only some of its runs.
 const flakyMark = "flaky "
 
-// failureRate is how often a flaky test failed when it was measured.
+// failureRate is the measured failure rate of a flaky test.
 type failureRate struct{ failures, runs int }
 
 func (r failureRate) String() string { return fmt.Sprintf("%d/%d", r.failures, r.runs) }
@@ -25,20 +25,20 @@
 // A test of the first form has to fail in each run. A test of the second form may pass or fail.
 type knownFailure struct {
 	test, cause, issue string
-	measured           *failureRate // nil unless the test is flaky
+	rate               *failureRate // nil unless the test is flaky
 }
 
-func (f knownFailure) flaky() bool { return f.measured != nil }
+func (f knownFailure) flaky() bool { return f.rate != nil }
 
 func (f knownFailure) String() string {
 	text := f.test + "; " + f.cause + "; " + f.issue
 	if f.flaky() {
-		text += "; " + flakyMark + f.measured.String()
+		text += "; " + flakyMark + f.rate.String()
 	}
 	return text
 }
 
-// parseKnownFailures reads KNOWN-RED.txt and skips empty lines. An error names the line that it is about.
+// parseKnownFailures parses the text of KNOWN-RED.txt and skips empty lines. An error in a line contains its number.
 func parseKnownFailures(text string) ([]knownFailure, error) {
 	var known []knownFailure
 	for i, line := range strings.Split(text, "\n") {
@@ -53,7 +53,7 @@
 		known = append(known, failure)
 	}
 	if len(known) > maxKnownFailures {
-		return nil, fmt.Errorf("%d lines; %d are the most", len(known), maxKnownFailures)
+		return nil, fmt.Errorf("%d tests are listed, the maximum is %d", len(known), maxKnownFailures)
 	}
 	return known, nil
 }
@@ -68,7 +68,7 @@
 	}
 	failure := knownFailure{test: fields[0], cause: fields[1], issue: fields[2]}
 	if failure.test == "" || failure.cause == "" || failure.issue == "" {
-		return knownFailure{}, fmt.Errorf("%q lacks a test, a cause or an issue", line)
+		return knownFailure{}, fmt.Errorf("%q has an empty test, cause or issue", line)
 	}
 	if len(fields) == 3 {
 		return failure, nil
@@ -77,11 +77,11 @@
 	if !ok {
 		return knownFailure{}, fmt.Errorf("%q: the fourth field is not flaky FAILURES/RUNS with 0 < FAILURES < RUNS", line)
 	}
-	failure.measured = &rate
+	failure.rate = &rate
 	return failure, nil
 }
 
-// parseFailureRate reads "flaky FAILURES/RUNS". A rate of none or of all runs is refused: such a test is not flaky.
+// parseFailureRate parses "flaky FAILURES/RUNS". It rejects a test that failed in none or in all of its runs, which is not flaky.
 func parseFailureRate(field string) (failureRate, bool) {
 	text, marked := strings.CutPrefix(field, flakyMark)
 	failuresText, runsText, divided := strings.Cut(text, "/")
--- a/lab/knownfailures/main.go
+++ b/lab/knownfailures/main.go
@@ -1,6 +1,6 @@
-// Knownfailures reads the output of `go test -json` and passes or fails a run of tests. Every failure counts but those that
-// KNOWN-RED.txt lists. A listed test that did not fail is a failure too, unless its line marks it as flaky: such a test may
-// pass or fail, but has to run to its end.
+// Knownfailures reads the output of `go test -json` and decides whether the run of tests passes. Failures of tests that KNOWN-RED.txt
+// lists are ignored; any other failure fails the run. A listed test that did not fail also fails the run, unless its line marks it
+// as flaky. A flaky test may pass or fail, but has to run to its end.
 //
 //	go test -json ./... | knownfailures KNOWN-RED.txt
 package main
@@ -27,7 +27,7 @@
 	}
 	results, err := readResults(os.Stdin, os.Stdout)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "reading the results:", err)
+		fmt.Fprintln(os.Stderr, "reading test results:", err)
 		os.Exit(1)
 	}
 	problems := results.problems(known)
--- a/lab/knownfailures/results.go
+++ b/lab/knownfailures/results.go
@@ -7,7 +7,7 @@
 	"io"
 )
 
-// maxEventBytes is the longest line of `go test -json` that is read.
+// maxEventBytes is the maximum length of a line of `go test -json`.
 const maxEventBytes = 16 << 20
 
 // testEvent is one line of `go test -json`.
@@ -26,15 +26,15 @@
 
 // testResults holds the results of a run. Tests are named PACKAGE.TEST.
 type testResults struct {
-	tests       map[string]string // the action that ended each test, "" for one that did not end
-	packages    map[string]string // the same for each package
-	otherOutput []string          // lines that are not events, such as a compiler's
-	passed      int               // number of tests
-	output      map[string][]string
+	tests       map[string]string   // the action that ended each test; "" = it did not end
+	packages    map[string]string   // the action that ended each package; "" = it did not end
+	otherOutput []string            // lines that are not events, such as a compiler's
+	passed      int                 // number of tests and subtests that passed
+	output      map[string][]string // by test or package, until it ends
 }
 
-// readResults reads events until the end. It prints what `go test` would show a person: the ends of packages, and the
-// whole output of each test that failed.
+// readResults reads events until the end of the input. It prints to out what `go test` prints: the result of each package and the
+// whole output of each test that failed. Lines that are not events are printed as they are.
 func readResults(in io.Reader, out io.Writer) (*testResults, error) {
 	results := &testResults{tests: map[string]string{}, packages: map[string]string{}, output: map[string][]string{}}
 	lines := bufio.NewScanner(in)
@@ -69,7 +69,7 @@
 	}
 }
 
-// end records the end of a test or a package and prints its output where a person needs it.
+// end records the result of a test or a package. It prints the output of packages and of failed tests.
 func (r *testResults) end(event testEvent, out io.Writer) {
 	name := event.name()
 	if event.Test == "" {
--- a/lab/knownfailures/verdict.go
+++ b/lab/knownfailures/verdict.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// Actions of `go test -json` that end a test or a package. The empty string stands for one that did not end.
+// Actions of `go test -json` that end a test or a package. testResults has the empty string for one that did not end.
 const (
 	actionPass = "pass"
 	actionFail = "fail"
 	actionSkip = "skip"
 )
 
-// problems returns what is wrong with a run, sorted. The run passes if it returns none.
+// problems returns the reasons for which the run fails, sorted. The run passes if there are none.
 func (r *testResults) problems(known []knownFailure) []string {
 	problems := r.knownFailureProblems(known)
 	listed := map[string]bool{}
 	for _, failure := range known {
 		listed[failure.test] = true
 	}
-	excused := map[string]bool{} // packages in which a listed test failed
+	hasListedFailure := map[string]bool{} // packages in which a listed test failed
 	for test, action := range r.tests {
 		switch {
 		case action == "":
@@ -28,13 +28,13 @@
 		case action != actionFail:
 		case listed[test] || r.failedByListedSubtests(test, listed):
 			pkg, _, _ := strings.Cut(test, ".Test")
-			excused[pkg] = true
+			hasListedFailure[pkg] = true
 		default:
 			problems = append(problems, test)
 		}
 	}
 	for pkg, action := range r.packages {
-		if action == "" || action == actionFail && !excused[pkg] {
+		if action == "" || action == actionFail && !hasListedFailure[pkg] {
 			problems = append(problems, "package "+pkg+" ("+action+")")
 		}
 	}
@@ -42,14 +42,14 @@
 		problems = append(problems, "no test passed")
 	}
 	if len(r.otherOutput) > 0 {
-		problems = append(problems, fmt.Sprintf("%d lines that are no results, such as %q", len(r.otherOutput), r.otherOutput[0]))
+		problems = append(problems, fmt.Sprintf("%d lines of output that are no results, such as %q", len(r.otherOutput), r.otherOutput[0]))
 	}
 	slices.Sort(problems)
 	return problems
 }
 
-// knownFailureProblems returns which listed tests did not end as their lines say. A flaky test may pass or fail; any other
-// has to fail. A test that did not run, did not end or was skipped is a problem in both cases.
+// knownFailureProblems returns a problem for each listed test whose result contradicts its line. A flaky test may pass or fail; any
+// other listed test has to fail. A listed test that did not run, did not end or was skipped is always a problem.
 func (r *testResults) knownFailureProblems(known []knownFailure) []string {
 	var problems []string
 	for _, failure := range known {
@@ -62,16 +62,16 @@
 		case failure.flaky():
 			problems = append(problems, failure.test+" is listed as flaky but neither passed nor failed ("+action+")")
 		default:
-			problems = append(problems, failure.test+" is listed but did not fail ("+action+"): take its line out")
+			problems = append(problems, failure.test+" is listed but did not fail ("+action+"): remove its line")
 		}
 	}
 	return problems
 }
 
-// failedByListedSubtests reports whether a test failed by its subtests alone, as far as the results show: at least one
-// subtest failed, and each that failed is listed or failed by listed subtests itself.
+// failedByListedSubtests reports whether a test failed only because of listed subtests, as far as the results show. At least one of
+// its subtests failed, and each subtest that failed is listed or failed only because of listed subtests itself.
 func (r *testResults) failedByListedSubtests(test string, listed map[string]bool) bool {
-	found := false
+	foundFailure := false
 	for subtest, action := range r.tests {
 		if action != actionFail || !strings.HasPrefix(subtest, test+"/") {
 			continue
@@ -79,12 +79,12 @@
 		if !listed[subtest] && !r.failedByListedSubtests(subtest, listed) {
 			return false
 		}
-		found = true
+		foundFailure = true
 	}
-	return found
+	return foundFailure
 }
 
-// failed returns how many listed tests failed.
+// failed returns the number of listed tests that failed.
 func (r *testResults) failed(known []knownFailure) int {
 	count := 0
 	for _, failure := range known {
@@ -105,5 +105,5 @@
 		outcome = "failed in this run"
 	}
 	return fmt.Sprintf("known failure: %s %s (measured %s); %s; %s",
-		failure.test, outcome, failure.measured, failure.cause, failure.issue)
+		failure.test, outcome, failure.rate, failure.cause, failure.issue)
 }
--- a/lab/memnet/conn.go
+++ b/lab/memnet/conn.go
@@ -14,7 +14,7 @@
 type Conn struct {
 	in, out       *direction
 	local, remote hostAddr
-	listener      *Listener // of the listener's end; nil = the client's
+	listener      *Listener // set at the accepted end; nil at the client's end
 	closeOnce     sync.Once
 	readDeadline  deadline // guarded by in.mu
 	writeDeadline deadline // guarded by out.mu
@@ -46,7 +46,7 @@
 	}
 }
 
-// Write passes bytes to the other end; it waits while bufferSize bytes are unread.
+// Write sends bytes to the other end. It blocks while bufferSize bytes are unread there.
 func (c *Conn) Write(p []byte) (n int, err error) {
 	d := c.out
 	d.mu.Lock()
@@ -75,24 +75,24 @@
 	return n, nil
 }
 
-// CloseWrite closes the sending side.
+// CloseWrite closes the sending side: the other end reads io.EOF after the bytes sent before.
 func (c *Conn) CloseWrite() error {
-	c.out.update(func() { c.out.writerClosed = true })
+	c.out.updateAndWake(func() { c.out.writerClosed = true })
 	return nil
 }
 
-// Close closes the connection. Unread bytes reset it, as TCP does.
+// Close closes the connection. Bytes that this end has not read reset it, as in TCP.
 func (c *Conn) Close() error {
 	c.closeOnce.Do(func() {
 		unread := false
-		c.in.update(func() {
+		c.in.updateAndWake(func() {
 			unread = len(c.in.unread) > 0
 			c.closed = true
 			c.in.readerClosed = true
 			c.in.unread = nil
 			stopTimer(c.readDeadline.timer)
 		})
-		c.out.update(func() {
+		c.out.updateAndWake(func() {
 			c.out.writerClosed = true
 			c.out.reset = c.out.reset || unread
 			stopTimer(c.writeDeadline.timer)
@@ -106,10 +106,10 @@
 	return nil
 }
 
-// Reset resets the connection: both ends lose what is unread.
+// Reset resets the connection. Bytes that are unread at either end are lost.
 func (c *Conn) Reset() {
 	for _, d := range []*direction{c.out, c.in} {
-		d.update(func() {
+		d.updateAndWake(func() {
 			d.reset = true
 			d.unread = nil
 		})
@@ -118,32 +118,32 @@
 }
 
 // PeerClosed reports whether the other end has closed or reset the connection, and whether it has closed its sending side without a
-// reset, whatever is unread.
+// reset. Bytes that are still unread do not matter.
 func (c *Conn) PeerClosed() (closed, writerClosed bool) {
 	c.in.mu.Lock()
 	defer c.in.mu.Unlock()
 	return c.in.writerClosed || c.in.reset, c.in.writerClosed && !c.in.reset
 }
 
-// Unread reports whether a read would return at once: bytes, the end or a reset.
+// Unread reports whether a read would return at once, with bytes, the end of the stream or a reset.
 func (c *Conn) Unread() bool {
 	c.in.mu.Lock()
 	defer c.in.mu.Unlock()
 	return len(c.in.unread) > 0 || c.in.writerClosed || c.in.reset
 }
 
-// SetDeadline sets the deadline of reads and writes.
+// SetDeadline sets the deadline of reads and writes; the zero time means no deadline.
 func (c *Conn) SetDeadline(t time.Time) error {
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
-// SetReadDeadline sets the deadline of reads.
+// SetReadDeadline sets the deadline of reads; the zero time means no deadline.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	setDeadline(c.in, &c.readDeadline, t)
 	return nil
 }
 
-// SetWriteDeadline sets the deadline of writes.
+// SetWriteDeadline sets the deadline of writes; the zero time means no deadline.
 func (c *Conn) SetWriteDeadline(t time.Time) error {
 	setDeadline(c.out, &c.writeDeadline, t)
 	return nil
@@ -152,5 +152,5 @@
 // LocalAddr returns the address of this end.
 func (c *Conn) LocalAddr() net.Addr { return c.local }
 
-// RemoteAddr returns the address of the other end: for an accepted end, the name of the host that connected.
+// RemoteAddr returns the address of the other end. At an accepted end, this is the name of the host that connected.
 func (c *Conn) RemoteAddr() net.Addr { return c.remote }
--- a/lab/memnet/direction.go
+++ b/lab/memnet/direction.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// bufferSize is how many bytes one direction of a connection holds before a write waits.
+// bufferSize is how many unread bytes one direction of a connection can hold; a write blocks beyond that.
 const bufferSize = 64 << 10
 
-// direction is one direction of a connection: bytes from the end that writes to the end that reads.
+// direction is one direction of a connection: it carries bytes from the writing end to the reading end.
 type direction struct {
 	mu           sync.Mutex
 	cond         *sync.Cond
 	unread       []byte
-	writerClosed bool // the end that writes has closed
-	readerClosed bool // the end that reads has closed
+	writerClosed bool // the writing end is closed
+	readerClosed bool // the reading end is closed
 	reset        bool
-	resetError   syscall.Errno // what reads and writes return after a reset
+	resetError   syscall.Errno // error of reads and writes after a reset
 }
 
-// resetErrors are the errors that a broken connection may return, in turn.
+// resetErrors are the errors that reset connections return. The connections of a listener use them in turn.
 var resetErrors = []syscall.Errno{syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH}
 
 func newDirection(resetError syscall.Errno) *direction {
@@ -29,17 +29,17 @@
 	return d
 }
 
-// update changes the direction and wakes the reads and writes that wait for it.
-func (d *direction) update(change func()) {
+// updateAndWake applies a change to the direction and wakes the reads and writes that wait on it.
+func (d *direction) updateAndWake(change func()) {
 	d.mu.Lock()
 	change()
 	d.cond.Broadcast()
 	d.mu.Unlock()
 }
 
-// deadline is a deadline for reads or writes; the lock of their direction guards it.
+// deadline is the deadline of reads or of writes. The mutex of their direction guards it.
 type deadline struct {
-	at    time.Time // zero = none
+	at    time.Time // zero = no deadline
 	timer *time.Timer
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// setDeadline sets the deadline of a direction's reads or writes, and wakes those that wait.
+// setDeadline sets the deadline of a direction's reads or writes and, unless it is zero, wakes those that wait.
 func setDeadline(d *direction, limit *deadline, t time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -62,7 +62,7 @@
 		return
 	}
 	if left := time.Until(t); left > 0 {
-		limit.timer = time.AfterFunc(left, func() { d.update(func() {}) })
+		limit.timer = time.AfterFunc(left, func() { d.updateAndWake(func() {}) })
 	}
 	d.cond.Broadcast()
 }
--- a/lab/memnet/listener.go
+++ b/lab/memnet/listener.go
@@ -7,54 +7,54 @@
 	"time"
 )
 
-// Listener accepts the connections of an address.
+// Listener accepts the connections to one address. It is safe for concurrent use.
 type Listener struct {
-	network *Network
-	address hostAddr
-	wake    chan struct{} // holds a value when Accept has something to look at
+	network     *Network
+	address     hostAddr
+	acceptReady chan struct{} // receives a value when Accept has to check for a connection or the close
 
-	mu          sync.Mutex
-	waiting     []*Conn        // not accepted yet
-	open        map[*Conn]bool // the listener's ends of connections that are open
-	connections int            // made so far
-	closed      bool
-	closeTimer  *time.Timer
+	mu              sync.Mutex
+	pending         []*Conn        // connected, not accepted yet
+	open            map[*Conn]bool // accepting ends of the connections that are not closed
+	connectionCount int            // number of connections so far
+	closed          bool
+	closeTimer      *time.Timer
 }
 
-// connect makes a connection and returns the client's end.
+// connect makes a connection from a host, queues one end for Accept and returns the client's end.
 func (l *Listener) connect(from hostAddr) (net.Conn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return nil, &net.OpError{Op: "dial", Net: "mem", Err: syscall.ECONNREFUSED}
 	}
-	resetError := resetErrors[l.connections%len(resetErrors)]
-	l.connections++
+	resetError := resetErrors[l.connectionCount%len(resetErrors)]
+	l.connectionCount++
 	toServer := newDirection(resetError)
 	toClient := newDirection(resetError)
 	client := &Conn{in: toClient, out: toServer, local: from, remote: l.address}
 	server := &Conn{in: toServer, out: toClient, local: l.address, remote: from, listener: l}
-	l.waiting = append(l.waiting, server)
+	l.pending = append(l.pending, server)
 	l.open[server] = true
 	l.signal()
 	return client, nil
 }
 
-// signal wakes a waiting Accept.
+// signal wakes an Accept that waits, or the next one.
 func (l *Listener) signal() {
 	select {
-	case l.wake <- struct{}{}:
+	case l.acceptReady <- struct{}{}:
 	default:
 	}
 }
 
-// Accept waits for a connection; it returns net.ErrClosed once the listener is closed.
+// Accept waits for a connection. It returns net.ErrClosed once the listener is closed.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		l.mu.Lock()
-		if len(l.waiting) > 0 {
-			c := l.waiting[0]
-			l.waiting = l.waiting[1:]
+		if len(l.pending) > 0 {
+			c := l.pending[0]
+			l.pending = l.pending[1:]
 			l.mu.Unlock()
 			return c, nil
 		}
@@ -64,11 +64,11 @@
 			l.signal()
 			return nil, net.ErrClosed
 		}
-		<-l.wake
+		<-l.acceptReady
 	}
 }
 
-// Close closes the listener and resets what it has not accepted; accepted connections stay open.
+// Close closes the listener and resets the connections that it has not accepted. Accepted connections stay open.
 func (l *Listener) Close() error {
 	l.network.mu.Lock()
 	if l.network.listeners[string(l.address)] == l {
@@ -77,20 +77,20 @@
 	l.network.mu.Unlock()
 	l.mu.Lock()
 	l.closed = true
-	waiting := l.waiting
-	l.waiting = nil
+	unaccepted := l.pending
+	l.pending = nil
 	if l.closeTimer != nil {
 		l.closeTimer.Stop()
 	}
 	l.mu.Unlock()
-	for _, c := range waiting {
+	for _, c := range unaccepted {
 		c.Reset()
 	}
 	l.signal()
 	return nil
 }
 
-// SetDeadline closes the listener at a time, as an accept that times out would.
+// SetDeadline closes the listener at time t, so that Accept returns then. Its error is net.ErrClosed instead of a timeout.
 func (l *Listener) SetDeadline(t time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// ResetAll resets the connections that were accepted and are open.
+// ResetAll resets all connections of the listener that are open.
 func (l *Listener) ResetAll() {
 	l.mu.Lock()
 	var open []*Conn
--- a/lab/memnet/network.go
+++ b/lab/memnet/network.go
@@ -1,5 +1,5 @@
-// Package memnet is a network in memory, for tests on virtual time (testing/synctest): listeners and connections that behave as TCP
-// does where a proxy can tell, with hosts that refuse or reset connections, or do not answer. It opens no descriptor.
+// Package memnet provides an in-memory network for tests on virtual time (testing/synctest). Its listeners and connections behave like
+// those of TCP as far as a proxy can observe; hosts can refuse or reset connections or not answer at all. It opens no file descriptor.
 package memnet
 
 import (
@@ -13,7 +13,7 @@
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*Listener
-	silent    map[string]bool // hosts that do not answer: connections never come up
+	silent    map[string]bool // addresses that do not answer: a dial blocks until its context ends
 }
 
 // New returns a network without listeners.
@@ -21,13 +21,13 @@
 	return &Network{listeners: map[string]*Listener{}, silent: map[string]bool{}}
 }
 
-// Listen returns a listener at an address; it takes the place of one that is there.
+// Listen returns a listener at an address. It replaces the current listener at that address, if any.
 func (n *Network) Listen(address string) *Listener {
 	l := &Listener{
-		network: n,
-		address: hostAddr(address),
-		wake:    make(chan struct{}, 1),
-		open:    map[*Conn]bool{},
+		network:     n,
+		address:     hostAddr(address),
+		acceptReady: make(chan struct{}, 1),
+		open:        map[*Conn]bool{},
 	}
 	n.mu.Lock()
 	n.listeners[address] = l
@@ -35,14 +35,14 @@
 	return l
 }
 
-// Silence sets whether connections to an address never come up.
+// Silence sets whether an address does not answer, so that a dial of it blocks until its context ends.
 func (n *Network) Silence(address string, on bool) {
 	n.mu.Lock()
 	n.silent[address] = on
 	n.mu.Unlock()
 }
 
-// Dialer returns a dialer for a host; the accepted ends of its connections have the host's name as their remote address.
+// Dialer returns a dial function for a host. The accepted ends of its connections have the host's name as their remote address.
 func (n *Network) Dialer(host string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		n.mu.Lock()
@@ -72,8 +72,8 @@
 // timeoutError is the error of a connection that was not established in time.
 type timeoutError struct{}
 
-// Error says what happened.
-func (timeoutError) Error() string { return "memnet: no connection came up in time" }
+// Error returns the text of the error.
+func (timeoutError) Error() string { return "memnet: connection not established in time" }
 
 // Timeout reports that the error is a timeout, as net.Error requires.
 func (timeoutError) Timeout() bool { return true }
--- a/lab/overhead/engine.go
+++ b/lab/overhead/engine.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Texts of the engine's responses.
+// Parts of the engine's responses. A number between eventBegin and eventEnd completes an event.
 const (
 	eventBegin = `data: {"id":"c","object":"chat.completion.chunk","created":1,"model":"m",` +
 		`"choices":[{"index":0,"delta":{"content":"word `
@@ -20,8 +20,8 @@
 	prefillResponse = `{"choices":[],"usage":{},"kv_transfer_params":{"do_remote_prefill":true,"remote_engine_id":"e"}}`
 )
 
-// Engine serves the bare form of a decode engine, as fast as it can. The member x_events of a request says how many events the
-// response has, and x_every_ms how long to wait before each but the first. It returns when the listener is closed.
+// Engine serves a minimal emulated engine for prefill and decode that responds as fast as it can. The request member x_events is the
+// number of events in the response, and x_every_ms the interval between them. Engine returns when the listener is closed.
 func Engine(l net.Listener) error {
 	return (&http.Server{Handler: http.HandlerFunc(serveChat)}).Serve(l)
 }
@@ -31,7 +31,7 @@
 	if err != nil {
 		return
 	}
-	if bytes.Contains(body, []byte(`"do_remote_decode":true`)) { // the prefill stage
+	if bytes.Contains(body, []byte(`"do_remote_decode":true`)) { // a prefill request
 		w.Header().Set("Content-Type", "application/json")
 		io.WriteString(w, prefillResponse)
 		return
@@ -59,7 +59,7 @@
 	io.WriteString(w, finalEvent)
 }
 
-// numberIn returns the number of a member of a JSON text, without parsing the text; 0 = there is none.
+// numberIn returns the integer value of a member in a JSON text, or 0 if the member is missing. It searches the text without parsing it.
 func numberIn(body []byte, member string) int {
 	_, rest, _ := bytes.Cut(body, []byte(`"`+member+`":`))
 	number := 0
@@ -70,13 +70,13 @@
 	return number
 }
 
-// proxyIdleConnections is how many idle connections to the backend the reverse proxy keeps.
+// proxyIdleConnections is the maximum number of idle connections to the backend that the reverse proxy keeps open.
 const proxyIdleConnections = 256
 
-// Proxy serves a plain reverse proxy to a backend. It returns when the listener is closed.
+// Proxy serves a plain httputil.ReverseProxy for the address of a backend. It returns when the listener is closed.
 func Proxy(l net.Listener, backend string) error {
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: backend})
-	proxy.FlushInterval = -1 // each write is flushed at once
+	proxy.FlushInterval = -1 // flush each write at once
 	proxy.Transport = &http.Transport{MaxIdleConnsPerHost: proxyIdleConnections}
 	return (&http.Server{Handler: proxy}).Serve(l)
 }
--- a/lab/overhead/load.go
+++ b/lab/overhead/load.go
@@ -14,24 +14,24 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// load makes requests to one target.
-type load struct {
+// loadGenerator sends requests to one target and counts those that fail.
+type loadGenerator struct {
 	target Target
 	key    string
 	client *http.Client
 	errors atomic.Int64
 }
 
-// body is the text of a request for so many events.
-func body(events, intervalMS int) string {
+// requestBody returns the body of a request for a stream with a number of events and an interval between them.
+func requestBody(events, intervalMS int) string {
 	return fmt.Sprintf(`{"model":"m","stream":true,"max_tokens":100000,`+
 		`"messages":[{"role":"user","content":"Who can cover a sick call?"}],"x_events":%d,"x_every_ms":%d}`, events, intervalMS)
 }
 
-// newRequest returns a request for so many events.
-func (l *load) newRequest(ctx context.Context, events, intervalMS int) (*http.Request, error) {
+// newRequest returns a request for a stream with a number of events and an interval between them.
+func (l *loadGenerator) newRequest(ctx context.Context, events, intervalMS int) (*http.Request, error) {
 	url := "http://" + l.target.Address + "/v1/chat/completions"
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body(events, intervalMS)))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(requestBody(events, intervalMS)))
 	if err != nil {
 		return nil, err
 	}
@@ -40,11 +40,11 @@
 	return request, nil
 }
 
-// readBufferBytes is the length of the buffer in which a response is read.
+// readBufferBytes is the size of the buffer through which a response is read.
 const readBufferBytes = 8 << 10
 
-// request makes one request, reads its response to the end, and adds its events to count, which may be nil.
-func (l *load) request(ctx context.Context, events, intervalMS int, count *atomic.Int64) {
+// request sends one request, reads the response to the end, and adds the number of its events to count, which may be nil.
+func (l *loadGenerator) request(ctx context.Context, events, intervalMS int, count *atomic.Int64) {
 	request, err := l.newRequest(ctx, events, intervalMS)
 	if err != nil {
 		l.errors.Add(1)
@@ -77,8 +77,8 @@
 	}
 }
 
-// closedLoop makes n requests with so many workers, each of which waits for a response before its next request.
-func (l *load) closedLoop(ctx context.Context, n, workers, events int, count *atomic.Int64) {
+// closedLoop sends n requests from concurrent workers. Each worker waits for a response before it sends its next request.
+func (l *loadGenerator) closedLoop(ctx context.Context, n, workers, events int, count *atomic.Int64) {
 	var next atomic.Int64
 	var group sync.WaitGroup
 	for range workers {
@@ -93,8 +93,8 @@
 	group.Wait()
 }
 
-// openLoop makes n requests at a steady rate, whatever the responses do. Latency counts from when a request was due.
-func (l *load) openLoop(ctx context.Context, n int, rate float64, latencies *hdrhistogram.Histogram) {
+// openLoop sends n requests at a steady rate without waiting for responses. Latency is measured from the time at which a request is due.
+func (l *loadGenerator) openLoop(ctx context.Context, n int, rate float64, latencies *hdrhistogram.Histogram) {
 	var requests sync.WaitGroup
 	var mu sync.Mutex // guards latencies
 	start := time.Now()
--- a/lab/overhead/memory.go
+++ b/lab/overhead/memory.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// openStreamEvents and openStreamIntervalMS make a stream that outlasts the measurement.
+	// openStreamEvents and openStreamIntervalMS are long enough for a stream to outlast the measurement.
 	openStreamEvents     = 1000
 	openStreamIntervalMS = 1000
-	// streamsTimeout bounds the time in which all streams begin.
+	// streamsTimeout limits how long the measurement waits for all streams to begin.
 	streamsTimeout = 60 * time.Second
-	// streamsPerPause is how many streams are opened between two short pauses.
+	// streamsPerPause: opening streams pauses whenever the number of streams that have begun is a multiple of it.
 	streamsPerPause = 50
 )
 
-// measureMemory measures the resident memory of idle connections, and then that of open streams.
-func (l *load) measureMemory(ctx context.Context, p Plan, result *Result) error {
+// measureMemory measures the target's resident memory per idle connection, and then per open stream.
+func (l *loadGenerator) measureMemory(ctx context.Context, p Plan, result *Result) error {
 	if err := l.measureIdle(p, result); err != nil {
 		return err
 	}
@@ -31,8 +31,8 @@
 	return l.measureStreams(ctx, p, result)
 }
 
-// measureIdle opens idle connections, measures, and closes them.
-func (l *load) measureIdle(p Plan, result *Result) error {
+// measureIdle opens idle connections, measures the growth of resident memory, and closes them.
+func (l *loadGenerator) measureIdle(p Plan, result *Result) error {
 	before := residentBytes(l.target.PID)
 	var conns []net.Conn
 	for range p.Streams {
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// openIdle opens a connection and makes one request on it: the node would soon close a connection that never carried one.
-func (l *load) openIdle() (net.Conn, error) {
+// openIdle opens a connection and sends one request on it, because the node soon closes a connection that has carried no request.
+func (l *loadGenerator) openIdle() (net.Conn, error) {
 	conn, err := net.Dial("tcp", l.target.Address)
 	if err != nil {
 		return nil, err
@@ -68,8 +68,8 @@
 	return conn, nil
 }
 
-// measureStreams opens streams, measures, and cancels them.
-func (l *load) measureStreams(ctx context.Context, p Plan, result *Result) error {
+// measureStreams opens streams, measures the growth of resident memory, and cancels them.
+func (l *loadGenerator) measureStreams(ctx context.Context, p Plan, result *Result) error {
 	before := residentBytes(l.target.PID)
 	ctx, cancel := context.WithCancel(ctx)
 	var streams sync.WaitGroup
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// openStream opens a slow stream, counts it when its first bytes come, and reads until the context ends.
-func (l *load) openStream(ctx context.Context, started *atomic.Int64) {
+// openStream opens a slow stream, counts it in started once its first bytes arrive, and reads until the context ends.
+func (l *loadGenerator) openStream(ctx context.Context, started *atomic.Int64) {
 	request, err := l.newRequest(ctx, openStreamEvents, openStreamIntervalMS)
 	if err != nil {
 		return
--- a/lab/overhead/process.go
+++ b/lab/overhead/process.go
@@ -12,13 +12,13 @@
 // clockTicksPerSecond is the unit of CPU times in /proc (sysconf(_SC_CLK_TCK) on Linux).
 const clockTicksPerSecond = 100
 
-// Fields of /proc/PID/stat behind the command's name (proc_pid_stat(5)).
+// Indexes of fields of /proc/PID/stat, counted from the field after the command name (proc_pid_stat(5)).
 const (
 	userTimeField   = 11
 	systemTimeField = 12
 )
 
-// cpuSeconds returns the CPU time of a process; 0 = it cannot be read.
+// cpuSeconds returns the user and system CPU time of a process, or 0 if it cannot be read.
 func cpuSeconds(pid int) float64 {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
 	if err != nil {
@@ -34,7 +34,7 @@
 	return (user + system) / clockTicksPerSecond
 }
 
-// residentBytes returns the resident memory of a process; 0 = it cannot be read.
+// residentBytes returns the resident memory of a process, or 0 if it cannot be read.
 func residentBytes(pid int) int64 {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "status"))
 	if err != nil {
@@ -49,7 +49,8 @@
 	return kilobytes << 10
 }
 
-// decideCounts reads the node's histogram of the time of decisions: cumulative counts by upper bound.
+// decideCounts reads the node's histogram of the duration of scheduler steps. It returns cumulative counts by upper bound, or nil if the
+// metrics cannot be read.
 func decideCounts(admin string) map[float64]float64 {
 	if admin == "" {
 		return nil
@@ -75,7 +76,7 @@
 	return counts
 }
 
-// quantile returns the upper bound of the bucket that holds a quantile of what was counted between two readings.
+// quantile returns the upper bound of the bucket that contains the q-quantile of the values counted between two readings.
 func quantile(before, after map[float64]float64, q float64) float64 {
 	total := 0.0
 	for bound, count := range after {
