--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -61,7 +61,7 @@
 			return err
 		}
 	}
-	return h.encoder.Done(batch.Serial)
+	return h.encoder.EndReply(batch.Serial)
 }
 
 // groupByNode launches and kills nodes, and returns the events of each node, in the order in which the nodes first appear. The launch or
@@ -104,7 +104,7 @@
 	actions, err := safeStep(target, now, group.events)
 	if err != nil {
 		fmt.Fprintln(h.log, "adapter:", err)
-		h.encoder.Broken(group.node, err.Error())
+		h.encoder.SchedulerFailed(group.node, err.Error())
 		return nil
 	}
 	return h.encoder.Actions(group.node, actions)
--- a/internal/benchwire/benchwire_test.go
+++ b/internal/benchwire/benchwire_test.go
@@ -100,7 +100,7 @@
 			name: "CLOSED_ATTEMPT",
 			fields: []string{"op_id=a", "disposition=parsed", "info=7", "n=1", "engine=e", "spent_s=0.1", "finished=1",
 				"report=cpu:0.6,waiting:3,x0:0.4,x1:2,active:5,avg_ms:9,odd:1"},
-			want: scheduler.Outcome{ID: "a", Attempt: 1, Engine: "e", Status: scheduler.Prefilled, Info: 7, Spent: 0.1, Closed: true,
+			want: scheduler.Outcome{ID: "a", Attempt: 1, Engine: "e", Status: scheduler.Prefilled, Info: 7, Spent: 0.1, RequestEnded: true,
 				Report: &scheduler.LoadReport{Utilization: 0.6, Waiting: 3, MemoryShare: 0.4, TokensWaiting: 2000, Active: 5,
 					LatencyMS: 9, Has: 63}},
 		},
--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -101,14 +101,14 @@
 
 func decodeOutcome(r *record, _ *scheduler.Config) scheduler.Event {
 	return scheduler.Outcome{
-		ID:      r.text("op_id"),
-		Attempt: r.integer("n", optional),
-		Engine:  r.text("engine"),
-		Status:  lookup(r, "disposition", statuses),
-		Info:    int(r.number("info", optional)),
-		Spent:   r.amount("spent_s"),
-		Closed:  r.flag("finished"),
-		Report:  decodeReport(r),
+		ID:           r.text("op_id"),
+		Attempt:      r.integer("n", optional),
+		Engine:       r.text("engine"),
+		Status:       lookup(r, "disposition", statuses),
+		Info:         int(r.number("info", optional)),
+		Spent:        r.amount("spent_s"),
+		RequestEnded: r.flag("finished"),
+		Report:       decodeReport(r),
 	}
 }
 
--- a/internal/benchwire/encode.go
+++ b/internal/benchwire/encode.go
@@ -18,7 +18,7 @@
 	noNode = -1
 )
 
-// Encoder writes replies to batches. Call Actions and Broken for the nodes of a batch, and then Done.
+// Encoder writes replies to batches. Call Actions and SchedulerFailed for the nodes of a batch, and then EndReply.
 type Encoder struct {
 	output *bufio.Writer
 	node   int // node of the latest SOURCE line of this reply, or noNode
@@ -29,7 +29,7 @@
 	return &Encoder{output: bufio.NewWriterSize(w, outputBufferBytes), node: noNode}
 }
 
-// Actions writes the actions of one node. Write errors are returned by Done.
+// Actions writes the actions of one node. Write errors are returned by EndReply.
 func (e *Encoder) Actions(node int, actions []scheduler.Action) error {
 	if len(actions) == 0 {
 		return nil
@@ -49,14 +49,14 @@
 	return nil
 }
 
-// Broken writes that the scheduler of a node has failed, and why. Write errors are returned by Done.
-func (e *Encoder) Broken(node int, text string) {
+// SchedulerFailed writes that the scheduler of a node has failed, and why. Write errors are returned by EndReply.
+func (e *Encoder) SchedulerFailed(node int, text string) {
 	fmt.Fprintf(e.output, "SOURCE\tnode_id=%d\nBROKEN\tbody_text=%s\n", node, oneLine(text))
 	e.node = node
 }
 
-// Done ends the reply to the batch with the given serial and flushes it.
-func (e *Encoder) Done(serial string) error {
+// EndReply ends the reply to the batch with the given serial and flushes it.
+func (e *Encoder) EndReply(serial string) error {
 	fmt.Fprintf(e.output, "OK\tserial=%s\n", serial)
 	e.node = noNode
 	return e.output.Flush()
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -103,11 +103,11 @@
 	defer stop()
 	o := scenario.Options{Launch: inProcessLauncher(io.Discard), Skew: 0.5, Progress: func(q scenario.Progress) {
 		fmt.Fprintf(out, "\r%5.0f of %.0f s  %d nodes up, %d starts  %d served in time of %d  slow-start budget %.0f%%  %d violations   ",
-			q.T, q.Length, q.Up, q.Starts, q.ServedInTime, q.Ended, 100*q.SlowStartUse, q.Violations)
+			q.T, q.Length, q.NodesUp, q.NodeStarts, q.ServedInTime, q.Ended, 100*q.SlowStartUse, q.Violations)
 	}}
-	o.Files = service.DescriptorLimit()
+	o.DescriptorLimit = service.DescriptorLimit()
 	if processes {
-		o.Files = 0
+		o.DescriptorLimit = 0
 		dir, err := os.MkdirTemp("", "dillroute-fleet-")
 		if err != nil {
 			return withExitCode(ExitRun, err)
@@ -121,7 +121,7 @@
 		return withExitCode(ExitRun, err)
 	}
 	r.Print(out)
-	fmt.Fprintf(out, "\n%d starts of nodes, ready after %.0f ms at the 99th percentile\n", r.Starts, 1000*r.ReadyP99)
+	fmt.Fprintf(out, "\n%d starts of nodes, ready after %.0f ms at the 99th percentile\n", r.NodeStarts, 1000*r.ReadyP99)
 	fmt.Fprintf(out, "sends to an engine in slow start: at most %.0f%% of its budget in any window\n", 100*r.SlowStartUse.Share)
 	fmt.Fprint(out, "Jain's index, of work over engines and of service over tenants:")
 	for _, kind := range []string{"prefill", "decode", "mixed", "tenants"} {
--- a/internal/cli/overhead.go
+++ b/internal/cli/overhead.go
@@ -37,7 +37,7 @@
 		},
 	}
 	c.Flags().IntVar(&plan.Streams, "streams", plan.Streams, "open connections and streams while memory is measured")
-	c.Flags().IntVar(&plan.Requests, "requests", plan.Requests, "requests of the closed-loop load")
+	c.Flags().IntVar(&plan.ClosedLoopRequests, "requests", plan.ClosedLoopRequests, "requests of the closed-loop load")
 	c.Flags().StringVar(&reportFile, "report", "", "write the figures as JSON to this file")
 	for _, subcommand := range []*cobra.Command{
 		{Use: "engine", Hidden: true, RunE: func(cmd *cobra.Command, _ []string) error {
@@ -238,8 +238,8 @@
 		"bytes/idle\tbytes/stream\tdecide p99\terrors\t")
 	for _, r := range results {
 		fmt.Fprintf(table, "%s\t%.2f ms\t%.2f ms\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.3f ms\t%d\t\n",
-			r.Name, r.P50ms, r.P99ms, r.RequestsPerS, r.RequestsPerCore, r.EventsPerS, r.EventsPerCore, r.TypedPerCore,
-			r.BytesPerIdle, r.BytesPerStream, r.DecideP99ms, r.Errors)
+			r.Name, r.P50ms, r.P99ms, r.RequestsPerS, r.RequestsPerCore, r.EventsPerS, r.EventsPerCore, r.SteadyEventsPerCore,
+			r.BytesPerIdleConnection, r.BytesPerStream, r.DecideP99ms, r.Errors)
 	}
 	table.Flush()
 }
--- a/internal/cli/relay.go
+++ b/internal/cli/relay.go
@@ -43,7 +43,7 @@
 		log.Info("graceful shutdown started", "signal", signal.String())
 	}
 	s.shutdown(shutdownHooks{
-		run: func() { n.ShutdownBy(relay.StopBy(cfg.Settings.LongestClientTimeout), node.MaxStreamDrain) },
+		run: func() { n.ShutdownBy(relay.ShutdownTimeout(cfg.Settings.LongestClientTimeout), node.MaxStreamDrain) },
 		signal: func(s os.Signal) {
 			if isInterrupt(s) {
 				n.RespondNow()
@@ -90,6 +90,6 @@
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
 	}
 	if l.MemoryMB > 0 {
-		debug.SetMemoryLimit(l.Parts().HeapLimit)
+		debug.SetMemoryLimit(l.Budget().HeapLimit)
 	}
 }
--- a/internal/cli/relay_test.go
+++ b/internal/cli/relay_test.go
@@ -75,7 +75,7 @@
 	}
 	pause := func() { time.Sleep(250 * time.Millisecond) }
 	pause()
-	for _, f := range []platform.Fault{platform.NoiseForHead, platform.MalformedChunkSize, platform.EndlessHead, platform.HugeChunk,
+	for _, f := range []platform.Fault{platform.GarbageHead, platform.MalformedChunkSize, platform.EndlessHead, platform.HugeChunk,
 		platform.CloseMidStream,
 		platform.SecondResponse} {
 		showFault(t, f, engines[2:]...)
@@ -121,7 +121,7 @@
 		t.Fatal("the program did not end")
 	}
 	t.Logf("%v; ended %v after SIGTERM", outcomes, time.Since(stopped))
-	if outcomes[record.Served] < 50 || outcomes[record.Cut]+outcomes[record.Unreachable] > 0 {
+	if outcomes[record.Served] < 50 || outcomes[record.ConnectionLost]+outcomes[record.Unreachable] > 0 {
 		t.Errorf("outcomes %v\n%s", outcomes, logs.String())
 	}
 	classes := map[string]rules.Class{"chat": {Effect: "repeatable", Group: "all"}, "commit": {Effect: "once", Group: "all"}}
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -84,7 +84,7 @@
 		log = f
 	}
 	start := time.Now()
-	r, err := scenario.Run(ctx, s, scenario.Options{Launch: inProcessLauncher(log), Out: out, Files: service.DescriptorLimit()})
+	r, err := scenario.Run(ctx, s, scenario.Options{Launch: inProcessLauncher(log), Out: out, DescriptorLimit: service.DescriptorLimit()})
 	if err != nil {
 		return withExitCode(ExitRun, err)
 	}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -125,10 +125,10 @@
 		service.Notify(service.Stopping)
 		n.StopSavingState()
 		releaseState()
-		log.Info("graceful shutdown started", "signal", signal.String(), "drain_limit_s", n.Config().Limits.Shutdown)
+		log.Info("graceful shutdown started", "signal", signal.String(), "drain_limit_s", n.Config().Limits.ShutdownTimeout)
 	}
 	s.shutdown(shutdownHooks{
-		run:    func() { n.Shutdown(time.Duration(n.Config().Limits.Shutdown * float64(time.Second))) },
+		run:    func() { n.Shutdown(time.Duration(n.Config().Limits.ShutdownTimeout * float64(time.Second))) },
 		signal: func(os.Signal) { n.RespondNow() },
 	})
 	log.Info("shutdown completed")
@@ -172,8 +172,8 @@
 
 func printAddresses(out io.Writer, n *node.ChatNode) {
 	fmt.Fprintf(out, "listening on http://%s\n", n.Addr())
-	if n.Admin() != nil {
-		fmt.Fprintf(out, "admin on http://%s\n", n.Admin())
+	if n.AdminAddr() != nil {
+		fmt.Fprintf(out, "admin on http://%s\n", n.AdminAddr())
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -85,25 +85,25 @@
 
 // Limits bound the resources of a node and its timeouts.
 type Limits struct {
-	MaxAttempts     int     `json:"max_attempts"`
-	HedgedRequests  bool    `json:"parallel_tries"`
-	MaxOpen         int     `json:"max_open"`
-	MaxConnections  int     `json:"max_connections"`
-	Descriptors     int     `json:"files"`
-	MaxBody         int64   `json:"max_body_bytes"`
-	MaxHeld         int64   `json:"max_held_bytes"`
-	MaxEvent        int     `json:"max_event_bytes"`
-	MaxResponse     int     `json:"max_answer_bytes"`
-	Head            float64 `json:"head_s"`
-	Body            float64 `json:"body_s"`
-	Idle            float64 `json:"idle_s"`
-	Write           float64 `json:"write_s"`
-	Connect         float64 `json:"connect_s"`
-	Stall           float64 `json:"stall_s"`
-	EngineIdle      float64 `json:"engine_idle_s"`
-	EngineIdleConns int     `json:"engine_idle_connections"`
-	MaxRetryAfter   float64 `json:"max_retry_after_s"`
-	Shutdown        float64 `json:"shutdown_s"`
+	MaxAttempts       int     `json:"max_attempts"`
+	HedgedRequests    bool    `json:"parallel_tries"`
+	MaxOpen           int     `json:"max_open"`
+	MaxConnections    int     `json:"max_connections"`
+	Descriptors       int     `json:"files"`
+	MaxBody           int64   `json:"max_body_bytes"`
+	MaxBufferedBody   int64   `json:"max_held_bytes"`
+	MaxEvent          int     `json:"max_event_bytes"`
+	MaxResponse       int     `json:"max_answer_bytes"`
+	HeadTimeout       float64 `json:"head_s"`
+	BodyTimeout       float64 `json:"body_s"`
+	IdleTimeout       float64 `json:"idle_s"`
+	WriteTimeout      float64 `json:"write_s"`
+	ConnectTimeout    float64 `json:"connect_s"`
+	StallTimeout      float64 `json:"stall_s"`
+	EngineIdleTimeout float64 `json:"engine_idle_s"`
+	EngineIdleConns   int     `json:"engine_idle_connections"`
+	MaxRetryAfter     float64 `json:"max_retry_after_s"`
+	ShutdownTimeout   float64 `json:"shutdown_s"`
 }
 
 // Rules are the parameters of the five rules.
@@ -119,12 +119,12 @@
 
 // Engines is the source of the engine list: a file, or Consul.
 type Engines struct {
-	File    string  `json:"file"`
-	Poll    float64 `json:"poll_s"`
-	Consul  string  `json:"consul"`
-	Service string  `json:"service"`
-	Wait    float64 `json:"wait_s"`
-	Key     string  `json:"key"`
+	File         string  `json:"file"`
+	PollInterval float64 `json:"poll_s"`
+	Consul       string  `json:"consul"`
+	Service      string  `json:"service"`
+	MaxWait      float64 `json:"wait_s"`
+	Key          string  `json:"key"`
 }
 
 // Log is the format and the level of the node's log.
@@ -139,12 +139,12 @@
 func defaults() Config {
 	return Config{
 		Node: Node{Count: 1}, SessionHeader: "X-Session-Id", DecodeEnginesPrefill: true, Reports: "inline", Tick: 0.0005,
-		Limits: Limits{MaxAttempts: 4, MaxOpen: 20000, MaxConnections: 20000, MaxBody: 4 << 20, MaxHeld: 1 << 30,
-			MaxEvent: 1 << 20, MaxResponse: 8 << 20, Head: 10, Body: 30, Idle: 60, Write: 10, Connect: 0.25, Stall: 20,
-			EngineIdle: 30, EngineIdleConns: 64, MaxRetryAfter: 1, Shutdown: 30},
+		Limits: Limits{MaxAttempts: 4, MaxOpen: 20000, MaxConnections: 20000, MaxBody: 4 << 20, MaxBufferedBody: 1 << 30,
+			MaxEvent: 1 << 20, MaxResponse: 8 << 20, HeadTimeout: 10, BodyTimeout: 30, IdleTimeout: 60, WriteTimeout: 10,
+			ConnectTimeout: 0.25, StallTimeout: 20, EngineIdleTimeout: 30, EngineIdleConns: 64, MaxRetryAfter: 1, ShutdownTimeout: 30},
 		Rules: Rules{AnswerSlack: 0.05, DrainGrace: 0.25, SlowStartShare: 0.25, SlowStartDuration: 14, OverloadMultiple: 4,
 			SlowStartWindow: 1.5, StateReleaseLimit: 1},
-		Engines: Engines{Poll: 1, Service: "engines", Wait: 30}, Log: Log{Format: "json", Level: "info"},
+		Engines: Engines{PollInterval: 1, Service: "engines", MaxWait: 30}, Log: Log{Format: "json", Level: "info"},
 	}
 }
 
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -24,8 +24,10 @@
 	apply("/session_header", c.SessionHeader, next.SessionHeader, func() { m.SessionHeader = next.SessionHeader })
 	apply("/log", c.Log, next.Log, func() { m.Log = next.Log })
 	apply("/limits/max_open", c.Limits.MaxOpen, next.Limits.MaxOpen, func() { m.Limits.MaxOpen = next.Limits.MaxOpen })
-	apply("/limits/shutdown_s", c.Limits.Shutdown, next.Limits.Shutdown, func() { m.Limits.Shutdown = next.Limits.Shutdown })
-	apply("/limits/stall_s", c.Limits.Stall, next.Limits.Stall, func() { m.Limits.Stall = next.Limits.Stall })
+	apply("/limits/shutdown_s", c.Limits.ShutdownTimeout, next.Limits.ShutdownTimeout, func() {
+		m.Limits.ShutdownTimeout = next.Limits.ShutdownTimeout
+	})
+	apply("/limits/stall_s", c.Limits.StallTimeout, next.Limits.StallTimeout, func() { m.Limits.StallTimeout = next.Limits.StallTimeout })
 	if sameTenants(c.Tenants, next.Tenants) {
 		apply("/tenants", c.Tenants, next.Tenants, func() { m.Tenants = next.Tenants })
 	} else {
@@ -33,8 +35,8 @@
 	}
 	limits := next.Limits
 	limits.MaxOpen = c.Limits.MaxOpen
-	limits.Shutdown = c.Limits.Shutdown
-	limits.Stall = c.Limits.Stall
+	limits.ShutdownTimeout = c.Limits.ShutdownTimeout
+	limits.StallTimeout = c.Limits.StallTimeout
 	needsRestart("/limits", c.Limits, limits)
 	needsRestart("/listen", c.Listen, next.Listen)
 	needsRestart("/listen_shared", c.ListenShared, next.ListenShared)
--- a/internal/decide/permit/audit.go
+++ b/internal/decide/permit/audit.go
@@ -81,9 +81,9 @@
 
 // HeldState describes a state that an engine holds with no attempt in flight, after a call that was to release it.
 type HeldState struct {
-	Answered bool // an engine has acknowledged the call
-	At       float64
-	By       float64 // latest time at which the state may be held: its limit plus HeldStateSlack
+	Acknowledged bool // an engine has acknowledged the call
+	At           float64
+	Deadline     float64 // latest time at which the state may be held: its limit plus HeldStateSlack
 }
 
 // HeldStateSlack is how long a state may still be held beyond its limit (s).
@@ -91,7 +91,7 @@
 
 // Violations returns the rules that the state breaks.
 func (h HeldState) Violations() []Violation {
-	if h.At > h.By || !h.Answered && h.At == h.By {
+	if h.At > h.Deadline || !h.Acknowledged && h.At == h.Deadline {
 		return []Violation{{Rule: ruleStateRelease, Reason: StateNotReleased}}
 	}
 	return nil
--- a/internal/decide/permit/permit_test.go
+++ b/internal/decide/permit/permit_test.go
@@ -106,10 +106,10 @@
 		{"a close", Closed{}, nil},
 		{"a close with an unanswered request", Closed{Unanswered: true}, []Violation{{1, Unanswered}}},
 		{"a close after the client disconnected", Closed{Unanswered: true, ClientDisconnected: true}, nil},
-		{"a state not released in time", HeldState{At: 11, By: 11}, []Violation{{5, StateNotReleased}}},
-		{"a state that can still be released in time", HeldState{At: 10.9, By: 11}, nil},
-		{"a state that was released", HeldState{Answered: true, At: 11, By: 11}, nil},
-		{"a state that was released too late", HeldState{Answered: true, At: 11.1, By: 11}, []Violation{{5, StateNotReleased}}},
+		{"a state not released in time", HeldState{At: 11, Deadline: 11}, []Violation{{5, StateNotReleased}}},
+		{"a state that can still be released in time", HeldState{At: 10.9, Deadline: 11}, nil},
+		{"a state that was released", HeldState{Acknowledged: true, At: 11, Deadline: 11}, nil},
+		{"a state that was released too late", HeldState{Acknowledged: true, At: 11.1, Deadline: 11}, []Violation{{5, StateNotReleased}}},
 	} {
 		if got := c.done.Violations(); !slices.Equal(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
--- a/internal/decide/requesttable/attempts.go
+++ b/internal/decide/requesttable/attempts.go
@@ -21,11 +21,11 @@
 			t.reportFault("send of %s to %s: %s", action.ID, action.Engine, reason)
 		}
 		t.emit(scheduler.Outcome{
-			ID:      action.ID,
-			Attempt: next.number,
-			Engine:  action.Engine,
-			Status:  scheduler.NotSent,
-			Closed:  record.response.ended(),
+			ID:           action.ID,
+			Attempt:      next.number,
+			Engine:       action.Engine,
+			Status:       scheduler.NotSent,
+			RequestEnded: record.response.ended(),
 		})
 		return
 	}
@@ -64,7 +64,7 @@
 // attemptsLeft returns how many attempts a request may still have.
 func (t *Table) attemptsLeft(record *requestRecord) int {
 	counted := len(record.attempts)
-	if t.config.UnsentAttemptsAreFree {
+	if t.config.ExemptUnsentAttempts {
 		counted -= min(record.evidence.unsentAttempts, t.config.MaxAttempts)
 	}
 	return t.config.MaxAttempts - counted
@@ -152,7 +152,7 @@
 	}
 	record.response = responseStreaming
 	record.hold.lastResponseAt = now
-	record.lastUnanswered = EndedAttempt{}
+	record.lastUnanswered = UnansweredAttempt{}
 	record.clearReleaseDuringDecode() // the earlier release freed nothing, and the state has been fetched
 	a.state = attemptStreaming
 	if record.state.isHeld() && !a.fetches(record.state) { // the engine computed the prefill itself
@@ -180,7 +180,7 @@
 	class := outcome.Classify(evidence)
 	t.recordEvidence(id, record, a, evidence, class)
 	if endedUnanswered(evidence) {
-		record.lastUnanswered = EndedAttempt{Engine: a.engine, At: now}
+		record.lastUnanswered = UnansweredAttempt{Engine: a.engine, At: now}
 	}
 	t.recordState(now, id, record, a, class)
 	t.repeatReleaseAfterDecode(now, record, a)
@@ -190,14 +190,14 @@
 	t.issueDeferredReleases(record)
 	endsRequest := t.respondAtAttemptEnd(id, record, a, wasStreaming, class)
 	t.emit(scheduler.Outcome{
-		ID:      id,
-		Attempt: number,
-		Engine:  a.engine,
-		Status:  class.Status,
-		Info:    class.Info,
-		Spent:   now - a.sentAt,
-		Closed:  endsRequest || record.response.ended(),
-		Report:  report,
+		ID:           id,
+		Attempt:      number,
+		Engine:       a.engine,
+		Status:       class.Status,
+		Info:         class.Info,
+		Spent:        now - a.sentAt,
+		RequestEnded: endsRequest || record.response.ended(),
+		Report:       report,
 	})
 	if wasStreaming {
 		t.issuePendingResponse(record, class)
--- a/internal/decide/requesttable/attempts_test.go
+++ b/internal/decide/requesttable/attempts_test.go
@@ -135,13 +135,13 @@
 	}
 }
 
-// Attempts that ended before their request was written count against the limit by default. With UnsentAttemptsAreFree, as many
+// Attempts that ended before their request was written count against the limit by default. With ExemptUnsentAttempts, as many
 // of them as the limit do not count.
-func TestUnsentAttemptsAreFreeWhereConfigured(t *testing.T) {
-	for free, want := range map[bool]int{false: 4, true: 8} {
+func TestUnsentAttemptsAreExemptWhereConfigured(t *testing.T) {
+	for exempt, want := range map[bool]int{false: 4, true: 8} {
 		table := newTable()
 		config := table.config
-		config.UnsentAttemptsAreFree = free
+		config.ExemptUnsentAttempts = exempt
 		table.Reconfigure(config)
 		table.AddRequest(1, newRequest("a", atMostOnce), 0)
 		table.Drain()
@@ -159,7 +159,7 @@
 			}
 		}
 		if started != want {
-			t.Errorf("unsent attempts free %v: got %d attempts, want %d", free, started, want)
+			t.Errorf("unsent attempts exempt %v: got %d attempts, want %d", exempt, started, want)
 		}
 	}
 }
--- a/internal/decide/requesttable/commands.go
+++ b/internal/decide/requesttable/commands.go
@@ -42,22 +42,24 @@
 	ID      string
 	Engine  string
 	Attempt int // number of the attempt that left the state
-	// AttemptCutAt is when that attempt was interrupted (s): its engine may hold a state now, or only later. 0 = the state is held.
-	AttemptCutAt float64
-	HeldSince    float64 // when the limit on the hold time of the state began to run (s)
+	// InterruptedAt is when that attempt was interrupted (s): its engine may hold a state now, or only later. 0 = the state is held.
+	InterruptedAt float64
+	HeldSince     float64 // when the limit on the hold time of the state began to run (s)
 	// Acknowledged states that an engine has acknowledged a release call since the attempt was interrupted. Only the state of a prefill
 	// that its engine completed after that call may still be held.
 	Acknowledged bool
 	// AtLimit states that the hold time has reached its limit, so that the state is released whatever attempts are in flight.
 	AtLimit bool
-	// Ended is the latest attempt of which the engine may notice the end late. A release call that is made before then may free nothing.
-	Ended EndedAttempt
-	// Again states that the state was released before, while an attempt was in flight that may have been waiting for it.
-	Again bool
+	// LastUnanswered is the latest attempt of which the engine may notice the end late. A release call that is made before then may
+	// free nothing.
+	LastUnanswered UnansweredAttempt
+	// Repeated states that the state was released before, while an attempt was in flight that may have been waiting for it.
+	Repeated bool
 }
 
-// EndedAttempt is an attempt that ended without a response after its request had been written. The zero value means that there is none.
-type EndedAttempt struct {
+// UnansweredAttempt is an attempt that ended without a response after its request had been written. The zero value means that there is
+// none.
+type UnansweredAttempt struct {
 	Engine string
 	At     float64 // s
 }
--- a/internal/decide/requesttable/golden_test.go
+++ b/internal/decide/requesttable/golden_test.go
@@ -34,8 +34,8 @@
 	return []goldenSetting{
 		{"plain", func(c *Config) {}},
 		{"release-all", func(c *Config) { c.ReleaseFreesAllStates = true }},
-		{"unsent-free", func(c *Config) { c.UnsentAttemptsAreFree, c.MaxAttempts = true, 3 }},
-		{"release-all-unsent-free", func(c *Config) { c.ReleaseFreesAllStates, c.UnsentAttemptsAreFree = true, true }},
+		{"unsent-free", func(c *Config) { c.ExemptUnsentAttempts, c.MaxAttempts = true, 3 }},
+		{"release-all-unsent-free", func(c *Config) { c.ReleaseFreesAllStates, c.ExemptUnsentAttempts = true, true }},
 	}
 }
 
@@ -388,7 +388,7 @@
 }
 
 func releaseText(r ReleaseState) string {
-	return fmt.Sprintf("release id=%s engine=%s n=%d cut=%s since=%s limit=%t", r.ID, r.Engine, r.Attempt, num(r.AttemptCutAt),
+	return fmt.Sprintf("release id=%s engine=%s n=%d cut=%s since=%s limit=%t", r.ID, r.Engine, r.Attempt, num(r.InterruptedAt),
 		num(r.HeldSince), r.AtLimit)
 }
 
@@ -399,7 +399,7 @@
 			num(v.ClientTimeLeft), num(v.PromptTokens), num(v.MaxOutputTokens))
 	case scheduler.Outcome:
 		return fmt.Sprintf("outcome id=%s n=%d engine=%s status=%s info=%d spent=%s closed=%t report=%s", v.ID, v.Attempt, v.Engine,
-			statusWord(v.Status), v.Info, num(v.Spent), v.Closed, reportText(v.Report))
+			statusWord(v.Status), v.Info, num(v.Spent), v.RequestEnded, reportText(v.Report))
 	case scheduler.FirstToken:
 		return fmt.Sprintf("first id=%s n=%d engine=%s spent=%s", v.ID, v.Attempt, v.Engine, num(v.Spent))
 	case scheduler.ClientDisconnected:
--- a/internal/decide/requesttable/heldstate.go
+++ b/internal/decide/requesttable/heldstate.go
@@ -85,9 +85,9 @@
 	t.scheduleStateCheck(now, check.ID, record)
 }
 
-// enforceLimit takes the action that staterelease.AtLimit returns for held states that are due.
+// enforceLimit takes the action that staterelease.ActionAtLimit returns for held states that are due.
 func (t *Table) enforceLimit(now float64, id string, record *requestRecord, delivered Deliveries) {
-	switch staterelease.AtLimit(record.progress(delivered), record.state.isHeld()) {
+	switch staterelease.ActionAtLimit(record.progress(delivered), record.state.isHeld()) {
 	case staterelease.Wait:
 		record.hold.heldSince = now
 	case staterelease.Cancel:
@@ -137,10 +137,10 @@
 // issueAtLimit issues a release at its limit, and records it if a decode attempt in flight may be waiting for the state.
 func (t *Table) issueAtLimit(record *requestRecord, release ReleaseState) {
 	release.AtLimit = true
-	release.Ended = record.lastUnanswered
+	release.LastUnanswered = record.lastUnanswered
 	record.hold.repeatAt = 0
 	if record.decodeInFlight() {
-		release.Ended = EndedAttempt{} // the follow-up calls are made after the end of the decode attempt instead
+		release.LastUnanswered = UnansweredAttempt{} // the follow-up calls are made after the end of the decode attempt instead
 		record.releaseDuringDecode = &release
 	}
 	t.issue(release)
@@ -167,7 +167,7 @@
 	}
 	record.hold.repeatAt = 0
 	release := *record.releaseDuringDecode
-	release.Again = true
+	release.Repeated = true
 	t.issue(release)
 }
 
@@ -181,8 +181,8 @@
 
 // attemptsWaitFor reports whether the host delays every attempt in flight until the call of a release has been made.
 func (r *requestRecord) attemptsWaitFor(now float64, release ReleaseState) bool {
-	attemptEnd := staterelease.AttemptEnd{At: release.Ended.At}
-	if r.state.isHeld() || !attemptEnd.AttemptsWait(now) {
+	attemptEnd := staterelease.AttemptEnd{At: release.LastUnanswered.At}
+	if r.state.isHeld() || !attemptEnd.AttemptsMustWait(now) {
 		return false
 	}
 	startedBefore := func(a attempt) bool { return a.isInFlight() && a.sentAt < attemptEnd.At }
--- a/internal/decide/requesttable/heldstate_test.go
+++ b/internal/decide/requesttable/heldstate_test.go
@@ -180,7 +180,7 @@
 	for _, acknowledged := range []bool{true, false} {
 		h := newHeldStateHarness(true, idempotent)
 		h.end(h.send("r0", true), writtenCancel)
-		if len(h.releases) != 1 || h.releases[0].AttemptCutAt == 0 {
+		if len(h.releases) != 1 || h.releases[0].InterruptedAt == 0 {
 			t.Fatalf("got %+v, want one release for the interrupted attempt", h.releases)
 		}
 		release := h.releases[0]
--- a/internal/decide/requesttable/record.go
+++ b/internal/decide/requesttable/record.go
@@ -23,7 +23,7 @@
 	state          heldState
 	hold           holdTime
 	deferred       deferredReleases
-	lastUnanswered EndedAttempt // the latest attempt that ended without a response; zero once a response has begun
+	lastUnanswered UnansweredAttempt // the latest attempt that ended without a response; zero once a response has begun
 
 	// releaseDuringDecode is the release that was made at the limit while decode attempts were in flight, and that may therefore have freed
 	// nothing. nil = there was none, or none of these attempts is in flight any more.
--- a/internal/decide/requesttable/releaseduringdecode_test.go
+++ b/internal/decide/requesttable/releaseduringdecode_test.go
@@ -52,7 +52,7 @@
 				h.advanceTo(h.now + 6)
 				h.releases = nil
 				end(h, decode)
-				if len(h.releases) != 1 || h.releases[0].Engine != "r0" || !h.releases[0].Again || h.releases[0].HeldSince != h.now {
+				if len(h.releases) != 1 || h.releases[0].Engine != "r0" || !h.releases[0].Repeated || h.releases[0].HeldSince != h.now {
 					t.Errorf("%s, one call frees all %v, class %d: got %+v, want the release repeated", name, freesAll, class, h.releases)
 				}
 			}
@@ -163,7 +163,7 @@
 	h.send("r1", true)
 	h.advanceTo(h.now + 0.2)
 	h.end(first, writtenCancel)
-	release := ReleaseState{ID: "a", Engine: "r0", HeldSince: h.now, Ended: EndedAttempt{Engine: "r0", At: h.now}}
+	release := ReleaseState{ID: "a", Engine: "r0", HeldSince: h.now, LastUnanswered: UnansweredAttempt{Engine: "r0", At: h.now}}
 	if h.table.ReleaseAllowed(h.now+0.03, release) {
 		t.Error("a call is allowed during a prefill that started earlier")
 	}
@@ -177,7 +177,7 @@
 	h.end(h.send("w0", true), writtenCancel)
 	h.send("w1", true)
 	h.advanceTo(h.now + releaseLimit)
-	if len(h.releases) != 1 || h.releases[0].Ended.At != 0 {
+	if len(h.releases) != 1 || h.releases[0].LastUnanswered.At != 0 {
 		t.Errorf("got %+v, want one release without an ended attempt", h.releases)
 	}
 }
--- a/internal/decide/requesttable/releases.go
+++ b/internal/decide/requesttable/releases.go
@@ -16,11 +16,11 @@
 		record.state = heldState{engine: a.engine, attempt: a.number}
 	case class.MayHoldState, t.mayHoldOwnPrefill(a, class):
 		t.releaseOrDefer(record, ReleaseState{
-			ID:           id,
-			Engine:       a.engine,
-			Attempt:      a.number,
-			AttemptCutAt: now,
-			Ended:        EndedAttempt{Engine: a.engine, At: now},
+			ID:             id,
+			Engine:         a.engine,
+			Attempt:        a.number,
+			InterruptedAt:  now,
+			LastUnanswered: UnansweredAttempt{Engine: a.engine, At: now},
 		})
 	case record.state.isHeld() && a.fetches(record.state) && stateIsGone(class):
 		// If the decode engine found no state, it may have lost it itself, so the prefill engine may still hold the state.
@@ -72,15 +72,15 @@
 // no attempt is in flight and no state is needed.
 func (t *Table) releaseOrDefer(record *requestRecord, release ReleaseState) {
 	if release.HeldSince == 0 {
-		release.HeldSince = max(record.hold.limitStart(), release.AttemptCutAt)
+		release.HeldSince = max(record.hold.limitStart(), release.InterruptedAt)
 	}
-	if release.Ended.At < record.lastUnanswered.At {
-		release.Ended = record.lastUnanswered
+	if release.LastUnanswered.At < record.lastUnanswered.At {
+		release.LastUnanswered = record.lastUnanswered
 	}
 	switch {
 	case !t.config.ReleaseFreesAllStates:
 		t.issue(release)
-	case release.AttemptCutAt > 0 || release.Acknowledged:
+	case release.InterruptedAt > 0 || release.Acknowledged:
 		if earlier := record.deferred.interruptedAttempt; earlier != nil && !earlier.Acknowledged {
 			release.Acknowledged = false
 		}
@@ -99,7 +99,7 @@
 	release := *record.releaseDuringDecode
 	release.HeldSince = now
 	release.AtLimit = false
-	release.Again = true
+	release.Repeated = true
 	if !record.decodeInFlight() {
 		record.clearReleaseDuringDecode()
 	}
--- a/internal/decide/requesttable/releases_test.go
+++ b/internal/decide/requesttable/releases_test.go
@@ -46,7 +46,7 @@
 	done := outcome.Evidence{Progress: outcome.Streaming, Cause: outcome.ResponseComplete, ResponseKind: outcome.DecodeDone}
 	table.AttemptEnded(1.5, "a", n, done, nil)
 	releases := commandsOf[ReleaseState](table)
-	if len(releases) != 1 || releases[0].Engine != "r0" || releases[0].AttemptCutAt != 1.1 {
+	if len(releases) != 1 || releases[0].Engine != "r0" || releases[0].InterruptedAt != 1.1 {
 		t.Fatalf("got %v, want one release at r0 of the attempt that was interrupted at 1.1", releases)
 	}
 }
@@ -101,7 +101,7 @@
 	table.Drain()
 	table.AttemptEnded(1.1, "a", 0, writtenCancel, nil)
 	interrupted := commandsOf[ReleaseState](table)
-	if len(interrupted) != 1 || interrupted[0].AttemptCutAt != 1.1 {
+	if len(interrupted) != 1 || interrupted[0].InterruptedAt != 1.1 {
 		t.Fatalf("got %v, want one release of the attempt that was interrupted at 1.1", interrupted)
 	}
 	table.Apply(1.1, scheduler.Send{ID: "a", Engine: "r1"})
@@ -116,7 +116,7 @@
 	table.Apply(1.45, scheduler.Release{ID: "a"})
 	table.Apply(1.45, scheduler.Send{ID: "a", Engine: "w0"})
 	releases := commandsOf[ReleaseState](table)
-	if len(releases) == 0 || releases[0].AttemptCutAt != 0 || releases[0].Engine != "r1" {
+	if len(releases) == 0 || releases[0].InterruptedAt != 0 || releases[0].Engine != "r1" {
 		t.Fatalf("got %v, want the state at r1 released at once", releases)
 	}
 }
--- a/internal/decide/requesttable/strictengines_test.go
+++ b/internal/decide/requesttable/strictengines_test.go
@@ -69,7 +69,7 @@
 			Deadline:  h.now + releaseLimit,
 			AnyEngine: true,
 			Allowed:   releaseLimit,
-			End:       staterelease.AttemptEnd{At: release.Ended.At},
+			End:       staterelease.AttemptEnd{At: release.LastUnanswered.At},
 		}})
 	}
 	var left []releaseCalls
--- a/internal/decide/requesttable/table.go
+++ b/internal/decide/requesttable/table.go
@@ -53,11 +53,11 @@
 	Classes         []scheduler.Class
 	MaxOpenRequests int
 	MaxAttempts     int // for one request
-	// UnsentAttemptsAreFree excludes attempts that ended before their request was written from the count against
+	// ExemptUnsentAttempts excludes attempts that ended before their request was written from the count against
 	// MaxAttempts. At most MaxAttempts of them are excluded.
-	UnsentAttemptsAreFree bool
-	ResponseSlack         float64 // seconds after a client's deadline at which the table itself responds
-	DrainGrace            float64 // seconds after which nothing is sent to an engine that is draining or removed
+	ExemptUnsentAttempts bool
+	ResponseSlack        float64 // seconds after a client's deadline at which the table itself responds
+	DrainGrace           float64 // seconds after which nothing is sent to an engine that is draining or removed
 	// StateReleaseLimit is the longest time for which a state may be held without being used (rule 5), in seconds; 0 = no limit.
 	StateReleaseLimit float64
 	// ReleaseFreesAllStates means that one release call frees every state that any engine holds for the request. Such a
@@ -205,7 +205,7 @@
 }
 
 // withReason appends the scheduler's reason to a text for the client.
-func withReason(text string, reason scheduler.GiveUpReason) string {
+func withReason(text string, reason scheduler.FailureReason) string {
 	if reason == "" {
 		return text
 	}
--- a/internal/decide/staterelease/attemptend.go
+++ b/internal/decide/staterelease/attemptend.go
@@ -43,20 +43,20 @@
 	return at, true, at <= e.At+delayedCallTime
 }
 
-// AttemptWait returns how long the next attempt of the request waits at most for a release that starts now (s). It waits for the call
+// MaxAttemptDelay returns how long the next attempt of the request waits at most for a release that starts now (s). It waits for the call
 // that is made once the engine can have noticed the end, because that call would also release the state of the next attempt. An earlier
 // call is not enough: it may have reached the engine before the end did.
-func (e AttemptEnd) AttemptWait(now float64) float64 {
+func (e AttemptEnd) MaxAttemptDelay(now float64) float64 {
 	return max(0, e.At+canceledAttemptDelay-now) + ReleaseLeadTime
 }
 
-// SettleCallAhead reports whether the call that follows once the engine can have noticed the end has yet to be made.
-func (e AttemptEnd) SettleCallAhead(now float64) bool {
+// FollowUpCallPending reports whether the call that follows once the engine can have noticed the end has yet to be made.
+func (e AttemptEnd) FollowUpCallPending(now float64) bool {
 	return e.At > 0 && now < e.At+canceledAttemptDelay
 }
 
-// AttemptsWait reports whether attempts that started after the end still wait for a release call.
-func (e AttemptEnd) AttemptsWait(now float64) bool {
+// AttemptsMustWait reports whether attempts that started after the end must still wait for a release call.
+func (e AttemptEnd) AttemptsMustWait(now float64) bool {
 	return e.At > 0 && now < e.At+canceledAttemptDelay+ReleaseLeadTime
 }
 
--- a/internal/decide/staterelease/limit.go
+++ b/internal/decide/staterelease/limit.go
@@ -43,12 +43,12 @@
 	return "unknown"
 }
 
-// AtLimit returns what is done when a state is due for release. fetchable means that an attempt in flight may be there to fetch the
+// ActionAtLimit returns what is done when a state is due for release. fetchable means that an attempt in flight may be there to fetch the
 // state. The class of the request and possible actions of the scheduler don't matter: nothing else has used the state in time.
 //
 // The state of a silent attempt is released although the attempt may have reached a slow engine. Data received from the engine, the
 // connection that it came over and its order do not prove that the attempt arrived (docs/incidents/held-states-2026-12.md).
-func AtLimit(progress Progress, fetchable bool) Action {
+func ActionAtLimit(progress Progress, fetchable bool) Action {
 	switch {
 	case progress == Responding:
 		return Wait
--- a/internal/decide/staterelease/staterelease_test.go
+++ b/internal/decide/staterelease/staterelease_test.go
@@ -206,7 +206,7 @@
 		{Silent, false, Release},
 		{Responding, false, Wait},
 	} {
-		if got := AtLimit(c.progress, c.fetchable); got != c.want {
+		if got := ActionAtLimit(c.progress, c.fetchable); got != c.want {
 			t.Errorf("progress %d, fetchable %v: got %v, want %v", c.progress, c.fetchable, got, c.want)
 		}
 	}
--- a/internal/discovery/consul_test.go
+++ b/internal/discovery/consul_test.go
@@ -28,7 +28,7 @@
 	t.Cleanup(func() { s.Stop() })
 	s.SetInstances(instances(ids...))
 	c := testParser(t).Config
-	c.Engines = config.Engines{Consul: s.Address(), Service: "engines", Wait: 0.2}
+	c.Engines = config.Engines{Consul: s.Address(), Service: "engines", MaxWait: 0.2}
 	lists, problems, err := follow(t, c, "")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -79,14 +79,14 @@
 		f.source = &consulSource{
 			address: engines.Consul,
 			service: engines.Service,
-			wait:    seconds(engines.Wait),
+			wait:    seconds(engines.MaxWait),
 			parser:  f.parser,
 			clock:   o.Clock,
 			poller:  endpoints.NewPoller(o.Random),
 		}
 		return nil
 	}
-	file := &fileSource{path: engines.File, interval: seconds(engines.Poll), parser: f.parser}
+	file := &fileSource{path: engines.File, interval: seconds(engines.PollInterval), parser: f.parser}
 	list, _, err := file.read()
 	if err != nil && len(f.view.Snapshot(0).Endpoints) == 0 {
 		return err
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -47,7 +47,7 @@
 		}
 	}
 	c := testParser(t).Config
-	c.Engines.File, c.Engines.Poll = path, 0.02
+	c.Engines.File, c.Engines.PollInterval = path, 0.02
 	if _, _, err := follow(t, c, ""); !os.IsNotExist(err) {
 		t.Fatal(err)
 	}
--- a/internal/discovery/saved_test.go
+++ b/internal/discovery/saved_test.go
@@ -12,7 +12,7 @@
 	dir := t.TempDir()
 	path, saved := filepath.Join(dir, "l.json"), filepath.Join(dir, "saved.json")
 	c := testParser(t).Config
-	c.Engines.File, c.Engines.Poll = path, 0.02
+	c.Engines.File, c.Engines.PollInterval = path, 0.02
 	engine := `{"id":"a","address":"h:1","kind":"d","cell":"y","zone":"zb","state":"draining","boot_time":7}`
 	if err := ReplaceFile(path, []byte(`{"engines":[`+engine+`]}`)); err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 	dir := t.TempDir()
 	path, state := filepath.Join(dir, "l.json"), filepath.Join(dir, "state")
 	c := testParser(t).Config
-	c.Engines.File, c.Engines.Poll = path, 0.02
+	c.Engines.File, c.Engines.PollInterval = path, 0.02
 	if err := ReplaceFile(path, []byte(`{"engines":[{"id":"a","address":"h:1","kind":"d"}]}`)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -38,7 +38,7 @@
 	start := time.Now()
 	result.Evidence.Progress = outcome.Connecting
 	conn, err := a.Dial(func(ctx context.Context) (*http1.ClientConn, error) {
-		return a.Client.Pool.Get(ctx, a.Address, min(a.Client.Connect, a.Timeout))
+		return a.Client.Pool.Get(ctx, a.Address, min(a.Client.ConnectTimeout, a.Timeout))
 	})
 	if err != nil {
 		result.Err, result.Evidence.Cause = err, a.CauseOf(err, outcome.ConnectionBroken)
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -15,12 +15,12 @@
 
 // Client sends attempts to engines. It is safe for concurrent use.
 type Client struct {
-	Pool     *http1.Pool
-	Node     string               // node's name in the Via header field
-	Key      string               // bearer key for the engines; "" = none
-	Connect  time.Duration        // timeout for making a connection
-	Stall    func() time.Duration // returns the time without an event after which a stream counts as broken; called for each event
-	MaxEvent int                  // maximum size of one event, in bytes
+	Pool           *http1.Pool
+	Node           string               // node's name in the Via header field
+	Key            string               // bearer key for the engines; "" = none
+	ConnectTimeout time.Duration        // timeout for making a connection
+	StallTimeout   func() time.Duration // returns the time without an event after which a stream counts as broken; called for each event
+	MaxEvent       int                  // maximum size of one event, in bytes
 }
 
 // maxResponse bounds responses of engines that are not streamed (states, errors), in bytes.
@@ -72,7 +72,7 @@
 // Release releases a prefilled state by POST /v1/kv/release, an extension of this project. Engines that lack it respond with 404 and
 // free the state after their own timeout.
 func (client *Client) Release(address, id string, attempt int, _ time.Duration) error {
-	conn, err := client.Pool.Get(context.Background(), address, client.Connect)
+	conn, err := client.Pool.Get(context.Background(), address, client.ConnectTimeout)
 	if err != nil {
 		return err
 	}
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -50,8 +50,8 @@
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 			io.Copy(io.Discard, c)
 		}()
-		cl := &Client{Pool: &http1.Pool{Limits: http1.DefaultLimits}, Connect: time.Second, MaxEvent: 1 << 20,
-			Stall: func() time.Duration { return 5 * time.Second }}
+		cl := &Client{Pool: &http1.Pool{Limits: http1.DefaultLimits}, ConnectTimeout: time.Second, MaxEvent: 1 << 20,
+			StallTimeout: func() time.Duration { return 5 * time.Second }}
 		a := &Attempt{Client: cl, Address: l.Addr().String(), Body: []byte("{}"), Timeout: 5 * time.Second}
 		s := &sink{}
 		if r := a.Decode(s); s.sent != 3 || r.Evidence.Cause == outcome.ResponseComplete || r.Evidence.Progress != outcome.Streaming {
--- a/internal/engine/release_test.go
+++ b/internal/engine/release_test.go
@@ -24,7 +24,7 @@
 		http.StatusServiceUnavailable:  false,
 	} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
-		client := &Client{Pool: &http1.Pool{Limits: http1.DefaultLimits}, Connect: time.Second}
+		client := &Client{Pool: &http1.Pool{Limits: http1.DefaultLimits}, ConnectTimeout: time.Second}
 		err := client.Release(server.Listener.Addr().String(), "a", 1, time.Second)
 		var refused *ReleaseError
 		if done != (err == nil) || !done && (!errors.As(err, &refused) || refused.Status != status) {
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -52,7 +52,7 @@
 func (a *Attempt) forwardEvents(conn *http1.ClientConn, events *http1.EventReader, sink Sink) (outcome.Cause, error) {
 	var deadlineMovedAt time.Time
 	for {
-		stall := a.Client.Stall()
+		stall := a.Client.StallTimeout()
 		if now := time.Now(); now.Sub(deadlineMovedAt) > stall/stallDeadlineShare {
 			deadlineMovedAt = now
 			conn.SetDeadline(now.Add(stall))
--- a/internal/http1/clientconn.go
+++ b/internal/http1/clientconn.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// ClientConn is a connection to a server. Only one goroutine may use it, except for Close and ReadOnFor, which any goroutine may call.
+// ClientConn is a connection to a server. Only one goroutine may use it, except for Close and FinishWithin, which any goroutine may call.
 type ClientConn struct {
 	address   string
 	pool      *Pool
@@ -25,7 +25,7 @@
 	deadline  time.Time // of reads and writes, as set by SetDeadline; zero = none
 
 	deadlineMu    sync.Mutex // guards finalDeadline and the order in which deadlines are set
-	finalDeadline time.Time  // no later deadline can be set; zero = ReadOnFor was not called
+	finalDeadline time.Time  // no later deadline can be set; zero = FinishWithin was not called
 
 	readPastDeadline int // bytes read after finalDeadline
 	// Reused states that the connection carried an exchange before.
@@ -91,7 +91,7 @@
 	c.Close()
 }
 
-// SetDeadline sets the deadline of reads and writes; the zero time removes it. It cannot extend the limit set by ReadOnFor.
+// SetDeadline sets the deadline of reads and writes; the zero time removes it. It cannot extend the limit set by FinishWithin.
 func (c *ClientConn) SetDeadline(t time.Time) {
 	c.deadline = t
 	c.deadlineMu.Lock()
@@ -102,16 +102,16 @@
 	c.netConn.SetDeadline(t)
 }
 
-// Within sets the deadline of reads and writes to d from now, unless an earlier deadline is set.
-func (c *ClientConn) Within(d time.Duration) {
+// LimitDeadline sets the deadline of reads and writes to d from now, unless an earlier deadline is set.
+func (c *ClientConn) LimitDeadline(d time.Duration) {
 	if deadline := time.Now().Add(d); c.deadline.IsZero() || deadline.Before(c.deadline) {
 		c.SetDeadline(deadline)
 	}
 }
 
-// ReadOnFor limits the remaining use of the connection to d; the connection is not reused afterwards. Bytes that have arrived, or that
+// FinishWithin limits the remaining use of the connection to d; the connection is not reused afterwards. Bytes that have arrived, or that
 // arrive within d, can still be read. Later calls have no effect. Any goroutine may call it.
-func (c *ClientConn) ReadOnFor(d time.Duration) {
+func (c *ClientConn) FinishWithin(d time.Duration) {
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
 	if c.finalDeadline.IsZero() {
@@ -120,7 +120,7 @@
 	}
 }
 
-// isFinishing reports whether ReadOnFor was called.
+// isFinishing reports whether FinishWithin was called.
 func (c *ClientConn) isFinishing() bool {
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
--- a/internal/http1/drain.go
+++ b/internal/http1/drain.go
@@ -29,7 +29,7 @@
 
 // drainIdleRemaining returns how long a draining server still waits for a request on an idle connection.
 func (s *Server) drainIdleRemaining() time.Duration {
-	if !s.Timeouts.DrainKeep {
+	if !s.Timeouts.KeepAliveWhileDraining {
 		return orElse(s.Timeouts.DrainIdle, defaultDrainIdle)
 	}
 	return max(time.Millisecond, time.Duration(s.idleDeadline.Load()-sinceStart()))
@@ -37,5 +37,5 @@
 
 // closesConnections reports whether connections close after their current response.
 func (s *Server) closesConnections() bool {
-	return s.draining.Load() && (!s.Timeouts.DrainKeep || sinceStart() >= s.idleDeadline.Load())
+	return s.draining.Load() && (!s.Timeouts.KeepAliveWhileDraining || sinceStart() >= s.idleDeadline.Load())
 }
--- a/internal/http1/pool_reuse_test.go
+++ b/internal/http1/pool_reuse_test.go
@@ -91,15 +91,15 @@
 	}
 }
 
-// After ReadOnFor a connection still returns the bytes that have arrived, its reads fail after the given time, and the pool does not
+// After FinishWithin a connection still returns the bytes that have arrived, its reads fail after the given time, and the pool does not
 // reuse it.
-func TestReadOnForDeliversWhatHadArrived(t *testing.T) {
+func TestFinishWithinDeliversWhatHadArrived(t *testing.T) {
 	p := &Pool{MaxIdle: 2, IdleTimeout: time.Minute, Limits: DefaultLimits}
 	defer p.Close()
 	c, peer := dialedConn(t, p)
 	c.SetDeadline(time.Now().Add(time.Minute))
 	io.WriteString(peer, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhalf")
-	c.ReadOnFor(200 * time.Millisecond)
+	c.FinishWithin(200 * time.Millisecond)
 	c.SetDeadline(time.Now().Add(time.Minute)) // must not extend the limit
 	resp, err := c.ReadResponse()
 	if err != nil {
@@ -114,8 +114,8 @@
 	}
 	d, _ := dialedConn(t, p)
 	start := time.Now()
-	d.ReadOnFor(20 * time.Millisecond)
-	if err := d.Await(); err == nil || time.Since(start) > 5*time.Second {
+	d.FinishWithin(20 * time.Millisecond)
+	if err := d.AwaitResponse(); err == nil || time.Since(start) > 5*time.Second {
 		t.Errorf("got %v after %v, want a timeout", err, time.Since(start))
 	}
 }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -53,8 +53,8 @@
 	return nil, newError(502, "too many interim responses")
 }
 
-// Await waits for the first byte of a response, which stays buffered.
-func (c *ClientConn) Await() error {
+// AwaitResponse waits for the first byte of a response, which stays buffered.
+func (c *ClientConn) AwaitResponse() error {
 	_, err := c.buffered.Peek(1)
 	return err
 }
--- a/internal/http1/timeouts.go
+++ b/internal/http1/timeouts.go
@@ -14,9 +14,9 @@
 	EvictableAfter time.Duration // idle time after which a connection may be evicted; 0 = defaultEvictableAfter
 	Write          time.Duration // for one write; a client that reads more slowly counts as disconnected
 	// A draining server continues to accept for DrainAccept and to read idle connections for DrainIdle; 0 = the defaults below. With
-	// DrainKeep, connections stay in use until DrainIdle has passed; without it, each closes after its next response.
+	// KeepAliveWhileDraining, connections stay in use until DrainIdle has passed; without it, each closes after its next response.
 	DrainAccept, DrainIdle time.Duration
-	DrainKeep              bool
+	KeepAliveWhileDraining bool
 	Rejection              time.Duration // for the first byte of a connection over the limit; 0 = defaultRejectionFirstByte
 	Linger                 time.Duration // how long a closing connection is still read, so that its response is not lost; 0 = defaultLinger
 }
@@ -31,7 +31,7 @@
 
 // AcceptsFor returns the time from the start of a drain after which no further request can arrive.
 func (t Timeouts) AcceptsFor() time.Duration {
-	if t.DrainKeep {
+	if t.KeepAliveWhileDraining {
 		return max(t.DrainAccept, t.DrainIdle)
 	}
 	return orElse(t.DrainAccept, defaultDrainAccept) + orElse(t.DrainIdle, defaultDrainIdle)
--- a/internal/node/chat.go
+++ b/internal/node/chat.go
@@ -62,14 +62,14 @@
 // newEngineClient returns the client for the engines. Its stall limit follows the current settings.
 func (c *ChatNode) newEngineClient(cfg *config.Config) *engine.Client {
 	return &engine.Client{
-		Node:     cfg.Node.Name,
-		Key:      cfg.Engines.Key,
-		Connect:  seconds(cfg.Limits.Connect),
-		Stall:    func() time.Duration { return seconds(c.Config().Limits.Stall) },
-		MaxEvent: cfg.Limits.MaxEvent,
+		Node:           cfg.Node.Name,
+		Key:            cfg.Engines.Key,
+		ConnectTimeout: seconds(cfg.Limits.ConnectTimeout),
+		StallTimeout:   func() time.Duration { return seconds(c.Config().Limits.StallTimeout) },
+		MaxEvent:       cfg.Limits.MaxEvent,
 		Pool: &http1.Pool{
 			MaxIdle:     cfg.Limits.EngineIdleConns,
-			IdleTimeout: seconds(cfg.Limits.EngineIdle),
+			IdleTimeout: seconds(cfg.Limits.EngineIdleTimeout),
 			Limits:      http1.DefaultLimits,
 		},
 	}
@@ -81,19 +81,19 @@
 		scheduler:    cfg.Scheduler(),
 		table:        chatTableConfig(cfg),
 		tick:         cfg.Tick,
-		maxHeldBytes: cfg.Limits.MaxHeld,
+		maxHeldBytes: cfg.Limits.MaxBufferedBody,
 		limits:       http1.DefaultLimits,
 		overload: overload.Limits{
 			Descriptors:   cfg.Limits.Descriptors,
 			Connections:   cfg.Limits.MaxConnections,
-			Bytes:         cfg.Limits.MaxHeld,
+			Bytes:         cfg.Limits.MaxBufferedBody,
 			ResponseSlack: cfg.Rules.AnswerSlack,
 		},
 		timeouts: http1.Timeouts{
-			Head:  seconds(cfg.Limits.Head),
-			Body:  seconds(cfg.Limits.Body),
-			Idle:  seconds(cfg.Limits.Idle),
-			Write: seconds(cfg.Limits.Write),
+			Head:  seconds(cfg.Limits.HeadTimeout),
+			Body:  seconds(cfg.Limits.BodyTimeout),
+			Idle:  seconds(cfg.Limits.IdleTimeout),
+			Write: seconds(cfg.Limits.WriteTimeout),
 		},
 	}
 	h.limits.Body = cfg.Limits.MaxBody
--- a/internal/node/chat_test.go
+++ b/internal/node/chat_test.go
@@ -26,7 +26,7 @@
 	for i := range 20 {
 		request := harness.newRequest([]string{"chat", "commit"}[i%2], 5+i)
 		request.NoStream = i%3 == 0
-		if result := harness.send(request); result.Outcome != record.Served || !result.OK {
+		if result := harness.send(request); result.Outcome != record.Served || !result.TextCorrect {
 			t.Fatalf("request %d: got %+v, want an exact response", i, result)
 		}
 	}
@@ -45,10 +45,10 @@
 				request := harness.newRequest("commit", tokens)
 				request.NoStream = unstreamed
 				result := harness.send(request)
-				if result.Outcome != record.Failed || result.Retry || !result.OK && result.Events > 0 {
+				if result.Outcome != record.Failed || result.RetryHarmless || !result.TextCorrect && result.Events > 0 {
 					t.Fatalf("got %+v, want a failure that does not declare a retry safe", result)
 				}
-				if n := harness.countRecords(record.Run, request.Mark.Operation); n != 1 {
+				if n := harness.countRecords(record.EffectStarted, request.Mark.Operation); n != 1 {
 					t.Fatalf("ran %d times, want 1", n)
 				}
 				harness.requireNoViolations()
@@ -62,7 +62,7 @@
 	cut := 0
 	harness.fleet.Engine("decode-1").SetFaults(emulator.Faults{CloseAfter: &cut})
 	for range 8 { // a request that was cut off before its first token is served by another engine
-		if result := harness.send(harness.newRequest("chat", 5)); result.Outcome != record.Served || !result.OK {
+		if result := harness.send(harness.newRequest("chat", 5)); result.Outcome != record.Served || !result.TextCorrect {
 			t.Fatalf("got %+v, want it served", result)
 		}
 	}
@@ -119,7 +119,7 @@
 	harness := newChatHarness(t, emulators(2, 1, 0, nil), withLimits(map[string]any{"max_attempts": 8}))
 	harness.fleet.Engine("prefill-1").SetFaults(emulator.Faults{LoseStates: true})
 	for range 4 {
-		if result := harness.send(harness.newRequest("commit", 4)); result.Outcome != record.Served || !result.OK {
+		if result := harness.send(harness.newRequest("commit", 4)); result.Outcome != record.Served || !result.TextCorrect {
 			t.Fatalf("got %+v, want the lost state prefilled again and the request served", result)
 		}
 	}
@@ -131,7 +131,7 @@
 	long := emulator.Faults{StallAfter: 3, StallSeconds: 30}
 	harness := newChatHarness(t, emulators(1, 1, 0, nil), withLimits(map[string]any{"stall_s": 1.5}))
 	harness.fleet.Engine("decode-1").SetFaults(short) // longer than the token objective, shorter than the limit
-	if result := harness.send(harness.newRequest("chat", 6)); result.Outcome != record.Served || !result.OK {
+	if result := harness.send(harness.newRequest("chat", 6)); result.Outcome != record.Served || !result.TextCorrect {
 		t.Fatalf("stall within the limit: got %+v, want it served", result)
 	}
 	harness.fleet.Engine("decode-1").SetFaults(long)
@@ -150,7 +150,7 @@
 			for i := range 6 {
 				request := harness.newRequest([]string{"chat", "commit"}[i%2], 5)
 				result := harness.send(request)
-				if request.Model == "chat" && name != "half close" && (result.Outcome != record.Served || !result.OK) {
+				if request.Model == "chat" && name != "half close" && (result.Outcome != record.Served || !result.TextCorrect) {
 					t.Fatalf("idempotent request: got %+v, want it served by another engine", result)
 				}
 				if result.Outcome != record.Served && result.Outcome != record.Failed {
@@ -171,7 +171,7 @@
 		}
 	}
 	harness.fleet.Engine("decode-2").SetFaults(emulator.Faults{RejectStatus: 422})
-	if result := harness.send(harness.newRequest("commit", 4)); result.Status != 422 || result.Retry {
+	if result := harness.send(harness.newRequest("commit", 4)); result.Status != 422 || result.RetryHarmless {
 		t.Fatalf("rejected by two engines: got %+v, want status 422 without a safe retry", result)
 	}
 	harness.requireNoViolations()
@@ -239,7 +239,7 @@
 	harness.node.Shutdown(300 * time.Millisecond)
 	wg.Wait()
 	for _, x := range harness.log.All() {
-		if x.Kind == record.FinalResponse && x.Outcome == record.Cut {
+		if x.Kind == record.FinalResponse && x.Outcome == record.ConnectionLost {
 			t.Errorf("%s was cut (%s), want a final response", x.Op, x.Note)
 		}
 	}
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -58,7 +58,7 @@
 	disconnectedAt := unixNow()
 	time.Sleep(500 * time.Millisecond)
 	for _, x := range h.log.All() {
-		if x.Kind == record.Arrive && x.Op == request.Operation && x.T > disconnectedAt+0.1 {
+		if x.Kind == record.AttemptArrived && x.Op == request.Operation && x.T > disconnectedAt+0.1 {
 			h.t.Errorf("got an attempt at %s %.3f s after the client disconnected, want none from 0.1 s on", x.Engine,
 				x.T-disconnectedAt)
 		}
--- a/internal/node/disconnect_phases_test.go
+++ b/internal/node/disconnect_phases_test.go
@@ -67,7 +67,7 @@
 // lastArrival returns when the latest attempt of an operation arrived at an engine (Unix time in s); 0 = none did.
 func (h *relayHarness) lastArrival(op string) (at float64) {
 	for _, x := range h.log.All() {
-		if x.Kind == record.Arrive && x.Op == op {
+		if x.Kind == record.AttemptArrived && x.Op == op {
 			at = max(at, x.T)
 		}
 	}
@@ -120,7 +120,7 @@
 			if at := harness.lastArrival(request.Operation); at > disconnectedAt+0.1 {
 				t.Errorf("got an attempt %.3f s after the client disconnected, want none from 0.1 s on", at-disconnectedAt)
 			}
-			if n := harness.countRecords(record.Run, request.Operation); n != 1 {
+			if n := harness.countRecords(record.EffectStarted, request.Operation); n != 1 {
 				t.Errorf("ran %d times, want 1", n)
 			}
 			if took := unixNow() - disconnectedAt; took > 4 {
--- a/internal/node/engine_faults_test.go
+++ b/internal/node/engine_faults_test.go
@@ -44,7 +44,7 @@
 			if result.Duration > 5*time.Second {
 				t.Errorf("the stream ended after %v, want at most 5s", result.Duration)
 			}
-			if n := harness.countRecords(record.Run, request.Operation); n != 1 {
+			if n := harness.countRecords(record.EffectStarted, request.Operation); n != 1 {
 				t.Errorf("ran %d times, want 1", n)
 			}
 			harness.requireNoViolations()
--- a/internal/node/golden_relay_test.go
+++ b/internal/node/golden_relay_test.go
@@ -205,7 +205,7 @@
 	}{
 		{"commit", platform.InternalError}, {"commit", platform.Unavailable}, {"commit", platform.CloseBeforeResponse}, {"commit",
 			platform.MalformedHead},
-		{"commit", platform.NoiseForHead}, {"commit", platform.CloseMidStream}, {"commit", platform.MalformedChunkSize}, {"commit",
+		{"commit", platform.GarbageHead}, {"commit", platform.CloseMidStream}, {"commit", platform.MalformedChunkSize}, {"commit",
 			platform.ChunkSizeMismatch},
 		{"commit", platform.NoFinalEvent}, {"commit", platform.CloseInLastChunk}, {"chat", platform.CloseMidStream}, {"chat",
 			platform.MalformedChunkSize},
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -234,8 +234,8 @@
 // Addr returns the address of the listener for clients.
 func (n *Node) Addr() net.Addr { return n.addr }
 
-// Admin returns the address of the admin listener, or nil if there is none.
-func (n *Node) Admin() net.Addr { return n.adminAddr }
+// AdminAddr returns the address of the admin listener, or nil if there is none.
+func (n *Node) AdminAddr() net.Addr { return n.adminAddr }
 
 // Failed returns a channel that receives an error if the scheduler panics. The node has responded to every open request by then, and the
 // caller should stop it.
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return nil, err
 	}
-	engines := relay.NewEngines(cfg.Settings, cfg.Limits.Parts().Engines, o.dial)
+	engines := relay.NewEngines(cfg.Settings, cfg.Limits.Budget().Engines, o.dial)
 	n.front = relay.NewFront(cfg.Settings, engines, n.Ready, o.log)
 	n.engines = engines
 	l := o.listener
@@ -37,7 +37,7 @@
 	}
 	n.serveOn(l, false)
 	r := &RelayNode{Node: n}
-	r.discovery = relay.Follow(cfg.Discovery, cfg.Known, cfg.Settings, n.loop.clock, o.dial, n.updateEndpoints, o.log)
+	r.discovery = relay.Follow(cfg.Discovery, cfg.SavedList, cfg.Settings, n.loop.clock, o.dial, n.updateEndpoints, o.log)
 	n.endpoints = r.discovery
 	n.start()
 	return r, nil
@@ -49,7 +49,7 @@
 // relayHostConfig returns the configuration of the host.
 func relayHostConfig(cfg *relay.Config) hostConfig {
 	settings := cfg.Settings
-	budget := cfg.Limits.Parts()
+	budget := cfg.Limits.Budget()
 	rules := settings.Scheduler.Rules
 	responseSlack := rules.AnswerSlack + relay.SocketSlack.Seconds()/2
 	h := hostConfig{
@@ -62,7 +62,7 @@
 			Classes:               settings.Scheduler.Classes,
 			MaxOpenRequests:       budget.Clients,
 			MaxAttempts:           settings.Scheduler.Limits.MaxAttempts,
-			UnsentAttemptsAreFree: true,
+			ExemptUnsentAttempts:  true,
 			ResponseSlack:         responseSlack,
 			DrainGrace:            rules.DrainGrace,
 			StateReleaseLimit:     rules.StateReleaseLimit,
@@ -78,6 +78,6 @@
 		limits:         relay.RequestLimits,
 		rejectionQueue: budget.RejectionQueue,
 	}
-	h.scheduler.Limits.UnsentAttemptsAreFree = true // attempts count once their last byte was sent (PROTOCOL, nodes to engines)
+	h.scheduler.Limits.ExemptUnsentAttempts = true // attempts count once their last byte was sent (PROTOCOL, nodes to engines)
 	return h
 }
--- a/internal/node/relay_clients_test.go
+++ b/internal/node/relay_clients_test.go
@@ -20,7 +20,9 @@
 	request.ID = "00ff"
 	got := make(chan platform.Response, 1)
 	go func() { got <- harness.send(request) }()
-	harness.eventually("the first attempt is in flight", func() bool { return harness.countRecords(record.Arrive, request.Operation) == 1 })
+	harness.eventually("the first attempt is in flight", func() bool {
+		return harness.countRecords(record.AttemptArrived, request.Operation) == 1
+	})
 	if status := harness.sendRaw(request.Encode()); status != 409 {
 		t.Errorf("second request: got status %d, want 409", status)
 	}
@@ -30,7 +32,7 @@
 	if status := harness.sendRaw(request.Encode()); status != 409 {
 		t.Errorf("after the first has ended: got status %d, want 409", status)
 	}
-	if n := harness.countRecords(record.Arrive, request.Operation); n != 2 {
+	if n := harness.countRecords(record.AttemptArrived, request.Operation); n != 2 {
 		t.Errorf("got %d attempts, want 2", n)
 	}
 	harness.requireNoViolations()
@@ -82,7 +84,7 @@
 		}
 	}
 	for _, x := range harness.log.All() {
-		if x.Kind == record.Arrive || x.Kind == record.ExtraResponse {
+		if x.Kind == record.AttemptArrived || x.Kind == record.ExtraResponse {
 			t.Errorf("an invalid request reached an engine: %+v", x)
 		}
 	}
--- a/internal/node/relay_endpoints_test.go
+++ b/internal/node/relay_endpoints_test.go
@@ -88,7 +88,7 @@
 		harness.send(harness.newRequest("chat"))
 		last := 0.0
 		for _, x := range harness.log.All() {
-			if x.Kind == record.Arrive && x.Engine == "w0" {
+			if x.Kind == record.AttemptArrived && x.Engine == "w0" {
 				last = max(last, x.T)
 			}
 		}
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -36,7 +36,7 @@
 		ran   bool
 	}{
 		{platform.Rejection, false}, {platform.StateMissing, false}, {platform.InternalError, true}, {platform.Unavailable, true},
-		{platform.CloseBeforeResponse, true}, {platform.NoiseForHead, true}, {platform.MalformedHead, true}, {platform.EndlessHead, true},
+		{platform.CloseBeforeResponse, true}, {platform.GarbageHead, true}, {platform.MalformedHead, true}, {platform.EndlessHead, true},
 	} {
 		t.Run(string(c.fault), func(t *testing.T) {
 			harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write", "w1 write")
@@ -66,7 +66,7 @@
 	if result.Outcome != want && !(class == "chat" && result.Outcome == record.Rejected) {
 		h.t.Errorf("%s: got %+v, want %s", class, result, want)
 	}
-	if runs := h.countRecords(record.Run, request.Operation); class == "commit" && runs > 1 {
+	if runs := h.countRecords(record.EffectStarted, request.Operation); class == "commit" && runs > 1 {
 		h.t.Errorf("%s ran %d times, want at most 1", request.Operation, runs)
 	}
 }
@@ -89,7 +89,7 @@
 				false: 2 * time.Second}[f == platform.StallMidStream]; result.Duration > limit {
 				t.Errorf("the stream ended after %v, want at most %v", result.Duration, limit)
 			}
-			if n := harness.countRecords(record.Run, request.Operation); n != 1 {
+			if n := harness.countRecords(record.EffectStarted, request.Operation); n != 1 {
 				t.Errorf("ran %d times, want 1", n)
 			}
 			harness.requireNoViolations()
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -73,7 +73,7 @@
 	}
 	defer n.Stop()
 	request := platform.Request{Operation: "a", Class: "chat", Tenant: "branch", ResponseTokens: 4, Timeout: time.Second}
-	if result := p.Send(n.Addr().String(), request); result.Outcome == record.Cut || result.Duration > 2*time.Second {
+	if result := p.Send(n.Addr().String(), request); result.Outcome == record.ConnectionLost || result.Duration > 2*time.Second {
 		t.Errorf("got %+v, want a response within 2s", result)
 	}
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -62,18 +62,18 @@
 	}
 	harness.stopped = true
 	start, done := time.Now(), make(chan struct{})
-	go func() { defer close(done); harness.node.ShutdownBy(relay.StopBy(4), 10*time.Second) }()
+	go func() { defer close(done); harness.node.ShutdownBy(relay.ShutdownTimeout(4), 10*time.Second) }()
 	streamed := make(chan bool, 1)
 	go func() {
 		status, complete := earlyConn.send("b0", 100) // beyond the time at which requests without a response are ended
 		streamed <- status == 200 && complete
 	}()
-	harness.eventually("the early stream is running", func() bool { return harness.countRecords(record.Run, "op3") == 1 })
+	harness.eventually("the early stream is running", func() bool { return harness.countRecords(record.EffectStarted, "op3") == 1 })
 	time.Sleep(time.Until(start.Add(750 * time.Millisecond)))
 	if status, _ := lateConn.send("b1", 100); status != 503 && status != 0 {
 		t.Errorf("0.75 s after the shutdown began: got status %d, want a rejection or a closed connection", status)
 	}
-	if n := harness.countRecords(record.Arrive, "op4"); n > 0 {
+	if n := harness.countRecords(record.AttemptArrived, "op4"); n > 0 {
 		t.Errorf("a request 0.75 s after the shutdown began was forwarded %d times, want 0", n)
 	}
 	if !<-streamed {
@@ -107,7 +107,7 @@
 	})
 	start := time.Now()
 	harness.stopped = true
-	harness.node.ShutdownBy(relay.StopBy(4), time.Second)
+	harness.node.ShutdownBy(relay.ShutdownTimeout(4), time.Second)
 	if took := time.Since(start); took > 3700*time.Millisecond {
 		t.Errorf("the shutdown took %v, want at most 3.7s", took)
 	}
@@ -159,7 +159,7 @@
 	start := time.Now()
 	harness.stopped = true
 	done := make(chan struct{})
-	go func() { defer close(done); harness.node.ShutdownBy(relay.StopBy(4), time.Second) }()
+	go func() { defer close(done); harness.node.ShutdownBy(relay.ShutdownTimeout(4), time.Second) }()
 	time.Sleep(time.Second)
 	if status, complete := send("c2", 2); status != 200 || !complete {
 		t.Errorf("on an open connection, 1 s after the shutdown began: got status %d, complete %v, want it served", status, complete)
--- a/internal/node/simulated_days_test.go
+++ b/internal/node/simulated_days_test.go
@@ -25,7 +25,7 @@
 }
 
 func (p relayProcess) Terminate() {
-	p.ShutdownBy(relay.StopBy(p.longestClientTimeout), 10*time.Second)
+	p.ShutdownBy(relay.ShutdownTimeout(p.longestClientTimeout), 10*time.Second)
 }
 
 func (p relayProcess) Kill() { p.Stop() }
@@ -48,19 +48,19 @@
 	return relayProcess{n, cfg.Settings.LongestClientTimeout}, nil
 }
 
-// playBoth plays a day with the product and with the baseline policy, each with its own virtual clock.
-func playBoth(t *testing.T, d simulation.Day) (got, baseline *simulation.Report) {
+// runBoth runs a scenario with the product and with the baseline policy, each with its own virtual clock.
+func runBoth(t *testing.T, scenario simulation.Scenario) (got, baseline *simulation.Report) {
 	t.Helper()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // events at the same instant occur in the same order in each run
-	synctest.Test(t, func(t *testing.T) { baseline = d.PlayBaseline(simulation.Policy{}) })
-	synctest.Test(t, func(t *testing.T) { got = d.Play(startRelayNode) })
+	synctest.Test(t, func(t *testing.T) { baseline = scenario.RunBaseline(simulation.Policy{}) })
+	synctest.Test(t, func(t *testing.T) { got = scenario.Run(startRelayNode) })
 	return got, baseline
 }
 
-// requireDay plays a day and fails the test if a rule is violated or the service falls short of the baseline policy's.
-func requireDay(t *testing.T, d simulation.Day) {
+// requireNoProblems runs a scenario and fails the test if a rule is violated or the service falls short of the baseline policy's.
+func requireNoProblems(t *testing.T, scenario simulation.Scenario) {
 	t.Helper()
-	got, baseline := playBoth(t, d)
+	got, baseline := runBoth(t, scenario)
 	problems := append(got.Violations[:min(maxReportedViolations, len(got.Violations))], simulation.Shortfalls(got, baseline)...)
 	if len(problems) > 0 || testing.Verbose() {
 		t.Log("\n" + got.Summary(baseline))
@@ -71,7 +71,7 @@
 	traceRecords(t, got)
 }
 
-// maxReportedViolations is how many violations of one day are reported at most.
+// maxReportedViolations is how many violations of one scenario are reported at most.
 const maxReportedViolations = 8
 
 // traceRecords logs the records that COLLAPSE_TRACE selects: those of a request id, or of a node and an engine ("NODE ENGINE").
@@ -83,14 +83,14 @@
 	}
 	for _, x := range r.Records {
 		if x.Op == name || x.Node+" "+x.Engine == name {
-			t.Logf("%.3f %s try %d node %s engine %s %s %s %s", x.T-r.Records[0].T, x.Kind, x.Try, x.Node, x.Engine, x.State,
+			t.Logf("%.3f %s attempt %d node %s engine %s %s %s %s", x.T-r.Records[0].T, x.Kind, x.Attempt, x.Node, x.Engine, x.State,
 				x.Outcome, x.Note)
 		}
 	}
 }
 
-// TestCollapsedDays plays days on which a fault in the product once made service collapse or violated a rule. Each day fails again if its
-// fix is removed.
+// TestCollapsedDays runs scenarios in which a fault in the product once made service collapse or violated a rule. Each scenario fails
+// again if its fix is removed.
 func TestCollapsedDays(t *testing.T) {
 	for _, x := range []struct {
 		seed    uint64
@@ -109,18 +109,19 @@
 	} {
 		t.Run(fmt.Sprintf("seed %d with %d nodes", x.seed, x.nodes), func(t *testing.T) {
 			if raceEnabled && x.nodes > 3 {
-				t.Skip("too slow with the race detector; .ci/run plays this day without it")
+				t.Skip("too slow with the race detector; .ci/run runs this scenario without it")
 			}
 			t.Log(x.problem)
-			requireDay(t, simulation.DrawDay(x.seed, x.nodes, drawnRate))
+			requireNoProblems(t, simulation.DrawScenario(x.seed, x.nodes, drawnRate))
 		})
 	}
 }
 
-// drawnRate is the maximum request rate of a drawn day (requests per second).
+// drawnRate is the maximum request rate of a drawn scenario (requests per second).
 const drawnRate = 150
 
-// TestDrawnDays plays days that are drawn from seeds. COLLAPSE_SEEDS=FIRST:COUNT selects other seeds, COLLAPSE_NODES the number of nodes.
+// TestDrawnDays runs scenarios that are drawn from seeds. COLLAPSE_SEEDS=FIRST:COUNT selects other seeds, COLLAPSE_NODES the number of
+// nodes.
 func TestDrawnDays(t *testing.T) {
 	first, count, nodes := 1, 9, 0
 	if raceEnabled {
@@ -143,7 +144,7 @@
 			n = []int{1, 3, 24}[seed%3]
 		}
 		t.Run(fmt.Sprintf("seed %d with %d nodes", seed, n), func(t *testing.T) {
-			requireDay(t, simulation.DrawDay(uint64(seed), n, drawnRate))
+			requireNoProblems(t, simulation.DrawScenario(uint64(seed), n, drawnRate))
 		})
 	}
 }
--- a/internal/node/staterelease.go
+++ b/internal/node/staterelease.go
@@ -35,10 +35,10 @@
 			Deadline:  now + n.config.table.StateReleaseLimit,
 			AnyEngine: n.config.anyEngineReleases,
 			Allowed:   n.config.table.StateReleaseLimit,
-			End:       staterelease.AttemptEnd{At: command.Ended.At},
+			End:       staterelease.AttemptEnd{At: command.LastUnanswered.At},
 		},
 	}
-	if command.Again || command.Acknowledged { // as far as can be known, the state was released before; its limit starts again
+	if command.Repeated || command.Acknowledged { // as far as can be known, the state was released before; its limit starts again
 		release.dueBy = now + n.config.table.StateReleaseLimit
 	}
 	n.setReleasePending(release, true)
@@ -46,7 +46,7 @@
 	done := make(chan struct{})
 	release.unblockAttempts = sync.OnceFunc(func() { close(done) })
 	if request := n.owned.requests[command.ID]; request != nil {
-		request.release = releaseWait{done: done, maxWait: seconds(release.schedule.End.AttemptWait(now))}
+		request.release = releaseWait{done: done, maxWait: seconds(release.schedule.End.MaxAttemptDelay(now))}
 	}
 	n.startReleaseRound(now, release)
 }
@@ -72,11 +72,11 @@
 // releaseReason returns the value of the metric label reason for a release.
 func releaseReason(command requesttable.ReleaseState) string {
 	switch {
-	case command.Again:
+	case command.Repeated:
 		return releaseRepeated
 	case command.AtLimit:
 		return releaseAtLimit
-	case command.AttemptCutAt > 0:
+	case command.InterruptedAt > 0:
 		return releaseAfterCut
 	}
 	return releaseUnneeded
@@ -102,7 +102,7 @@
 // logLevel returns the level of the log lines about a release. Operators see the release at the limit, and the one that follows when the
 // attempt in flight has ended. The repeated releases in between, while that attempt is silent, are many and are logged at debug level.
 func (r *stateRelease) logLevel() slog.Level {
-	if r.command.AtLimit != r.command.Again {
+	if r.command.AtLimit != r.command.Repeated {
 		return slog.LevelInfo
 	}
 	return slog.LevelDebug
@@ -156,7 +156,7 @@
 // unless another round must precede them.
 func (n *Node) startReleaseRound(now float64, release *stateRelease) {
 	unblock := release.unblockAttempts
-	if release.schedule.End.SettleCallAhead(now) {
+	if release.schedule.End.FollowUpCallPending(now) {
 		unblock = func() {}
 	}
 	targets := n.releaseTargets(release)
@@ -235,7 +235,7 @@
 		release.command.HeldSince = now // a state that is left after this round has been held since now at the earliest
 		release.command.Acknowledged = true
 	}
-	release.schedule.End.EngineServedAt = n.endpoint(release.command.Ended.Engine).servedAt
+	release.schedule.End.EngineServedAt = n.endpoint(release.command.LastUnanswered.Engine).servedAt
 	at, again := release.schedule.Next(now, result)
 	n.setReleasePending(release, again && !release.schedule.OnlyDelayedCallsLeft())
 	if !again {
@@ -266,11 +266,11 @@
 		return
 	}
 	state := permit.HeldState{
-		Answered: result == staterelease.Acknowledged,
-		At:       now,
-		By:       release.dueBy + permit.HeldStateSlack,
+		Acknowledged: result == staterelease.Acknowledged,
+		At:           now,
+		Deadline:     release.dueBy + permit.HeldStateSlack,
 	}
 	violations := state.Violations()
-	release.audited = state.Answered || len(violations) > 0
+	release.audited = state.Acknowledged || len(violations) > 0
 	n.audit(release.command.ID, violations)
 }
--- a/internal/protocol/attemptcontrol.go
+++ b/internal/protocol/attemptcontrol.go
@@ -67,7 +67,7 @@
 	switch {
 	case control.conn == nil:
 	case control.clientStreams && cause == outcome.RequestEnded:
-		control.conn.ReadOnFor(canceledStreamReadTime)
+		control.conn.FinishWithin(canceledStreamReadTime)
 	default:
 		control.conn.Discard()
 	}
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -105,7 +105,7 @@
 	default:
 		result.Evidence.ResponseKind = outcome.EngineError
 	}
-	conn.Within(a.engines.pool.Head) // the head has determined the outcome; reading the body must not use up the request's time
+	conn.LimitDeadline(a.engines.pool.Head) // the head has determined the outcome; reading the body must not use up the request's time
 	body, err := response.ReadAll(maxResponse)
 	a.Detach()
 	if err != nil {
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -18,7 +18,7 @@
 	Name, Listen, Discovery string
 	Seed                    uint64
 	Limits                  Limits
-	Known                   []byte // last endpoint list of this node, in discovery's format; empty = none
+	SavedList               []byte // last endpoint list of this node, in discovery's format; empty = none
 	Settings                *settings.Settings
 }
 
@@ -29,8 +29,8 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Parts divides the limits among the node's uses.
-func (l Limits) Parts() overload.Budget {
+// Budget returns the limits, divided among the node's uses.
+func (l Limits) Budget() overload.Budget {
 	return overload.DivideLimits(l.Sockets, int64(l.MemoryMB*(1<<20)))
 }
 
@@ -73,7 +73,7 @@
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Limits: f.Limits, Known: f.Known}
+	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Limits: f.Limits, SavedList: f.Known}
 	for _, member := range []struct {
 		dest *string
 		name string
--- a/internal/relay/discovery_call.go
+++ b/internal/relay/discovery_call.go
@@ -44,7 +44,7 @@
 	if _, _, err := conn.Send("GET", target, nil, nil); err != nil {
 		return nil, err
 	}
-	if err := conn.Await(); err != nil {
+	if err := conn.AwaitResponse(); err != nil {
 		return nil, err
 	}
 	deadline := time.Now().Add(seconds(d.policy.CompleteResponse))
--- a/internal/relay/timeouts.go
+++ b/internal/relay/timeouts.go
@@ -15,7 +15,7 @@
 // this is at least as long as new connections arrive (0.4 s).
 var Timeouts = http1.Timeouts{First: 2100 * time.Millisecond, Head: 700 * time.Millisecond, Body: 700 * time.Millisecond,
 	Whole: 700 * time.Millisecond, Idle: 10 * time.Second, EvictableAfter: 100 * time.Millisecond, Write: 4 * time.Second,
-	DrainAccept: drainAccept, DrainIdle: drainIdle, DrainKeep: true, Linger: 300 * time.Millisecond,
+	DrainAccept: drainAccept, DrainIdle: drainIdle, KeepAliveWhileDraining: true, Linger: 300 * time.Millisecond,
 	Rejection: 100 * time.Millisecond}
 
 // Times of the graceful shutdown (PROTOCOL, figures). SIGKILL follows SIGTERM after 0.7 s plus the longest client timeout at the earliest;
@@ -39,9 +39,9 @@
 	return t
 }
 
-// StopBy returns the time after SIGTERM within which a node must have responded to all requests. longestTimeout is the longest client
-// timeout, in seconds.
-func StopBy(longestTimeout float64) time.Duration {
+// ShutdownTimeout returns the time after SIGTERM within which a node must have responded to all requests. longestTimeout is the longest
+// client timeout, in seconds.
+func ShutdownTimeout(longestTimeout float64) time.Duration {
 	return min(maxCountedTimeout, seconds(longestTimeout)) + killDelay - responseReserve
 }
 
--- a/lab/chart/chart.go
+++ b/lab/chart/chart.go
@@ -68,10 +68,10 @@
 	}
 	return []panel{
 		{title: report.Name, axis: "requests", lines: []line{
-			{"asked", func(p scenario.Point) float64 { return float64(p.Asked) }},
+			{"asked", func(p scenario.Point) float64 { return float64(p.Sent) }},
 			{"served", func(p scenario.Point) float64 { return float64(p.Served) }},
 		}},
-		{axis: "nodes up", lines: []line{{"up", func(p scenario.Point) float64 { return float64(p.Up) }}}},
+		{axis: "nodes up", lines: []line{{"up", func(p scenario.Point) float64 { return float64(p.NodesUp) }}}},
 		{axis: "Jain's index over engines", lines: fairness},
 		{axis: "slow-start budget used, maximum so far", lines: []line{
 			{"share", func(p scenario.Point) float64 { return p.SlowStartUse }},
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -47,15 +47,15 @@
 
 // Result is the outcome of one attempt as the client sees it.
 type Result struct {
-	Outcome    record.Outcome
-	Status     int    // HTTP status code; 0 = no response
-	Code       string // code of the error response or error event
-	Retry      bool   // the response declares a retry harmless (X-Should-Retry)
-	RetryAfter time.Duration
-	Text       string
-	OK         bool // the received text is correct, and complete if the outcome is record.Served
-	Events     int  // number of stream events received
-	Err        error
+	Outcome       record.Outcome
+	Status        int    // HTTP status code; 0 = no response
+	Code          string // code of the error response or error event
+	RetryHarmless bool   // the response declares a retry harmless (X-Should-Retry)
+	RetryAfter    time.Duration
+	Text          string
+	TextCorrect   bool // the received text is correct, and complete if the outcome is record.Served
+	Events        int  // number of stream events received
+	Err           error
 }
 
 // errDisconnected is the error of a request whose client disconnected as its DisconnectAfter says.
@@ -117,10 +117,10 @@
 		log.add(record.FirstToken)
 	})
 	timeout.stop()
-	if result.Outcome == record.Cut && timeout.expired {
+	if result.Outcome == record.ConnectionLost && timeout.expired {
 		result.Outcome = record.TimedOut
 	}
-	runEnded := ctx.Err() != nil && result.Outcome == record.Cut && !timeout.expired
+	runEnded := ctx.Err() != nil && result.Outcome == record.ConnectionLost && !timeout.expired
 	if runEnded || r.DisconnectAfter > 0 && errors.Is(result.Err, errDisconnected) {
 		log.add(record.ClientDisconnected)
 		return result
@@ -183,7 +183,7 @@
 
 func (l attemptLog) record(kind record.Kind) record.Record {
 	mark := l.request.Mark
-	return record.Record{Kind: kind, Op: mark.Operation, Try: mark.Attempt, Class: mark.Class, Node: l.node, Tenant: l.request.Tenant}
+	return record.Record{Kind: kind, Op: mark.Operation, Attempt: mark.Attempt, Class: mark.Class, Node: l.node, Tenant: l.request.Tenant}
 }
 
 func (l attemptLog) add(kind record.Kind) { l.log.Add(l.record(kind)) }
@@ -197,8 +197,8 @@
 func (l attemptLog) finalResponse(result *Result) {
 	r := l.record(record.FinalResponse)
 	r.Outcome = result.Outcome
-	r.OK = result.OK
-	r.State = strconv.FormatBool(result.Retry)
+	r.OK = result.TextCorrect
+	r.State = strconv.FormatBool(result.RetryHarmless)
 	r.Tokens = float64(result.Events)
 	r.Note = fmt.Sprintf("%d %s", result.Status, result.Code)
 	if result.Err != nil {
--- a/lab/client/response.go
+++ b/lab/client/response.go
@@ -22,7 +22,7 @@
 // exchange sends a request and reads the response. It calls firstToken on the first event of a stream, or when a response that is one
 // body is complete.
 func (c *Client) exchange(httpRequest *http.Request, r *Request, firstToken func()) Result {
-	result := Result{Outcome: record.Cut}
+	result := Result{Outcome: record.ConnectionLost}
 	response, err := c.HTTP.Do(httpRequest)
 	if err != nil {
 		result.Err = err
@@ -34,7 +34,7 @@
 	}
 	defer response.Body.Close()
 	result.Status = response.StatusCode
-	result.Retry = response.Header.Get("X-Should-Retry") == "true"
+	result.RetryHarmless = response.Header.Get("X-Should-Retry") == "true"
 	if ms, err := strconv.Atoi(response.Header.Get("Retry-After-Ms")); err == nil {
 		result.RetryAfter = time.Duration(ms) * time.Millisecond
 	}
@@ -59,7 +59,7 @@
 	}
 	r.Code = errorCode(text)
 	r.Outcome = record.Failed
-	if r.Retry {
+	if r.RetryHarmless {
 		r.Outcome = record.Rejected
 	}
 }
@@ -95,7 +95,7 @@
 		return
 	}
 	r.Text = completion.Choices[0].Message.Content
-	r.OK = r.Text == want
+	r.TextCorrect = r.Text == want
 	r.Outcome = record.Served
 }
 
@@ -131,7 +131,7 @@
 		}
 		if ended {
 			r.Err = errors.New("event received after [DONE]")
-			r.Outcome = record.Cut
+			r.Outcome = record.ConnectionLost
 			return
 		}
 		r.Events++
@@ -165,7 +165,7 @@
 	r.Code = errorCode([]byte(data))
 	r.Outcome = record.Failed
 	r.Text = text
-	r.OK = strings.HasPrefix(want, text)
+	r.TextCorrect = strings.HasPrefix(want, text)
 }
 
 // endStream handles the end of the body. The response is complete only if [DONE] was received before.
@@ -173,9 +173,9 @@
 	r.Text = text
 	r.Err = err
 	if !ended {
-		r.OK = strings.HasPrefix(want, text)
+		r.TextCorrect = strings.HasPrefix(want, text)
 		return
 	}
 	r.Outcome = record.Served
-	r.OK = text == want
+	r.TextCorrect = text == want
 }
--- a/lab/emulator/decode.go
+++ b/lab/emulator/decode.go
@@ -39,7 +39,7 @@
 	if j.canceled() {
 		return
 	}
-	j.record(record.Run, "")
+	j.record(record.EffectStarted, "")
 	if j.request.Stream {
 		j.streamResponse(responseTokens)
 	} else {
--- a/lab/emulator/engine.go
+++ b/lab/emulator/engine.go
@@ -145,8 +145,8 @@
 	return e.startedAt, e.process != nil
 }
 
-// ColdStarted returns the Unix time of the last start, and whether it was a restart.
-func (e *Engine) ColdStarted() (at float64, restarted bool) {
+// Restarted returns the Unix time of the last start, and whether it was a restart.
+func (e *Engine) Restarted() (at float64, restarted bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.startedAt, e.starts > 1
--- a/lab/emulator/fault.go
+++ b/lab/emulator/fault.go
@@ -76,13 +76,13 @@
 		j.record(record.AttemptEnded, "error")
 		respondError(j.response, http.StatusInternalServerError, "internal", "failed")
 	case faults.MalformedEvent:
-		j.record(record.Run, "garbage")
+		j.record(record.EffectStarted, "garbage")
 		j.writeRaw(malformedEventResponse)
 	case faults.ChunkSizeMismatch:
-		j.record(record.Run, "lying chunk")
+		j.record(record.EffectStarted, "lying chunk")
 		j.writeRaw(chunkSizeMismatchResponse)
 	case faults.TruncatedBody:
-		j.record(record.Run, "cut body")
+		j.record(record.EffectStarted, "cut body")
 		j.writeRaw(truncatedBodyResponse)
 	default:
 		return false
--- a/lab/emulator/handlers.go
+++ b/lab/emulator/handlers.go
@@ -51,7 +51,7 @@
 		tokens:    tokensOf(parsed.Messages),
 		prefill:   parsed.Transfer != nil && parsed.Transfer.DoRemoteDecode,
 	}
-	j.record(record.Arrive, "")
+	j.record(record.AttemptArrived, "")
 	if j.injectRequestFault() {
 		return
 	}
--- a/lab/emulator/job.go
+++ b/lab/emulator/job.go
@@ -34,16 +34,16 @@
 		stage += " " + note
 	}
 	j.engine.log.Add(record.Record{
-		Kind:   kind,
-		Engine: j.engine.ID,
-		Node:   j.node,
-		Op:     mark.Operation,
-		Try:    mark.Attempt,
-		Class:  mark.Class,
-		State:  j.requestID,
-		Tokens: float64(j.tokens),
-		Work:   work,
-		Note:   stage,
+		Kind:    kind,
+		Engine:  j.engine.ID,
+		Node:    j.node,
+		Op:      mark.Operation,
+		Attempt: mark.Attempt,
+		Class:   mark.Class,
+		State:   j.requestID,
+		Tokens:  float64(j.tokens),
+		Work:    work,
+		Note:    stage,
 	})
 }
 
--- a/lab/emulator/kvstate.go
+++ b/lab/emulator/kvstate.go
@@ -66,12 +66,12 @@
 
 func (e *Engine) recordStateEnd(id string, state *kvState, cause string) {
 	e.log.Add(record.Record{
-		Kind:   record.StateEnded,
-		Engine: e.ID,
-		State:  id,
-		Op:     state.mark.Operation,
-		Try:    state.mark.Attempt,
-		Note:   cause,
+		Kind:    record.StateEnded,
+		Engine:  e.ID,
+		State:   id,
+		Op:      state.mark.Operation,
+		Attempt: state.mark.Attempt,
+		Note:    cause,
 	})
 }
 
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -142,7 +142,7 @@
 		Zone:    m.Zone,
 		State:   state,
 	}
-	if at, restarted := engine.ColdStarted(); restarted {
+	if at, restarted := engine.Restarted(); restarted {
 		entry.BootTime = at
 	}
 	return entry
--- a/lab/overhead/memory.go
+++ b/lab/overhead/memory.go
@@ -43,7 +43,7 @@
 		conns = append(conns, conn)
 	}
 	time.Sleep(p.Settle)
-	result.BytesPerIdle = float64(residentBytes(l.target.PID)-before) / float64(p.Streams)
+	result.BytesPerIdleConnection = float64(residentBytes(l.target.PID)-before) / float64(p.Streams)
 	for _, conn := range conns {
 		conn.Close()
 	}
--- a/lab/overhead/overhead.go
+++ b/lab/overhead/overhead.go
@@ -24,28 +24,28 @@
 
 // Plan is the load for one target. All loads are bounded.
 type Plan struct {
-	Requests         int           // of the closed loop, which measures the request rate
-	Workers          int           // concurrent workers of the closed loop, each with one request at a time
-	OpenLoopRequests int           // requests of the open loop, which measures latency
-	Rate             float64       // requests per second of the open loop
-	Streams          int           // idle connections, and then streams, that are open at once to measure memory
-	BurstStreams     int           // concurrent streams that measure events without intervals
-	BurstEvents      int           // events of each of the BurstStreams
-	SteadyStreams    int           // concurrent streams with one event every 10 ms, as engines generate tokens
-	Settle           time.Duration // delay before resident memory is read
+	ClosedLoopRequests int           // of the closed loop, which measures the request rate
+	Workers            int           // concurrent workers of the closed loop, each with one request at a time
+	OpenLoopRequests   int           // requests of the open loop, which measures latency
+	Rate               float64       // requests per second of the open loop
+	Streams            int           // idle connections, and then streams, that are open at once to measure memory
+	BurstStreams       int           // concurrent streams that measure events without intervals
+	BurstEvents        int           // events of each of the BurstStreams
+	SteadyStreams      int           // concurrent streams with one event every 10 ms, as engines generate tokens
+	Settle             time.Duration // delay before resident memory is read
 }
 
 // DefaultPlan is the plan of docs/benchmarks.md.
 var DefaultPlan = Plan{
-	Requests:         20000,
-	Workers:          64,
-	OpenLoopRequests: 5000,
-	Rate:             1000,
-	Streams:          5000,
-	BurstStreams:     64,
-	BurstEvents:      4000,
-	SteadyStreams:    500,
-	Settle:           2 * time.Second,
+	ClosedLoopRequests: 20000,
+	Workers:            64,
+	OpenLoopRequests:   5000,
+	Rate:               1000,
+	Streams:            5000,
+	BurstStreams:       64,
+	BurstEvents:        4000,
+	SteadyStreams:      500,
+	Settle:             2 * time.Second,
 }
 
 const (
@@ -66,19 +66,19 @@
 
 // Result holds the measurements of a target. For a target without a PID, the values per core and of memory are 0.
 type Result struct {
-	Name            string  `json:"name"`
-	P50, P99        float64 `json:"-"` // latency in the open loop, in seconds
-	P50ms           float64 `json:"p50_ms"`
-	P99ms           float64 `json:"p99_ms"`
-	RequestsPerS    float64 `json:"requests_per_s"`
-	RequestsPerCore float64 `json:"requests_per_core_s"`
-	EventsPerS      float64 `json:"events_per_s"`
-	EventsPerCore   float64 `json:"events_per_core_s"`       // of streams without intervals between events
-	TypedPerCore    float64 `json:"typed_events_per_core_s"` // of streams with an interval between events
-	BytesPerIdle    float64 `json:"resident_bytes_per_idle_connection"`
-	BytesPerStream  float64 `json:"resident_bytes_per_open_stream"`
-	DecideP99ms     float64 `json:"decide_p99_ms"`
-	Errors          int64   `json:"errors"`
+	Name                   string  `json:"name"`
+	P50, P99               float64 `json:"-"` // latency in the open loop, in seconds
+	P50ms                  float64 `json:"p50_ms"`
+	P99ms                  float64 `json:"p99_ms"`
+	RequestsPerS           float64 `json:"requests_per_s"`
+	RequestsPerCore        float64 `json:"requests_per_core_s"`
+	EventsPerS             float64 `json:"events_per_s"`
+	EventsPerCore          float64 `json:"events_per_core_s"`       // of streams without intervals between events
+	SteadyEventsPerCore    float64 `json:"typed_events_per_core_s"` // of streams with an interval between events
+	BytesPerIdleConnection float64 `json:"resident_bytes_per_idle_connection"`
+	BytesPerStream         float64 `json:"resident_bytes_per_open_stream"`
+	DecideP99ms            float64 `json:"decide_p99_ms"`
+	Errors                 int64   `json:"errors"`
 }
 
 // Measure sends the load of a plan to one target with an API key, and writes its progress to out. It returns an error if too many
@@ -100,7 +100,7 @@
 		return result, err
 	}
 	result.Errors = generator.errors.Load()
-	if result.Errors*requestsPerError > int64(p.Requests+p.OpenLoopRequests) {
+	if result.Errors*requestsPerError > int64(p.ClosedLoopRequests+p.OpenLoopRequests) {
 		return result, fmt.Errorf("%s: %d requests failed; the results are not meaningful", t.Name, result.Errors)
 	}
 	return result, nil
@@ -122,11 +122,11 @@
 func (l *loadGenerator) measureRate(ctx context.Context, p Plan, result *Result) {
 	cpu := cpuSeconds(l.target.PID)
 	start := time.Now()
-	l.closedLoop(ctx, p.Requests, p.Workers, 1, nil)
+	l.closedLoop(ctx, p.ClosedLoopRequests, p.Workers, 1, nil)
 	elapsed := time.Since(start).Seconds()
 	used := cpuSeconds(l.target.PID) - cpu
-	result.RequestsPerS = float64(p.Requests) / elapsed
-	result.RequestsPerCore = perCore(float64(p.Requests), used)
+	result.RequestsPerS = float64(p.ClosedLoopRequests) / elapsed
+	result.RequestsPerCore = perCore(float64(p.ClosedLoopRequests), used)
 }
 
 // measureBurst measures events per second of streams that the engine writes as fast as it can.
@@ -154,7 +154,7 @@
 		}()
 	}
 	streams.Wait()
-	result.TypedPerCore = perCore(float64(events.Load()), cpuSeconds(l.target.PID)-cpu)
+	result.SteadyEventsPerCore = perCore(float64(events.Load()), cpuSeconds(l.target.PID)-cpu)
 }
 
 // perCore returns n per second of CPU time, or 0 if the CPU time is unknown.
--- a/lab/platform/client.go
+++ b/lab/platform/client.go
@@ -69,7 +69,7 @@
 	sent.Tokens = r.Timeout.Seconds()
 	p.Log.Add(sent)
 	if _, err = io.WriteString(conn, r.Encode()); err != nil {
-		return Response{Outcome: record.Cut, Err: err}
+		return Response{Outcome: record.ConnectionLost, Err: err}
 	}
 	response := p.receive(conn, r, base)
 	response.Duration = time.Since(start)
@@ -108,7 +108,7 @@
 	conn.SetReadDeadline(time.Now().Add(r.Timeout + headGrace))
 	head, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		return Response{Outcome: record.Cut, Err: err}
+		return Response{Outcome: record.ConnectionLost, Err: err}
 	}
 	response := Response{Status: head.StatusCode, RetryAfter: head.Header.Get("Retry-After"), Outcome: StatusOutcome(head.StatusCode)}
 	if response.Outcome != record.Served {
--- a/lab/platform/exchange.go
+++ b/lab/platform/exchange.go
@@ -62,7 +62,7 @@
 	e.platform.trackAttempt(x.operation.Name, x.request.Header, remaining)
 	x.base = record.Record{
 		Op:         x.operation.Name,
-		Try:        x.operation.Attempt,
+		Attempt:    x.operation.Attempt,
 		Class:      x.operation.Class,
 		Node:       e.platform.callingNode(x.request.Host),
 		Engine:     e.ID,
@@ -78,7 +78,7 @@
 		x.base.State = stateID(x.call, holder)
 		x.waitsForState = holder != ""
 	}
-	x.record(record.Arrive)
+	x.record(record.AttemptArrived)
 	defer x.record(record.AttemptEnded)
 	if x.waitsForState {
 		e.platform.addWaiting(x.call, 1)
@@ -155,7 +155,7 @@
 		platform.releaseStates(x.call, "lost")
 		return x.reject(http.StatusGone)
 	}
-	x.record(record.Run)
+	x.record(record.EffectStarted)
 	x.stopWaiting()
 	switch x.fault {
 	case InternalError:
@@ -164,7 +164,7 @@
 		return x.respond(http.StatusServiceUnavailable, "", "no")
 	case CloseBeforeResponse:
 		return false
-	case NoiseForHead:
+	case GarbageHead:
 		return x.writeAndStall("\x16\x03\x01 noise, and then nothing")
 	case MalformedHead:
 		return x.writeAndStall("HTTP/1.1 200 OK\r\nTransfer-Encoding chunked\r\n")
--- a/lab/platform/fault.go
+++ b/lab/platform/fault.go
@@ -8,7 +8,7 @@
 // Faults of a response. Those marked valid conform to the protocol: a node has to handle them without an error.
 const (
 	NoFault                   Fault = ""
-	NoiseForHead              Fault = "noise"         // bytes that are not HTTP instead of the head; the connection stays open
+	GarbageHead               Fault = "noise"         // bytes that are not HTTP instead of the head; the connection stays open
 	MalformedHead             Fault = "bad head"      // a head that cannot be parsed
 	EndlessHead               Fault = "endless head"  // a head that does not end
 	MalformedChunkSize        Fault = "bad chunk"     // in mid-stream, a chunk size that cannot be parsed
--- a/lab/platform/state.go
+++ b/lab/platform/state.go
@@ -22,14 +22,14 @@
 	p.states[call][engine] = true
 	p.mu.Unlock()
 	p.Log.Add(record.Record{
-		Kind:   record.StateReserved,
-		Op:     operation.Name,
-		Try:    operation.Attempt,
-		Class:  operation.Class,
-		Node:   node,
-		Engine: engine,
-		State:  stateID(call, engine),
-		Note:   note,
+		Kind:    record.StateReserved,
+		Op:      operation.Name,
+		Attempt: operation.Attempt,
+		Class:   operation.Class,
+		Node:    node,
+		Engine:  engine,
+		State:   stateID(call, engine),
+		Note:    note,
 	})
 }
 
--- a/lab/record/record.go
+++ b/lab/record/record.go
@@ -28,12 +28,12 @@
 
 // Events observed by engines.
 const (
-	// Arrive is a complete attempt that an engine received.
-	Arrive Kind = "arrive"
+	// AttemptArrived is a complete attempt that an engine received.
+	AttemptArrived Kind = "arrive"
 	// AttemptRejected is an attempt that the engine rejected.
 	AttemptRejected Kind = "turned"
-	// Run is the start of an attempt's effect: the engine begins to generate the response.
-	Run Kind = "run"
+	// EffectStarted is the start of an attempt's effect: the engine begins to generate the response.
+	EffectStarted Kind = "run"
 	// AttemptEnded is the end of an attempt at its engine.
 	AttemptEnded Kind = "end"
 	// StateReserved is a prefilled state that the engine stores until it is fetched or released.
@@ -69,8 +69,8 @@
 	Rejected Outcome = "refused"
 	// Failed is an error response.
 	Failed Outcome = "failed"
-	// Cut is a connection that broke without a final response.
-	Cut Outcome = "cut"
+	// ConnectionLost is a connection that broke without a final response.
+	ConnectionLost Outcome = "cut"
 	// Unreachable is a node that accepted no connection.
 	Unreachable Outcome = "unmet"
 	// TimedOut is a request without a first token in time.
@@ -82,7 +82,7 @@
 	T          float64 // time (Unix seconds)
 	Kind       Kind
 	Op         string // id of the operation: a unit of work requested by a user, including the client's retries
-	Try        int    // number of the client's attempt, from 0
+	Attempt    int    // number of the client's attempt, from 0
 	Class      string
 	Tenant     string
 	Node       string
@@ -90,8 +90,8 @@
 	State      string // id of a state, or the state of an engine in an endpoint list
 	Outcome    Outcome
 	Tokens     float64 // of the prompt or of the response; RequestSent: the client's patience (s)
-	Work       float64 // Arrive: tokens of the prompt to process, or of the response to generate
-	StatedTime float64 // Arrive: the client's remaining time as stated to the engine (s); 0 = not stated
+	Work       float64 // AttemptArrived: tokens of the prompt to process, or of the response to generate
+	StatedTime float64 // AttemptArrived: the client's remaining time as stated to the engine (s); 0 = not stated
 	Note       string
 	OK         bool // FinalResponse: the text is correct
 }
@@ -127,8 +127,8 @@
 	l.records = append(l.records, r)
 }
 
-// Hold runs f while no record is added, so that f may read data that the Sink writes.
-func (l *Log) Hold(f func()) {
+// WithLock runs f while no record is added, so that f may read data that the Sink writes.
+func (l *Log) WithLock(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
--- a/lab/rules/checker.go
+++ b/lab/rules/checker.go
@@ -133,8 +133,8 @@
 	return c.findings.violations
 }
 
-// Broken returns the number of violations found so far, over all rules.
-func (c *Checker) Broken() int {
+// ViolationCount returns the number of violations found so far, over all rules.
+func (c *Checker) ViolationCount() int {
 	total := 0
 	for _, n := range c.findings.counts {
 		total += n
@@ -142,8 +142,8 @@
 	return total
 }
 
-// ByRule returns the number of violations by rule; rule 0 counts incorrect response texts.
-func (c *Checker) ByRule() map[int]int { return maps.Clone(c.findings.counts) }
+// ViolationsByRule returns the number of violations by rule; rule 0 counts incorrect response texts.
+func (c *Checker) ViolationsByRule() map[int]int { return maps.Clone(c.findings.counts) }
 
 // SlowStartUse returns the greatest use of an engine's slow-start budget so far.
 func (c *Checker) SlowStartUse() SlowStartUse { return c.slowStart.peak }
--- a/lab/rules/draining.go
+++ b/lab/rules/draining.go
@@ -20,7 +20,7 @@
 		if d.delivered[key].State != r.State {
 			d.delivered[key] = r
 		}
-	case record.Arrive:
+	case record.AttemptArrived:
 		delivery, known := d.delivered[key]
 		allowed := d.config.DrainGrace + d.config.ListLag + d.config.Skew
 		if known && delivery.State != stateReady && r.T > delivery.T+allowed {
--- a/lab/rules/effects.go
+++ b/lab/rules/effects.go
@@ -8,7 +8,7 @@
 // addEffect processes the start of an operation's effect at an engine.
 func (o *operationRules) addEffect(r record.Record) {
 	op := o.operationOf(r)
-	a := op.attempt(r.Try)
+	a := op.attempt(r.Attempt)
 	a.effectEngine = r.Engine
 	for _, response := range a.finalResponses {
 		o.checkRetryHarmless(response, a)
@@ -27,7 +27,7 @@
 	}
 	if response.Outcome == record.Rejected && a.effectEngine != "" {
 		o.findings.report(2, response.T, "%s attempt %d was rejected as harmless to retry, but had taken effect at %s",
-			response.Op, response.Try, a.effectEngine)
+			response.Op, response.Attempt, a.effectEngine)
 	}
 }
 
--- a/lab/rules/operations.go
+++ b/lab/rules/operations.go
@@ -38,11 +38,11 @@
 		o.attemptOf(r).request = r
 	case record.FirstToken:
 		o.attemptOf(r).firstTokenAt = r.T
-	case record.Run:
+	case record.EffectStarted:
 		o.addEffect(r)
 	case record.FinalResponse, record.ClientDisconnected, record.ExtraResponse:
 		o.addFinalResponse(r)
-	case record.Arrive:
+	case record.AttemptArrived:
 		if r.Op != "" {
 			o.checkArrival(r)
 		}
@@ -61,7 +61,7 @@
 }
 
 func (o *operationRules) attemptOf(r record.Record) *attempt {
-	return o.operationOf(r).attempt(r.Try)
+	return o.operationOf(r).attempt(r.Attempt)
 }
 
 func (op *operation) attempt(number int) *attempt {
--- a/lab/rules/responses.go
+++ b/lab/rules/responses.go
@@ -10,7 +10,7 @@
 	a := o.attemptOf(r)
 	a.finalResponses = append(a.finalResponses, r)
 	if n := len(a.finalResponses); n > 1 {
-		o.findings.report(1, r.T, "%s attempt %d has %d final responses", r.Op, r.Try, n)
+		o.findings.report(1, r.T, "%s attempt %d has %d final responses", r.Op, r.Attempt, n)
 		return
 	}
 	if r.Kind != record.ClientDisconnected {
@@ -28,9 +28,9 @@
 	firstToken := a.firstTokenAt - request.T
 	total := response.T - request.T
 	switch response.Outcome {
-	case record.Cut, record.TimedOut:
+	case record.ConnectionLost, record.TimedOut:
 		if !o.kills.within(request.Node, request.T, response.T) {
-			o.findings.report(1, response.T, "%s attempt %d was %s: %s", response.Op, response.Try, response.Outcome, response.Note)
+			o.findings.report(1, response.T, "%s attempt %d was %s: %s", response.Op, response.Attempt, response.Outcome, response.Note)
 		}
 		return
 	case record.Unreachable:
@@ -40,10 +40,10 @@
 	case patience <= 0:
 	case a.firstTokenAt > 0 && firstToken > limit:
 		o.findings.report(1, a.firstTokenAt, "%s attempt %d had its first token %.3f s after the client's patience ended",
-			response.Op, response.Try, firstToken-patience)
+			response.Op, response.Attempt, firstToken-patience)
 	case a.firstTokenAt == 0 && total > limit:
 		o.findings.report(1, response.T, "%s attempt %d had its final response %.3f s after the client's patience ended",
-			response.Op, response.Try, total-patience)
+			response.Op, response.Attempt, total-patience)
 	}
 }
 
@@ -51,7 +51,7 @@
 func (o *operationRules) checkText(response record.Record, a *attempt) {
 	if (response.Outcome == record.Served || a.firstTokenAt > 0) && !response.OK {
 		o.findings.report(0, response.T, "%s attempt %d (%s): parts of the text are repeated, missing or mixed with another response",
-			response.Op, response.Try, response.Outcome)
+			response.Op, response.Attempt, response.Outcome)
 	}
 }
 
@@ -61,7 +61,8 @@
 	o.checkStatedTime(r, a.request)
 	for _, response := range a.finalResponses {
 		if r.T > response.T+o.config.Skew {
-			o.findings.report(1, r.T, "%s attempt %d was sent to %s %.3f s after its final response", r.Op, r.Try, r.Engine, r.T-response.T)
+			o.findings.report(1, r.T, "%s attempt %d was sent to %s %.3f s after its final response", r.Op, r.Attempt, r.Engine,
+				r.T-response.T)
 			return
 		}
 	}
@@ -75,7 +76,7 @@
 	remaining := request.T + patienceOf(request) - r.T
 	if r.StatedTime > max(0, remaining)+o.config.StatedTimeSlack+o.config.Skew {
 		o.findings.report(1, r.T, "%s attempt %d: the time stated to %s is %.3f s, but the client has %.3f s left",
-			r.Op, r.Try, r.Engine, r.StatedTime, remaining)
+			r.Op, r.Attempt, r.Engine, r.StatedTime, remaining)
 	}
 }
 
--- a/lab/rules/slowstart.go
+++ b/lab/rules/slowstart.go
@@ -66,7 +66,7 @@
 		}
 	case record.EngineStarted:
 		s.engineStarted(r)
-	case record.Arrive:
+	case record.AttemptArrived:
 		s.checkArrival(r)
 	}
 }
--- a/lab/rules/statedtime_test.go
+++ b/lab/rules/statedtime_test.go
@@ -15,7 +15,7 @@
 	}{{1.9, 0}, {2.1, 0}, {2.3, 1}} {
 		got := rules.Check([]record.Record{
 			{T: 100, Kind: record.RequestSent, Op: "a", Class: "chat", Node: "n", Tokens: 3},
-			{T: 101, Kind: record.Arrive, Op: "a", Class: "chat", Node: "n", Engine: "e", Note: "decode", StatedTime: c.stated},
+			{T: 101, Kind: record.AttemptArrived, Op: "a", Class: "chat", Node: "n", Engine: "e", Note: "decode", StatedTime: c.stated},
 			{T: 102, Kind: record.FinalResponse, Op: "a", Class: "chat", Node: "n", Outcome: record.Rejected},
 		}, rules.Config{Classes: map[string]rules.Class{"chat": {Effect: "repeatable"}}, StatedTimeSlack: 0.15})
 		if len(got) != c.want {
--- a/lab/rules/staterelease.go
+++ b/lab/rules/staterelease.go
@@ -46,7 +46,7 @@
 			s.check(state, r.T)
 			delete(s.reserved, r.State)
 		}
-	case record.Arrive:
+	case record.AttemptArrived:
 		if stageOf(r) == stageDecode {
 			s.check(state, r.T)
 			state.inFlight++
@@ -56,7 +56,7 @@
 		case stageOf(r) == stageDecode && state.inFlight > 0:
 			state.inFlight--
 			state.idleSince = r.T
-		case state.prefillInFlight && r.Engine == state.reservation.Engine && r.Try == state.reservation.Try:
+		case state.prefillInFlight && r.Engine == state.reservation.Engine && r.Attempt == state.reservation.Attempt:
 			state.prefillInFlight = false
 			state.inFlight--
 			state.idleSince = r.T
@@ -76,7 +76,7 @@
 	}
 	state.reported = true
 	s.findings.report(5, now, "the state of %s attempt %d waited at %s for %.3f s without an attempt in flight",
-		reservation.Op, reservation.Try, reservation.Engine, idle)
+		reservation.Op, reservation.Attempt, reservation.Engine, idle)
 }
 
 // sweep checks and deletes states that have been idle for longer than the horizon.
--- a/lab/rules/staterelease_test.go
+++ b/lab/rules/staterelease_test.go
@@ -29,7 +29,7 @@
 			return r
 		}
 		records := []record.Record{
-			entry(record.Arrive, 99.9, "prefill"),
+			entry(record.AttemptArrived, 99.9, "prefill"),
 			entry(record.StateReserved, 100, c.note),
 			entry(record.AttemptEnded, c.prefillEnds, "prefill"),
 			entry(record.StateEnded, c.released, "released"),
--- a/lab/scenario/clients.go
+++ b/lab/scenario/clients.go
@@ -213,7 +213,7 @@
 		r.mu.Unlock()
 		result := r.client.Do(r.ctx, slot.name, address, request)
 		if result.Outcome == record.Served {
-			return result.Text, result.OK
+			return result.Text, result.TextCorrect
 		}
 		if attempt >= r.script.Clients.Retries || !mayRetry(s.class, result) || request.DisconnectAfter > 0 {
 			return "", false
--- a/lab/scenario/nodes.go
+++ b/lab/scenario/nodes.go
@@ -147,10 +147,10 @@
 
 // nodeDescriptors returns a node's share of the process's descriptors; 0 = the node determines its own limit.
 func (r *run) nodeDescriptors() int {
-	if r.options.Files <= 0 {
+	if r.options.DescriptorLimit <= 0 {
 		return 0
 	}
-	return max(minNodeDescriptors, r.options.Files*2/descriptorsPerRequest/r.script.Nodes)
+	return max(minNodeDescriptors, r.options.DescriptorLimit*2/descriptorsPerRequest/r.script.Nodes)
 }
 
 // apiKey returns the API key of a tenant.
--- a/lab/scenario/progress.go
+++ b/lab/scenario/progress.go
@@ -14,7 +14,7 @@
 	T, Length           float64 // s
 	Ended, ServedInTime int     // operations
 	Records             int
-	Up, Starts          int // nodes
+	NodesUp, NodeStarts int // nodes that run, and node starts so far
 	Violations          int
 	SlowStartUse        float64 // greatest share of a slow-start budget that has been used
 }
@@ -44,11 +44,11 @@
 
 func (r *run) currentProgress(checker *rules.Checker, counts *tally) Progress {
 	var p Progress
-	r.log.Hold(func() {
+	r.log.WithLock(func() {
 		p = Progress{
 			T:            time.Since(r.start).Seconds(),
 			Length:       r.script.LengthSeconds,
-			Violations:   checker.Broken(),
+			Violations:   checker.ViolationCount(),
 			SlowStartUse: checker.SlowStartUse().Share,
 		}
 		p.Ended, p.ServedInTime = counts.totals()
@@ -58,9 +58,9 @@
 	defer r.mu.Unlock()
 	for _, slot := range r.nodes {
 		if slot.node != nil {
-			p.Up++
+			p.NodesUp++
 		}
 	}
-	p.Starts = r.nodeStarts
+	p.NodeStarts = r.nodeStarts
 	return p
 }
--- a/lab/scenario/report.go
+++ b/lab/scenario/report.go
@@ -30,7 +30,7 @@
 	SlowStartUse     rules.SlowStartUse `json:"cold_use"`
 	Fairness         map[string]float64 `json:"fairness"`    // Jain's index of the work sent to the engines of each kind
 	ReadyP99         float64            `json:"ready_p99_s"` // time from the start of a node until it is ready
-	Starts           int                `json:"node_starts"`
+	NodeStarts       int                `json:"node_starts"`
 	Series           []Point            `json:"series"`
 	LostByCause      map[string]int     `json:"lost_why"` // attempts without a final response, by the error that the client saw
 }
@@ -64,11 +64,11 @@
 // Point is one point of a report's time series. It covers a few seconds of the run.
 type Point struct {
 	T            float64            `json:"t_s"`
-	Asked        int                `json:"asked"`
+	Sent         int                `json:"asked"`
 	Served       int                `json:"served"`
 	SlowStartUse float64            `json:"cold_use"` // greatest share of a slow-start budget that was used so far
 	Fairness     map[string]float64 `json:"fairness"` // Jain's index of the work sent to the engines of each kind in these seconds
-	Up           int                `json:"nodes_up"`
+	NodesUp      int                `json:"nodes_up"`
 }
 
 // report returns the report of a run that has ended. The caller sets Records, Machine and Unfinished.
@@ -81,11 +81,11 @@
 		Violations: checker.Close(),
 		Fairness:   map[string]float64{},
 		ReadyP99:   float64(r.readyTimes.ValueAtQuantile(99)) / 1e6,
-		Starts:     r.nodeStarts,
+		NodeStarts: r.nodeStarts,
 	}
 	report.Rows = counts.close()
-	report.ViolationCount = checker.Broken()
-	report.ViolationsByRule = checker.ByRule()
+	report.ViolationCount = checker.ViolationCount()
+	report.ViolationsByRule = checker.ViolationsByRule()
 	report.SlowStartUse = checker.SlowStartUse()
 	workByKind := map[string][]float64{}
 	for _, m := range r.fleet.Members() {
--- a/lab/scenario/run.go
+++ b/lab/scenario/run.go
@@ -36,11 +36,11 @@
 
 // Options are the options of a run.
 type Options struct {
-	Launch   Launch
-	Out      io.Writer      // messages about the start and end of faults; nil = discarded
-	Progress func(Progress) // called once a second; nil = never
-	Skew     float64        // scheduling delay that the checker tolerates (s); 0 = defaultSkew
-	Files    int            // descriptors that nodes, engines and clients share in this process; 0 = each node has its own limit
+	Launch          Launch
+	Out             io.Writer      // messages about the start and end of faults; nil = discarded
+	Progress        func(Progress) // called once a second; nil = never
+	Skew            float64        // scheduling delay that the checker tolerates (s); 0 = defaultSkew
+	DescriptorLimit int            // descriptors that nodes, engines and clients share in this process; 0 = each node has its own limit
 }
 
 const (
@@ -149,7 +149,7 @@
 	defer cancel()
 	r.ctx = ctx
 	r.start = time.Now()
-	r.log.Hold(func() { counts.start = record.Now() })
+	r.log.WithLock(func() { counts.start = record.Now() })
 	for _, f := range r.script.Faults {
 		r.tasks.Add(1)
 		go func() {
@@ -169,7 +169,7 @@
 	r.stopNodes()
 	records := r.log.Len()
 	var report *Report
-	r.log.Hold(func() { report = r.report(checker, counts) })
+	r.log.WithLock(func() { report = r.report(checker, counts) })
 	report.Records = records
 	report.Machine = machine
 	report.Unfinished = unfinished
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -170,8 +170,8 @@
 		s.Nodes, s.LengthSeconds = 60, 6
 		s.Faults = []scenario.Fault{{Kind: "balancer_roll", At: 3, Len: 1, Part: 1, Size: 0.25, Extra: 0.1}}
 	})
-	if r.Starts != 120 {
-		t.Errorf("got %d node starts, want 120", r.Starts)
+	if r.NodeStarts != 120 {
+		t.Errorf("got %d node starts, want 120", r.NodeStarts)
 	}
 }
 
--- a/lab/scenario/tally.go
+++ b/lab/scenario/tally.go
@@ -114,9 +114,9 @@
 	switch r.Kind {
 	case record.RequestSent:
 		if t.operations[r.Op] == nil {
-			point.Asked++
+			point.Sent++
 		}
-	case record.Arrive:
+	case record.AttemptArrived:
 		t.sentWork[r.Engine] += r.Work
 		t.windowWork[r.Engine] += r.Work
 	case record.NodeStarted:
@@ -140,7 +140,7 @@
 	}
 	last := &t.series[len(t.series)-1]
 	last.SlowStartUse = slowStartUse
-	last.Up = t.nodesUp
+	last.NodesUp = t.nodesUp
 	last.Fairness = map[string]float64{}
 	for kind, work := range workByKind {
 		last.Fairness[kind] = jainIndex(work)
@@ -165,7 +165,7 @@
 		return
 	}
 	switch r.Kind {
-	case record.Arrive:
+	case record.AttemptArrived:
 		op.promptTokens = r.Tokens
 	case record.FirstToken:
 		op.firstTokenDelay = r.T - op.lastSent
--- a/lab/simulation/attempt.go
+++ b/lab/simulation/attempt.go
@@ -47,7 +47,7 @@
 	Rejected:     record.Rejected,
 	Failed:       record.Failed,
 	Broken:       record.Failed,
-	NoResponse:   record.Cut,
+	NoResponse:   record.ConnectionLost,
 }
 
 // sendAttempt sends one attempt to a node and returns the result.
@@ -99,7 +99,7 @@
 // recordAttempt records an event of an attempt.
 func (p *productRun) recordAttempt(h *host, a *clientAttempt, r record.Record) {
 	r.Op = a.id
-	r.Try = a.number
+	r.Attempt = a.number
 	r.Class = className(a.class)
 	r.Tenant = tenantName(a.tenant)
 	r.Node = h.name
@@ -117,7 +117,7 @@
 // sendRequest writes a request, in two parts if the client is slow.
 func (p *productRun) sendRequest(conn net.Conn, a *clientAttempt) error {
 	text := a.text()
-	if f, ok := p.day.active(SlowClients, a.at); ok && a.draws.backoff < f.Fraction {
+	if f, ok := p.scenario.active(SlowClients, a.at); ok && a.draws.backoff < f.Fraction {
 		half := len(text) / 2
 		io.WriteString(conn, text[:half]) // an error shows again when the second part is written
 		time.Sleep(slowSendPause)
--- a/lab/simulation/baseline.go
+++ b/lab/simulation/baseline.go
@@ -24,8 +24,8 @@
 // them, the one with the fewest of its own requests in flight; after a failure it uses another engine. The limits of the nodes apply.
 type baseline struct {
 	*fleet
-	day    *Day
-	policy Policy
+	scenario *Scenario
+	policy   Policy
 
 	mu       sync.Mutex // guards all that follows
 	rng      *rand.Rand
@@ -52,21 +52,21 @@
 	maxStall = time.Minute
 )
 
-// PlayBaseline runs d with the baseline policy, degraded by policy. It must be called in a synctest bubble.
-func (d *Day) PlayBaseline(policy Policy) *Report {
+// RunBaseline runs the scenario with the baseline policy, degraded by policy. It must be called in a synctest bubble.
+func (s *Scenario) RunBaseline(policy Policy) *Report {
 	b := &baseline{
-		fleet:    newFleet(d.Site, nil),
-		day:      d,
+		fleet:    newFleet(s.Site, nil),
+		scenario: s,
 		policy:   policy,
-		rng:      rand.New(rand.NewPCG(d.Site.Seed, 0x91a1)),
+		rng:      rand.New(rand.NewPCG(s.Site.Seed, 0x91a1)),
 		inFlight: map[nodeEngine]int{},
 		down:     map[int]bool{},
 	}
 	done := make(chan struct{})
-	b.fleet.injectFaults(d, done, func(f Fault) { b.injectNodeFault(f, done) })
+	b.fleet.injectFaults(s, done, func(f Fault) { b.injectNodeFault(f, done) })
 	var resultsMu sync.Mutex
 	var results []Result
-	b.runClients(d.requests(), func(q *request) {
+	b.runClients(s.requests(), func(q *request) {
 		r := b.runOperation(q)
 		resultsMu.Lock()
 		defer resultsMu.Unlock()
@@ -78,7 +78,7 @@
 		e.kill()
 	}
 	b.tasks.Wait()
-	return &Report{Day: d, Results: results}
+	return &Report{Scenario: s, Results: results}
 }
 
 // injectNodeFault takes nodes out of service without a replacement. A node that shuts down accepts no requests for as long as a node of
--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -111,7 +111,7 @@
 		nodeDraw:  q.draws.node,
 		result:    Result{At: q.at, Class: q.class, Tenant: q.tenant, RequestedWeight: class.PriorityWeight, Outcome: Unreachable},
 	}
-	if _, ok := p.day.active(RetryStorm, q.at); ok {
+	if _, ok := p.scenario.active(RetryStorm, q.at); ok {
 		o.retries = stormRetries
 		o.backoff = 0
 	}
--- a/lab/simulation/engineserver.go
+++ b/lab/simulation/engineserver.go
@@ -101,13 +101,13 @@
 	e.requestArrived(a.request)
 	owner := e.fleet.stateOwner(a.id)
 	arrived := record.Record{
-		Kind:   record.Arrive,
-		Op:     a.id,
-		Try:    a.number,
-		Class:  className(a.class),
-		Node:   node,
-		Engine: e.ID,
-		Note:   "decode",
+		Kind:    record.AttemptArrived,
+		Op:      a.id,
+		Attempt: a.number,
+		Class:   className(a.class),
+		Node:    node,
+		Engine:  e.ID,
+		Note:    "decode",
 	}
 	if e.kind.Role == RolePrefill {
 		arrived.Note = "prefill"
@@ -166,7 +166,7 @@
 
 func (s *responseStream) start() bool {
 	started := s.arrived
-	started.Kind = record.Run
+	started.Kind = record.EffectStarted
 	s.fleet.log.Add(started)
 	s.fleet.releaseState(s.attempt.id)
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/lab/simulation/faultinjection.go
+++ b/lab/simulation/faultinjection.go
@@ -39,8 +39,8 @@
 }
 
 // injectFaults injects the faults of a run until done is closed. injectNodeFault injects those of nodes.
-func (f *fleet) injectFaults(day *Day, done <-chan struct{}, injectNodeFault func(Fault)) {
-	for i, fault := range day.Faults {
+func (f *fleet) injectFaults(scenario *Scenario, done <-chan struct{}, injectNodeFault func(Fault)) {
+	for i, fault := range scenario.Faults {
 		f.run(func() {
 			if sleep(fault.At, done) {
 				f.injectFault(fault, f.affectedEngines(fault, i), done, injectNodeFault)
--- a/lab/simulation/fleet.go
+++ b/lab/simulation/fleet.go
@@ -154,13 +154,13 @@
 	f.stateOwners[a.id] = e
 	f.mu.Unlock()
 	f.log.Add(record.Record{
-		Kind:   record.StateReserved,
-		Op:     a.id,
-		Try:    a.number,
-		Class:  className(a.class),
-		Node:   node,
-		Engine: e.ID,
-		State:  stateID(a.id, e),
+		Kind:    record.StateReserved,
+		Op:      a.id,
+		Attempt: a.number,
+		Class:   className(a.class),
+		Node:    node,
+		Engine:  e.ID,
+		State:   stateID(a.id, e),
 	})
 }
 
--- a/lab/simulation/oracle.go
+++ b/lab/simulation/oracle.go
@@ -10,7 +10,7 @@
 
 // Report is the result of a run.
 type Report struct {
-	Day          *Day
+	Scenario     *Scenario
 	Results      []Result
 	Violations   []string // violations of rules and of the platform's requirements
 	Records      []record.Record
@@ -59,7 +59,7 @@
 // Shortfalls returns the aspects in which the service of a run falls short of the baseline's, one text each.
 func Shortfalls(got, baseline *Report) []string {
 	c := &comparison{got: got, baseline: baseline}
-	site := &got.Day.Site
+	site := &got.Scenario.Site
 	c.check("in all", minFraction, allResults)
 	effects := map[string]bool{}
 	for i, class := range site.Classes {
@@ -72,14 +72,14 @@
 	for i := range site.Tenants {
 		c.check(tenantName(i), minFraction, func(x Result) bool { return x.Tenant == i })
 	}
-	length := got.Day.Length
+	length := got.Scenario.Length
 	for i := range 3 {
 		from := length * float64(i) / 3
 		to := length * float64(i+1) / 3
 		c.check(fmt.Sprintf("third %d", i+1), minFraction, within(from, to))
 	}
 	c.checkWindows()
-	if from := got.Day.lastEnd() + recoveryTime; from < length-windowLength {
+	if from := got.Scenario.lastEnd() + recoveryTime; from < length-windowLength {
 		c.check(fmt.Sprintf("%.0f s after the last fault", recoveryTime), minRecoveredFraction, within(from, unlimited))
 	}
 	return append(c.shortfalls, rejectingNodes(got)...)
@@ -113,7 +113,7 @@
 func (c *comparison) checkWindows() {
 	last := -windowLength // start of the last window reported
 	worst := 0.0
-	for at := 0.0; at+windowLength <= c.got.Day.Length; at++ {
+	for at := 0.0; at+windowLength <= c.got.Scenario.Length; at++ {
 		got, want, count, ok := c.shares(within(at, at+windowLength))
 		if !ok || got >= minWindowFraction*want {
 			continue
--- a/lab/simulation/oracle_test.go
+++ b/lab/simulation/oracle_test.go
@@ -6,26 +6,26 @@
 	"testing/synctest"
 )
 
-// slowStartDay returns a run in which all engines of a site crash together and restart cold, with enough requests to load them.
-func slowStartDay() Day {
-	d := DrawDay(186, 1, 150)
-	d.Site.SlowStartSeconds = 14
-	return d
+// slowStartScenario returns a scenario in which all engines of a site crash together and restart cold, with enough requests to load them.
+func slowStartScenario() Scenario {
+	scenario := DrawScenario(186, 1, 150)
+	scenario.Site.SlowStartSeconds = 14
+	return scenario
 }
 
-func runBaseline(t *testing.T, d Day, p Policy) (r *Report) {
+func runBaseline(t *testing.T, scenario Scenario, p Policy) (r *Report) {
 	t.Helper()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	synctest.Test(t, func(t *testing.T) { r = d.PlayBaseline(p) })
+	synctest.Test(t, func(t *testing.T) { r = scenario.RunBaseline(p) })
 	return r
 }
 
 // The oracle must report a policy that rejects all requests, a third of them, or all of them for a time, and a policy that sends nothing
 // to engines in slow start. It must not report the baseline policy itself.
 func TestOracleReportsBadPolicies(t *testing.T) {
-	d := slowStartDay()
-	baseline := runBaseline(t, d, Policy{})
-	if shortfalls := Shortfalls(runBaseline(t, d, Policy{}), baseline); len(shortfalls) > 0 {
+	scenario := slowStartScenario()
+	baseline := runBaseline(t, scenario, Policy{})
+	if shortfalls := Shortfalls(runBaseline(t, scenario, Policy{}), baseline); len(shortfalls) > 0 {
 		t.Errorf("the baseline policy falls short of itself: %v", shortfalls)
 	}
 	for name, p := range map[string]Policy{
@@ -35,7 +35,7 @@
 		"avoids engines in slow start": {AvoidWarmingUp: true},
 		"rejects from 35 s to the end": {RejectFrom: 35, RejectUntil: 45},
 	} {
-		if shortfalls := Shortfalls(runBaseline(t, d, p), baseline); len(shortfalls) == 0 {
+		if shortfalls := Shortfalls(runBaseline(t, scenario, p), baseline); len(shortfalls) == 0 {
 			t.Errorf("a policy that %s has no shortfall", name)
 		}
 	}
--- a/lab/simulation/productrun.go
+++ b/lab/simulation/productrun.go
@@ -56,7 +56,7 @@
 // productRun is a run with nodes of the product.
 type productRun struct {
 	*fleet
-	day       *Day
+	scenario  *Scenario
 	startNode StartNode
 	hosts     []*host
 	done      chan struct{} // closed at the end of the run
@@ -65,19 +65,19 @@
 	results   []Result
 }
 
-// Play runs d with nodes of the product. It must be called in a synctest bubble.
-func (d *Day) Play(start StartNode) *Report {
+// Run runs the scenario with nodes of the product. It must be called in a synctest bubble.
+func (s *Scenario) Run(start StartNode) *Report {
 	network := memnet.New()
-	p := &productRun{fleet: newFleet(d.Site, network), day: d, startNode: start, done: make(chan struct{})}
+	p := &productRun{fleet: newFleet(s.Site, network), scenario: s, startNode: start, done: make(chan struct{})}
 	discoveryListeners := p.startDiscovery()
 	for i := range p.hosts {
 		p.start(i)
 	}
 	time.Sleep(duration(warmUpSeconds))
 	p.startedAt = time.Now()
-	p.fleet.injectFaults(d, p.done, p.injectNodeFault)
-	p.runClients(d.requests(), func(q *request) { p.addResult(p.runOperation(q)) })
-	time.Sleep(duration(2 * d.Site.StateReleaseLimit))
+	p.fleet.injectFaults(s, p.done, p.injectNodeFault)
+	p.runClients(s.requests(), func(q *request) { p.addResult(p.runOperation(q)) })
+	time.Sleep(duration(2 * s.Site.StateReleaseLimit))
 	close(p.done)
 	p.end(discoveryListeners)
 	return p.report()
@@ -235,7 +235,7 @@
 
 // report checks the records of the run against the rules and returns the results.
 func (p *productRun) report() *Report {
-	r := &Report{Day: p.day, Results: p.results, Violations: p.violations, SlowStartUse: p.slowStartPeak}
+	r := &Report{Scenario: p.scenario, Results: p.results, Violations: p.violations, SlowStartUse: p.slowStartPeak}
 	for _, v := range rules.Check(p.log.All(), p.site.checkerConfig()) {
 		r.Violations = append(r.Violations, fmt.Sprintf("%.3f s: %s", v.T-float64(p.startedAt.UnixNano())/1e9, v))
 	}
--- a/lab/simulation/day.go
+++ b/lab/simulation/scenario.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 )
 
-// Day describes one run: a deployment and the faults injected into it.
-type Day struct {
+// Scenario describes one run: a deployment and the faults injected into it.
+type Scenario struct {
 	Site   Site
 	Length float64 // duration of the run (s)
 	Faults []Fault
@@ -72,17 +72,17 @@
 }
 
 // lastEnd returns the time at which the last fault ends (s).
-func (d *Day) lastEnd() float64 {
+func (s *Scenario) lastEnd() float64 {
 	end := 0.0
-	for _, f := range d.Faults {
+	for _, f := range s.Faults {
 		end = max(end, f.At+f.Duration)
 	}
 	return end
 }
 
 // active returns the fault of the given kind that is active at a time; false = none is.
-func (d *Day) active(kind FaultKind, at float64) (Fault, bool) {
-	for _, f := range d.Faults {
+func (s *Scenario) active(kind FaultKind, at float64) (Fault, bool) {
+	for _, f := range s.Faults {
 		if f.Kind == kind && at >= f.At && at < f.At+f.Duration {
 			return f, true
 		}
@@ -100,9 +100,9 @@
 	DiscoveryDelayed, ListFlaps, Burst, HeavyPrompts, RetryStorm, ClientsDisconnect, IdleClients, SlowClients, TenantOverrun,
 }
 
-// DrawDay draws a deployment and one or two faults from a seed.
-func DrawDay(seed uint64, nodes int, maxRate float64) Day {
-	day := Day{Site: Draw(seed, nodes, maxRate), Length: drawnLength}
+// DrawScenario draws a deployment and one or two faults from a seed.
+func DrawScenario(seed uint64, nodes int, maxRate float64) Scenario {
+	scenario := Scenario{Site: Draw(seed, nodes, maxRate), Length: drawnLength}
 	rng := rand.New(rand.NewPCG(seed, 0xda1))
 	for range 1 + rng.IntN(2) {
 		f := Fault{ // the order of the fields is that of the draws
@@ -113,7 +113,7 @@
 		}
 		switch f.Kind {
 		case EngineCrash:
-			f.drawScope(rng, &day.Site)
+			f.drawScope(rng, &scenario.Site)
 		case NodeRestarts, RollingRestart:
 			f.Fraction = 1
 		case NodeKills:
@@ -121,9 +121,9 @@
 		case Burst:
 			f.Fraction = uniform(rng, 0.4, 0.9)
 		}
-		day.Faults = append(day.Faults, f)
+		scenario.Faults = append(scenario.Faults, f)
 	}
-	return day
+	return scenario
 }
 
 // drawScope draws whether a crash affects all engines of a role, all engines of a zone, or a fraction of all engines.
--- a/lab/simulation/summary.go
+++ b/lab/simulation/summary.go
@@ -8,13 +8,13 @@
 // Summary returns a readable comparison of a run with the baseline's.
 func (r *Report) Summary(baseline *Report) string {
 	var b strings.Builder
-	s := &r.Day.Site
+	s := &r.Scenario.Site
 	share, count := r.Share(allResults)
 	want, _ := baseline.Share(allResults)
 	fmt.Fprintf(&b,
 		"seed %d: %d nodes, %d engines, %.0f requests/s, %d requests: served %.3f, baseline %.3f; slow-start use %.2f; violations %d\n",
 		s.Seed, s.Nodes, len(s.Engines), s.Rate, count, share, want, r.SlowStartUse, len(r.Violations))
-	for _, f := range r.Day.Faults {
+	for _, f := range r.Scenario.Faults {
 		fmt.Fprintf(&b, "  fault: %s\n", f)
 	}
 	s.describe(&b)
@@ -27,7 +27,7 @@
 			className(i), c.Effect, c.Group, c.LatencyObjective, c.Patience, c.PromptTokens, c.ResponseTokens, c.PriorityWeight,
 			got, want, r.outcomes(ofClass), count)
 	}
-	for at := 0.0; at < r.Day.Length; at += windowLength {
+	for at := 0.0; at < r.Scenario.Length; at += windowLength {
 		inWindow := within(at, at+windowLength)
 		got, count := r.Share(inWindow)
 		want, _ := baseline.Share(inWindow)
--- a/lab/simulation/traffic.go
+++ b/lab/simulation/traffic.go
@@ -43,17 +43,17 @@
 type draws struct{ node, patience, disconnect, backoff float64 }
 
 // requests draws the requests of the run.
-func (d *Day) requests() []*request {
-	rng := rand.New(rand.NewPCG(d.Site.Seed, 0xc11e))
-	classShares := make([]float64, len(d.Site.Classes))
-	for i, c := range d.Site.Classes {
+func (s *Scenario) requests() []*request {
+	rng := rand.New(rand.NewPCG(s.Site.Seed, 0xc11e))
+	classShares := make([]float64, len(s.Site.Classes))
+	for i, c := range s.Site.Classes {
 		classShares[i] = c.Share
 	}
 	var requests []*request
 	for at := 0.0; ; {
-		rate, tenantShares := d.traffic(at)
+		rate, tenantShares := s.traffic(at)
 		at += rng.ExpFloat64() / rate
-		if at >= d.Length {
+		if at >= s.Length {
 			return requests
 		}
 		q := &request{ // the order of the fields is that of the draws
@@ -61,35 +61,35 @@
 			at:     at,
 			class:  drawIndex(rng, classShares),
 			tenant: drawIndex(rng, tenantShares),
-			zone:   drawIndex(rng, d.Site.Zones),
+			zone:   drawIndex(rng, s.Site.Zones),
 		}
-		d.drawSizes(rng, q)
-		d.drawClient(rng, q)
+		s.drawSizes(rng, q)
+		s.drawClient(rng, q)
 		requests = append(requests, q)
 	}
 }
 
 // traffic returns the request rate at a time, and the tenants' shares of it.
-func (d *Day) traffic(at float64) (rate float64, tenantShares []float64) {
-	rate = d.Site.Rate
-	if f, ok := d.active(Burst, at); ok {
+func (s *Scenario) traffic(at float64) (rate float64, tenantShares []float64) {
+	rate = s.Site.Rate
+	if f, ok := s.active(Burst, at); ok {
 		rate *= 1 + f.Fraction
 	}
-	for _, t := range d.Site.Tenants {
+	for _, t := range s.Site.Tenants {
 		tenantShares = append(tenantShares, t.Share)
 	}
-	if _, ok := d.active(TenantOverrun, at); ok {
-		rate += (overrunFactor - 1) * tenantShares[0] * d.Site.Rate
+	if _, ok := s.active(TenantOverrun, at); ok {
+		rate += (overrunFactor - 1) * tenantShares[0] * s.Site.Rate
 		tenantShares[0] *= overrunFactor
 	}
 	return rate, tenantShares
 }
 
 // drawSizes draws the prompt, the response, the session and the prefix of a request.
-func (d *Day) drawSizes(rng *rand.Rand, q *request) {
-	c := d.Site.Classes[q.class]
+func (s *Scenario) drawSizes(rng *rand.Rand, q *request) {
+	c := s.Site.Classes[q.class]
 	prompt := c.PromptTokens * math.Exp(c.Spread*rng.NormFloat64())
-	if f, ok := d.active(HeavyPrompts, q.at); ok && rng.Float64() < f.Fraction {
+	if f, ok := s.active(HeavyPrompts, q.at); ok && rng.Float64() < f.Fraction {
 		prompt *= heavyFactor
 	}
 	q.promptTokens = min(prompt, maxPromptTokens)
@@ -104,14 +104,14 @@
 }
 
 // drawClient draws the behavior of a request's client.
-func (d *Day) drawClient(rng *rand.Rand, q *request) {
+func (s *Scenario) drawClient(rng *rand.Rand, q *request) {
 	q.draws = draws{node: rng.Float64(), patience: rng.Float64(), disconnect: rng.Float64(), backoff: rng.Float64()}
 	share := disconnectShare
-	if f, ok := d.active(ClientsDisconnect, q.at); ok {
+	if f, ok := s.active(ClientsDisconnect, q.at); ok {
 		share = f.Fraction
 	}
 	if q.draws.disconnect < share {
-		q.disconnectAfter = d.Site.Classes[q.class].LatencyObjective * (0.05 + 1.2*rng.Float64())
+		q.disconnectAfter = s.Site.Classes[q.class].LatencyObjective * (0.05 + 1.2*rng.Float64())
 	}
 }
 
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -205,7 +205,7 @@
 		Attempt:        number,
 		ResponseTokens: request.ResponseTokens,
 	})
-	base := record.Record{Op: request.Operation, Try: number, Class: request.Class, Node: n.name}
+	base := record.Record{Op: request.Operation, Attempt: number, Class: request.Class, Node: n.name}
 	sent := base
 	sent.Kind = record.RequestSent
 	sent.Tokens = request.Timeout.Seconds()
@@ -235,7 +235,7 @@
 	} else {
 		conn.Close()
 	}
-	if response.Outcome == record.Cut && conn.used {
+	if response.Outcome == record.ConnectionLost && conn.used {
 		c.fleet.addUnanswered(n, request, sent.T)
 		c.recordDisconnect(request.ID, base)
 		return abandoned, 0 // not resent: after these records, no other response is allowed under the attempt's number
@@ -294,7 +294,7 @@
 func receive(conn *clientConn, request platform.Request, first func()) (response platform.Response, reusable bool) {
 	conn.SetReadDeadline(time.Now().Add(request.Timeout + headGrace))
 	if _, err := conn.reader.Peek(1); err != nil {
-		outcome := record.Cut
+		outcome := record.ConnectionLost
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			outcome = record.TimedOut
 		}
@@ -302,7 +302,7 @@
 	}
 	head, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
-		return platform.Response{Outcome: record.Cut, Err: err}, false
+		return platform.Response{Outcome: record.ConnectionLost, Err: err}, false
 	}
 	response.Status = head.StatusCode
 	response.RetryAfter = head.Header.Get("Retry-After")
--- a/lab/soak/fault_engine.go
+++ b/lab/soak/fault_engine.go
@@ -149,7 +149,7 @@
 
 // responseFaults are the faults from which queueResponseFaults draws.
 var responseFaults = []platform.Fault{
-	platform.NoiseForHead,
+	platform.GarbageHead,
 	platform.MalformedHead,
 	platform.EndlessHead,
 	platform.MalformedChunkSize,
--- a/lab/soak/pipeline.go
+++ b/lab/soak/pipeline.go
@@ -78,7 +78,7 @@
 		first.Kind = record.FirstToken
 		c.fleet.log.Add(first)
 	})
-	if response.Outcome == record.Cut && !isFirst { // the node may close the connection after any response
+	if response.Outcome == record.ConnectionLost && !isFirst { // the node may close the connection after any response
 		c.fleet.addUnanswered(n, request, record.Now())
 		disconnect := base
 		disconnect.Kind = record.ClientDisconnected
--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -27,24 +27,24 @@
 type Reject struct {
 	ID         string
 	RetryAfter float64 // delay for the client, in seconds; 0 = none is sent
-	Reason     GiveUpReason
+	Reason     FailureReason
 }
 
 // Fail is a final response that promises nothing about a retry.
 type Fail struct {
 	ID     string
-	Reason GiveUpReason
+	Reason FailureReason
 }
 
-// GiveUpReason is why a request is rejected or failed. It is a text for operators and clients; no decision depends on it.
-type GiveUpReason string
+// FailureReason is why a request is rejected or failed. It is a text for operators and clients; no decision depends on it.
+type FailureReason string
 
 // Reasons for a Reject or Fail.
 const (
-	DeadlineNear         GiveUpReason = "its time is nearly up"
-	ObjectiveUnreachable GiveUpReason = "no engine can begin the answer while it has any worth"
-	AttemptsExhausted    GiveUpReason = "it has had as many attempts as it may"
-	RepeatUnsafe         GiveUpReason = "a further attempt could run it twice"
+	DeadlineNear         FailureReason = "its time is nearly up"
+	ObjectiveUnreachable FailureReason = "no engine can begin the answer while it has any worth"
+	AttemptsExhausted    FailureReason = "it has had as many attempts as it may"
+	RepeatUnsafe         FailureReason = "a further attempt could run it twice"
 )
 
 // SetTimer requests a TimerFired with the token at a time.
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -132,7 +132,8 @@
 
 // Requests at the head of the high tier can be too late to pass the first-token test, but not late enough to leave the tier. If only
 // the head is tested, the requests behind it are tested when they reach the head and are as late themselves. After a burst, a node
-// with 50 requests a second then served 0.56 until the end of the day while all engines were idle (drawn days 1116, 1329).
+// with 50 requests a second then served 0.56 until the end of the run while all engines were idle (scenarios drawn from
+// seeds 1116 and 1329).
 func TestLateHeadOfTheHighTierDoesNotBlockOthers(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	sched.now = 10
--- a/scheduler/affinity_test.go
+++ b/scheduler/affinity_test.go
@@ -82,7 +82,7 @@
 		prefilledBy[s.Engine[0]]++
 		if s.Engine[0] == 'm' {
 			sched.Step(now+0.05, []Event{FirstToken{ID: req.ID, Engine: s.Engine, Spent: 0.05}})
-			acts := sched.Step(now+0.1, []Event{Outcome{ID: req.ID, Engine: s.Engine, Status: Completed, Closed: true}})
+			acts := sched.Step(now+0.1, []Event{Outcome{ID: req.ID, Engine: s.Engine, Status: Completed, RequestEnded: true}})
 			noAction[Release](t, acts)
 		} else {
 			decode := onlyAction[Send](t, sched.Step(now+0.05, []Event{
@@ -91,7 +91,7 @@
 				t.Fatalf("the state was sent to %s, want a decode engine", decode.Engine)
 			}
 			sched.Step(now+0.08, []Event{FirstToken{ID: req.ID, Attempt: 1, Engine: decode.Engine, Spent: 0.03},
-				Outcome{ID: req.ID, Attempt: 1, Engine: decode.Engine, Status: Completed, Closed: true}})
+				Outcome{ID: req.ID, Attempt: 1, Engine: decode.Engine, Status: Completed, RequestEnded: true}})
 		}
 		now += 0.2
 	}
@@ -109,7 +109,7 @@
 		req := testRequest("x", 0)
 		req.Prefix = prefix
 		s := onlyAction[Send](t, sched.Step(sched.now+1, []Event{req}))
-		sched.Step(sched.now, []Event{Outcome{ID: "x", Engine: s.Engine, Status: ServerError, Closed: true}})
+		sched.Step(sched.now, []Event{Outcome{ID: "x", Engine: s.Engine, Status: ServerError, RequestEnded: true}})
 		sched.engines[s.Engine].failureScore = 0
 		return s.Engine
 	}
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -81,8 +81,8 @@
 // Limits is what the deployment allows a node.
 type Limits struct {
 	MaxAttempts int // attempts per request
-	// UnsentAttemptsAreFree excludes from MaxAttempts the attempts that ended before their request was written.
-	UnsentAttemptsAreFree bool
+	// ExemptUnsentAttempts excludes from MaxAttempts the attempts that ended before their request was written.
+	ExemptUnsentAttempts bool
 	// StateTimeRunsUntilResponse makes the time limit of a waiting state run on through the attempts to fetch it. It restarts after
 	// an attempt only if the engine has responded.
 	StateTimeRunsUntilResponse bool
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -23,14 +23,14 @@
 
 // Outcome reports how an attempt ended.
 type Outcome struct {
-	ID      string
-	Attempt int
-	Engine  string
-	Status  Status
-	Info    int     // for Prefilled: number of cached tokens that were found; for Rejected: 1 = the engine found no state to fetch
-	Spent   float64 // seconds since the attempt was sent
-	Closed  bool    // the request has ended
-	Report  *LoadReport
+	ID           string
+	Attempt      int
+	Engine       string
+	Status       Status
+	Info         int     // for Prefilled: number of cached tokens that were found; for Rejected: 1 = the engine found no state to fetch
+	Spent        float64 // seconds since the attempt was sent
+	RequestEnded bool    // the request ended with this attempt or before
+	Report       *LoadReport
 }
 
 // FirstToken reports that an answer has started to stream.
--- a/scheduler/expiry.go
+++ b/scheduler/expiry.go
@@ -14,7 +14,7 @@
 // expiration is the time at which a request that is not answered gets its final response, and the reason.
 type expiration struct {
 	at     float64
-	reason GiveUpReason
+	reason FailureReason
 }
 
 // expire gives an expired request its final response, and demotes a request that can no longer start in time to the low tier
@@ -60,7 +60,7 @@
 
 // finalResponse returns the best final response that the request's attempts allow. A Reject promises that a retry is harmless
 // (rule 2), so a request that may have run gets a Fail instead, unless it is idempotent or all engines discard its repeats.
-func (s *Scheduler) finalResponse(req *request, reason GiveUpReason) Action {
+func (s *Scheduler) finalResponse(req *request, reason FailureReason) Action {
 	mayHaveRun := req.possibleEffect != nil || req.inFlight != nil
 	retryHarmless := req.class.Effect == Idempotent || !mayHaveRun ||
 		req.class.Effect == IdempotentByKey && req.class.DedupScope == DedupFleet
--- a/scheduler/exploration_test.go
+++ b/scheduler/exploration_test.go
@@ -74,7 +74,7 @@
 	}
 	sched := startScheduler(t, cfg, testFleet())
 	send := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 0)}))
-	sched.Step(distortedAt, []Event{Outcome{ID: send.ID, Engine: send.Engine, Status: Rejected, Closed: true}})
+	sched.Step(distortedAt, []Event{Outcome{ID: send.ID, Engine: send.Engine, Status: Rejected, RequestEnded: true}})
 	p.distortModel(sched)
 	return sched
 }
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -54,7 +54,7 @@
 			c.PollsDiscovery = true
 		}},
 		{name: "unsent-free", requestChance: 0.5, maxPrompt: 4000, updateEvery: 40, kinds: ordinaryFleet, configure: func(c *Config) {
-			c.Limits.UnsentAttemptsAreFree, c.Limits.StateTimeRunsUntilResponse = true, true
+			c.Limits.ExemptUnsentAttempts, c.Limits.StateTimeRunsUntilResponse = true, true
 		}},
 		{name: "no-cancel", requestChance: 0.9, maxPrompt: 8000, updateEvery: 20, kinds: []int{0, 1}, configure: func(c *Config) {
 			c.Limits.Cancel, c.Limits.RetryAfter, c.Limits.MaxRetryAfter = false, true, 5
@@ -75,7 +75,7 @@
 			c.ReportStyle, c.Limits.Probe = ReportInline, true
 			c.Prices = Prices{Probe: 1e-4, Waste: 0.1, CrossZone: 0.2, LateFailure: 0.5, Transfer: 1e-4}
 			c.PollsDiscovery, c.ReservationOffered, c.DecodeEnginesPrefill, c.NodeCount, c.NodeIndex = true, true, true, 2, 1
-			c.Limits.HedgedRequests, c.Limits.UnsentAttemptsAreFree, c.Limits.StateTimeRunsUntilResponse = true, true, true
+			c.Limits.HedgedRequests, c.Limits.ExemptUnsentAttempts, c.Limits.StateTimeRunsUntilResponse = true, true, true
 			c.Limits.RetryAfter, c.Limits.MaxRetryAfter, c.Tenants = true, 3, []Tenant{{Quota: 0}, {Quota: 10}}
 		}},
 	}
@@ -198,8 +198,8 @@
 	} else if o.Status == Rejected {
 		o.Info = h.random.Intn(2)
 	}
-	o.Closed = a.streaming || o.Status == Completed || !h.isOpen(a.id)
-	if o.Closed {
+	o.RequestEnded = a.streaming || o.Status == Completed || !h.isOpen(a.id)
+	if o.RequestEnded {
 		h.close(a.id)
 	}
 	return o
@@ -311,7 +311,7 @@
 				if x.id == a.ID && x.number == a.Attempt {
 					h.inFlight = append(h.inFlight[:j:j], h.inFlight[j+1:]...)
 					h.pendingEvents = append(h.pendingEvents, Outcome{ID: x.id, Attempt: x.number, Engine: x.engine, Status: Canceled,
-						Spent: h.now - x.sentAt, Closed: !h.isOpen(x.id)})
+						Spent: h.now - x.sentAt, RequestEnded: !h.isOpen(x.id)})
 					break
 				}
 			}
@@ -354,8 +354,8 @@
 	return map[EngineState]string{EngineReady: "ready", EngineDraining: "draining", EngineRemoved: "removed"}[s]
 }
 
-func reasonWord(w GiveUpReason) string {
-	return map[GiveUpReason]string{"": "none", DeadlineNear: "time-is-up", ObjectiveUnreachable: "too-late",
+func reasonWord(w FailureReason) string {
+	return map[FailureReason]string{"": "none", DeadlineNear: "time-is-up", ObjectiveUnreachable: "too-late",
 		AttemptsExhausted: "no-attempt-left", RepeatUnsafe: "may-run-twice"}[w]
 }
 
@@ -384,7 +384,7 @@
 			num(v.DurationHint), num(v.PromptTokens), num(v.PrefixTokens), num(v.MaxOutputTokens), v.Retry, v.Returned)
 	case Outcome:
 		return fmt.Sprintf("outcome id=%s n=%d engine=%s status=%s info=%d spent=%s closed=%t report=%s", v.ID, v.Attempt, v.Engine,
-			statusWord(v.Status), v.Info, num(v.Spent), v.Closed, reportText(v.Report))
+			statusWord(v.Status), v.Info, num(v.Spent), v.RequestEnded, reportText(v.Report))
 	case FirstToken:
 		return fmt.Sprintf("first id=%s n=%d engine=%s spent=%s", v.ID, v.Attempt, v.Engine, num(v.Spent))
 	case ClientDisconnected:
--- a/scheduler/heldstate_test.go
+++ b/scheduler/heldstate_test.go
@@ -6,7 +6,7 @@
 // and the time for which a state may wait keeps running during an attempt, unless its engine responds.
 func socketConfig() Config {
 	cfg := testConfig()
-	cfg.Limits.UnsentAttemptsAreFree = true
+	cfg.Limits.ExemptUnsentAttempts = true
 	cfg.Limits.StateTimeRunsUntilResponse = true
 	return cfg
 }
--- a/scheduler/lifecycle.go
+++ b/scheduler/lifecycle.go
@@ -99,7 +99,7 @@
 	default:
 		s.attemptFailed(req, ended, outcome.Status)
 	}
-	s.continueRequest(req, ended, outcome.Closed)
+	s.continueRequest(req, ended, outcome.RequestEnded)
 }
 
 // closeAttempt removes the attempt from its request and from the counts of its engine.
--- a/scheduler/lifecycle_test.go
+++ b/scheduler/lifecycle_test.go
@@ -12,7 +12,7 @@
 		t.Fatalf("prefilled at %s, decoded at %s; want the same cell", prefill, decode)
 	}
 	sched.Step(1.1, []Event{FirstToken{ID: "a", Attempt: 1, Engine: decode, Spent: 0.05}})
-	acts := sched.Step(2, []Event{Outcome{ID: "a", Attempt: 1, Engine: decode, Status: Completed, Spent: 1, Closed: true}})
+	acts := sched.Step(2, []Event{Outcome{ID: "a", Attempt: 1, Engine: decode, Status: Completed, Spent: 1, RequestEnded: true}})
 	noAction[Fail](t, acts)
 	noAction[Reject](t, acts)
 	if len(sched.requests)+len(sched.openRequests)+len(sched.engines[decode].admitted) != 0 {
@@ -30,7 +30,7 @@
 	sched := startScheduler(t, testConfig(), testFleet())
 	s := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 0)}))
 	onlyAction[Cancel](t, sched.Step(1.01, []Event{ClientDisconnected{"a"}}))
-	onlyAction[Release](t, sched.Step(1.02, []Event{Outcome{ID: "a", Engine: s.Engine, Status: Prefilled, Closed: true}}))
+	onlyAction[Release](t, sched.Step(1.02, []Event{Outcome{ID: "a", Engine: s.Engine, Status: Prefilled, RequestEnded: true}}))
 	if len(sched.requests) != 0 {
 		t.Fatal("the request is still tracked")
 	}
@@ -41,7 +41,7 @@
 	sched := startScheduler(t, testConfig(), endpoints)
 	s := onlyAction[Send](t, sched.Step(1, []Event{testRequest("a", 0)}))
 	onlyAction[Cancel](t, sched.Step(4.99, nil))
-	onlyAction[Release](t, sched.Step(5, []Event{Outcome{ID: "a", Engine: s.Engine, Status: Canceled, Closed: true}}))
+	onlyAction[Release](t, sched.Step(5, []Event{Outcome{ID: "a", Engine: s.Engine, Status: Canceled, RequestEnded: true}}))
 }
 
 func TestStateIsReleasedWhenNoDecodeEngineTakesIt(t *testing.T) {
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -91,7 +91,7 @@
 				t.Fatalf("prefilled again at %s, want %s", s.Engine, preferred)
 			}
 			sched.Step(now+0.3, []Event{ClientDisconnected{ID: req.ID},
-				Outcome{ID: req.ID, Attempt: 2, Engine: preferred, Status: Canceled, Closed: true}})
+				Outcome{ID: req.ID, Attempt: 2, Engine: preferred, Status: Canceled, RequestEnded: true}})
 		} else if s := onlyAction[Send](t, acts); s.Engine == preferred {
 			t.Fatalf("%s lost two states and the request was sent to it again", preferred)
 		}
--- a/scheduler/outputlength_test.go
+++ b/scheduler/outputlength_test.go
@@ -27,7 +27,7 @@
 		req := testRequest(fmt.Sprint("q", i), 0)
 		_, decode := prefillAndPlace(t, sched, now, req)
 		sched.Step(now+0.2, []Event{FirstToken{ID: req.ID, Attempt: 1, Engine: decode, Spent: 0.01},
-			Outcome{ID: req.ID, Attempt: 1, Engine: decode, Status: Completed, Closed: true}})
+			Outcome{ID: req.ID, Attempt: 1, Engine: decode, Status: Completed, RequestEnded: true}})
 		now += 0.5
 	}
 	req := &request{Request: testRequest("x", 0), class: &sched.cfg.Classes[0]}
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -48,10 +48,10 @@
 	})
 }
 
-// exemptUnsentAttempt excludes an attempt whose request was never written from the attempt limit, if UnsentAttemptsAreFree is set.
+// exemptUnsentAttempt excludes an attempt whose request was never written from the attempt limit, if ExemptUnsentAttempts is set.
 // At most MaxAttempts attempts of a request are excluded.
 func (s *Scheduler) exemptUnsentAttempt(outcome Outcome) {
-	if !s.cfg.Limits.UnsentAttemptsAreFree || outcome.Status != ConnectFailed && outcome.Status != NotSent {
+	if !s.cfg.Limits.ExemptUnsentAttempts || outcome.Status != ConnectFailed && outcome.Status != NotSent {
 		return
 	}
 	req := s.requests[outcome.ID]
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -112,15 +112,15 @@
 // Engines that crash together refuse connections within milliseconds. If attempts that were never written don't count, a request survives
 // more refused connections than it has attempts, waits while all engines are ejected, and is served by the engine that returns.
 func TestRefusedConnectionsDoNotCountAsAttempts(t *testing.T) {
-	for _, free := range []bool{true, false} {
-		t.Run(fmt.Sprintf("unsent attempts are free=%v", free), func(t *testing.T) {
+	for _, exempt := range []bool{true, false} {
+		t.Run(fmt.Sprintf("unsent attempts exempt %v", exempt), func(t *testing.T) {
 			cfg := testConfig()
-			cfg.Limits.MaxAttempts, cfg.Limits.UnsentAttemptsAreFree = 4, free
+			cfg.Limits.MaxAttempts, cfg.Limits.ExemptUnsentAttempts = 4, exempt
 			sends, served := simulateOutage(t, cfg)
-			if served != free {
-				t.Errorf("after %d attempts, prefilled after the outage is %v, want %v", sends, served, free)
+			if served != exempt {
+				t.Errorf("after %d attempts, prefilled after the outage is %v, want %v", sends, served, exempt)
 			}
-			if free && sends > 2*cfg.Limits.MaxAttempts {
+			if exempt && sends > 2*cfg.Limits.MaxAttempts {
 				t.Errorf("got %d attempts, want at most twice the limit", sends)
 			}
 		})
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -236,7 +236,7 @@
 	}
 	delete(req.engineOf, number)
 	req.inFlight--
-	outcome := Outcome{ID: id, Attempt: number, Engine: engine, Spent: spent, Closed: req.ended || req.streaming}
+	outcome := Outcome{ID: id, Attempt: number, Engine: engine, Spent: spent, RequestEnded: req.ended || req.streaming}
 	switch {
 	case req.streaming:
 		outcome.Status = Completed
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -217,7 +217,7 @@
 		for _, decode := range actionsOf[Send](sched.Step(now+0.05, []Event{prefilled})) {
 			engines = append(engines, decode.Engine)
 			sched.Step(now+0.08, []Event{FirstToken{ID: decode.ID, Attempt: 1, Engine: decode.Engine, Spent: 0.03}})
-			completed := Outcome{ID: decode.ID, Attempt: 1, Engine: decode.Engine, Status: Completed, Spent: 0.04, Closed: true}
+			completed := Outcome{ID: decode.ID, Attempt: 1, Engine: decode.Engine, Status: Completed, Spent: 0.04, RequestEnded: true}
 			sched.Step(now+0.09, []Event{completed})
 		}
 	}
