--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -12,16 +12,15 @@
 const (
 	// drawWindowSize is the number of requests at the head of the high tier from which one is drawn ("windowSize" in the paper).
 	drawWindowSize = 4
-	// prefillSlack is the multiple of its predicted time that the first-token test allows a prefill, because queues can grow
-	// without this node seeing it.
+	// prefillSlack is the factor by which the first-token test multiplies the predicted time of a prefill. The slack is needed
+	// because queues can grow without this node seeing it.
 	prefillSlack = 1.8
 	// idleObjectiveShare is the share of the first-token objective that a prefill on an idle engine may take.
 	idleObjectiveShare = 0.9
-	// affinityFactor is the multiple of a later candidate's time to first token that must be less than the preferred replica's
-	// time for the replica to be passed over.
+	// affinityFactor and affinitySlack favor earlier candidates. A later candidate is chosen only if its time to first token,
+	// multiplied by affinityFactor and increased by affinitySlack seconds, is less than the time of the best earlier one.
 	affinityFactor = 2
-	// affinitySlack is the time in seconds that is added to that multiple.
-	affinitySlack = 0.1
+	affinitySlack  = 0.1
 	// affinityCandidates is the number of prefill candidates, in rendezvous order, that are tested.
 	affinityCandidates = 4
 )
@@ -72,9 +71,9 @@
 	return -1
 }
 
-// drawWindow returns the first drawWindowSize of n indices in random order, followed by at most as many random indices of the
-// others. Without the others, requests at the head that are just too late to pass would block all requests behind them until those
-// are as late.
+// drawWindow returns the first drawWindowSize of n indices in random order, followed by up to drawWindowSize random indices of the
+// others. Without the others, requests at the head that are just too late to pass the tests would block the requests behind them,
+// which would reach the head only when they are too late themselves.
 func (s *Scheduler) drawWindow(n int) []int {
 	drawn := s.rng.Perm(min(drawWindowSize, n))
 	for range min(drawWindowSize, n-drawWindowSize) {
@@ -84,7 +83,7 @@
 }
 
 // admitLowTier admits requests of the low tier on a best-effort basis while the high tier is empty (algorithm 1, lines 18 to
-// 21). It stops after a few requests that don't pass, because thousands may wait.
+// 21). It stops after drawWindowSize requests that don't pass, because thousands may wait.
 func (s *Scheduler) admitLowTier(tier []*request) {
 	failed := 0
 	for _, req := range tier {
@@ -111,11 +110,11 @@
 	return lastResort && s.admitWithoutPrefillEngine(req)
 }
 
-// bestPairing returns the best pairing with one of the first candidates, or a zero pairing if none passes. The preferred replica
-// is passed over only for a candidate that has the first token in less than half the time.
+// bestPairing returns the best pairing with one of the first affinityCandidates candidates, or a zero pairing if none passes. An
+// earlier candidate that passes is replaced only by one that has the first token in less than half its time.
 func (s *Scheduler) bestPairing(req *request, candidates []*engine, lowTier bool) pairing {
 	var best pairing
-	bound := math.Inf(1) // time to first token that a later candidate must beat, after affinityFactor and affinitySlack
+	bound := math.Inf(1) // time to first token of the best pairing, in seconds
 	for _, candidate := range candidates[:min(affinityCandidates, len(candidates))] {
 		seconds := s.predictPrefill(req, candidate).seconds
 		if affinitySlack+affinityFactor*seconds >= bound {
@@ -147,9 +146,9 @@
 	}
 }
 
-// decodeEngineFor returns the engine that would decode what a candidate prefills in the given seconds, or nil. For a mixed
-// candidate that is the candidate itself if it passes the tests, so that no state is transferred; for a prefill engine it is the
-// best decode engine that passes.
+// decodeEngineFor returns the engine that would decode what a candidate prefills in the given seconds, or nil if none passes the
+// tests. A mixed candidate decodes the request itself, because then no state is transferred. For a prefill engine it is the best
+// decode engine that passes.
 func (s *Scheduler) decodeEngineFor(req *request, candidate *engine, seconds float64, lowTier bool) *engine {
 	timeLeft := s.timeAfterPrefill(req, candidate, seconds, lowTier)
 	if candidate.role != Mixed {
@@ -162,10 +161,10 @@
 	return candidate
 }
 
-// timeAfterPrefill returns the time that remains until the first token is due after a prefill that takes prefillSlack times the
-// given seconds. If an objective is too short for that factor even on an idle engine, the factor is reduced to what the objective
-// allows; otherwise requests of its class would never be sent. The result is infinite for the low tier and for an exploration
-// request, which have no objective to meet.
+// timeAfterPrefill returns the time in seconds that remains until the first token is due, after a prefill that takes prefillSlack
+// times the given seconds. An objective can be too short for this factor even on an idle engine. The factor is then reduced to what
+// the objective allows; otherwise requests of the class would never be sent. The result is infinite for the low tier and for an
+// exploration request, which have no objective to meet.
 func (s *Scheduler) timeAfterPrefill(req *request, candidate *engine, seconds float64, lowTier bool) float64 {
 	if lowTier || s.mayExplore() {
 		return math.Inf(1)
@@ -179,15 +178,15 @@
 	return req.firstTokenDue - s.now - slack*seconds
 }
 
-// delaysNoNewRequest reports whether an engine can prefill, in the given seconds, a request that is late anyway without making others
-// late: a new request of any class that arrives right behind it must still start in time, with a margin for the recent prediction
-// error. The test is needed because an empty high tier at this node doesn't mean that those of the other nodes are empty.
+// delaysNoNewRequest reports whether an engine can spend the given seconds on the prefill of a late request without making others
+// late. A new request of any class that arrives right behind it must still meet its first-token objective, with a margin for the
+// recent prediction error. The test is needed because the high tiers of other nodes may have requests while that of this node is empty.
 func (s *Scheduler) delaysNoNewRequest(candidate *engine, seconds float64) bool {
 	seconds += predictionErrorFactor * s.predictionError[candidate.role].get(s.now, 0, 0)
 	for i, class := range s.cfg.Classes {
 		prompt := s.classes[i].promptTokens.mean
 		objective := class.FirstTokenObjective + class.ObjectivePer1KTokens*prompt/1000
-		// An objective that is too short for any engine can't be met by delaying the late request.
+		// An objective that no engine can meet is ignored: delaying the late request would not help.
 		attainable := objective > prefillSlack*(prompt+prefillOverhead)*initialPrefillSecondsPerToken
 		if attainable && prefillSlack*(seconds+(prompt+prefillOverhead)*s.prefillSecondsPerToken(candidate)) > objective {
 			return false
@@ -197,8 +196,8 @@
 }
 
 // admitWithoutPrefillEngine sends a request that has no prefill candidate, or only one attempt left, to an engine that prefills and
-// decodes it: a mixed engine or, with DecodeEnginesPrefill, a decode engine. It is not used while prefill engines are merely
-// late, because decode engines that prefill fall behind and slow down the whole fleet (incidents i263144 and iaa9861).
+// decodes it: a mixed engine or, with DecodeEnginesPrefill, a decode engine. It is not used while prefill engines are only
+// late, because decode engines that also prefill fall behind and slow down the whole fleet (incidents i263144 and iaa9861).
 func (s *Scheduler) admitWithoutPrefillEngine(req *request) bool {
 	var best *engine
 	bestAmount := math.Inf(-1)
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -16,7 +16,7 @@
 	if tier[0] != req[1] || tier[1] != req[0] || tier[2] != req[2] {
 		t.Fatal("the tier is not ordered by deadline with requests beyond their quota last")
 	}
-	// A request whose first token is overdue waits while the high tier has a request.
+	// A request whose first token is overdue is not admitted while the high tier has a request.
 	sched := startScheduler(t, testConfig(), listOf())
 	overdue := testRequest("late", 0)
 	sched.Step(0, []Event{overdue})
@@ -32,7 +32,8 @@
 }
 
 // With many nodes, the high tier of each is nearly always empty. A late request may therefore be prefilled only on an engine where
-// a request that arrives right behind it would still be in time, given the waits and prediction errors of recent prefills.
+// a request that arrives right behind it would still meet its first-token objective, given the waits and prediction errors of recent
+// prefills.
 func TestLowTierIsPrefilledOnlyIfNoOtherRequestIsDelayed(t *testing.T) {
 	for wait, want := range map[float64]int{0: 1, 0.9: 0} {
 		sched := startScheduler(t, testConfig(), testFleet())
@@ -116,8 +117,8 @@
 	}
 }
 
-// A class whose objective is hardly longer than its prefills does not make late requests of other classes wait: its objective can't
-// be met behind any other request, so letting them wait helps none of its requests.
+// If the first-token objective is hardly longer than one prefill, a request that is queued behind another at its prefill engine can't
+// meet it. Each of the two idle engines therefore gets at most one request.
 func TestShortObjectiveIsNotQueuedBehindAnotherPrefill(t *testing.T) {
 	cfg := testConfig()
 	alone := (1000 + prefillOverhead) * initialPrefillSecondsPerToken
@@ -131,9 +132,9 @@
 }
 
 // Requests at the head of the high tier can be too late to pass the first-token test, but not late enough to leave the tier. If only
-// the head is tested, the requests behind it are tested when they reach the head and are as late themselves. After a burst, a node
-// with 50 requests a second then served 0.56 until the end of the run while all engines were idle (scenarios drawn from
-// seeds 1116 and 1329).
+// the head is tested, the requests behind it are tested when they reach the head, and by then they are too late as well. After a burst,
+// a node that received 50 requests per second then served 0.56 per second until the end of the run, while all engines were idle
+// (scenarios drawn from seeds 1116 and 1329).
 func TestLateHeadOfTheHighTierDoesNotBlockOthers(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	sched.now = 10
@@ -156,7 +157,8 @@
 	}
 }
 
-// A class whose objective no engine can meet behind another request must not keep the low tier from being prefilled forever.
+// A request of the low tier is prefilled only if it makes no new request late. A class with an objective that no engine can meet is
+// ignored in this test: its requests are late in any case, and the low tier would otherwise never be prefilled.
 func TestUnattainableObjectiveDoesNotBlockTheLowTier(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[1].FirstTokenObjective = 0.01
--- a/scheduler/affinity.go
+++ b/scheduler/affinity.go
@@ -68,7 +68,8 @@
 	return candidates
 }
 
-// prefixShare returns the share of a prefix in this node's arrivals.
+// prefixShare returns the share of a prefix in this node's arrivals. Since the latest arrival, each of the two counts decays with a time
+// constant of 1 s instead of prefixWindow.
 func (s *Scheduler) prefixShare(prefix string) float64 {
 	rate := s.prefixRates[prefix]
 	return rate.get(s.now, 1) / (s.prefixArrivals.get(s.now, 1) + prefixPrior)
@@ -81,8 +82,8 @@
 	s.prefixRates[prefix] = rate
 }
 
-// cachedPrefixTokens predicts how many tokens of a prompt an engine has cached: all of the session's latest prompt if the engine
-// prefilled it, else the mean share of shared prefixes that was found cached there.
+// cachedPrefixTokens predicts how many tokens of a prompt an engine has cached. If the engine has prefilled the session's latest
+// prompt since its start, that is the whole of this prompt. Otherwise it is the mean share of shared prefixes that was found there.
 func (s *Scheduler) cachedPrefixTokens(req *request, target *engine) float64 {
 	if latest, ok := s.sessions[req.Session]; ok && latest.prefillEngine == target && latest.usedAt > target.BootTime {
 		return min(latest.promptTokens, req.PromptTokens)
@@ -110,8 +111,9 @@
 	maps.DeleteFunc(s.sessions, func(_ string, latest session) bool { return s.now-latest.usedAt > sessionIdleTime })
 }
 
-// updateAffinityWeights weights each prefill engine by the square root of the ratio of decode to prefill engines in its cell,
-// relative to that of the fleet, so that states seldom leave their cell. Nodes with the same endpoint list compute the same weights.
+// updateAffinityWeights sets the weight of each prefill engine to the square root of a quotient, within fixed bounds: the ratio of
+// decode to prefill engines in its cell, divided by this ratio in the fleet. With these weights, states seldom have to leave their
+// cell. Nodes with the same endpoint list compute the same weights.
 func (s *Scheduler) updateAffinityWeights() {
 	ready := countReady(s.engineList)
 	for _, target := range s.engineList {
--- a/scheduler/affinity_test.go
+++ b/scheduler/affinity_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// A mixed engine is a preferred replica like a prefill engine, but for fewer prefixes. It decodes what it prefills, so that no state
-// is transferred, and it gets the states of prefill engines only if no decode engine passes the admission tests.
+// A mixed engine is a preferred replica like a prefill engine, but for fewer prefixes. It decodes what it prefills, which avoids the
+// transfer of a state. It gets the states of prefill engines only if no decode engine passes the admission tests.
 func TestMixedEnginesArePreferredReplicas(t *testing.T) {
 	endpoints := listOf()
 	for i := range 4 {
--- a/scheduler/curve.go
+++ b/scheduler/curve.go
@@ -21,7 +21,7 @@
 type uslCurve struct {
 	normal  [3][3]float64 // normal matrix of the least-squares fit
 	moments [3]float64    // its right-hand side
-	terms   [3]float64    // latest fit: c0, c0·σ and c0·κ
+	terms   [3]float64    // latest fit: c0, c0·σ and c0·κ, in seconds per token
 }
 
 // sample adds the measured seconds per token at a concurrency, with a weight.
@@ -35,7 +35,7 @@
 	}
 }
 
-// fit solves for the terms of the law, regularized toward a prior that dominates while samples are few. σ and κ stay in [0, 1].
+// fit computes the terms, regularized toward a prior that dominates while samples are few. It limits σ and κ to [0, 1].
 func (c *uslCurve) fit(prior [3]float64) {
 	var priorWeights [3]float64
 	for i := range priorWeights {
@@ -81,8 +81,8 @@
 	return &target.curve
 }
 
-// learnDecode records the duration of a completed stream, from its first token to its end. The fit is weighted by tokens: token
-// counts are approximate, and an unweighted mean of seconds per token would give too slow a speed.
+// learnDecode records the duration of a completed stream, from its first token to its end. Each sample is weighted by its tokens.
+// Token counts are approximate, and the unweighted mean of seconds per token would predict streams that are too slow.
 func (s *Scheduler) learnDecode(req *request, target *engine) {
 	tokens := s.expectedOutputTokens(req)
 	seconds := s.now - req.stream.startedAt
@@ -99,7 +99,9 @@
 	target.curve.fit(ofKind.terms)
 }
 
-// concurrency estimates L, the streams of all nodes at a decode engine: those last reported, and those of this node since then.
+// concurrency estimates L, the number of streams of all nodes at a decode engine. It adds the streams that this node has begun since
+// the last report to the reported number; the less fresh the report is, the more the mean of the engine's kind replaces it. The
+// estimate is at least the number of this node's streams.
 func (s *Scheduler) concurrency(target *engine) float64 {
 	own := s.ownLoad(target)
 	reported := reportedStreams(&target.report)
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -24,7 +24,8 @@
 	s.reserveSlot(req, decode)
 }
 
-// reserveSlot reserves a slot at the decode engine if the transfer takes a large part of the time until the first token is due.
+// reserveSlot reserves a slot at the decode engine during the prefill, if the transfer of the state takes more than
+// reserveTransferShare of the time until the first token is due.
 func (s *Scheduler) reserveSlot(req *request, decode *engine) {
 	transfer := s.transferTime(req, req.prefillEngine, decode)
 	if s.cfg.ReservationOffered && transfer > reserveTransferShare*max(0, req.firstTokenDue-s.now) &&
@@ -53,7 +54,7 @@
 	s.beginTransfer(req)
 }
 
-// assignDecodeEngine counts a request as admitted to an engine and to no other; nil means that it is admitted to none.
+// assignDecodeEngine makes an engine the only one to which a request is admitted for decoding; nil means none.
 func (s *Scheduler) assignDecodeEngine(req *request, target *engine) {
 	if req.decodeEngine != nil {
 		req.decodeEngine.admitted = without(req.decodeEngine.admitted, req)
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -15,7 +15,8 @@
 //
 // Each accepted Request gets exactly one final response: Reject, Fail, or the answer that the client receives from an
 // attempt. Attempts of a request are numbered from 0 in the order of their Send actions, and a request has at most one
-// attempt in flight. An event that names an unknown request, attempt or engine has no effect; a load report in it is recorded.
+// attempt in flight. An event that names an unknown request, attempt or engine has no effect, except that the load report of
+// a known engine is recorded even if the request or the attempt is unknown.
 //
 // # Files
 //
--- a/scheduler/endpointview.go
+++ b/scheduler/endpointview.go
@@ -10,7 +10,7 @@
 const (
 	// minWatchInterval is the shortest time in seconds between two checks of the subscription.
 	minWatchInterval = 0.5
-	// maxWatchInterval is the longest such time, in seconds.
+	// maxWatchInterval is the longest time in seconds between two checks of the subscription.
 	maxWatchInterval = 2
 )
 
@@ -101,7 +101,7 @@
 	return ready
 }
 
-// updateMaxReady updates the most engines of each role that were ready at once.
+// updateMaxReady updates the largest number of engines of each role that were ever ready at once.
 func (s *Scheduler) updateMaxReady() {
 	var ready [roles]int
 	for _, target := range s.engineList {
@@ -114,7 +114,7 @@
 	}
 }
 
-// watchEndpoints subscribes to the endpoint list if it is polled, and again after a failed call.
+// watchEndpoints subscribes to the endpoint list if the list must be polled, and subscribes again after a failed call.
 func (s *Scheduler) watchEndpoints() {
 	if !s.cfg.PollsDiscovery || s.now < s.nextWatchCheckAt {
 		return
--- a/scheduler/engine.go
+++ b/scheduler/engine.go
@@ -25,7 +25,7 @@
 	hasReport  bool
 
 	failureScore     float64
-	ejectionDuration float64 // seconds of the latest ejection; doubles with each ejection
+	ejectionDuration float64 // seconds of the latest ejection; 0 once the engine is no longer on probation
 	ejectedUntil     float64
 	fullUntil        float64 // when it stops counting as full after a rejection
 	lastSuccess      float64
--- a/scheduler/expiry.go
+++ b/scheduler/expiry.go
@@ -7,7 +7,7 @@
 	minRetryAfter = 0.1
 	// minResponseMargin is the shortest time, in seconds, between a final response and the client's deadline.
 	minResponseMargin = 0.01
-	// responseMarginTicks is the smallest number of ticks in this margin.
+	// responseMarginTicks is the shortest such time in ticks; the longer of the two applies.
 	responseMarginTicks = 4
 )
 
@@ -17,8 +17,8 @@
 	reason FailureReason
 }
 
-// expire gives an expired request its final response, and demotes a request that can no longer start in time to the low tier
-// (paper, section IV-C, step 1). It reports whether the request has ended.
+// expire gives an expired request its final response. It demotes a request to the low tier if its first token can no longer
+// arrive before it is due (paper, section IV-C, step 1). It reports whether the request has ended.
 func (s *Scheduler) expire(req *request) bool {
 	s.firstTokenBound = s.boundFirstToken(req)
 	expiry := s.expirationOf(req)
@@ -30,8 +30,9 @@
 	return req.done
 }
 
-// expirationOf returns the expiration of a request: now if it can have no further attempt, the last moment at which it could
-// still start and have some value if it waits, and shortly before its deadline otherwise.
+// expirationOf returns the expiration of a request. A request that can have no further attempt expires now. A request that waits
+// expires when the answer of a new attempt could no longer have any value. At the latest, a request expires responseMargin before its
+// deadline.
 func (s *Scheduler) expirationOf(req *request) expiration {
 	expiry := expiration{at: req.deadline - s.responseMargin(), reason: DeadlineNear}
 	if req.inFlight != nil {
@@ -58,8 +59,8 @@
 	return max(minResponseMargin, responseMarginTicks*s.cfg.Tick)
 }
 
-// finalResponse returns the best final response that the request's attempts allow. A Reject promises that a retry is harmless
-// (rule 2), so a request that may have run gets a Fail instead, unless it is idempotent or all engines discard its repeats.
+// finalResponse returns the final response that the request's attempts allow. A Reject promises that a retry is harmless (rule 2).
+// A request that may have run therefore gets a Fail, unless it is idempotent or all engines discard its repeats.
 func (s *Scheduler) finalResponse(req *request, reason FailureReason) Action {
 	mayHaveRun := req.possibleEffect != nil || req.inFlight != nil
 	retryHarmless := req.class.Effect == Idempotent || !mayHaveRun ||
@@ -71,7 +72,7 @@
 }
 
 // retryAfter returns the Retry-After delay of a rejection in seconds, or 0 if the deployment allows none. It is the shortest wait
-// that is expected at an engine that prefills, with a random spread so that clients that are rejected together don't retry together.
+// that is predicted for any engine that prefills. A random factor spreads the retries of clients that are rejected together.
 func (s *Scheduler) retryAfter() float64 {
 	if !s.cfg.Limits.RetryAfter {
 		return 0
--- a/scheduler/expiry_test.go
+++ b/scheduler/expiry_test.go
@@ -39,7 +39,7 @@
 	t.Fatal("no final response")
 }
 
-// A request that can no longer be served with any value is rejected in the same step, not when half of its time has passed. A request
+// A request whose answer can't have any value is rejected in the step in which it arrives, not when half of its time has passed. A request
 // whose late answer still has value waits.
 func TestRequestWithoutAttainableValueIsRejectedAtOnce(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
@@ -50,7 +50,7 @@
 	cfg := testConfig()
 	cfg.Classes[0].LateValue = 0
 	req = testRequest("b", 0)
-	req.PromptTokens, req.PrefixTokens, req.ClientTimeLeft = 6e4, 0, 30 // takes 3 s at best: before its deadline, but after its objective
+	req.PromptTokens, req.PrefixTokens, req.ClientTimeLeft = 6e4, 0, 30 // takes at least 3 s: before the deadline, after the objective
 	cfg.Classes[0].ObjectivePer1KTokens = 0
 	sched = startScheduler(t, cfg, testFleet())
 	onlyAction[Reject](t, sched.Step(1, []Event{req}))
@@ -61,8 +61,8 @@
 	noAction[Reject](t, sched.Step(1, []Event{req}))
 }
 
-// If the limits allow it, a rejection has a Retry-After delay: within the allowed maximum, spread at random, and shorter where
-// nothing waits. Otherwise it has none.
+// If the limits allow it, a rejection has a Retry-After delay. The delay is at most the allowed maximum, varies at random, and is shorter
+// while nothing waits at the engines. Otherwise a rejection has none.
 func TestRejectionsHaveRetryAfterIfAllowed(t *testing.T) {
 	unservable := func(id string) Request {
 		req := testRequest(id, 0)
--- a/scheduler/exploration_test.go
+++ b/scheduler/exploration_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// Performance models that were learned under overload can forbid every send, and then nothing is sent from which they could recover.
-// When no first token has arrived for a while, exactly one request is sent without the admission tests.
+// Performance models that were learned under overload can forbid every send. Without sends there are no new measurements that could
+// correct the models. When no first token has arrived for a while, exactly one request is therefore sent without the admission tests.
 func TestOneExplorationRequestIsSentIfModelsForbidAllSends(t *testing.T) {
-	const predictionErrors = "prediction errors" // these block the low tier only
+	const predictionErrors = "prediction errors" // high prediction errors block only the low tier
 	for name, distortModel := range map[string]func(sched *Scheduler){
 		predictionErrors: func(sched *Scheduler) { sched.predictionError[Prefill].add(sched.now, 30, 1) },
 		"first-token latencies": func(sched *Scheduler) {
--- a/scheduler/firsttoken.go
+++ b/scheduler/firsttoken.go
@@ -13,10 +13,10 @@
 	transferGain = 0.3
 )
 
-// firstTokenBound is a lower bound of a request's time to first token at the listed engines.
+// firstTokenBound is a lower bound of a request's time to first token at the engines that are ready, in seconds.
 type firstTokenBound struct {
-	total   float64 // seconds; 0 if no engine is listed, so that requests wait for one
-	latency float64 // part of the decode engine; infinite if none is listed
+	total   float64 // prefill and first-token latency; 0 while no engine can prefill or none can decode, so that requests wait
+	latency float64 // first-token latency of the decode engine; infinite if none is ready
 }
 
 // boundFirstToken returns a lower bound of the time until the request's first token.
@@ -54,7 +54,7 @@
 // link is the state of the link out of a cell to a zone. Transfers over it share its capacity.
 type link struct {
 	secondsPerToken decayingMean
-	tokensInTransit float64 // of this node's transfers
+	tokensInTransit float64 // tokens of the states that this node's attempts transfer now
 }
 
 func (s *Scheduler) link(from, to *engine) *link {
@@ -65,8 +65,8 @@
 	return s.links[key]
 }
 
-// transferTime predicts the time that a state's transfer takes beyond the first-token latency. Only a transfer out of the cell
-// counts; it is queued behind the tokens that are in transit on its link.
+// transferTime predicts the time in seconds that a state's transfer takes beyond the first-token latency. A transfer within the cell
+// takes none. A transfer out of the cell is queued behind the tokens that are in transit on its link.
 func (s *Scheduler) transferTime(req *request, from, to *engine) float64 {
 	if from == nil || from.Cell == to.Cell {
 		return 0
@@ -76,7 +76,7 @@
 	return (transferLink.tokensInTransit + req.PromptTokens) * perToken
 }
 
-// beginTransfer adds the state that the request's attempt in flight transfers to its link, if it leaves the cell.
+// beginTransfer adds the tokens of the request's state to those in transit on its link, if the state leaves the cell.
 func (s *Scheduler) beginTransfer(req *request) {
 	target := req.inFlight.engine
 	if target.Cell != req.prefillEngine.Cell {
@@ -85,7 +85,7 @@
 	}
 }
 
-// endTransfer removes the state that the request's attempt in flight transfers from its link.
+// endTransfer removes the tokens that beginTransfer has added, if there are any.
 func (s *Scheduler) endTransfer(req *request) {
 	if tokens := req.inFlight.transferTokens; tokens > 0 {
 		s.link(req.prefillEngine, req.inFlight.engine).tokensInTransit -= tokens
@@ -93,7 +93,8 @@
 	}
 }
 
-// learnTransfer records the time from a send to its first token. What exceeds the first-token latency is the transfer.
+// learnTransfer records the transfer time per token of an attempt that has streamed its first token. The transfer time is the part of
+// the spent seconds that exceeds the engine's first-token latency.
 func (s *Scheduler) learnTransfer(req *request, spent float64) {
 	target := req.inFlight.engine
 	perToken := max(0, spent-s.firstTokenLatency(target)) / req.inFlight.transferTokens
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -15,8 +15,8 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Sizes of a recording: its number of steps, the number of first steps that are written in full, and the interval in steps at which
-// a running hash of all steps is written after that.
+// Sizes of a recording: its number of steps, the number of steps at its beginning that are written in full, and the interval, in steps,
+// at which a running hash of all steps is written after these.
 const (
 	goldenSteps        = 1500
 	goldenFullSteps    = 140
@@ -189,7 +189,7 @@
 		o.Status = Prefilled
 	default:
 		o.Status = goldenStatuses[h.random.Intn(len(goldenStatuses))]
-		if o.Status == Prefilled && a.role != Prefill { // a host reports this for prefill engines only
+		if o.Status == Prefilled && a.role != Prefill { // a host reports Prefilled only for prefill engines
 			o.Status = ServerError
 		}
 	}
@@ -473,7 +473,7 @@
 
 func record(t *testing.T, s goldenSetting, seed int64) *goldenRecording {
 	h, g := newGoldenHost(t, s, seed), &goldenRecording{fullSteps: goldenFullSteps, counts: map[string]int{}}
-	if seed > 1 || s.name == goldenCrowded { // the first steps of one seed in full are enough
+	if seed > 1 || s.name == goldenCrowded { // the full text of one seed's first steps is enough
 		g.fullSteps = 10
 	}
 	for i := range goldenSteps {
@@ -497,7 +497,7 @@
 	return g
 }
 
-// count counts an event or action by its type, and by its type with each status, form or reason that it has.
+// count counts an event or action under its type, and under its type combined with each status, form or reason that it has.
 func (g *goldenRecording) count(text string) {
 	fields := strings.Fields(text)
 	g.counts[fields[0]]++
--- a/scheduler/heldstate_test.go
+++ b/scheduler/heldstate_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// socketConfig is the configuration of a scheduler whose host uses the protocol on sockets: attempts that were never written don't count,
-// and the time for which a state may wait keeps running during an attempt, unless its engine responds.
+// socketConfig is the configuration of a scheduler whose host uses the protocol on sockets. Attempts that were never written don't count
+// towards MaxAttempts. The time limit of a waiting state continues during an attempt, and restarts after it only if the engine has
+// responded.
 func socketConfig() Config {
 	cfg := testConfig()
 	cfg.Limits.ExemptUnsentAttempts = true
@@ -77,8 +78,8 @@
 	}
 }
 
-// With socketConfig, the time for which a state may wait keeps running during an attempt that gets no response, however it ends. It
-// restarts after an attempt whose engine responded.
+// With socketConfig, the time limit of a waiting state continues during an attempt without a response, regardless of how the attempt ends.
+// It restarts after an attempt whose engine has responded.
 func TestStateTimeKeepsRunningDuringAttemptsWithoutResponse(t *testing.T) {
 	for status, restarts := range map[Status]bool{
 		Canceled: false, TimedOut: false, ConnectionLost: false, ConnectFailed: false, NotSent: false, Rejected: true, ServerError: true,
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Kinds and classes of testConfig. In tests, the IDs of prefill engines begin with r, those of decode engines with w, and those of mixed
-// engines with m. The digit is often the cell.
+// engines with m. The digit in an ID is often the cell of the engine.
 const (
 	prefillKind = iota
 	decodeKind
@@ -95,7 +95,8 @@
 	}
 }
 
-// prefillAndPlace passes a request and the outcome of its prefill, and returns the engines that prefill and decode it.
+// prefillAndPlace passes a request and then the outcome of its prefill to the scheduler. It returns the engines that prefill and decode
+// the request.
 func prefillAndPlace(t *testing.T, sched *Scheduler, now float64, req Request) (prefill, decode string) {
 	t.Helper()
 	first := onlyAction[Send](t, sched.Step(now, []Event{req}))
--- a/scheduler/lifecycle.go
+++ b/scheduler/lifecycle.go
@@ -102,7 +102,7 @@
 	s.continueRequest(req, ended, outcome.RequestEnded)
 }
 
-// closeAttempt removes the attempt from its request and from the counts of its engine.
+// closeAttempt removes the attempt from its request, and the request from the prefills of the attempt's engine.
 func (s *Scheduler) closeAttempt(req *request, outcome Outcome) endedAttempt {
 	ended := endedAttempt{attempt: *req.inFlight, stage: req.stage}
 	engine := ended.engine
@@ -123,7 +123,8 @@
 }
 
 // learnPredictionError records the error of an attempt's predicted time if the attempt is a successful prefill, or if no engine
-// of the role has succeeded since it was sent. Otherwise one engine that hangs while others answer would raise the error of its role.
+// of the role has succeeded since it was sent. In other cases the engine may hang while others answer, and this one engine must not
+// raise the error of its role.
 func (s *Scheduler) learnPredictionError(ended endedAttempt, outcome Outcome) {
 	if ended.stage != stagePrefilling && ended.stage != stageDecoding {
 		return
@@ -161,7 +162,7 @@
 		return
 	}
 	ended.engine.fullUntil = s.now + fullDuration
-	if reportsSpareCapacity(outcome.Report) { // it rejects although it reports spare capacity: another engine is next
+	if reportsSpareCapacity(outcome.Report) { // it rejects although it reports spare capacity: retry at another engine
 		req.lastFailedEngine = ended.engine
 	}
 	if stateReserved {
@@ -202,8 +203,8 @@
 }
 
 // restartReservedTime restarts the time limit of a reserved state when the attempt to fetch it has ended. If
-// StateTimeRunsUntilResponse is set, it restarts only if the engine has responded: an attempt that ended otherwise may never have
-// reached its engine, and then the time limit has run on.
+// StateTimeRunsUntilResponse is set, it restarts only if the engine has responded. An attempt that ended without a response may never
+// have reached its engine, and the time limit has continued during it.
 func (s *Scheduler) restartReservedTime(req *request, status Status) {
 	responded := status == Rejected || status == ServerError
 	if req.reserved != nil && (responded || !s.cfg.Limits.StateTimeRunsUntilResponse) {
@@ -211,8 +212,8 @@
 	}
 }
 
-// stateReleased records that the host has released the state of a request. A request that waits is prefilled again. A request with
-// an attempt in flight is prefilled again if the attempt fails because the state is missing.
+// stateReleased records that the host has released the state of a request. A request that waits is queued to be prefilled again. A
+// request with an attempt in flight is queued again only if that attempt ends without an answer.
 func (s *Scheduler) stateReleased(event StateReleased) {
 	req := s.requests[event.ID]
 	if req == nil || req.reserved == nil {
@@ -241,8 +242,9 @@
 	s.assignDecodeEngine(req, nil)
 }
 
-// finish gives the final response (nil if the client has one or has disconnected), cancels the attempt in flight, and releases what
-// is reserved. A request whose attempt is still in flight remains in s.requests until its outcome.
+// finish ends a request. The response is nil if the client has already received one or has disconnected. If the action Cancel is
+// allowed, an attempt in flight whose answer doesn't stream yet is canceled. A request without an attempt in flight loses its state
+// and is deleted from s.requests; otherwise both happen at the attempt's outcome.
 func (s *Scheduler) finish(req *request, response Action) {
 	if response != nil {
 		s.emit(response)
@@ -258,6 +260,6 @@
 		s.emit(Cancel{ID: req.ID, Attempt: req.inFlight.number})
 	}
 	if req.stage == stagePrefilling && req.reserved != nil {
-		s.emit(Release{ID: req.ID}) // a slot that is reserved during the prefill
+		s.emit(Release{ID: req.ID}) // during the prefill, what is reserved is a slot at the decode engine
 	}
 }
--- a/scheduler/lifecycle_test.go
+++ b/scheduler/lifecycle_test.go
@@ -65,8 +65,8 @@
 	t.Fatal("the state was not released in time")
 }
 
-// The time for which a state may wait keeps running while connections fail. The last attempt must begin early enough to end within the
-// limit of rule 5. The state is then released, although there are decode engines that have not been tried.
+// With StateTimeRunsUntilResponse, the time limit of a waiting state (rule 5) continues while connections fail. The last attempt must
+// begin early enough to end within the limit. The state is then released, although there are decode engines that have not been tried.
 func TestStateIsReleasedInTimeWhileConnectionsFail(t *testing.T) {
 	endpoints := listOf(testEngine("r0", 0, 0))
 	for i := range 8 {
@@ -92,8 +92,9 @@
 	}
 }
 
-// If a failed connection counts as an attempt, the time for which a state may wait restarts at its outcome. A state that is released
-// earlier must be prefilled again, which lowered yard-assist-later, whose handshakes are slow, from 0.729 to 0.669 (simulated servers).
+// If a failed connection counts as an attempt, the time limit of a waiting state restarts at the outcome. Without the restart, the state is
+// released earlier and must be prefilled again. This lowered yard-assist-later, whose handshakes are slow, from 0.729 to 0.669 (simulated
+// servers).
 func TestStateTimeRestartsAfterAFailedConnectionThatCounts(t *testing.T) {
 	endpoints := testFleet()
 	endpoints.Engines = append(endpoints.Engines, testEngine("w2", 1, 0), testEngine("w3", 1, 0))
--- a/scheduler/loadreport.go
+++ b/scheduler/loadreport.go
@@ -10,14 +10,15 @@
 	// reportFreshTime is the time constant, in seconds, with which the weight of an engine's report decays in favor of the mean of
 	// its kind.
 	reportFreshTime = 5.0
-	// streamsAtFullUtilization is the number of streams that a utilization of 1 stands for if reports give no count.
+	// streamsAtFullUtilization is the number of streams that an engine is assumed to have at a utilization of 1, if its reports
+	// give no count.
 	streamsAtFullUtilization = 100
-	// spareUtilization is the utilization below which an engine reports spare capacity.
+	// spareUtilization is the utilization below which a load report counts as one of spare capacity.
 	spareUtilization = 0.9
 )
 
-// recordReport records an engine's load report, and adds it to the means of the engine's kind. A node that gets a report from each
-// engine only rarely still has these means.
+// recordReport records an engine's load report, and adds it to the means of the engine's kind. These means are useful to a node that
+// rarely gets a report from each single engine.
 func (s *Scheduler) recordReport(target *engine, report *LoadReport) {
 	if target == nil || report == nil {
 		return
@@ -46,7 +47,7 @@
 	return report.Utilization * streamsAtFullUtilization
 }
 
-// reportsSpareCapacity reports whether a load report says that no request waits and that slots are free.
+// reportsSpareCapacity reports whether a load report shows no waiting request and a utilization below spareUtilization.
 func reportsSpareCapacity(report *LoadReport) bool {
 	return report != nil && report.Has&HasWaiting != 0 && report.Waiting < 1 && report.Utilization < spareUtilization
 }
--- a/scheduler/loadreport_test.go
+++ b/scheduler/loadreport_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestReportedLoadLimitsAdmissionIfOwnStreamsAreFew(t *testing.T) {
-	// One of very many nodes has no stream of its own at any engine, but the decode engines report that they are busy.
+	// The node is one of very many and has no stream of its own at any engine, but the decode engines report that they are busy.
 	cfg := testConfig()
 	cfg.NodeCount, cfg.ReportStyle = 100, ReportInline
 	sched := startScheduler(t, cfg, testFleet())
--- a/scheduler/memory.go
+++ b/scheduler/memory.go
@@ -3,7 +3,8 @@
 // This file counts this node's streams and their tokens at a decode engine, and estimates how much of its KV-cache memory is in
 // use.
 
-// ownLoad is the load of this node at a decode engine. The new part is what the engine's last report can't include yet.
+// ownLoad is the load of this node at a decode engine. newStreams and newTokens are the part of it that the engine's last report can't
+// include, because it began after the report or shortly before.
 type ownLoad struct {
 	streams, tokens       float64
 	newStreams, newTokens float64
@@ -23,8 +24,8 @@
 	return own
 }
 
-// memoryShareWith estimates the share of an engine's memory that is in use once it has the request, in the same way as concurrency
-// estimates its streams.
+// memoryShareWith estimates the share of an engine's memory that is in use once the engine has the request. It combines the load of
+// this node with the load report as concurrency does. It returns 0 if the size of the memory is unknown.
 func (s *Scheduler) memoryShareWith(target *engine, req *request) float64 {
 	if target.memory <= 0 {
 		return 0
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -5,23 +5,24 @@
 // This file ejects outliers, readmits them on probation, and cancels stuck attempts.
 
 const (
-	// failureGain is the weight of the newest outcome in an engine's failure score.
+	// failureGain is the weight of the newest outcome in an engine's failure score, which is between 0 and 1.
 	failureGain = 0.3
 	// ejectionScore is the failure score at which an engine is ejected.
 	ejectionScore = 0.5
-	// probationScore is the failure score from which an engine gets one request at a time.
+	// probationScore is the failure score at and above which an engine is on probation: it gets one request at a time.
 	probationScore = 0.25
 	// minEjection is the duration, in seconds, of the first ejection.
 	minEjection = 0.5
 	// maxEjection is the longest duration, in seconds, of an ejection before the next probation.
 	maxEjection = 4.0
-	// overdueFactor is the multiple of its predicted duration after which an attempt may be overdue.
+	// overdueFactor is the multiple of an attempt's predicted duration after which it may be overdue.
 	overdueFactor = 3
-	// overdueGrace is the time in seconds that is added to that multiple.
+	// overdueGrace is the time in seconds that is added to this multiple.
 	overdueGrace = 0.3
-	// lostOvertakeCount is the number of later attempts that an engine answers before an earlier one counts as lost.
+	// lostOvertakeCount is the number of later attempts that an engine must answer first for an earlier attempt to count as lost.
 	lostOvertakeCount = 2
-	// predictionErrorFactor is the number of mean prediction errors that are added as a margin, as in RFC 6298, section 2.
+	// predictionErrorFactor is the factor by which the mean prediction error is multiplied to get a safety margin, as in RFC 6298,
+	// section 2.
 	predictionErrorFactor = 4
 )
 
@@ -35,8 +36,8 @@
 	}
 }
 
-// recordFailure raises an engine's failure score. Two consecutive failures eject it, whatever their cause: fast errors, a dead
-// process, a cut link or no response.
+// recordFailure raises an engine's failure score. Two consecutive failures eject the engine. The cause makes no difference: fast errors,
+// a dead process, a cut link or no response.
 func (s *Scheduler) recordFailure(target *engine) {
 	target.failureScore += failureGain * (1 - target.failureScore)
 	if target.failureScore >= ejectionScore && s.now >= target.ejectedUntil {
@@ -44,8 +45,9 @@
 	}
 }
 
-// recordAttemptFailure counts a failed attempt against its engine. A refused connection ejects the engine at once. An attempt that
-// timed out or was canceled doesn't count if the engine has answered others since it was sent, unless the engine has lost it.
+// recordAttemptFailure counts a failed attempt against its engine. A failed connection ejects the engine at once. An attempt that timed
+// out or was canceled doesn't count if the engine has answered another one since it was sent. It does count if it was overtaken by
+// lostOvertakeCount attempts, because the engine has then lost it.
 func (s *Scheduler) recordAttemptFailure(ended endedAttempt, status Status) {
 	target := ended.engine
 	lost := ended.overtakenBy >= lostOvertakeCount
@@ -57,7 +59,8 @@
 	}
 }
 
-// eject excludes an engine from new work for a time that doubles with each ejection. The engine is then readmitted on probation.
+// eject excludes an engine from new work. The time doubles with each ejection, from minEjection to maxEjection, until a probation ends
+// well. After that time the engine is readmitted on probation.
 func (s *Scheduler) eject(target *engine) {
 	target.failureScore = max(target.failureScore, ejectionScore)
 	target.ejectionDuration = min(maxEjection, max(minEjection, 2*target.ejectionDuration))
@@ -67,8 +70,9 @@
 	}
 }
 
-// acceptsWork reports whether an engine may get new work: it isn't ejected, it has no attempt that is stuck because the engine
-// doesn't respond (a dead machine, a cut zone, a hung process), and it has no other attempt in flight while it is on probation.
+// acceptsWork reports whether an engine may get new work. An engine that is ejected may not. Neither may an engine with a stuck attempt
+// that no later ones have overtaken, because it doesn't respond at all (a dead machine, a cut zone, a hung process). An engine on
+// probation may get work only while no attempt there waits for its outcome or first token.
 func (s *Scheduler) acceptsWork(target *engine) bool {
 	if s.now < target.ejectedUntil {
 		return false
@@ -93,15 +97,16 @@
 	return req.inFlight != nil && req.inFlight.engine == e && req.stage != stageStreaming
 }
 
-// isStuck reports whether an attempt is overdue and its engine has either had no success since it was sent, or answered later
-// attempts before it. Engines process waiting attempts in order, so an overtaken attempt is lost, however loaded the engine is.
+// isStuck reports whether an attempt is overdue and its engine has either had no success since it was sent, or answered
+// lostOvertakeCount later attempts before it. Engines process waiting attempts in order, so even at a loaded engine an overtaken
+// attempt is lost.
 func (s *Scheduler) isStuck(pending *attempt) bool {
 	return s.now > s.overdueAt(pending) &&
 		(pending.engine.lastSuccess < pending.sentAt || pending.overtakenBy >= lostOvertakeCount)
 }
 
-// overdueAt returns the time at which an attempt becomes overdue. Unless the attempt was overtaken, this includes a margin for the
-// recent prediction error of the role, so that no attempt is overdue when all engines of the role are late.
+// overdueAt returns the time at which an attempt becomes overdue. Unless the attempt counts as lost, this includes a margin for the
+// recent prediction error of the role. With the margin, attempts don't become overdue when all engines of the role are late.
 func (s *Scheduler) overdueAt(pending *attempt) float64 {
 	at := pending.sentAt + overdueFactor*pending.predictedSeconds + overdueGrace
 	if pending.overtakenBy < lostOvertakeCount {
@@ -110,8 +115,8 @@
 	return at
 }
 
-// cancelStuckAttempt cancels a stuck attempt, so that the request is retried elsewhere while there is time. Attempts at an engine
-// that still answers others continue: under overload a retry would only add to the load.
+// cancelStuckAttempt cancels a stuck attempt if a repeat is harmless. The request can then be retried elsewhere before its deadline. An
+// attempt at an engine that still answers others continues, because under overload a retry would only add to the load.
 func (s *Scheduler) cancelStuckAttempt(req *request) {
 	if req.inFlight == nil || req.inFlight.cancelRequested || !s.cfg.Limits.Cancel || s.attemptsLeft(req) < 2 {
 		return
@@ -123,9 +128,9 @@
 	}
 }
 
-// cancelAttemptWithoutState cancels an attempt whose state was released while it was in flight, if its engine has had no success
-// since it was sent: if the attempt has reached the engine at all, the engine finds no state. A new prefill is then more useful
-// than waiting, if attempts are left for one.
+// cancelAttemptWithoutState cancels an attempt whose state was released while it was in flight, if its engine has had no success since
+// the attempt was sent. Even if the attempt reaches the engine, the engine finds no state. A new prefill is then more useful than
+// waiting, provided that the request has enough attempts left.
 func (s *Scheduler) cancelAttemptWithoutState(req *request) {
 	pending := req.inFlight
 	if pending == nil || !pending.stateReleased || pending.cancelRequested || req.stage != stageDecoding {
@@ -140,8 +145,8 @@
 	}
 }
 
-// eligibleEngines returns the engines that satisfy fits, are listed as ready (rule 3) and accept work. If none accepts work, it
-// returns the one that has failed least.
+// eligibleEngines returns the engines that satisfy fits, are listed as ready (rule 3) and accept work. If none of them accepts work, it
+// returns the one with the lowest failure score.
 func (s *Scheduler) eligibleEngines(fits func(e *engine) bool) []*engine {
 	var eligible []*engine
 	var lastResort *engine
@@ -168,8 +173,8 @@
 	return e.ejectedUntil < other.ejectedUntil
 }
 
-// countOvertaken records, when the request's attempt in flight is answered, that it has overtaken the attempts at the same stage
-// that were sent earlier and are still unanswered.
+// countOvertaken is called when the request's attempt in flight is answered. It counts this for each attempt of others that was sent
+// earlier and is still unanswered. Only attempts at the same stage that both use a reservation, or both use none, are compared.
 func (req *request) countOvertaken(others []*request, at stage) {
 	for _, other := range others {
 		if other == req || other.stage != at || other.inFlight.usesReservation != req.inFlight.usesReservation {
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -71,8 +71,9 @@
 	}
 }
 
-// A prefill engine that loses its states (a machine is cut off, memory runs short, or a restart doesn't show in the endpoint list) still
-// answers prefills normally. A decode engine that rejects an attempt because it found no state doesn't count as full.
+// A prefill engine that loses its states still answers prefills normally. The cause can be a machine that is cut off, too little memory,
+// or a restart that the endpoint list doesn't show. A decode engine that rejects an attempt because it found no state doesn't count as
+// full.
 func TestPrefillEngineThatLosesStatesIsAvoided(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	now, preferred := 1.0, ""
@@ -99,9 +100,9 @@
 	}
 }
 
-// An engine answers some attempts and loses others. If it answers two later attempts first, the earlier one is canceled, retried at
-// another engine and counted as a failure of the engine, which doesn't count as silent. An attempt that only one later attempt
-// overtook may just be slow, and continues.
+// An engine answers some attempts and loses others. If it answers two later attempts first, the earlier attempt is canceled, and the
+// request is retried at another engine. This counts as a failure of the engine, but the engine still accepts work. An attempt that only
+// one later attempt has overtaken may just be slow, and continues.
 func TestOvertakenAttemptIsCanceledAndRetriedElsewhere(t *testing.T) {
 	for _, c := range []struct {
 		later    int // attempts that are sent later and answered earlier
@@ -168,8 +169,8 @@
 	}
 }
 
-// An engine that hangs while others of its role answer must not raise the prediction error of the role, so that the next engine that
-// hangs is detected as soon as the first was. If all engines of the role are late, the error is learned.
+// An engine that hangs while others of its role answer must not raise the prediction error of the role. Otherwise the next engine that
+// hangs would be detected later than the first. If all engines of the role are late, the error is learned.
 func TestHangingEngineDoesNotRaisePredictionErrorOfItsRole(t *testing.T) {
 	endpoints := listOf(testEngine("w0", decodeKind, 0))
 	for i := range 6 {
--- a/scheduler/outputlength.go
+++ b/scheduler/outputlength.go
@@ -5,13 +5,13 @@
 // This file predicts how many tokens an answer will have.
 
 const (
-	// maxStreamTimes is the number of latest stream durations that are stored for each class.
+	// maxStreamTimes is the largest number of stream durations that are stored for a class; older ones are dropped.
 	maxStreamTimes = 128
 	// initialOutputShare is the prior of the ratio of an answer's length to its token limit.
 	initialOutputShare = 0.3
 	// minStreamTimes is the number of stream durations that are needed to estimate the ratio.
 	minStreamTimes = maxStreamTimes / 8
-	// longestStreamQuantile is the quantile of the stream durations that is assumed for a stream at the token limit.
+	// longestStreamQuantile is the quantile of the stream durations that is taken as the duration of a stream at the token limit.
 	longestStreamQuantile = 0.99
 	// minOutputTokens is the shortest predicted length of an answer, in tokens.
 	minOutputTokens = 4
@@ -19,8 +19,9 @@
 	minOutputTokenObjective = 1e-3
 )
 
-// expectedOutputTokens predicts an answer's length in tokens: from its duration hint or, without one, from its token limit and the
-// mean ratio of its class. If no answer reaches the limit, the prediction is too long, and admission errs toward admitting too much.
+// expectedOutputTokens predicts an answer's length in tokens. It uses the duration hint or, without one, the token limit multiplied by
+// the mean ratio of the class. If no answer of the class reaches the limit, the prediction is too long; the time per token that
+// learnDecode derives from it is then too short, and admission errs toward admitting too much.
 func (s *Scheduler) expectedOutputTokens(req *request) float64 {
 	tokens := req.DurationHint / max(req.class.OutputTokenObjective, minOutputTokenObjective)
 	if req.DurationHint <= 0 {
--- a/scheduler/outputlength_test.go
+++ b/scheduler/outputlength_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// An answer of one or two tokens can begin and end within one step. If its duration of zero is learned, the expected output length
-// becomes NaN, and then no decode engine with a stream passes the admission tests any more.
+// An answer of one or two tokens can begin and end within one step. If its duration of zero were learned, the expected output length
+// would become NaN, and no decode engine that has a stream would pass the admission tests.
 func TestStreamsWithoutDurationAreNotLearned(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	now := 1.0
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// A node with old reports sends a state out of a cell whose decode engine has less spare capacity. A node with fresh reports does so only
-// if no decode engine of the cell passes the admission tests.
+// With old reports, a state is sent to another cell if the decode engine there has more spare capacity than that of the prefill engine's
+// cell. With fresh reports, it is sent there only if no decode engine of its own cell passes the admission tests.
 func TestStateLeavesAFullerCellIfReportsAreOld(t *testing.T) {
 	report := func(share float64) *LoadReport { return &LoadReport{MemoryShare: share, Has: HasMemoryShare} }
 	for age, want := range map[float64]string{0.1: "w0", 8: "w1"} {
@@ -33,7 +33,7 @@
 		sched.kinds[decodeKind].reportedMemory.mean = 0.4 // mean of all engines of the kind that have reported recently
 		sched.engines["w0"].reportedAt, sched.engines["w1"].reportedAt = 1, 1
 		sched.now = 1 + age
-		if age > 1 { // the engine of the cell has just reported, the other one has not for a long time
+		if age > 1 { // w0, in the cell of the prefill engine, has just reported; w1 has not for a long time
 			sched.engines["w0"].reportedAt = sched.now
 		}
 		if chosen := sched.bestDecodeEngine(req, sched.engines["r0"], 1, false); chosen == nil || chosen.ID != want {
@@ -42,8 +42,8 @@
 	}
 }
 
-// A decode engine that misses the objective even with one stream, and reports load, is still used if there is no other: late answers
-// are worth more than rejections. An engine that meets the objective is preferred.
+// A decode engine that reports load and misses the objective even with one stream is still used if there is no other, because late
+// answers are worth more than rejections. An engine that meets the objective is preferred.
 func TestDecodeEngineBelowOutputObjectiveIsTheLastResort(t *testing.T) {
 	for _, other := range []bool{false, true} {
 		endpoints := listOf(testEngine("r0", 0, 0), testEngine("slow", 1, 0))
--- a/scheduler/prefilltime.go
+++ b/scheduler/prefilltime.go
@@ -3,9 +3,10 @@
 // This file predicts how long an engine takes to prefill a prompt.
 
 const (
-	// prefillWaitDecayTime is the time constant, in seconds, with which an engine's learned wait returns to that of its kind.
+	// prefillWaitDecayTime is the time constant, in seconds, with which an engine's mean prefill wait and mean prefix hit rate return to
+	// those of its kind.
 	prefillWaitDecayTime = 15.0
-	// prefillWaitGain is the weight of the newest sample in an engine's own means of its prefills.
+	// prefillWaitGain is the weight of the newest sample in these two means of an engine.
 	prefillWaitGain = 0.3
 	// prefillFitPrior is the weight of the prior in the fit of prefill times, expressed as a squared deviation in squared tokens.
 	prefillFitPrior = 1e7
@@ -15,7 +16,7 @@
 	minPrefillSecondsPerToken = 1e-5
 	// prefillOverhead is the fixed cost of a prefill, expressed in tokens.
 	prefillOverhead = 400
-	// minPrefillTokens is the smallest number of tokens that a prefill is assumed to compute, however much is cached.
+	// minPrefillTokens is the smallest number of tokens that a prefill is assumed to compute, even if all are cached.
 	minPrefillTokens = 32
 	// minSlowStartShare is the smallest share of its capacity that an engine in slow start is assumed to have.
 	minSlowStartShare = 0.1
@@ -28,8 +29,9 @@
 	load           float64 // tokens of this prefill and of those that this node has queued there before it
 }
 
-// prefillSecondsPerToken returns the time that one more token from this node takes: the slope of the kind's prefill times. With few
-// nodes the slope includes the load of the others, which rises and falls with that of this node; with many, prefillWait includes it.
+// prefillSecondsPerToken returns the time in seconds that each further token from this node adds to a prefill: the slope of the prefill
+// times of the engine's kind. An engine in slow start from which no prefill is known counts as slower, by its slow-start share. With few
+// nodes, the load of the other nodes varies with that of this node, and the slope includes it. With many nodes, prefillWait includes it.
 func (s *Scheduler) prefillSecondsPerToken(target *engine) float64 {
 	slope := s.kinds[target.Kind].prefillTime.slope(initialPrefillSecondsPerToken, prefillFitPrior)
 	seconds := max(minPrefillSecondsPerToken, slope)
@@ -39,7 +41,7 @@
 	return seconds
 }
 
-// prefillWait returns how much longer a prefill takes than the load from this node explains.
+// prefillWait returns how many seconds longer a prefill takes than the load from this node explains.
 func (s *Scheduler) prefillWait(target *engine) float64 {
 	ofKind := s.kinds[target.Kind].prefillWait.get(s.now, 0, meanDecayTime)
 	return target.prefillWait.get(s.now, ofKind, prefillWaitDecayTime)
@@ -50,7 +52,7 @@
 	return max(minPrefillTokens, req.PromptTokens-s.cachedPrefixTokens(req, target))
 }
 
-// predictPrefill predicts a prefill. The load from other nodes shows in prefillWait; that from this node is counted.
+// predictPrefill predicts a prefill. It counts the load from this node; prefillWait stands for the load from other nodes.
 func (s *Scheduler) predictPrefill(req *request, target *engine) prefillPrediction {
 	uncached := s.uncachedTokens(req, target)
 	load := uncached + prefillOverhead + tokensAhead(target)
--- a/scheduler/prefilltime_test.go
+++ b/scheduler/prefilltime_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// If learned waits did not decay, prefill engines that were slow once would get no requests. Without requests nothing new is learned of
-// them, and they would never get any again.
+// If learned waits did not decay, prefill engines that were slow once would get no requests. Without requests there would be no new
+// measurements of them, so they would never get requests again.
 func TestLearnedWaitsDecayWhileNothingIsPrefilled(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	sched.now = 1
--- a/scheduler/probing.go
+++ b/scheduler/probing.go
@@ -3,7 +3,7 @@
 // This file sends routine probes if they are the only source of load reports.
 
 const (
-	// probeBudget is the highest cost of routine probes, in points of the result per arrival.
+	// probeBudget is the highest cost of routine probes, in points of the result per request that arrives.
 	probeBudget = 5e-3
 	// minProbeInterval is the shortest time in seconds between two probes.
 	minProbeInterval = 0.02
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -3,9 +3,9 @@
 // This file decides which requests exceed their tenant's quota.
 
 const (
-	// quotaBurst is the time in seconds for which a tenant may accumulate unused quota.
+	// quotaBurst is the time in seconds over which a tenant may accumulate unused quota for a burst.
 	quotaBurst = 2.0
-	// quotaMinBurst is the smallest burst, in requests, that a tenant may accumulate.
+	// quotaMinBurst is the lower bound of the burst that a tenant may accumulate, in requests. It applies to small quotas.
 	quotaMinBurst = 4
 )
 
@@ -24,7 +24,7 @@
 	filledAt float64
 }
 
-// take takes one token from a bucket that fills at a rate up to a size. It returns false if the bucket is empty.
+// take takes one token from the bucket, and reports whether there was one. The bucket fills by perSecond tokens per second, up to size.
 func (b *tokenBucket) take(now, perSecond, size float64) bool {
 	if b.filledAt == 0 {
 		b.level = size
--- a/scheduler/quota_test.go
+++ b/scheduler/quota_test.go
@@ -15,8 +15,9 @@
 	}
 }
 
-// Nodes share no state, so their node counts can be wrong. If half of 155 nodes are configured with 130 and half with 180, tenants' quotas
-// are wrong by no more than the error of the counts. The slow-start budget is unchanged, as it follows from what each node completes.
+// Nodes share no state, so their configured node counts can be wrong. If half of 155 nodes are configured with 130 nodes and half with
+// 180, tenants' quotas are wrong by no more than the error of the counts. The slow-start budget is unchanged, because it is derived from
+// the work that is completed for each node.
 func TestQuotasAddUpWithWrongNodeCounts(t *testing.T) {
 	const nodes, quota, seconds = 155, 400.0, 60
 	granted := 0
@@ -26,7 +27,7 @@
 		cfg.NodeIndex = i % 130 // some indices are used twice
 		cfg.Tenants = []Tenant{{Quota: quota}}
 		sched := startScheduler(t, cfg, testFleet())
-		for k := range 100 * seconds { // far more than the node's part of the quota
+		for k := range 100 * seconds { // 100 requests per second: far more than the node's share of the quota
 			now := 1 + float64(k)/100
 			sched.now = now
 			req := testRequest(fmt.Sprint(i, "-", k), 0)
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -27,12 +27,12 @@
 	finalResponseDue float64 // when the final response must be given
 
 	overQuota bool // exceeds its tenant's quota
-	lowTier   bool // can't meet its first-token objective any more
+	lowTier   bool // can no longer meet its first-token objective
 	done      bool // has its final response, or its client has disconnected
 	stage     stage
 
 	attemptsSent     int
-	exemptAttempts   int             // attempts that were sent and don't count towards MaxAttempts
+	exemptAttempts   int             // attempts in attemptsSent that don't count towards MaxAttempts
 	inFlight         *attempt        // nil if there is none
 	possibleEffect   *possibleEffect // nil while no attempt can have run
 	lastFailedEngine *engine         // engine of its latest failed attempt, or of a later rejection despite spare capacity
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -4,11 +4,11 @@
 
 // This file decides whether a request may have a further attempt, and where (rule 2).
 
-// dedupMarginTicks is the number of ticks before the end of a deduplication window from which on no repeat is sent.
+// dedupMarginTicks is the length, in ticks, of the time at the end of a deduplication window in which no repeat is sent any longer.
 const dedupMarginTicks = 2
 
-// repeatAllowed reports whether the request may be sent to an engine: no attempt of it can have run, it is idempotent, or the
-// engine is in the scope that discards repeats and the deduplication window has not ended.
+// repeatAllowed reports whether the request may be sent to an engine. It may if none of its attempts can have run, or if it is
+// idempotent. A request that is idempotent by key may also be sent within its deduplication scope until its deduplication window ends.
 func (s *Scheduler) repeatAllowed(req *request, target *engine) bool {
 	first := req.possibleEffect
 	if first == nil || req.class.Effect == Idempotent {
@@ -60,9 +60,9 @@
 	}
 }
 
-// retryCandidates returns the engines except the one at which the request failed last, unless it is the only one. A request with
-// attempts that were never written gets no ejected engine if the ejection ends before the request's final response is due. It
-// waits for that end, because engines often fail together.
+// retryCandidates returns the engines except the one at which the request failed last, unless that is the only one. If an attempt of
+// the request was never written, the engines whose ejection ends before the final response is due are left out too. The request then
+// waits for an ejection to end, because engines often fail together.
 func (s *Scheduler) retryCandidates(req *request, engines []*engine) []*engine {
 	if req.exemptAttempts > 0 {
 		engines = slices.DeleteFunc(engines, func(e *engine) bool {
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -42,15 +42,15 @@
 	if s.Engine[1] != prefill[1] {
 		t.Fatalf("retried at %s, want an engine in the cell of %s", s.Engine, decode)
 	}
-	// Past the window nothing more may be sent, and a scope smaller than the fleet forbids a rejection.
+	// After the deduplication window no repeat may be sent, and a scope smaller than the fleet forbids a rejection.
 	acts := sched.Step(3.2, []Event{Outcome{ID: "a", Attempt: 2, Engine: s.Engine, Status: ServerError}})
 	noAction[Send](t, acts)
 	noAction[Reject](t, acts)
 	onlyAction[Fail](t, acts)
 }
 
-// A by-key request that must be prefilled again after an attempt that may have run is prefilled within its deduplication scope or not at
-// all, as any further attempt counts as a repeat.
+// After an attempt that may have run, each further attempt of a request counts as a repeat, even a new prefill. A request that is
+// idempotent by key is therefore prefilled again within its deduplication scope or not at all.
 func TestIdempotentByKeyIsPrefilledAgainWithinScope(t *testing.T) {
 	endpoints, cfg := testFleet(), testConfig()
 	endpoints.Engines = append(endpoints.Engines, testEngine("w0b", 1, 0), testEngine("w1b", 1, 1))
@@ -69,8 +69,8 @@
 	}
 }
 
-// A client's time must be spent on attempts that can succeed. Without this rule, two attempts go to an engine that fails at once before it
-// is ejected.
+// A client's time must be spent on attempts that can succeed. If a retry could go to the engine that has just failed, an engine that fails
+// at once would get two attempts of a request before it is ejected.
 func TestRetryGoesToAnotherEngine(t *testing.T) {
 	endpoints := listOf()
 	for i := range 4 {
@@ -109,8 +109,8 @@
 	}
 }
 
-// Engines that crash together refuse connections within milliseconds. If attempts that were never written don't count, a request survives
-// more refused connections than it has attempts, waits while all engines are ejected, and is served by the engine that returns.
+// Engines that crash together refuse connections within milliseconds. If attempts that were never written don't count towards MaxAttempts,
+// a request may have more refused connections than attempts. It waits while all engines are ejected, and is served after the outage.
 func TestRefusedConnectionsDoNotCountAsAttempts(t *testing.T) {
 	for _, exempt := range []bool{true, false} {
 		t.Run(fmt.Sprintf("unsent attempts exempt %v", exempt), func(t *testing.T) {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -7,9 +7,10 @@
 
 // This file implements one step of a scheduler: it applies the events, makes one decision pass and sets one timer.
 //
-// The main path is SABER's admission rule (paper, section IV-C, algorithm 1): a queued request is admitted to a decode engine
-// only if two predictions hold. By the online curve f(L) of speed against concurrency, the request and each stream at the
-// engine meet their objective for the time per output token; and the request's first token can come in time.
+// The main path is SABER's admission rule (paper, section IV-C, algorithm 1). A queued request is admitted to a decode engine
+// only if two conditions hold. First, the concurrency curve f(L), which is fitted online, predicts that the request and each
+// stream at the engine meet their objectives for the time per output token. Second, the request's first token is predicted to
+// arrive before it is due by the latency objective.
 
 // recheckInterval is the time in seconds after which waiting requests are checked again if no event comes first.
 const recheckInterval = 0.02
@@ -28,8 +29,8 @@
 
 	// Endpoint view.
 	engines          map[string]*engine
-	engineList       []*engine  // in order of ID; decisions range over this list and never over the map
-	maxReady         [roles]int // most engines of each role that were ready at once
+	engineList       []*engine  // in order of ID; decisions iterate over this list, never over the map, to be reproducible
+	maxReady         [roles]int // largest number of engines of each role that were ever ready at once
 	watchActive      bool
 	nextWatchCheckAt float64
 
@@ -44,8 +45,8 @@
 	predictionError  [roles]decayingMean // mean absolute error of the predicted times of attempts, in seconds
 	meanPromptTokens decayingMean
 	meanOutputTokens decayingMean
-	completedWork    [roles]decayingRate // work of completed prefills and of started streams
-	lastSuccess      [roles]float64      // when an engine of the role last succeeded
+	completedWork    [roles]decayingRate // work of completed prefills and of started streams, in tokens per second
+	lastSuccess      [roles]float64      // time of the latest success of any engine of the role
 	arrivals         decayingRate
 	firstTokenBound  firstTokenBound // of the request that was checked last
 
@@ -136,8 +137,8 @@
 
 func (s *Scheduler) emit(action Action) { s.actions = append(s.actions, action) }
 
-// schedule is the decision pass of a step: it expires requests, cancels stuck attempts, places prefilled states, and admits
-// queued requests, those of the high tier first.
+// schedule is the decision pass of a step. It expires requests, cancels stuck attempts, sends requests whose states wait to
+// decode engines, and admits queued requests. The low tier is admitted only if no request of the high tier still waits.
 func (s *Scheduler) schedule() {
 	s.watchEndpoints()
 	s.evictIdleSessions()
@@ -168,7 +169,7 @@
 	s.sendProbe()
 }
 
-// armTimer sets one timer, for the earliest time at which something must be checked again.
+// armTimer sets one timer, for the earliest time at which a request, the subscription or a probe must be checked again.
 func (s *Scheduler) armTimer() {
 	at := math.Inf(1)
 	for _, req := range s.openRequests {
@@ -198,7 +199,7 @@
 	return at
 }
 
-// setTimer requests a TimerFired at a time, unless a timer that is due no later is set.
+// setTimer requests a TimerFired at a time, unless a timer for that time or an earlier one is already set.
 func (s *Scheduler) setTimer(at float64) {
 	if math.IsInf(at, 1) || s.timerAt > s.now && s.timerAt <= at {
 		return
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -9,11 +9,12 @@
 // This file limits the traffic to an engine in slow start to its slow-start budget (rule 4).
 
 const (
-	// slowStartSafetyFactor is the share of the slow-start budget that is used, because load is measured and not capacity.
+	// slowStartSafetyFactor is the share of the slow-start budget that is used. A margin is needed because the budget is derived from
+	// measured load instead of capacity.
 	slowStartSafetyFactor = 0.8
-	// slowStartDeviations is the number of square roots of the budget that rule 4 allows for random variation and that are used too.
+	// slowStartDeviations is the factor of the square root that is added to the number of sends. Rule 4 allows it for random variation.
 	slowStartDeviations = 2
-	// slowStartCapacityShare is the share of the estimated capacity of an engine kind on which the budget relies.
+	// slowStartCapacityShare is the share of the estimated capacity of an engine kind that is used for the budget.
 	slowStartCapacityShare = 0.5
 	// promptDecodeWork is the work of one prompt token at an engine that decodes, in output tokens.
 	promptDecodeWork = 0.1
@@ -22,7 +23,7 @@
 // slowStartSend is an attempt that was sent to an engine in slow start.
 type slowStartSend struct {
 	sentAt float64
-	work   float64
+	work   float64 // in tokens
 }
 
 // warmingUp reports whether an engine may still be in slow start.
@@ -41,7 +42,8 @@
 	return n
 }
 
-// work returns the mean work of the request's class at an engine of a role, in tokens. It is the unit of the slow-start budget.
+// work returns the work of the request at an engine of a role, in tokens, with the mean prompt length of its class. The slow-start budget
+// is counted in this work.
 func (s *Scheduler) work(req *request, role Role) float64 {
 	prompt := s.classes[req.Class].promptTokens.mean
 	if role == Prefill {
@@ -59,7 +61,8 @@
 }
 
 // slowStartAllows reports whether one more attempt at the engine stays within this node's share of the slow-start budget (rule 4).
-// In the first window after the node's own start nothing is sent, because sends of its previous process may count.
+// During the first window after its own start, a node sends nothing to an engine in slow start. The sends of the node's previous process
+// may still count in that window.
 func (s *Scheduler) slowStartAllows(req *request, target *engine) bool {
 	if !s.warmingUp(target) {
 		return true
@@ -71,7 +74,8 @@
 	return s.slowStartUsed(req, target)+work <= work*s.slowStartSendsAllowed(target, work)
 }
 
-// slowStartUsed returns the work from this node in the latest window: sent, or admitted and still to be sent.
+// slowStartUsed returns the work, in tokens, that this node has sent to the engine in the latest window, plus that of other requests that
+// are admitted to the engine and not yet sent.
 func (s *Scheduler) slowStartUsed(req *request, target *engine) float64 {
 	target.slowStartSends = recentSends(target.slowStartSends, s.now-s.cfg.Rules.SlowStartWindow)
 	used := 0.0
@@ -97,9 +101,9 @@
 	return recent
 }
 
-// slowStartSendsAllowed returns the number of attempts of a given work that this node may send in a window. It is derived from the
-// work that warm engines of the role complete for this node or, because there may be none, from an equal share of the estimated
-// capacity of the engine kind, whichever is larger.
+// slowStartSendsAllowed returns the number of attempts of a given work that this node may send in a window. There are two estimates, and
+// the larger one applies. The first is derived from the work that warm engines of the role complete for this node. The second, for the
+// case that none is warm, is an equal share of the estimated capacity of the engine kind.
 func (s *Scheduler) slowStartSendsAllowed(target *engine, work float64) float64 {
 	rules := &s.cfg.Rules
 	// If most engines are in slow start, the few warm ones are not representative.
@@ -112,9 +116,9 @@
 	return math.Floor(share + s.slowStartTurn(target))
 }
 
-// slowStartTurn returns a number between 0 and 1 that decides which nodes may send if their shares are fractions of a send. Nodes
-// derive it from their indices, so that as many of them have a turn in a window as the fractions add up to. In the window in which
-// the engine was discovered it is 0.
+// slowStartTurn returns a number between 0 and 1 that is added to a node's share before it is rounded down to whole sends. It decides
+// which nodes may send if their shares are less than one send. The numbers of the nodes are spread evenly by node index, so the number of
+// nodes that may send in a window is about the sum of the shares. In the window in which the engine was discovered it is 0.
 func (s *Scheduler) slowStartTurn(target *engine) float64 {
 	window := s.cfg.Rules.SlowStartWindow
 	phase := float64(s.cfg.NodeIndex) / float64(s.cfg.NodeCount)
@@ -126,8 +130,8 @@
 	return fraction
 }
 
-// expectedBusyTime returns how long, in seconds, a request of mean work occupies an engine. It is estimated from the prefill times
-// and the curve of the engine's kind, with the priors as lower bounds.
+// expectedBusyTime returns how many seconds of an engine's capacity a request of mean length takes. It is estimated from the prefill
+// times and the curve of the engine's kind, with the priors as lower bounds.
 func (s *Scheduler) expectedBusyTime(target *engine) float64 {
 	kind := &s.kinds[target.Kind]
 	prompt, output := s.meanPromptTokens.mean+prefillOverhead, s.meanOutputTokens.mean
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// slowStartFleet simulates many nodes and one engine that is warming up. Each node sends as soon and as often as its slow-start budget
-// allows, which is the most that any burst can bring.
+// slowStartFleet simulates many nodes and one engine in slow start. Each node sends as soon and as often as its slow-start budget allows.
+// No burst of requests can cause more sends.
 type slowStartFleet struct {
 	cfg           Config
 	schedulers    []*Scheduler
@@ -26,7 +26,7 @@
 	warm   int     // warm engines
 	role   Role    // role of all engines, and also their kind in testConfig
 	load   float64 // share of their capacity at which the warm engines complete work
-	spread float64 // standard deviation of the logarithm of the nodes' shares in it
+	spread float64 // standard deviation of the logarithm of the nodes' shares of the traffic
 	seed   uint64
 }
 
@@ -81,7 +81,8 @@
 	return shares
 }
 
-// mostInWindow simulates some seconds. It returns the largest number of sends of all nodes together in any window, and that of all sends.
+// mostInWindow simulates some seconds. For all nodes together, it returns the largest number of sends in any window and the number of all
+// sends.
 func (f *slowStartFleet) mostInWindow(seconds float64) (most, all int) {
 	var sentAt []float64
 	for now := f.bootTime; now < f.bootTime+seconds; now += 0.05 {
@@ -112,9 +113,9 @@
 	return most
 }
 
-// Rule 4 holds for any number of nodes, however uneven their traffic, with warm engines that are full, idle or all gone: all nodes
-// together send an engine in slow start no more than N + 2 sqrt(N) + 2 attempts in any window, although each node sends as much as it
-// may as early as it may.
+// All nodes together send an engine in slow start at most N + 2 sqrt(N) + 2 attempts in any window (rule 4), although each node sends as
+// many and as early as its budget allows. This holds for any number of nodes, for uneven traffic, and with warm engines that are full,
+// idle or all gone.
 func TestSlowStartBudgetHoldsForTheFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newSlowStartFleet(t, slowStartLoad{
@@ -132,8 +133,8 @@
 	})
 }
 
-// An engine in slow start is used even if no engine is warm. There are then no warm engines that complete work, and a budget that followed
-// from completed work alone would stay at zero.
+// An engine in slow start is used even if no engine is warm. Warm engines then complete no work, and a budget that was derived only from
+// completed work would stay at zero.
 func TestSlowStartEnginesAreUsedIfNoneIsWarm(t *testing.T) {
 	for _, nodes := range []int{1, 30, 300} {
 		f := newSlowStartFleet(t, slowStartLoad{nodes: nodes, role: Decode, spread: 0.5, seed: 7})
@@ -170,8 +171,8 @@
 	}
 }
 
-// Many nodes have about one request per second each. What they send together to a decode engine in slow start in any window stays within
-// its budget, which follows from what warm engines complete.
+// Each of many nodes has about one request per second. The attempts that all nodes together send to a decode engine in slow start in any
+// window stay within 1.3 times its budget, which is derived from the work that warm engines complete.
 func TestSlowStartBudgetAddsUpOverManyNodes(t *testing.T) {
 	const nodes, seconds, bootTime = 100, 14.0, 4.0
 	cfg := testConfig()
@@ -225,11 +226,12 @@
 }
 
 func TestSlowStartBudgetCountsAdmittedRequests(t *testing.T) {
-	// The states of prefills that end together must not all be sent to an engine in slow start, so admitted requests use up its budget.
+	// Prefills that end together must not lead to a burst of sends to an engine in slow start. Requests therefore use its budget as soon
+	// as they are admitted to it.
 	endpoints := listOf(testEngine("r0", 0, 0), testEngine("w0", 1, 0), testEngine("w1", 1, 0))
 	endpoints.Engines[2].BootTime = 0.5
 	cfg := testConfig()
-	cfg.NodeCount = 1000 // an even part of the budget is next to nothing
+	cfg.NodeCount = 1000 // an equal share of the budget is close to zero
 	sched := startScheduler(t, cfg, endpoints)
 	sched.completedWork[Decode].add(3, 1000, rateWindow) // about one request per second at warm engines
 	for i := 0; i < 30; i++ {
@@ -254,8 +256,8 @@
 	noAction[Send](t, sched.Step(2.9, []Event{testRequest("b", 0)}))
 }
 
-// While requests wait, an engine in slow start gets at least 0.7 of the part of rule 4's allowance that the scheduler relies on, with one
-// node or with hundreds. This includes the square-root term that the rule adds to N.
+// The scheduler uses the share slowStartCapacityShare of the N that rule 4 allows, and the square-root term for this smaller N. While
+// requests wait, an engine in slow start gets at least 0.7 times this number of attempts, with one node or with hundreds.
 func TestSlowStartEnginesGetMostOfTheirBudget(t *testing.T) {
 	for _, nodes := range []int{1, 3, 30, 300} {
 		f := newSlowStartFleet(t, slowStartLoad{nodes: nodes, role: Prefill, spread: 0.5, seed: 7})
--- a/scheduler/statistics.go
+++ b/scheduler/statistics.go
@@ -18,7 +18,7 @@
 	forgettingFactor = 0.98
 )
 
-// decayingMean is a running mean that returns to a prior while no value is added, so that an engine or a link that was slow once is
+// decayingMean is a running mean that returns to a prior while no value is added. As a result, an engine or a link that was slow once is
 // tried again.
 type decayingMean struct {
 	mean      float64
@@ -36,7 +36,7 @@
 	g.samples++
 }
 
-// get returns the mean, which has decayed toward the prior with a time constant in seconds; 0 means no decay.
+// get returns the mean after its decay toward the prior since the latest value. The time constant is in seconds; 0 means no decay.
 func (g *decayingMean) get(now, prior, timeConstant float64) float64 {
 	if g.samples == 0 {
 		return prior
@@ -47,7 +47,7 @@
 	return prior + (g.mean-prior)*math.Exp(-(now-g.updatedAt)/timeConstant)
 }
 
-// blend returns the weighted mean of the running mean and a value. The weight of the value is from 0 to 1.
+// blend returns the weighted mean of the running mean and a value, with a weight of the value from 0 to 1.
 func (g *decayingMean) blend(value, weight float64) float64 { return g.mean + (value-g.mean)*weight }
 
 // linearFit fits y = a + bx by least squares with exponential forgetting. Its fields are weighted sums over the samples.
@@ -62,13 +62,13 @@
 	f.xy = retention*f.xy + x*y
 }
 
-// slope returns b, regularized toward a prior. The weight of the prior is expressed as a squared deviation of x.
+// slope returns b, regularized toward a prior. priorWeight is the sum of squared deviations of x that gives the samples equal weight.
 func (f *linearFit) slope(prior, priorWeight float64) float64 {
 	n := max(1, f.n)
 	return (f.xy - f.x*f.y/n + priorWeight*prior) / (f.xx - f.x*f.x/n + priorWeight)
 }
 
-// decayingRate is a sum that decays exponentially with a time constant; divided by the time constant, it is a rate.
+// decayingRate is a sum that decays exponentially. Divided by the time constant of the decay, it is a rate per second.
 type decayingRate struct {
 	sum       float64
 	updatedAt float64
@@ -83,7 +83,7 @@
 	return r.sum * math.Exp(-(now-r.updatedAt)/timeConstant) / timeConstant
 }
 
-// meanToQuantileRatio returns the mean of the values divided by their quantile.
+// meanToQuantileRatio returns the mean of the values divided by the given quantile of them.
 func meanToQuantileRatio(values []float64, quantile float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	sum := 0.0
