--- a/scheduler/affinity.go
+++ b/scheduler/affinity.go
@@ -14,7 +14,7 @@
 const (
 	// prefixWindow is the time constant, in seconds, over which the share of each prefix in the arrivals is averaged.
 	prefixWindow = 30.0
-	// prefixPrior is the number of requests with other prefixes that are added to the arrivals as a prior.
+	// prefixPrior is added to the number of arrivals, as if so many requests with other prefixes had arrived.
 	prefixPrior = 5
 	// maxAffinityWeight is the largest weight of a prefill engine in the hashing of prefixes; 1 is an equal share.
 	maxAffinityWeight = 1.2
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -57,7 +57,7 @@
 type Class struct {
 	Effect                 Effect
 	DedupScope             DedupScope // for IdempotentByKey: the engines that discard repeats
-	DedupWindow            float64    // for IdempotentByKey: how long they do, from the first attempt that may have run
+	DedupWindow            float64    // for IdempotentByKey: time from the first attempt that may have run until they no longer do
 	FirstTokenObjective    float64    // latency objective: time to first token
 	ObjectivePerHintSecond float64    // added to FirstTokenObjective for each second of the request's DurationHint
 	ObjectivePer1KTokens   float64    // added to FirstTokenObjective for each 1,000 prompt tokens
@@ -83,8 +83,8 @@
 	MaxAttempts int // attempts per request
 	// ExemptUnsentAttempts excludes from MaxAttempts the attempts that ended before their request was written.
 	ExemptUnsentAttempts bool
-	// StateTimeRunsUntilResponse makes the time limit of a waiting state run on through the attempts to fetch it. It restarts after
-	// an attempt only if the engine has responded.
+	// StateTimeRunsUntilResponse makes the time limit of a waiting state continue during the attempts to fetch it. The limit restarts
+	// after an attempt only if the engine has responded.
 	StateTimeRunsUntilResponse bool
 	Cancel                     bool    // the action Cancel may be used
 	Probe                      bool    // the action Probe may be used
@@ -95,13 +95,13 @@
 
 // Rules holds the parameters of the operators' rules. Times are in seconds.
 type Rules struct {
-	AnswerSlack       float64 // time after its deadline within which a request must have its final response (rule 1)
+	AnswerSlack       float64 // time after a request's deadline within which it must have its final response (rule 1)
 	PollInterval      float64 // longest interval between polls of the endpoint list, if it must be polled
-	SlowStartShare    float64 // smallest share of its capacity that an engine in slow start has
+	SlowStartShare    float64 // smallest capacity of an engine in slow start, as a share of its warm capacity
 	SlowStartDuration float64 // longest time from an engine's start until it is warm
 	DrainGrace        float64 // time after an engine is listed as draining or removed within which sends to it must end (rule 3)
-	OverloadMultiple  float64 // multiple of its capacity that an engine in slow start may be sent (rule 4)
-	SlowStartWindow   float64 // time window over which those sends are counted
+	OverloadMultiple  float64 // most that an engine in slow start may be sent, as a multiple of its capacity then (rule 4)
+	SlowStartWindow   float64 // time window over which the sends for OverloadMultiple are counted
 	StateReleaseLimit float64 // time within which a reserved state or slot must be used or released (rule 5)
 }
 
--- a/scheduler/lifecycle.go
+++ b/scheduler/lifecycle.go
@@ -13,7 +13,8 @@
 	stateMissing = 1
 )
 
-// requestArrived adds a request to the high tier (paper, section IV-C, step 1).
+// requestArrived adds a request to the high tier (paper, section IV-C, step 1). It ignores a request whose ID is in use or whose class is
+// unknown.
 func (s *Scheduler) requestArrived(event Request) {
 	if s.requests[event.ID] != nil || event.Class < 0 || event.Class >= len(s.cfg.Classes) {
 		return
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -71,8 +71,8 @@
 }
 
 // acceptsWork reports whether an engine may get new work. An engine that is ejected may not. Neither may an engine with a stuck attempt
-// that no later ones have overtaken, because it doesn't respond at all (a dead machine, a cut zone, a hung process). An engine on
-// probation may get work only while no attempt there waits for its outcome or first token.
+// that doesn't count as lost, because such an engine doesn't respond (a dead machine, a cut zone, a hung process). An engine on probation
+// may get work only while no attempt there waits for its outcome or first token.
 func (s *Scheduler) acceptsWork(target *engine) bool {
 	if s.now < target.ejectedUntil {
 		return false
--- a/scheduler/probing.go
+++ b/scheduler/probing.go
@@ -11,7 +11,7 @@
 	minProbedArrivals = 0.5
 )
 
-// sendProbe probes the decode and mixed engines in turn, as often as the price of a probe allows.
+// sendProbe probes the decode and mixed engines in turn, as often as probeBudget allows at the price of a probe.
 func (s *Scheduler) sendProbe() {
 	if s.cfg.ReportStyle != ReportOnProbe || !s.cfg.Limits.Probe || s.now < s.nextProbeAt {
 		return
