--- a/scheduler/probing.go
+++ b/scheduler/probing.go
@@ -3,7 +3,7 @@
 // This file sends routine probes if they are the only source of load reports.
 
 const (
-	// probeBudget is the highest cost of routine probes, in points of the result per arrival.
+	// probeBudget is the highest cost of routine probes, in points of the result per request that arrives.
 	probeBudget = 5e-3
 	// minProbeInterval is the shortest time in seconds between two probes.
 	minProbeInterval = 0.02
@@ -11,7 +11,7 @@
 	minProbedArrivals = 0.5
 )
 
-// sendProbe probes the decode and mixed engines in turn, as often as the price of a probe allows.
+// sendProbe probes the decode and mixed engines in turn, as often as probeBudget allows at the price of a probe.
 func (s *Scheduler) sendProbe() {
 	if s.cfg.ReportStyle != ReportOnProbe || !s.cfg.Limits.Probe || s.now < s.nextProbeAt {
 		return
