--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -157,7 +157,7 @@
 	_, admin, _ := strings.Cut(awaitLine(t, out, "admin on "), "admin on ")
 	for path, want := range map[string]int{"/healthz": 200, "/readyz": 200, "/metrics": 200, "/x": 404} {
 		if resp, err := http.Get(admin + path); err != nil || resp.StatusCode != want {
-			t.Errorf("%s: %v %v", path, resp, err)
+			t.Errorf("%s: got unexpected response %v or error %v", path, resp, err)
 		} else {
 			resp.Body.Close()
 		}
@@ -185,7 +185,7 @@
 		t.Errorf("the request in flight got %q", text)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Fatalf("%v\n%s", err, logs)
+		t.Fatalf("the program ended with %v\n%s", err, logs)
 	}
 	if !strings.Contains(logs.String(), "restart_required=[/listen") {
 		t.Errorf("the log does not report that /listen requires a restart:\n%s", logs)
@@ -388,7 +388,7 @@
 	code, text, err := requestStream(url, demoKey)
 	logs := stop()
 	if code != 200 || !strings.Contains(text, "[DONE]") {
-		t.Errorf("%d %s %v", code, text, err)
+		t.Errorf("got status %d, body %s and error %v, want a complete stream", code, text, err)
 	}
 	if !strings.Contains(logs, "not saved") {
 		t.Errorf("the log does not report that the list is not saved:\n%s", logs)
--- a/internal/cli/logwriter.go
+++ b/internal/cli/logwriter.go
@@ -10,8 +10,7 @@
 )
 
 // logWriter queues lines for another writer and never blocks its callers: the reader of a service's log may be stuck, and the caller
-// may be the one goroutine that everything else waits for. A line that finds the queue full is dropped and counted. It is safe for
-// concurrent use.
+// may be the goroutine for which all requests wait. If the queue is full, a line is dropped and counted. It is safe for concurrent use.
 type logWriter struct {
 	dst     io.Writer
 	lines   chan []byte
--- a/internal/cli/overhead.go
+++ b/internal/cli/overhead.go
@@ -195,9 +195,9 @@
 	twoHops = "prefill and decode" // separate prefill and decode engines
 )
 
-// overheadConfig writes the configuration of a node in front of the engine and returns its file. With one hop, the engine is listed
-// as many mixed engines, because the scheduler has each engine prefill only one of the node's prompts at a time. With two hops, it is
-// listed as prefill and decode engines.
+// overheadConfig writes the configuration of a node in front of the engine and returns the name of its file. The one engine is listed
+// many times, because the scheduler sends a listed engine only one of the node's prompts to prefill at a time. All entries are mixed
+// engines with one hop, and prefill or decode engines with two.
 func overheadConfig(dir, hops, engine string) (string, error) {
 	var engines []any
 	for i := range 32 {
--- a/internal/cli/relay.go
+++ b/internal/cli/relay.go
@@ -17,7 +17,7 @@
 
 // serveRelay runs a node on the users' platform until SIGTERM or SIGINT.
 func serveRelay(level string, errOut io.Writer) error {
-	signals := notifySignals() // first of all: an early signal must not end the program
+	signals := notifySignals() // called first, because an early signal must not end the program
 	defer signals.stop()
 	if new(slog.LevelVar).UnmarshalText([]byte(level)) != nil {
 		return withExitCode(ExitUsage, fmt.Errorf("--log %s: must be debug, info, warn or error", level))
@@ -49,7 +49,7 @@
 				n.RespondNow()
 			}
 		},
-		reloads: true, // attempts are still made, and discovery's new address lists the draining engines
+		reloads: true, // attempts are still made, and a new discovery address may list engines as draining
 	})
 	log.Info("shutdown completed")
 	return withExitCode(ExitRun, failure)
--- a/internal/cli/relay_test.go
+++ b/internal/cli/relay_test.go
@@ -19,9 +19,9 @@
 	"dillroute/lab/rules"
 )
 
-// Runs the program on the emulated platform of the users, under continuous client load: malformed and broken streams, draining engines,
-// new configurations by SIGHUP (an invalid one first, then two signals at once) and a stop by SIGTERM. The rules are checked by the
-// traffic on the sockets.
+// The program must keep the rules on the emulated platform of the users, under continuous client load. It meets malformed and broken
+// streams, draining engines, new configurations by SIGHUP (an invalid one first, then two signals at once) and a stop by SIGTERM. The
+// rules are checked by the traffic on the sockets.
 func TestServeRelayThroughFaultsDrainReloadAndStop(t *testing.T) {
 	log := &record.Log{}
 	p := platform.New("n0", log)
@@ -132,7 +132,7 @@
 	}
 	for _, x := range log.All() {
 		if x.Kind == record.ExtraResponse {
-			t.Errorf("%s: %s", x.Op, x.Note)
+			t.Errorf("request %s got data after its final response: %s", x.Op, x.Note)
 		}
 	}
 }
@@ -155,7 +155,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("no engine got a request in time to show the fault %q", f)
+			t.Fatalf("no engine got a request within 10 s to show the fault %q", f)
 		}
 	}
 }
@@ -196,7 +196,7 @@
 		if time.Now().After(end) {
 			p.cmd.Process.Kill()
 			<-p.ended
-			t.Fatalf("no status of %v in time: %v\n%s", statuses, err, p.logs.String())
+			t.Fatalf("no status of %v within 20 s: %v\n%s", statuses, err, p.logs.String())
 		}
 	}
 }
@@ -288,7 +288,7 @@
 }
 
 // The file system hangs while the node reads a new configuration, and so many SIGHUPs have arrived that signals are pending. The node must
-// still stop in time and complete its streams.
+// still complete its streams and then stop after SIGTERM.
 func TestServeRelayStopsWhileReloadHangs(t *testing.T) {
 	p := platform.New("n0", &record.Log{})
 	r, w := p.StartEngine("r0", "read"), p.StartEngine("w0", "write")
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -7,19 +7,19 @@
 	"dillroute/internal/service"
 )
 
-// reloadTimeout limits the retries of a configuration that cannot be read: at the moment of SIGHUP the descriptor table may be full
-// or the file half written. It is no longer than the time after which nodes count as notified of a change at discovery (the
-// platform's page of days, new configurations).
+// reloadTimeout limits the retries of a reload that fails: at the moment of SIGHUP the descriptor table may be full or the file
+// half written. It is no longer than the time after which nodes count as notified of a change at discovery (the platform's page
+// of days, new configurations).
 const reloadTimeout = 4 * time.Second
 
-// reloader applies new configurations and retries those that cannot be read. Each is read on its own goroutine, one at a time: a
-// file system may hang, and the goroutine that receives signals must not block on it. All other state belongs to the latter goroutine.
+// reloader applies new configurations and retries after a failure. It reads each on a new goroutine, one at a time: a file system
+// may hang, and the goroutine that receives signals must not block on it. Only the latter calls the methods of the reloader.
 type reloader struct {
 	log            *slog.Logger
 	apply          func() error // reads the configuration and applies it
-	done           chan error   // the result of the running reload
+	done           chan error   // delivers the result of each reload
 	running        bool
-	requestedAgain bool // another reload was requested while one runs
+	requestedAgain bool // another reload was requested while one was running
 	timer          *time.Timer
 	backoff        time.Duration
 	deadline       time.Time
@@ -45,7 +45,7 @@
 	r.Try()
 }
 
-// Try starts to apply the current configuration. While a reload runs, another one is scheduled to follow it.
+// Try starts a reload. If one is already running, another one starts when it has ended.
 func (r *reloader) Try() {
 	r.timer.Stop()
 	if r.running {
@@ -56,7 +56,7 @@
 	go func() { r.done <- r.apply() }()
 }
 
-// Finish handles the result of a reload, and schedules a retry if the configuration cannot be read yet.
+// Finish handles the result of a reload. If it failed for any reason, Finish schedules a retry, unless that would be after the deadline.
 func (r *reloader) Finish(err error) {
 	r.running = false
 	switch {
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -108,7 +108,7 @@
 	case r.ViolationCount > 0:
 		return withExitCode(ExitRules, fmt.Errorf("%d rule violations", r.ViolationCount))
 	case r.Unfinished != "":
-		return withExitCode(ExitRun, errors.New("the scenario did not end in time"))
+		return withExitCode(ExitRun, errors.New("the scenario was aborted before it ended"))
 	}
 	return nil
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -144,7 +144,7 @@
 	return cfg, err
 }
 
-// acquireStateDir acquires the state directory, if one is configured, and returns a function that releases it, which may be called twice.
+// acquireStateDir acquires the state directory, if one is configured. It returns a function that releases it and may be called twice.
 func acquireStateDir(dir string, takeover time.Duration) (release func(), err error) {
 	if dir == "" {
 		return func() {}, nil
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -10,7 +10,7 @@
 // Clock is a time in seconds since 1970 that never goes back: the wall clock at its creation, advanced by the monotonic clock. It is
 // safe for concurrent use. The zero Clock is not usable; options use it as "none given".
 type Clock struct {
-	base  float64 // seconds since 1970 at start
+	base  float64 // wall-clock time at start, in seconds since 1970
 	start time.Time
 }
 
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -4,8 +4,8 @@
 	"reflect"
 )
 
-// Merge returns the configuration of a running node after a reload, and the JSON pointers of the changes that were applied and of those
-// that require a restart. If the merged configuration is invalid, c stays in force and all changes require a restart.
+// Merge returns the configuration of a running node after a reload. It also returns the JSON pointers of the changes that it applied, and
+// of those that require a restart. If the merged configuration is invalid, Merge returns c, and all changes require a restart.
 func (c *Config) Merge(next *Config) (merged *Config, applied, restartRequired []string) {
 	m := *c
 	apply := func(pointer string, old, new any, set func()) {
@@ -52,7 +52,7 @@
 	needsRestart("/engines", c.Engines, next.Engines)
 	needsRestart("/state_dir", c.StateDir, next.StateDir)
 	m.setClassDefaults()
-	if err := m.check(); err != nil { // models and match rules may name classes that this node does not have before a restart
+	if err := m.check(); err != nil { // models and match rules may name classes that this node has only after a restart
 		return c, nil, append(applied, restartRequired...)
 	}
 	return &m, applied, restartRequired
--- a/internal/config/suggest.go
+++ b/internal/config/suggest.go
@@ -1,7 +1,7 @@
 package config
 
-// nearest returns the known name with the smallest edit distance, which may be at most 2 or a third of the name's length, whichever is
-// larger; "" if there is none.
+// nearest returns the known name with the smallest edit distance from name, in bytes. The distance must not exceed 2 or a third of the
+// name's length, whichever is larger. If no known name is that close, nearest returns "".
 func nearest(name string, known []string) string {
 	best, bestDistance := "", max(2, len(name)/3)+1
 	for _, k := range known {
--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -19,7 +19,7 @@
 	consulConnectTimeout = 5 * time.Second
 	// consulResponseTime is the time allowed for a response beyond the time for which the server may hold a call.
 	consulResponseTime = 5 * time.Second
-	// consulWaitJitter is the divisor of the jitter: the server may add up to wait/16 to the wait ("Blocking Queries").
+	// consulWaitJitter is the divisor of the jitter: the server may hold a call for up to wait/16 longer than wait ("Blocking Queries").
 	consulWaitJitter = 16
 	// consulIndexHeader is the header field with the index of a response.
 	consulIndexHeader = "X-Consul-Index"
@@ -33,7 +33,7 @@
 type consulSource struct {
 	address string // host:port
 	service string
-	wait    time.Duration // for which the server may hold a call
+	wait    time.Duration // time for which the server may hold a call
 	parser  *Parser
 	clock   clock.Clock
 	poller  *endpoints.Poller
@@ -43,7 +43,7 @@
 	stopped bool
 }
 
-// run polls the list server at the times that the poller schedules.
+// run polls the list server at the times that s.poller schedules.
 func (s *consulSource) run(responses chan<- response, stop <-chan struct{}) {
 	ended := make(chan struct{})
 	defer close(ended)
@@ -75,8 +75,8 @@
 	}
 }
 
-// poll makes one call and returns the response and the index for the next call. That is 0 after the server's index fell, as the
-// documentation requires, and unchanged after a failure.
+// poll makes one call and returns the response and the index for the next call. After a failure the index stays as it is. After the
+// server's index fell, it is 0, as Consul's documentation requires.
 func (s *consulSource) poll(index uint64) (response, uint64) {
 	list, err := s.fetch(index)
 	if err != nil {
--- a/internal/discovery/consul_test.go
+++ b/internal/discovery/consul_test.go
@@ -64,7 +64,7 @@
 	s.SetInstances(instances("a", "b", "c"))
 	l := awaitEngines(t, lists, "a b c")
 	if e := l.Engines[2]; e.Zone != 1 || e.Kind != 0 || l.Addresses["c"] != "127.0.0.1:9" {
-		t.Fatalf("%+v", l)
+		t.Fatalf("engine c has an unexpected zone, kind or address: %+v", l)
 	}
 	xs := instances("a", "b", "c")
 	xs[1].Critical = true
@@ -120,7 +120,7 @@
 	s.SetFaults(emulator.ConsulFaults{Empty: true})
 	start := time.Now()
 	s.SetInstances(instances("a", "b", "c", "d", "e"))
-	// The empty list is not applied before it is confirmed; the complete list that comes before that takes precedence.
+	// The empty list is not applied before it is confirmed. The complete list arrives before that and takes precedence.
 	s.SetFaults(emulator.ConsulFaults{})
 	if l := awaitEngines(t, lists, "a b c d e"); len(l.Engines) == 0 || time.Since(start) > 15*time.Second {
 		t.Fatal("the list was late or empty")
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -21,11 +21,11 @@
 	interval time.Duration // poll interval
 	parser   *Parser
 	lastText []byte      // content of the last valid list; nil = none yet
-	lastInfo os.FileInfo // of that file
+	lastInfo os.FileInfo // of the file with lastText
 }
 
-// run watches the directory, because a rename replaces the file itself. It also polls the file, to detect a change that caused
-// no event or whose event the watcher lost.
+// run watches the directory and not the file, because a rename replaces the file. It also polls the file, to detect a change
+// that caused no event or whose event the watcher lost.
 func (s *fileSource) run(responses chan<- response, stop <-chan struct{}) {
 	var events chan fsnotify.Event
 	var watchErrors chan error
@@ -62,7 +62,7 @@
 	}
 }
 
-// read returns the list if it differs from the last one that was read, and whether it does.
+// read reads the file. If its content differs from the last valid list, read returns the new list, and true for changed.
 func (s *fileSource) read() (list endpoints.List, changed bool, err error) {
 	info, err := os.Stat(s.path)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return endpoints.List{Endpoints: listed}, true, nil
 }
 
-// unchanged reports whether a file is the one that was last read, with the same modification time and size.
+// unchanged reports whether a file is the one of the last valid list, with the same modification time and size.
 func (s *fileSource) unchanged(info os.FileInfo) bool {
 	last := s.lastInfo
 	return last != nil && os.SameFile(last, info) && last.ModTime().Equal(info.ModTime()) && last.Size() == info.Size()
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -14,7 +14,7 @@
 // closeTimeout limits how long Close waits for a list that is being saved: a disk may hang.
 const closeTimeout = time.Second
 
-// idleWait is the duration of the timer while the view has no time at which it changes.
+// idleWait is the duration of the timer while no change of the view is scheduled.
 const idleWait = time.Hour
 
 // FollowOptions are the sources and the callbacks of a Follower.
@@ -22,12 +22,13 @@
 	Config    *config.Config
 	SavedList string                      // file to which the list in use is saved and from which it is restored at the start; "" = none
 	OnUpdate  func(protocol.EndpointList) // called with each new list, by Follow itself or on the follower's goroutine
-	OnProblem func(string)                // called with the reason when a list is not used as received, once for each cause
-	Clock     clock.Clock                 // of the node, for the start times of engines; the zero clock = a new one
+	OnProblem func(string)                // called, by any goroutine, with the reason why a list is not used as received or not saved
+	Clock     clock.Clock                 // the node's clock, for the start times of engines; the zero clock = a new one
 	Random    func() float64              // returns numbers in [0, 1) that spread calls over time; nil = rand.Float64
 }
 
-// Follower follows a source of lists and publishes each change of the endpoint view. The view belongs to its goroutine.
+// Follower follows a source of lists and publishes each change of the endpoint view. Only the goroutine of run uses the view once Follow
+// has returned.
 type Follower struct {
 	options      FollowOptions
 	view         *endpoints.View
@@ -37,7 +38,7 @@
 	saver        *listSaver // nil = lists are not saved
 	stop         chan struct{}
 	done         chan struct{}
-	lastProblem  string  // of the source; "" = its last response was valid
+	lastProblem  string  // the source's last error, which is reported once; "" = its last response was valid
 	lastResponse float64 // time of the last valid response of the source (s); 0 = none yet
 }
 
@@ -174,7 +175,8 @@
 	}
 }
 
-// publish passes the view's list to OnUpdate, and saves it once a source has responded. Until then it rests on the saved list.
+// publish passes the view's list to OnUpdate. It then saves the list, unless the view still consists of the list that was restored,
+// because the source has not responded yet.
 func (f *Follower) publish(now float64) {
 	snapshot := f.view.Snapshot(now)
 	f.options.OnUpdate(f.endpointList(now, snapshot))
--- a/internal/discovery/parser.go
+++ b/internal/discovery/parser.go
@@ -74,8 +74,8 @@
 	return problems
 }
 
-// endpoint converts one engine. The caller sets its cell once the whole list is known to be valid, so that invalid lists number no
-// cells.
+// endpoint converts one engine, except for its cell. The caller sets the cell once the whole list is known to be valid, because an
+// invalid list must not assign numbers to cells.
 func (p *Parser) endpoint(listed ListedEngine) (endpoints.Endpoint, config.Problems) {
 	var problems config.Problems
 	kind, ok := p.Config.KindIndex(listed.Kind)
@@ -128,7 +128,7 @@
 	return number
 }
 
-// cellName returns the name of the cell with a number; "" if there is none.
+// cellName returns the name of the cell with the given number; "" if there is none.
 func (p *Parser) cellName(cell int) string {
 	for name, number := range p.cells {
 		if number == cell {
--- a/internal/discovery/parser_test.go
+++ b/internal/discovery/parser_test.go
@@ -31,7 +31,7 @@
 	want := []endpoints.Endpoint{{ID: "b", Address: "127.0.0.1:2", Kind: 1, Role: 1, Zone: 1, State: endpoints.Draining},
 		{ID: "a", Address: "127.0.0.1:1", Cell: 1, Weight: 1, BootTime: 7}}
 	if len(l) != 2 || l[0] != want[0] || l[1] != want[1] {
-		t.Fatalf("%+v", l)
+		t.Fatalf("got unexpected endpoints %+v", l)
 	}
 	_, err = p.ParseFile([]byte(`{"engines":[{"id":"a","address":"h:1","kind":"q"},{"id":"a","address":"h:2","kind":"p","zone":"zz"}]}`))
 	for _, w := range []string{`/engines/0/kind: no kind is named "q"`, `/engines/1/zone: "zz"`} {
--- a/internal/discovery/saved.go
+++ b/internal/discovery/saved.go
@@ -12,8 +12,8 @@
 	"dillroute/internal/service"
 )
 
-// saveWait limits how long save waits until its list is written. Unless the disk is slower, a list is thus durable from the moment
-// it is used.
+// saveWait limits how long save waits until its list is written. Unless the disk is slower, the list in use is thus durable before
+// the follower handles the next one.
 const saveWait = 100 * time.Millisecond
 
 // Backoff before a failed save is retried. It doubles from the initial to the maximum value.
@@ -30,7 +30,7 @@
 type listSaver struct {
 	path      string
 	enabled   atomic.Bool
-	pending   chan pendingSave // the newest list that is still to be written
+	pending   chan pendingSave // the newest list that is not written yet
 	stop      <-chan struct{}
 	done      chan struct{} // closed when the saver's goroutine has ended
 	onProblem func(string)
@@ -42,8 +42,8 @@
 	attempted chan struct{} // closed after the first attempt to write it, or when saving is disabled
 }
 
-// newListSaver returns a saver and starts its goroutine, which ends after stop is closed. One attempt is still made to write a
-// list that is pending then.
+// newListSaver returns a saver and starts its goroutine, which ends after stop is closed. If a list is pending at that time, the
+// goroutine still makes one attempt to write it.
 func newListSaver(path string, stop <-chan struct{}, onProblem func(string)) *listSaver {
 	s := &listSaver{
 		path:      path,
@@ -57,8 +57,8 @@
 	return s
 }
 
-// save passes a list to the goroutine, replacing an older one that is still pending, and waits for the first attempt to write it, but
-// at most for saveWait. It must be called by one goroutine at a time.
+// save passes a list to the goroutine, in place of an older one that is still pending. It waits up to saveWait for the first attempt to
+// write the list. It must be called by one goroutine at a time.
 func (s *listSaver) save(text []byte) {
 	select {
 	case <-s.pending:
@@ -89,7 +89,7 @@
 	}
 }
 
-// write retries until the list, or a newer one that replaces it, is written, saving is disabled, or the saver stops.
+// write writes a list. It retries a failed write, with a newer list if there is one, until saving is disabled or the saver stops.
 func (s *listSaver) write(next pendingSave) {
 	for backoff := initialSaveBackoff; s.enabled.Load(); backoff = min(2*backoff, maxSaveBackoff) {
 		err := ReplaceFile(s.path, next.text)
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -41,7 +41,7 @@
 // releaseTimeout bounds a call that releases a state.
 const releaseTimeout = 2 * time.Second
 
-// ReleaseError is the response of an engine that may not have released the state, so that the call should be repeated.
+// ReleaseError is the response of an engine that possibly has not released the state. The release call should be repeated.
 type ReleaseError struct{ Status int }
 
 // Error implements error.
@@ -49,7 +49,7 @@
 	return fmt.Sprintf("engine: status %d in response to a state release", e.Status)
 }
 
-// releaseError returns an error if the status of a response to a release call means that the engine has not released the state for now.
+// releaseError returns an error if the status of a response to a release call means that the engine has not released the state yet.
 // An engine that does not support the call, or does not know the state, returns no error: repeating the call would change nothing.
 func releaseError(status int) error {
 	switch {
--- a/internal/engine/responsekind.go
+++ b/internal/engine/responsekind.go
@@ -7,7 +7,7 @@
 	"dillroute/internal/http1"
 )
 
-// Error codes of engines: the state to fetch does not exist, or the request names no state.
+// Error codes with which an engine responds if the state to fetch does not exist, or if the request names no state.
 const (
 	codeStateNotFound = "kv_state_not_found"
 	codeStateRequired = "kv_state_required"
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -44,8 +44,8 @@
 	return cause, err
 }
 
-// stallDeadlineShare divides the stall timeout: the deadline is extended only after this part of the timeout has passed, because
-// extending it for each event would cost more than forwarding the event.
+// stallDeadlineShare is the divisor of the stall timeout that gives the minimum time between two extensions of the deadline. Extending
+// it for each event would cost more than forwarding the event.
 const stallDeadlineShare = 64
 
 // forwardEvents forwards the events after the first token.
--- a/internal/front/enginebody.go
+++ b/internal/front/enginebody.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 )
 
-// remoteDecodeParams tells a prefill engine that another engine will fetch the state (vLLM, kv_transfer_params).
+// remoteDecodeParams are the parameters for a prefill engine whose state another engine will fetch (vLLM, kv_transfer_params).
 var remoteDecodeParams = json.RawMessage(`{"do_remote_decode":true,"do_remote_prefill":false,"remote_engine_id":null,` +
 	`"remote_block_ids":null,"remote_host":null,"remote_port":null}`)
 
@@ -19,9 +19,9 @@
 	return c.Object.With(members...).Bytes()
 }
 
-// DecodeBody returns the request body for a decode engine. The engine always streams, so that the node observes the first token and an
-// interruption. state is the state to fetch; nil = none, and the engine prefills itself. If the client requested a response that is not
-// streamed, the node collects it from the stream, which must then include the usage.
+// DecodeBody returns the request body for a decode engine. state is the state to fetch; nil = none, and the engine prefills itself. The
+// engine always streams, because only a stream shows the node when the first token arrives and whether the response is interrupted. If
+// the client requested a response that is not streamed, the node collects it from the stream, which must then include the usage.
 func (c *Chat) DecodeBody(state json.RawMessage) []byte {
 	members := []Member{{"kv_transfer_params", state}}
 	if !c.Stream {
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -20,14 +20,14 @@
 	}
 	for _, b := range [][]byte{c.PrefillBody(), c.DecodeBody(json.RawMessage(`{"k":1}`))} {
 		if !strings.Contains(string(b), `"x_unknown":{"a":[1,2.50,1e400]}`) || !strings.Contains(string(b), `"metadata":null`) {
-			t.Fatalf("%s", b)
+			t.Fatalf("a member is missing or was changed: %s", b)
 		}
 	}
 	var p map[string]any
 	json.Unmarshal([]byte(strings.Replace(string(c.PrefillBody()), "1e400", "1", 1)), &p)
 	if p["stream"] != false || p["max_tokens"] != 1.0 ||
 		p["kv_transfer_params"].(map[string]any)["do_remote_decode"] != true {
-		t.Fatalf("%v", p)
+		t.Fatalf("unexpected members for a prefill engine: %v", p)
 	}
 	if _, has := p["max_completion_tokens"]; has {
 		t.Fatal("the body has a member that the client did not send")
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	if c.Model != "m" || !c.Stream || c.MaxTokens != 7 || c.Session != "u" || c.Prefix == "" || c.PrefixTokens >= c.PromptTokens {
-		t.Fatalf("%+v", c)
+		t.Fatalf("got unexpected fields %+v", c)
 	}
 	other, _ := ParseChat([]byte(strings.Replace(body, `"hi"`, `"ho"`, 1)))
 	third, _ := ParseChat([]byte(strings.Replace(body, "be kind", "be quick", 1)))
@@ -69,7 +69,7 @@
 		_, err := ParseChat([]byte(text))
 		f, ok := err.(*FieldError)
 		if !ok || f.Param != param {
-			t.Errorf("%s: %v, want member %q", text, err, param)
+			t.Errorf("%s: got error %v, want one that names member %q", text, err, param)
 		}
 	}
 }
@@ -137,7 +137,7 @@
 		`"role":"assistant","tool_calls":[{"function":{"arguments":"{\"a\":1}","name":"f"},"id":"t","type":"function"}]}}],` +
 		`"id":"i","model":"m","object":"chat.completion","usage":{"total_tokens":9},"x_new":1.50}`
 	if string(b) != want {
-		t.Fatalf("\n%s\n%s", b, want)
+		t.Fatalf("\ngot  %s\nwant %s", b, want)
 	}
 	if err := NewStreamCollector(5).Add([]byte(`{"choices":[]}`)); err == nil {
 		t.Fatal("chunks above the maximum size were accepted")
@@ -151,7 +151,7 @@
 		`{"choices":[{"delta":{"tool_calls":[{}]}}]}`: {Token: true},
 	} {
 		if got, err := ReadChunk([]byte(text)); err != nil || got != want {
-			t.Errorf("%s: %+v, %v", text, got, err)
+			t.Errorf("%s: got unexpected chunk %+v or error %v", text, got, err)
 		}
 	}
 	if c, err := ReadChunk([]byte(`{"error":"plain"}`)); err != nil || c.Err == nil {
--- a/internal/front/streamcollector.go
+++ b/internal/front/streamcollector.go
@@ -13,7 +13,7 @@
 	topLevel map[string]any
 	choices  map[int]map[string]any
 	size     int // bytes of chunks so far
-	max      int
+	max      int // limit of size
 }
 
 // NewStreamCollector returns a StreamCollector that accepts at most max bytes of chunks.
@@ -67,7 +67,7 @@
 	return int(i)
 }
 
-// merge merges the members of piece into into.
+// merge merges the members of a chunk's object, piece, into the collected object, into.
 func merge(into, piece map[string]any) {
 	for k, v := range piece {
 		old, exists := into[k]
--- a/internal/openai/exchange.go
+++ b/internal/openai/exchange.go
@@ -11,8 +11,8 @@
 	"dillroute/internal/protocol"
 )
 
-// exchange is one chat request (protocol.ClientExchange). It belongs to the node's owner goroutine, except for client, which belongs to
-// the attempt that was granted the response.
+// exchange is one chat request (protocol.ClientExchange). Only the node's event loop changes it. Only the attempt that was granted the
+// response, or Respond, writes to client.
 type exchange struct {
 	front           *Front
 	id              string
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -25,7 +25,7 @@
 type Front struct {
 	log           *slog.Logger
 	engines       *engine.Client
-	prefix        string // of request ids; differs between starts of a node
+	prefix        string // start of all request ids; differs between starts of a node
 	serial        atomic.Uint64
 	configuration atomic.Pointer[configuration]
 }
@@ -180,7 +180,7 @@
 		return
 	}
 	chat, err := front.ParseChat(client.Body)
-	client.Body = nil // chat holds what is needed of it
+	client.Body = nil // chat holds the parts that are still needed
 	if err != nil {
 		var e *front.FieldError
 		errors.As(err, &e)
@@ -216,7 +216,7 @@
 		f.log.Debug("request admitted", "request", exchange.id, "client_request", truncate(clientRequestID),
 			"class", settings.config.Classes[class].Name)
 	}
-	client.Header = nil // exchange and request hold what is needed of it
+	client.Header = nil // exchange and request hold the fields that are still needed
 	if !submit(protocol.RoutedRequest{Request: request, WholeResponseTimeout: wait.CompleteResponse, Exchange: exchange}) {
 		reject(client, 503, true, "node_stopping", "", "the node is stopping")
 	}
--- a/internal/protocol/attemptcontrol.go
+++ b/internal/protocol/attemptcontrol.go
@@ -24,8 +24,8 @@
 	cause          outcome.Cause
 }
 
-// canceledStreamReadTime is how long a stream that the node cancels still forwards what its engine has sent: a stream whose end has
-// already arrived is complete.
+// canceledStreamReadTime is the time for which a canceled stream still forwards what its engine has sent. If the end of the stream has
+// already arrived, the response is thus complete.
 const canceledStreamReadTime = 20 * time.Millisecond
 
 // Dial returns a connection from dial, whose context ends when the attempt is canceled.
@@ -81,7 +81,7 @@
 	return control.requestWritten && (control.conn == nil || control.conn.Delivered())
 }
 
-// CancelIfUnsent ends the attempt if no byte of it has been written.
+// CancelIfUnsent ends the attempt, unless its first byte is about to be written or was written.
 func (control *AttemptControl) CancelIfUnsent() {
 	control.mu.Lock()
 	defer control.mu.Unlock()
@@ -117,8 +117,8 @@
 	return control.cause, control.canceled
 }
 
-// CauseOf returns the cause of an error: the cause of the cancellation, timeout if the deadline passed, MalformedResponse, or otherwise
-// ConnectionBroken.
+// CauseOf returns the cause of an error. It is the cause of the cancellation if the attempt was canceled, the given cause timeout if the
+// deadline passed, MalformedResponse for an invalid response, and otherwise ConnectionBroken.
 func (control *AttemptControl) CauseOf(err error, timeout outcome.Cause) outcome.Cause {
 	if cause, ok := control.Canceled(); ok {
 		return cause
--- a/internal/protocol/attemptcontrol_test.go
+++ b/internal/protocol/attemptcontrol_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// Canceling an attempt must end its dial, whether the cancellation comes before or during the dial.
+// Canceling an attempt must end its dial, whether it is canceled before or during the dial.
 func TestCancelEndsConnecting(t *testing.T) {
 	for _, early := range []bool{true, false} {
 		var h AttemptControl
--- a/internal/protocol/endpoints.go
+++ b/internal/protocol/endpoints.go
@@ -5,7 +5,8 @@
 	"dillroute/scheduler"
 )
 
-// EngineOf converts an endpoint to the type of the scheduler's endpoint list. bootTime is the engine's last start by the node's clock.
+// EngineOf converts an endpoint to the type of the scheduler's endpoint list. bootTime is the time of the engine's last start by the
+// node's clock, in seconds.
 func EngineOf(endpoint endpoints.Endpoint, bootTime float64) scheduler.Engine {
 	engine := scheduler.Engine{
 		ID:       endpoint.ID,
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -13,22 +13,22 @@
 
 // Front is the client side of a protocol.
 type Front interface {
-	// Serve handles a request on the goroutine of its connection. It passes a request that is to be routed to submit, and responds to
-	// any other itself. submit does not block; it returns false if the node has stopped, and the front then responds.
+	// Serve handles a request on the goroutine of its connection. It passes a request that an engine must serve to submit, and responds
+	// to any other itself. submit does not block; it returns false if the node has stopped, and the front then responds.
 	Serve(x *http1.Exchange, submit func(RoutedRequest) bool)
 	// ErrorBody returns the response to a request that could not be read, or that exceeds the connection limit. after is the value of
 	// Retry-After in seconds; 0 = none.
 	ErrorBody(status int, reason string, after float64) ([]http1.Field, []byte)
 }
 
-// RoutedRequest is a request that is to be routed.
+// RoutedRequest is a request that the node routes to an engine.
 type RoutedRequest struct {
 	Request              scheduler.Request
 	WholeResponseTimeout float64 // seconds that the client waits for a complete response; 0 = the response is streamed
 	Exchange             ClientExchange
 }
 
-// ClientExchange is a protocol's representation of one request. All methods except Respond are called on the owner's goroutine and must
+// ClientExchange is a protocol's representation of one request. All methods except Respond are called by the node's event loop and must
 // not block.
 type ClientExchange interface {
 	// Attempt returns an attempt that has not started.
@@ -52,13 +52,13 @@
 	Body   []byte
 }
 
-// AttemptSpec describes an attempt to be made.
+// AttemptSpec describes an attempt before it is made.
 type AttemptSpec struct {
 	Number         int
 	Address        string
 	Stage          outcome.Stage
-	FetchState     bool // a prefilled state is to be fetched
-	StateAttempt   int  // the attempt that prefilled it
+	FetchState     bool // the engine must fetch a prefilled state
+	StateAttempt   int  // number of the attempt that prefilled the state
 	Timeout        time.Duration
 	WriteBy        time.Time // end of the deduplication window, after which nothing is written; zero = none
 	ClientDeadline time.Time // engines receive the time left until then, and nothing is written later
@@ -70,7 +70,7 @@
 	Run(observer AttemptObserver) Result
 	// Cancel ends the attempt for the given cause, at any point.
 	Cancel(cause outcome.Cause)
-	// CancelIfUnsent ends the attempt if no byte of it has been written.
+	// CancelIfUnsent ends the attempt, unless its first byte is about to be written or was written.
 	CancelIfUnsent()
 	// Delivered reports whether the request has reached the engine, as far as the node can tell.
 	Delivered() bool
@@ -106,7 +106,7 @@
 type EndpointList struct {
 	Form      scheduler.UpdateForm
 	Engines   []scheduler.Engine
-	Addresses map[string]string // by id
+	Addresses map[string]string // by the engine's id
 	Saved     bool              // the list was saved by an earlier run
 }
 
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -20,8 +20,8 @@
 	engines            *Engines
 	spec               protocol.AttemptSpec
 	id, method, target string
-	fields             []http1.Field // of the client's request, without its id and time left
-	newConnection      bool          // an idle connection may not be reused
+	fields             []http1.Field // header fields of the client's request, without its id and time left
+	newConnection      bool          // an idle connection must not be reused
 	body               []byte
 	client             *http1.Exchange
 	loadReport         string // text of the latest load report in the stream
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -25,7 +25,7 @@
 // Limits are the resources that a node may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
-	MemoryMB float64 `json:"memory_mb"`
+	MemoryMB float64 `json:"memory_mb"` // in MiB
 	Sockets  int     `json:"sockets"`
 }
 
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -12,8 +12,8 @@
 	"dillroute/internal/settings"
 )
 
-// notifiedAfter is the time after which a change counts as notified even if all calls to discovery failed, in seconds (the
-// terms of the users' standing test).
+// notifiedAfter is the time in seconds from a change of the list until the change counts as notified, even if all calls to
+// discovery failed (the terms of the users' standing test).
 const notifiedAfter = 6
 
 // Discovery follows the engine list of the platform's discovery service.
@@ -42,7 +42,7 @@
 type discoveryOptions struct {
 	settings *settings.Settings
 	policy   endpoints.PollPolicy
-	clock    clock.Clock    // of the node; start times are converted to it
+	clock    clock.Clock    // the node's clock, to which start times are converted
 	dial     http1.DialFunc // makes connections; nil = on the network
 	onUpdate func(protocol.EndpointList)
 	log      *slog.Logger
--- a/internal/relay/discovery_call.go
+++ b/internal/relay/discovery_call.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// fetchList makes one call on a connection. The poller limits the time to the first byte. After that, each read must
-// return at least one byte in time.
+// fetchList makes one call on a connection. The response must begin within policy.MaxSilence; the poller makes another call
+// before that. After its first byte, no pause may exceed policy.BetweenBytes, and it must end within policy.CompleteResponse.
 func (d *Discovery) fetchList(conn *http1.ClientConn, target string) (*listResponse, error) {
 	conn.SetDeadline(time.Now().Add(seconds(d.policy.MaxSilence)))
 	if _, _, err := conn.Send("GET", target, nil, nil); err != nil {
@@ -75,7 +75,7 @@
 	return fmt.Errorf("relay: discovery responded with status %d", status)
 }
 
-// deadlineBody reads a body in which no pause between bytes may exceed maxPause, and no byte may come after the deadline.
+// deadlineBody reads a body. A read fails if no byte arrives within maxPause, or before the deadline of the whole body.
 type deadlineBody struct {
 	conn     *http1.ClientConn
 	body     io.Reader
--- a/internal/relay/discovery_list.go
+++ b/internal/relay/discovery_list.go
@@ -121,7 +121,7 @@
 	return updates
 }
 
-// endpointList converts changes, which are in order of id, to the type of the host. The caller holds the lock.
+// endpointList converts changes, which are in order of id, to the type of the host. The caller holds d.mu.
 func (d *Discovery) endpointList(changes []endpoints.Update, saved bool) protocol.EndpointList {
 	now := d.clock.Now()
 	wall := d.clock.Wall()
--- a/internal/relay/discovery_poller.go
+++ b/internal/relay/discovery_poller.go
@@ -12,11 +12,11 @@
 // listLimits bound the size of a response of discovery.
 var listLimits = http1.Limits{Line: 1 << 10, Header: 8 << 10, Headers: 64, Body: maxListBytes}
 
-// poller polls discovery for one watch until the watch ends. Its fields belong to its goroutine.
+// poller polls discovery for one watch until the watch ends. Its fields are used only by the goroutine of run.
 //
-// The current call waits for a change, or has just been made. If it gets no response in time, it counts as silent, and a
-// new call on a new connection becomes the current one. Silent calls stay in flight, so that the node always has a waiting
-// call: during an outage discovery sends nothing, and when it recovers it responds first to the calls that are waiting.
+// The current call waits for a change, or has just been made. If it has no response by nextCallAt, it counts as silent, and a
+// new call on a new connection becomes the current one. Silent calls stay in flight. The node thus always has a waiting call:
+// during an outage discovery sends nothing, and when it recovers it responds first to the calls that are waiting.
 type poller struct {
 	discovery   *Discovery
 	watch       *watch
--- a/internal/relay/discovery_watch.go
+++ b/internal/relay/discovery_watch.go
@@ -13,8 +13,8 @@
 // minHold is the hold time of a call that does not wait for a change, in seconds: the shortest that a call for changes can request.
 const minHold = 1e-3
 
-// watch is the state of following one address. Each watch has its own version, after which it requests changes, because another
-// address may count versions from the start. Fields that the lock does not guard belong to the goroutine of the poller.
+// watch is the state of following one address. Each watch requests changes after its own version, because another address may count
+// versions from the start. mu guards conns, ended and the calls' connections; the poller's goroutine alone changes the other fields.
 type watch struct {
 	addr        string
 	ctx         context.Context // ends with the watch
@@ -22,8 +22,8 @@
 	stop        chan struct{} // closed when the watch ends
 	results     chan callResult
 	inFlight    []*call // in order of their start
-	version     int64   // after which changes are requested
-	incremental bool    // a complete list was applied, so that changes suffice
+	version     int64   // version after which changes are requested
+	incremental bool    // a complete list was applied; from then on changes suffice
 
 	mu    sync.Mutex
 	conns map[*http1.ClientConn]bool // open connections, which end closes
@@ -40,7 +40,7 @@
 // callResult is the result of a call.
 type callResult struct {
 	*call
-	conn     *http1.ClientConn // of the call; nil = connecting failed
+	conn     *http1.ClientConn // connection of the call; nil = connecting failed
 	response *listResponse
 	err      error
 }
@@ -92,9 +92,9 @@
 	w.mu.Unlock()
 }
 
-// newCall records a new call and returns it and the time at which it counts as silent (s). On a connection that has just
-// responded the call waits for a change; the first call on a new connection (conn is nil) does not wait. If changes suffice,
-// the call requests only these, because the response is smaller.
+// newCall records a new call and returns it and the time at which it counts as silent (s). If changes suffice, the call requests
+// only these, because the response is smaller. Such a call waits for a change if it uses a connection that has just responded.
+// The first call on a new connection (conn is nil) and a call for the complete list do not wait.
 func (w *watch) newCall(now float64, conn *http1.ClientConn, timeouts endpoints.WatchTimeouts, silentCalls int) (*call, float64) {
 	c := &call{conn: conn, target: pathList, responseBy: now}
 	deadline := timeouts.CallDeadline(now, silentCalls)
@@ -114,7 +114,7 @@
 	return c, deadline
 }
 
-// changesTarget returns the target of a call that waits for changes after a version, for hold seconds at most.
+// changesTarget returns the target of a call that waits up to hold seconds for changes after a version.
 func changesTarget(version int64, hold float64) string {
 	return pathList + "?from=" + strconv.FormatInt(version, 10) + "&hold_ms=" + strconv.FormatInt(seconds(hold).Milliseconds(), 10)
 }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -8,8 +8,8 @@
 	"dillroute/scheduler"
 )
 
-// exchange is one request (protocol.ClientExchange): the parts that are forwarded to engines unchanged, and the client connection. It
-// belongs to the node's owner goroutine, except for client, which belongs to the attempt that was granted the response.
+// exchange is one request (protocol.ClientExchange): the parts that are forwarded to engines unchanged, and the client connection. Only
+// the node's event loop changes it. Only the attempt that was granted the response, or Respond, writes to client.
 type exchange struct {
 	front          *Front
 	id             string
--- a/internal/relay/front.go
+++ b/internal/relay/front.go
@@ -13,7 +13,7 @@
 	"dillroute/scheduler"
 )
 
-// minRecentIDs is the minimum number of request ids that are remembered: minutes of a node's traffic.
+// minRecentIDs is the minimum number of request ids that are remembered. A node receives that many within minutes.
 const minRecentIDs = 8192
 
 // Front is the client side of the protocol. It is safe for concurrent use.
@@ -111,7 +111,7 @@
 		"prompt_tokens", request.PromptTokens, "prefix_tokens", request.PrefixTokens, "max_output_tokens", request.MaxOutputTokens)
 	e := &exchange{front: f, id: request.ID, client: x, method: x.Method, target: x.Target(), body: x.Body,
 		fields: http1.EndToEnd(x.Header, headerID, headerTimeLeft), effect: f.effects[request.Class]}
-	x.Body, x.Header = nil, nil // exchange and request hold what is needed of them
+	x.Body, x.Header = nil, nil // exchange and request hold the parts that are still needed
 	if !submit(protocol.RoutedRequest{Request: request, Exchange: e}) {
 		respond(503, "the node is stopping")
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -32,7 +32,7 @@
 		`"settings":`+platform.SettingsJSON+`}`),
 		func(n string) string { return env[n] })
 	if err != nil || c.Name != "n7" || c.Discovery != "127.0.0.1:2" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 256 {
-		t.Fatalf("%+v, %v", c, err)
+		t.Fatalf("got unexpected configuration %+v or error %v", c, err)
 	}
 	for name, text := range map[string]string{
 		"no JSON": "{", "no settings": `{}`, "bad seed": `{"seed":"x","settings":` + platform.SettingsJSON + `}`,
@@ -70,7 +70,7 @@
 			hasRetryAfter = hasRetryAfter || f.Name == "Retry-After"
 		}
 		if response.Status != c.status || hasRetryAfter != c.header {
-			t.Errorf("%+v, %g: %+v", c.a, c.after, response)
+			t.Errorf("%+v, retry after %g s: got unexpected response %+v", c.a, c.after, response)
 		}
 	}
 }
@@ -78,12 +78,12 @@
 func TestMalformedLoadReportsAreIgnored(t *testing.T) {
 	if r := parseLoadReport("util=0.61,queue=2,x0=0.25,other=7"); r == nil || r.Utilization != 0.61 || r.Waiting != 2 ||
 		r.MemoryShare != 0.25 || r.Has != scheduler.HasUtilization|scheduler.HasWaiting|scheduler.HasMemoryShare {
-		t.Errorf("%+v", r)
+		t.Errorf("got unexpected load report %+v", r)
 	}
 	for _, bad := range []string{"", "util", "util=", "util=often", "util=-1", "util=NaN", "util=1e300", "=",
 		"other=1", strings.Repeat("x", 1000)} {
 		if r := parseLoadReport(bad); r != nil {
-			t.Errorf("%q: %+v", bad, r)
+			t.Errorf("%q: got load report %+v, want none", bad, r)
 		}
 	}
 }
@@ -104,12 +104,12 @@
 		}
 		for _, x := range []float64{q.ClientTimeLeft, q.PromptTokens, q.PrefixTokens, q.MaxOutputTokens} {
 			if !(x >= 0) || math.IsInf(x, 0) {
-				t.Fatalf("%+v", q)
+				t.Fatalf("a figure of the request is negative or not finite: %+v", q)
 			}
 		}
 		if q.ID == "" || strings.ContainsAny(q.ID, "/ \r\n%?") ||
 			q.ClientTimeLeft <= 0 || q.PrefixTokens > q.PromptTokens || !json.Valid([]byte(body)) {
-			t.Fatalf("%+v of %q", q, body)
+			t.Fatalf("accepted invalid request %+v with body %q", q, body)
 		}
 	})
 }
@@ -129,7 +129,7 @@
 		d := newDiscovery(testOptions(t, notifiedAfter, func(l protocol.EndpointList) {
 			for _, e := range l.Engines {
 				if e.ID == "" || e.Kind < 0 || e.Kind >= len(s.Kinds) || e.Zone < 0 || e.Zone >= len(s.Zones) {
-					t.Fatalf("%+v", e)
+					t.Fatalf("engine without an id, or with an unknown kind or zone: %+v", e)
 				}
 			}
 		}))
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -34,7 +34,7 @@
 	pathList  = "/v1/servers"
 )
 
-// charsPerToken is the number of characters per token by which the prompt's length is estimated if the request does not state it.
+// charsPerToken is the assumed number of bytes per token. It serves to estimate a prompt's length that the request does not state.
 const charsPerToken = 4
 
 // Bounds of header fields.
@@ -45,7 +45,7 @@
 	maxTokens   = 1 << 20 // more than a body can hold
 )
 
-// requestHeader reads header fields of a request and keeps the first error.
+// requestHeader reads header fields of a request and stores the first error.
 type requestHeader struct {
 	fields textproto.MIMEHeader
 	err    error
@@ -167,8 +167,8 @@
 	return nil
 }
 
-// parseBody validates a body, estimates the prompt's length if the header does not state it, and reads max_tokens if the header does
-// not state the maximum output.
+// parseBody validates a body. If the header does not state the prompt's length, parseBody estimates it from the body's length. If the
+// header does not state the maximum output, parseBody reads max_tokens.
 func parseBody(body []byte, request *scheduler.Request) error {
 	if !json.Valid(body) {
 		return fmt.Errorf("the body is no JSON")
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -13,8 +13,8 @@
 	"dillroute/internal/protocol"
 )
 
-// streamStallTimeout is the time without an event after which an engine's stream counts as broken: the client's connection must end
-// within 5 s of the last event of a running engine (PROTOCOL, figures).
+// streamStallTimeout is the time without an event after which an engine's stream counts as broken. The client's connection must end
+// within 5 s after the last event of a running engine (PROTOCOL, figures).
 const streamStallTimeout = 4500 * time.Millisecond
 
 // finalEvent is the data of the event that ends a stream (PROTOCOL, nodes to engines).
@@ -53,7 +53,7 @@
 	return a.spec.Stage == outcome.Decode && response.Chunked && strings.HasPrefix(contentType, "text/event-stream")
 }
 
-// forwardEvents forwards events up to the last chunk.
+// forwardEvents forwards events until the engine's stream ends or breaks, or a write to the client fails.
 func (a *attempt) forwardEvents(conn *http1.ClientConn, response *http1.Response, observer protocol.AttemptObserver,
 	result *protocol.Result) (outcome.Cause, error) {
 	events := http1.NewEventReader(response.Body, maxEvent)
@@ -108,12 +108,12 @@
 
 // Bounds of a stream, in bytes.
 const (
-	maxEvent = 128 << 10 // of one event
-	maxWrite = 8 << 10   // of events in one write
+	maxEvent = 128 << 10 // one event
+	maxWrite = 8 << 10   // pending events: from this size on they are written, even if more events are buffered
 )
 
-// endStream writes the pending events and, if the engine's stream ended with its last chunk, completes the response. Otherwise it
-// returns the cause of the error that broke the stream.
+// endStream writes the pending events. If err is io.EOF, the engine's stream was complete, and endStream completes the response.
+// Otherwise it returns the cause of err, which broke the stream.
 func (a *attempt) endStream(err error, begun bool, pending []byte) (outcome.Cause, error) {
 	if begun && len(pending) > 0 {
 		if _, werr := a.client.Write(pending); werr != nil {
--- a/internal/relay/timeouts.go
+++ b/internal/relay/timeouts.go
@@ -11,26 +11,26 @@
 
 // Timeouts are the timeouts that the protocol's pages require. If a client sends nothing, or no complete request, the node responds or
 // closes the connection within 3 s of connecting. A connection without a request may be closed after 2 s, or earlier by eviction: its
-// client connects again. A node that shuts down admits requests for as long as those that it admits may be unanswered when it is killed;
-// this is at least as long as new connections arrive (0.4 s).
+// client connects again. A node that shuts down continues to admit requests for as long as the platform accepts that an admitted request
+// has no response when the node is killed. New connections arrive for 0.4 s of a shutdown, which is no longer than that.
 var Timeouts = http1.Timeouts{First: 2100 * time.Millisecond, Head: 700 * time.Millisecond, Body: 700 * time.Millisecond,
 	Whole: 700 * time.Millisecond, Idle: 10 * time.Second, EvictableAfter: 100 * time.Millisecond, Write: 4 * time.Second,
 	DrainAccept: drainAccept, DrainIdle: drainIdle, KeepAliveWhileDraining: true, Linger: 300 * time.Millisecond,
 	Rejection: 100 * time.Millisecond}
 
-// Times of the graceful shutdown (PROTOCOL, figures). SIGKILL follows SIGTERM after 0.7 s plus the longest client timeout at the earliest;
-// a client timeout over 3 s counts as 3 s.
+// Times of the graceful shutdown (PROTOCOL, figures). SIGKILL follows SIGTERM no earlier than 0.7 s plus the longest client timeout; a
+// client timeout over 3 s counts as 3 s.
 const (
 	killDelay         = 700 * time.Millisecond
 	maxCountedTimeout = 3 * time.Second
 	drainAccept       = 550 * time.Millisecond // new connections arrive for 0.4 s
 	drainIdle         = 2 * time.Second        // clients use their connections as long as these are open
-	drainIdleNoResume = 600 * time.Millisecond // a request that arrives after 0.7 s must end before SIGKILL, including its stream
+	drainIdleNoResume = 600 * time.Millisecond // below 0.7 s: a request that arrives later must end, with its stream, before SIGKILL
 	responseReserve   = 300 * time.Millisecond // for writing the final responses
 )
 
-// ServerTimeouts returns the timeouts of the client side. If clients do not resume streams, no stream may be interrupted, so that a node
-// that shuts down admits only requests whose streams end before it is killed.
+// ServerTimeouts returns the timeouts of the client side. If clients do not resume streams, no stream must be interrupted. A node that
+// shuts down then admits only requests whose streams end before it is killed.
 func ServerTimeouts(resume bool) http1.Timeouts {
 	t := Timeouts
 	if !resume {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -21,7 +21,7 @@
 	b := make([]byte, 100)
 	n, err := l.Read(b)
 	if err != nil || string(b[:n]) != "READY=1\nSTATUS=serving" {
-		t.Fatalf("%q, %v", b[:n], err)
+		t.Fatalf("got notification %q and error %v", b[:n], err)
 	}
 	os.Unsetenv("NOTIFY_SOCKET")
 	Notify(Ready) // without a service manager it does nothing
--- a/internal/service/statedir.go
+++ b/internal/service/statedir.go
@@ -24,7 +24,7 @@
 	lock *os.File
 }
 
-// AwaitStateDir acquires a directory like AcquireStateDir, but retries for up to wait until the present holder has released it.
+// AwaitStateDir acquires a directory like AcquireStateDir, but retries for up to wait, because another process may still hold it.
 func AwaitStateDir(dir string, wait time.Duration) (*StateDir, error) {
 	for end := time.Now().Add(wait); ; time.Sleep(lockRetryInterval) {
 		stateDir, err := AcquireStateDir(dir)
@@ -34,7 +34,7 @@
 	}
 }
 
-// AcquireStateDir creates the directory if necessary and locks it. The lock ends with the process, however it ends, so that a killed
+// AcquireStateDir creates the directory if necessary and locks it. The kernel releases the lock when the process ends, so a killed
 // process leaves nothing to clean up. The process id in the lock file is only information for operators.
 func AcquireStateDir(dir string) (*StateDir, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
--- a/internal/service/transient.go
+++ b/internal/service/transient.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// IsTransient reports whether a system call failed for a reason that may end without intervention: a full descriptor table or disk, a
-// lack of memory, an address that a predecessor still uses or that the machine does not have yet.
+// IsTransient reports whether a system call failed for a reason that may end without intervention: for example a full descriptor table
+// or disk, a lack of memory, or an address that a predecessor still uses or that the machine does not have yet.
 func IsTransient(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
@@ -22,14 +22,14 @@
 	return false
 }
 
-// Backoff between attempts. It doubles from the minimum to the maximum.
+// Backoff between the attempts of RetryTransient. It doubles from the minimum to the maximum.
 const (
 	MinBackoff = 20 * time.Millisecond
 	MaxBackoff = 200 * time.Millisecond
 )
 
-// RetryTransient calls do, and repeats it with backoff while it fails for a transient reason, for up to the time within. It returns the
-// last error.
+// RetryTransient calls do, and repeats it with backoff while it fails for a transient reason. It stops when the next call would begin
+// later than within after the first. It returns the last error.
 func RetryTransient(within time.Duration, do func() error) error {
 	backoff := MinBackoff
 	for end := time.Now().Add(within); ; backoff = min(2*backoff, MaxBackoff) {
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -1,7 +1,7 @@
 package settings
 
-// document mirrors the parts of the settings object that are used. Its struct tags are the names in the object, and its fields are named
-// as in the scheduler's configuration.
+// document has the parts of the settings object that are used. Its struct tags are the names in the object; the names of its fields are
+// those of the scheduler's configuration.
 type document struct {
 	NodeCount int             `json:"balancers"`
 	NodeIndex int             `json:"rank"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,7 +17,7 @@
 	Kinds                []string
 	MaxOpen              int
 	EngineIdleTimeout    float64 // longest time after which an engine closes an idle connection; 0 = not stated
-	ConnectTimeout       float64 // within which a connection must be established; 0 = not stated
+	ConnectTimeout       float64 // time within which a connection must be established; 0 = not stated
 	LongestClientTimeout float64 // longest client timeout of all classes
 	ClientsResume        bool    // clients send a further request for the rest of a broken stream
 }
--- a/internal/timerwheel/timerwheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -1,5 +1,5 @@
 // Package timerwheel implements a hierarchical timing wheel for many timers (Varghese and Lauck, "Hashed and Hierarchical Timing
-// Wheels", 1987). It reads no clock and starts no goroutine: the owner advances it.
+// Wheels", 1987). It reads no clock and starts no goroutine: its user advances it.
 //
 // Adding and canceling take constant time. A timer fires in the first Advance at or after its time, never before it, and at
 // most one resolution later than in a sorted list.
@@ -12,19 +12,19 @@
 
 const (
 	slotBits      = 6
-	slotsPerLevel = 1 << slotBits // each has one bit of a 64-bit word, which is set if the slot is in use
+	slotsPerLevel = 1 << slotBits // one for each bit of a 64-bit word, which is set if the slot is in use
 	slotMask      = slotsPerLevel - 1
-	levels        = 6 // 64^6 ticks: over two years at a millisecond
+	levels        = 6 // 64^6 ticks are over two years if a tick is a millisecond
 )
 
-// maxSpan is the maximum distance (ticks) from the current tick at which a timer is placed. A later timer is placed there and placed
-// again when its slot is reached. One slot of the coarsest level stays free, so that no timer is placed a full turn ahead.
+// maxSpan is the maximum distance from the current tick at which a timer is placed, in ticks. A timer that is due later is placed at that
+// distance, and again when its slot is reached. One slot of the coarsest level stays free: no timer may be a full turn ahead.
 const maxSpan = 1<<(levels*slotBits) - 1<<((levels-1)*slotBits) - 1
 
 // firedLevel is the level of a timer that is in no slot: it has fired or was canceled.
 const firedLevel = -1
 
-// Timer is one timer of a Wheel. Its fields belong to the wheel.
+// Timer is one timer of a Wheel. Only the wheel uses its fields.
 type Timer[T any] struct {
 	next, prev *Timer[T]
 	due        int64 // tick at which it fires
@@ -97,8 +97,8 @@
 	}
 }
 
-// Next returns the time (s) at which the next Advance is due: the time of the earliest timer, or an earlier time at which a coarse
-// slot must be distributed over finer levels. ok is false if there is no timer.
+// Next returns the time (s) at which the next Advance is due. It is the time of the earliest timer, or an earlier time at which the
+// timers of a coarse slot must move to finer levels. ok is false if there is no timer.
 func (w *Wheel[T]) Next() (at float64, ok bool) {
 	if w.count == 0 {
 		return 0, false
@@ -121,10 +121,10 @@
 	return earliest
 }
 
-// shift returns the number of low bits of a tick that do not count for the slot of a level.
+// shift returns the number of low bits of a tick that do not affect its slot at a level.
 func shift(level int) uint { return uint(level * slotBits) }
 
-// cascade distributes the timers of the coarse slots that have been reached over the finer levels.
+// cascade moves the timers of each coarse slot that has been reached to slots of finer levels.
 func (w *Wheel[T]) cascade() {
 	for level := levels - 1; level > 0; level-- {
 		current := w.currentTick >> shift(level)
--- a/internal/timerwheel/timerwheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -11,7 +11,7 @@
 
 const resolution = 0.001 // s
 
-// listedTimer is a timer of a wheel in the list with which the wheel is compared.
+// listedTimer is an entry of the list with which a wheel is compared: one timer of the wheel.
 type listedTimer struct {
 	at    float64
 	timer *Timer[int]
@@ -29,7 +29,7 @@
 	span := rapid.SampledFrom([]float64{0.01, 1, 100, 1e5, 1e7}).Draw(t, "span")
 	at := m.now + rapid.Float64Range(-0.1, 1).Draw(t, "part")*span
 	timer := m.wheel.Add(at, len(m.timers))
-	m.timers = append(m.timers, listedTimer{at: max(at, m.now), timer: timer}) // one in the past fires at the next tick
+	m.timers = append(m.timers, listedTimer{at: max(at, m.now), timer: timer}) // a time in the past fires at the next tick
 }
 
 func (m *wheelMachine) cancel(t *rapid.T) {
@@ -85,8 +85,8 @@
 	}
 }
 
-// Compared with a list, every timer fires once, in the first Advance at or after its tick, never early, and never after it was
-// canceled.
+// A wheel must fire the same timers as a list: each one once, in the first Advance at or after its tick, never early, and never after
+// it was canceled.
 func TestWheelMatchesListOfTimers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Float64Range(0, 1e6).Draw(t, "start")
@@ -135,7 +135,7 @@
 	return xs
 }
 
-// Each operation of these benchmarks adds one timer and cancels another while 100,000 are pending, like the deadlines of requests.
+// Each operation of these benchmarks adds one timer and cancels another while 100,000 are pending. Deadlines of requests are such timers.
 func BenchmarkWheel100k(b *testing.B) {
 	ds, w := delays(), New[int](0, 0.001)
 	ring := make([]*Timer[int], waitingTimers)
