--- a/internal/decide/classify/classify.go
+++ b/internal/decide/classify/classify.go
@@ -12,15 +12,15 @@
 // tokensPer1K is the unit of Class.ClientTimeoutPer1KTokens.
 const tokensPer1K = 1000
 
-// slowestOutputFactor is the multiple of the latency objective up to which an output still has worth.
+// slowestOutputFactor is the multiple of the latency objective up to which a slow output is still of use to its client.
 const slowestOutputFactor = 2
 
 // Class holds the parameters of a class that classification needs.
 type Class struct {
 	ClientTimeout            float64 // s until the client disconnects
 	ClientTimeoutPer1KTokens float64 // s more for each 1,000 prompt tokens
-	MaxTokens                int     // of a response, where the request states none
-	OutputTokenObjective     float64 // s between tokens
+	MaxTokens                int     // maximum number of tokens of a response if the request states none
+	OutputTokenObjective     float64 // latency objective: s between two output tokens
 }
 
 // Rule assigns a class by the model's name (a shell pattern) and a header; empty fields match everything.
@@ -64,7 +64,7 @@
 	return t
 }
 
-// Tenant returns the tenant of a key. It compares every key, in constant time, so that the time it takes reveals nothing.
+// Tenant returns the tenant of a key. It compares all keys, each in constant time, so that the duration reveals nothing about them.
 func (t *Table) Tenant(key string) (tenant int, ok bool) {
 	hash := sha256.Sum256([]byte(key))
 	tenant = -1
@@ -107,7 +107,7 @@
 // Timeouts are how long a client waits, in seconds.
 type Timeouts struct {
 	FirstToken       float64
-	CompleteResponse float64 // of a response that does not stream; 0 = it streams
+	CompleteResponse float64 // for the end of a response that does not stream; 0 = it streams
 }
 
 // ClientWait returns how long a client waits: the time of its class, or the time that the client has stated if that is shorter
--- a/internal/decide/classify/recent_ids.go
+++ b/internal/decide/classify/recent_ids.go
@@ -1,15 +1,15 @@
 package classify
 
-// RecentIDs remembers ids that clients chose, so that none is accepted twice: a second request with the id of another would be
-// mistaken for it wherever requests are identified by id. An id is remembered for at least a time window, and longer while there
-// are few ids; under a flood of ids the oldest are forgotten first. RecentIDs does not read the clock and is not safe for
+// RecentIDs remembers ids that clients chose, so that none is accepted twice: two requests with the same id could not be told
+// apart where requests are identified by id. An id is remembered for at least a time window, and longer while there are few ids.
+// Under a flood of ids the oldest are forgotten even within the window. RecentIDs does not read the clock and is not safe for
 // concurrent use.
 type RecentIDs struct {
 	minSize, maxSize int
 	window           float64 // s
 	ids              map[string]bool
 	queue            []recentID // in order of arrival; the entries before oldest are unused
-	oldest           int
+	oldest           int        // index in queue of the oldest id that is remembered
 }
 
 // recentID is an id and when it was added (s).
@@ -18,11 +18,11 @@
 	addedAt float64
 }
 
-// floodFactor is the number of ids that are remembered under a flood, in units of the minimum size.
+// floodFactor is the maximum number of ids that are remembered, as a multiple of the minimum.
 const floodFactor = 4
 
-// NewRecentIDs returns a RecentIDs that remembers the latest minSize ids, at least one, and those added within the window (s) if
-// there are more of them, up to four times as many.
+// NewRecentIDs returns a RecentIDs that remembers the latest minSize ids, even if they are older than the window (s). It also
+// remembers further ids that were added within the window, up to four times minSize in all. A minSize below 1 counts as 1.
 func NewRecentIDs(minSize int, window float64) *RecentIDs {
 	minSize = max(1, minSize)
 	return &RecentIDs{minSize: minSize, maxSize: floodFactor * minSize, window: window, ids: map[string]bool{}}
@@ -45,7 +45,7 @@
 	return true
 }
 
-// oldestExpired reports whether the oldest id is to be forgotten.
+// oldestExpired reports whether the oldest id must be forgotten.
 func (r *RecentIDs) oldestExpired(now float64) bool {
 	size := len(r.queue) - r.oldest
 	if size > r.maxSize {
--- a/internal/decide/classify/recent_ids_test.go
+++ b/internal/decide/classify/recent_ids_test.go
@@ -50,7 +50,7 @@
 	})
 }
 
-// An id beyond the window that is not among the last ones is forgotten.
+// An id that was added before the window is forgotten unless it is among the minimum number of latest ids.
 func TestRecentIDsForgetOldestBeyondWindow(t *testing.T) {
 	recent := NewRecentIDs(2, 10)
 	for i, id := range []string{"a", "b", "c"} {
--- a/internal/decide/connreuse/connreuse.go
+++ b/internal/decide/connreuse/connreuse.go
@@ -10,12 +10,12 @@
 
 // Parameters of the limit on the idle time of reused connections.
 const (
-	idleTimeoutShare = 0.5  // of the engines' idle timeout: highest limit
+	idleTimeoutShare = 0.5  // highest limit, as a share of the engines' idle timeout
 	longestIdle      = 5.0  // s; the limit never exceeds it
-	lossShare        = 0.25 // of the idle time of a lost connection: the limit after the loss
+	lossShare        = 0.25 // limit after a loss, as a share of the lost connection's idle time
 	doublingTime     = 30.0 // s in which the limit doubles while no connection is lost
 	shortestIdle     = 0.02 // s; the limit never falls below it
-	pauseAfterLoss   = 10.0 // s without any reuse after the loss of a connection that had been idle for about shortestIdle
+	pauseAfterLoss   = 10.0 // s without any reuse after a loss at an idle time of at most shortestIdle/lossShare
 )
 
 // Policy limits the idle time of reused connections by the observed losses. It is not safe for concurrent use.
@@ -26,7 +26,7 @@
 	pausedUntil float64 // no connection is reused before this time
 }
 
-// New returns the policy for engines that close an idle connection after idleTimeout at the latest (s); 0 = unknown.
+// New returns the policy for engines that close an idle connection after at most idleTimeout (s); 0 = unknown.
 func New(idleTimeout float64) *Policy {
 	p := &Policy{upperLimit: longestIdle}
 	if idleTimeout > 0 {
@@ -45,7 +45,7 @@
 	return p.limit
 }
 
-// grow raises the limit by the time that has passed.
+// grow raises the limit for the time since it last grew.
 func (p *Policy) grow(now float64) {
 	elapsed := now - p.grownAt
 	if elapsed <= 0 {
@@ -66,8 +66,8 @@
 }
 
 // ReuseAllowed reports whether an attempt may be sent on a reused connection at all. An attempt whose effect must not happen
-// twice may not: after the loss of the connection it would be unknown whether the request has run. A prefill attempt has no
-// effect, and may be sent on one.
+// twice needs a new connection: if a reused one is lost, it is unknown whether the request has run. A prefill attempt has no
+// effect and may be sent on a reused connection.
 func ReuseAllowed(effect scheduler.Effect, prefill bool) bool {
 	return prefill || effect == scheduler.Idempotent
 }
--- a/internal/decide/endpoints/endpoints.go
+++ b/internal/decide/endpoints/endpoints.go
@@ -7,8 +7,8 @@
 //
 // A View applies at once that an engine drains, was added, restarted, moved or changed its role. It waits for confirmation
 // before it removes a large part of a role in one step, and before it treats an engine as ready that is removed and added
-// again and again. The cost of waiting is bounded: for at most Options.ConfirmAfter the node sends to removed engines, where
-// attempts fail at once. Without the wait, a single broken response would make the node reject every request.
+// again and again. The cost of waiting is bounded: the node sends to removed engines for at most Options.ConfirmAfter, and
+// attempts fail at once there. Without the wait, a single broken response would make the node reject every request.
 package endpoints
 
 import (
--- a/internal/decide/endpoints/poll_policy.go
+++ b/internal/decide/endpoints/poll_policy.go
@@ -17,17 +17,17 @@
 }
 
 // Parameters of SharedPollPolicy. The timeout of a shared source is a third of notifiedAfter, the time after which a change
-// counts as notified (2 s of 6 s; PROTOCOL, figures). A silent watch up to its deadline and one queued response have to fit into
-// notifiedAfter.
+// counts as notified (2 s of 6 s; PROTOCOL, figures). The time of a silent watch up to its deadline and the time of one queued
+// response must together fit into notifiedAfter. Shares without another reference are of notifiedAfter.
 const (
-	sharedHoldShare            = 1.0 / 3  // of notifiedAfter
-	sharedFirstByteShare       = 1.0 / 3  // of notifiedAfter: a response may be queued for the source's whole timeout
+	sharedHoldShare            = 1.0 / 3  // time for which a watch asks the source to wait for a change
+	sharedFirstByteShare       = 1.0 / 3  // timeout of the first byte: a response may be queued for the source's whole timeout
 	sharedMaxCalls             = 2        // calls in flight at once
 	sharedMinBackoff           = 0.5      // s
-	sharedMaxBackoffShare      = 0.65     // of notifiedAfter, also for the first call: a queued response still fits in
-	sharedMaxIntervalShare     = 0.4      // of notifiedAfter: a queued response and one more call still fit in
-	sharedCongestionDelayShare = 1.0 / 12 // of notifiedAfter
-	sharedFirstCallShare       = 0.8      // of the time within which a node is expected to poll
+	sharedMaxBackoffShare      = 0.65     // longest backoff, and longest delay of the first call: a queued response still fits
+	sharedMaxIntervalShare     = 0.4      // longest poll interval: a queued response and one more call still fit
+	sharedCongestionDelayShare = 1.0 / 12 // delay of a response above which the source counts as congested
+	sharedFirstCallShare       = 0.8      // longest delay of the first call, as a share of pollInterval
 )
 
 // SharedPollPolicy returns the policy for a source that all nodes poll. It can respond to each of them only every few seconds,
--- a/internal/decide/endpoints/poller.go
+++ b/internal/decide/endpoints/poller.go
@@ -1,12 +1,12 @@
 package endpoints
 
 // Poller decides when a node calls the source of the endpoint list again. Hundreds of nodes may poll the same source: after a
-// failure each of them backs off with jitter, and none exceeds its call budget, whatever the source responds. Times are in
+// failure each of them backs off with jitter, and none exceeds its call budget, regardless of the source's responses. Times are in
 // seconds. Poller is not safe for concurrent use.
 type Poller struct {
 	MinBackoff, MaxBackoff float64        // bounds of the backoff after a failed call
-	OverloadBackoff        float64        // longest backoff while the source is overloaded (AfterRejection); 0 = as after a failed call
-	CallsPerSecond, Burst  float64        // call budget
+	OverloadBackoff        float64        // longest backoff while the source is overloaded (AfterRejection); 0 = MaxBackoff applies
+	CallsPerSecond, Burst  float64        // call budget: average rate, and number of calls that may be made at once
 	MaxInterval            float64        // longest poll interval after a response, while the source is congested; 0 = no interval
 	CongestionDelay        float64        // the source counts as congested if a response is delayed by more than this
 	Random                 func() float64 // returns numbers in [0, 1); the only source of randomness
@@ -20,8 +20,8 @@
 	hasSucceeded          bool // a call has succeeded
 }
 
-// A source counts as overloaded after this number of consecutive rejections. Before its first response to this node all nodes
-// call at the same time; after it they call at different times.
+// A source counts as overloaded after this number of consecutive rejections. The number is lower before the source's first
+// response to this node, because all nodes then call at the same time. Afterwards they call at different times.
 const (
 	rejectionsBeforeResponse = 2
 	rejectionsAfterResponse  = 4
@@ -30,7 +30,7 @@
 // Poll interval of a congested source (AfterResponse).
 const (
 	initialInterval       = 0.25 // s; the first interval when congestion begins
-	intervalDecreaseShare = 0.25 // of initialInterval, by which each response in time shortens the interval
+	intervalDecreaseShare = 0.25 // share of initialInterval by which each response without congestion shortens the interval
 )
 
 // backoffGrowth is the factor by which a backoff may exceed the one before it (decorrelated jitter).
@@ -42,8 +42,8 @@
 }
 
 // NewAgentPoller returns a poller for an agent on the node's machine that serves only this node, so that it needs no backoff of
-// several seconds. A watch continues only if its next call comes within 0.2 s, and the changes that the source has when it
-// recovers may count as notified at once.
+// several seconds. A longer backoff than 0.2 s would be wrong: a watch continues only if its next call is made within 0.2 s, and
+// the changes that the source has when it recovers may count as notified at once.
 func NewAgentPoller(random func() float64) *Poller {
 	return &Poller{MinBackoff: 0.05, MaxBackoff: 0.2, CallsPerSecond: 10, Burst: 20, Random: random}
 }
@@ -53,9 +53,9 @@
 	return p.takeToken(now + p.MinBackoff*p.Random())
 }
 
-// AfterCall returns when to call again after a call that ended at now. After a success it is at once, within the budget, because
-// the source holds the call until there is a change. After a failure it is after a backoff with decorrelated jitter (Brooker,
-// "Exponential Backoff and Jitter", 2015).
+// AfterCall returns when to call again after a call that ended at now. After a success the node calls again as soon as the budget
+// allows, because the source holds the call until there is a change. After a failure it backs off first, with decorrelated jitter
+// (Brooker, "Exponential Backoff and Jitter", 2015).
 func (p *Poller) AfterCall(now float64, succeeded bool) float64 {
 	if succeeded {
 		p.recordSuccess()
--- a/internal/decide/endpoints/poller_test.go
+++ b/internal/decide/endpoints/poller_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// A poller stays within its call budget, whatever the source does.
+// A poller stays within its call budget, regardless of the results and durations of its calls.
 func TestPollerKeepsCallBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		poller := NewPoller(func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "random") })
--- a/internal/decide/endpoints/shared_test.go
+++ b/internal/decide/endpoints/shared_test.go
@@ -82,7 +82,7 @@
 func TestSharedPollPolicyFitsNotificationTime(t *testing.T) {
 	policy := SharedPollPolicy(6, 10, func() float64 { return 0.999 })
 	if got := policy.CallDeadline(policy.WatchDeadline(0), 1); got >= 6 {
-		t.Errorf("polled, and answered after the longest queue, %g s after the watch became silent", got)
+		t.Errorf("the call after a silent watch may be answered only %g s after the watch began, want less than 6 s", got)
 	}
 	if policy.FirstCallSpread+policy.FirstByte >= 6 {
 		t.Errorf("the first call may come %g s after the start, and be queued", policy.FirstCallSpread)
--- a/internal/decide/endpoints/start_times.go
+++ b/internal/decide/endpoints/start_times.go
@@ -13,13 +13,13 @@
 
 // startRecord is one start of an engine, by both clocks.
 type startRecord struct {
-	reported  float64
-	local     float64
+	reported  float64 // start time by the shared wall clock, as the source reported it
+	local     float64 // start time by the node's own clock
 	removedAt float64 // when the engine was removed; 0 = it is listed. It may be listed again without a restart
 }
 
 // maxReportDelay is the time within which a source reports a start (s). The source notices an engine some seconds after it has
-// started, and its report counts as notified 6 s later at the latest.
+// started, and its report counts as notified at most 6 s later.
 const maxReportDelay = 15
 
 // NewStartTimes returns start times without any engine.
@@ -43,7 +43,8 @@
 	return record.local
 }
 
-// maxAge returns the highest age that an engine can have.
+// maxAge returns the age of a start (s): the lower of its ages by the two clocks, or 0 if the source had not reported the start when it
+// should have.
 func maxAge(reported, now, wall, lastResponse float64) float64 {
 	age := now - reported
 	wallAge := wall - reported
--- a/internal/decide/endpoints/view.go
+++ b/internal/decide/endpoints/view.go
@@ -18,7 +18,7 @@
 	// retentionWindows is how long a removed engine is remembered, in units of FlapWindow, so that an engine that is added
 	// again later still counts as flapping.
 	retentionWindows = 10
-	// retentionSlack is added to that time (s), so that the time is exceeded when Tick is called at the time that Next returned.
+	// retentionSlack is added to that time by Next (s), so that Tick finds it exceeded if it is called at the time that Next returned.
 	retentionSlack = 1
 	// removalsToConfirm is the number of different lists that have to lack an engine before a large removal is applied.
 	removalsToConfirm = 2
@@ -43,7 +43,7 @@
 	listed       bool      // it is part of the snapshot
 	listedSince  float64   // when it was last added
 	removals     []float64 // times of the latest removals, the oldest first; at most FlapCount
-	missingSince float64   // when lists began to lack it, while its removal is unconfirmed; 0 = no removal is pending
+	missingSince float64   // when the first list lacked it, while its removal is unconfirmed; 0 = no removal is pending
 	missingLists int       // number of different lists that have lacked it since then
 }
 
--- a/internal/decide/endpoints/watch.go
+++ b/internal/decide/endpoints/watch.go
@@ -6,11 +6,11 @@
 // and the calls after it have to fit into the rest of the time. All times are in seconds.
 type WatchTimeouts struct {
 	Hold             float64 // how long a watch asks the source to wait for a change
-	ResponseSlack    float64 // how late a response may be before the watch counts as silent
-	FirstByte        float64 // for a new connection, and on it for the first byte of the response to a call that does not wait
-	BetweenBytes     float64 // between two bytes of a response: a slow response is allowed, one that has stopped is not
-	CompleteResponse float64 // for a complete response, from its first byte
-	MaxSilence       float64 // for the first byte of the response to a silent call, while other calls are made in parallel
+	ResponseSlack    float64 // time beyond Hold after which a watch without a byte of a response counts as silent
+	FirstByte        float64 // limit for a new connection, and for the first byte of the response to a call that does not wait
+	BetweenBytes     float64 // limit between two bytes of a response: a slow response is allowed, one that has stopped is not
+	CompleteResponse float64 // limit for a complete response, from its first byte
+	MaxSilence       float64 // limit for the first byte of the response to a silent call, while others are made in parallel
 	MaxCallInterval  float64 // longest interval between calls that are made in parallel to silent ones
 	MaxCalls         int     // maximum number of calls in flight; a further call ends the oldest one
 }
@@ -23,14 +23,14 @@
 	responseSlackShare    = 0.06
 	firstByteShare        = 0.07
 	completeResponseShare = 0.3
-	maxSilenceShare       = 5.0  // longer than any outage after which a source is likely to answer a call made before it
+	maxSilenceShare       = 5.0  // a source is unlikely to answer a call that was made before a longer outage
 	maxCallIntervalShare  = 0.25 // while all calls are silent, one more is made at least this often
 )
 
 // maxWatchCalls allows a watch, a call in parallel to it, and one more in case that call was lost.
 const maxWatchCalls = 3
 
-// maxBackoffDoublings limits how often CallDeadline doubles its time, so that the shift stays within an int.
+// maxBackoffDoublings limits how often CallDeadline doubles its time, so that the shifted number fits into an int.
 const maxBackoffDoublings = 8
 
 // NewWatchTimeouts returns the timeouts for a source whose changes count as notified after the given time (s).
--- a/internal/decide/outcome/classify.go
+++ b/internal/decide/outcome/classify.go
@@ -37,8 +37,8 @@
 
 // ProvesNotRun reports whether the bytes of an attempt prove that it has not run at its engine: its request was not written
 // completely, or the engine responded that the prefill is done or that the request did not run. Unlike
-// Classification.MayHaveRun it does not accept the role of an engine as proof: a prefill engine does not run requests, but an
-// engine that did not respond like one may not be one.
+// Classification.MayHaveRun it does not accept the role of an engine as proof: a prefill engine does not run requests, but
+// without the response of a prefill engine another engine may have been reached.
 func ProvesNotRun(evidence Evidence) bool {
 	if evidence.Cause != ResponseComplete {
 		return evidence.Progress < RequestWritten
--- a/internal/decide/outcome/outcome.go
+++ b/internal/decide/outcome/outcome.go
@@ -18,7 +18,7 @@
 // String returns the name of the stage in logs.
 func (s Stage) String() string { return enumName("stage", int(s), "prefill", "decode") }
 
-// Progress is how far an attempt had come on its socket when it ended.
+// Progress is the last step that an attempt had reached on its socket when it ended.
 type Progress int
 
 // Steps of an attempt, in order. A request that was not written completely cannot run, because the engine received less than
@@ -91,7 +91,7 @@
 	Progress     Progress
 	Cause        Cause
 	ResponseKind ResponseKind // valid if Cause is ResponseComplete
-	Code         int          // of an InvalidRequest: distinguishes such responses
+	Code         int          // distinguishes responses of the kind InvalidRequest from each other
 	CachedTokens int          // prompt tokens that the engine had cached
 	// ConfirmedElsewhere means that another engine has called the same request invalid with the same code.
 	ConfirmedElsewhere bool
--- a/internal/decide/outcome/response.go
+++ b/internal/decide/outcome/response.go
@@ -9,22 +9,22 @@
 	RetryIsSafe bool // the response promises that a retry cannot make an effect happen twice
 }
 
-// RejectedResponse is given to a request that no engine could serve in time.
+// RejectedResponse returns the response to a request that no engine could serve before its client's deadline.
 func RejectedResponse() Response {
 	return Response{HTTPStatus: 503, Code: "no_capacity", RetryIsSafe: true}
 }
 
-// FailedResponse is given to a request that may have run; it does not promise that a retry is safe.
+// FailedResponse returns the response to a request that may have run; it does not promise that a retry is safe.
 func FailedResponse() Response {
 	return Response{HTTPStatus: 500, Code: "may_have_run"}
 }
 
-// StreamBrokenResponse is given if a stream ended before it was complete.
+// StreamBrokenResponse returns the response for a stream that ended before it was complete.
 func StreamBrokenResponse(effect scheduler.Effect, scope scheduler.DedupScope) Response {
 	return Response{HTTPStatus: 502, Code: "stream_broken", RetryIsSafe: RepeatAllowed(effect, scope, true)}
 }
 
-// DeadlineResponse is given if a response that is not streamed is incomplete at its client's deadline.
+// DeadlineResponse returns the response if one that is not streamed is still incomplete at its client's deadline.
 func DeadlineResponse(effect scheduler.Effect, scope scheduler.DedupScope) Response {
 	return Response{HTTPStatus: 504, Code: "answer_too_slow", RetryIsSafe: RepeatAllowed(effect, scope, true)}
 }
--- a/internal/decide/overload/budget.go
+++ b/internal/decide/overload/budget.go
@@ -5,7 +5,7 @@
 	Clients        int   // client connections, and requests open at once
 	RejectionQueue int   // further connections whose requests are being rejected
 	Engines        int   // connections to engines
-	BodyBytes      int64 // of request bodies
+	BodyBytes      int64 // bytes of request bodies in memory
 	HeapLimit      int64 // bytes; heap limit of the Go runtime. The rest is for memory that the runtime does not count
 }
 
--- a/internal/decide/overload/connections.go
+++ b/internal/decide/overload/connections.go
@@ -2,19 +2,19 @@
 
 // Parameters of the connection limit.
 const (
-	reservedDescriptors     = 32  // for listeners, logs, lists, state and a reload
-	reservedDescriptorShare = 0.1 // of all descriptors, reserved in addition for state release calls and the rest of the process
-	descriptorsPerRequest   = 2   // of a request in flight: the connection of its client and that to an engine
+	reservedDescriptors     = 32  // descriptors for listeners, logs, lists, state and a reload
+	reservedDescriptorShare = 0.1 // share of all descriptors, also reserved, for state release calls and the rest of the process
+	descriptorsPerRequest   = 2   // a request in flight uses its client's connection and one to an engine
 	minConnections          = 4   // lowest limit after a shortage
-	shortageShare           = 0.7 // of the open connections, the new limit after a shortage
-	regrowthShare           = 0.1 // of the full limit, regained per second without a shortage
+	shortageShare           = 0.7 // new limit after a shortage, as a share of the open connections
+	regrowthShare           = 0.1 // share of the full limit that is regained per second without a shortage
 )
 
 // connectionLimit limits the client connections. A shortage of descriptors lowers it at once; it grows again slowly.
 type connectionLimit struct {
 	maximum   int // allowed by the settings and the descriptors
 	current   float64
-	grownAt   float64
+	grownAt   float64 // when current last grew (s)
 	shortages int
 }
 
@@ -33,7 +33,7 @@
 	l.current = max(minConnections, min(l.current, shortageShare*float64(open)))
 }
 
-// grow raises the limit by the time that has passed.
+// grow raises the limit for the time since it last grew.
 func (l *connectionLimit) grow(now float64) {
 	elapsed := now - l.grownAt
 	if elapsed <= 0 {
--- a/internal/decide/overload/overload.go
+++ b/internal/decide/overload/overload.go
@@ -1,6 +1,6 @@
 // Package overload decides which requests a node admits, depending on whether its own machine keeps up. No rule may be broken
-// because a machine is slow or file descriptors run out: a node that cannot keep up sheds load early, while the rejection can
-// still be written in time.
+// because a machine is slow or file descriptors run out. A node that cannot keep up therefore sheds load early, while the
+// rejection can still be written before the client's timeout.
 //
 // It uses three signals: lag, which is how late the node handles events (events that waited for the event loop, timers that
 // fired late); file descriptors, which are the limit of the process and the calls that failed for lack of one; and the bytes
@@ -14,14 +14,14 @@
 type Limits struct {
 	Descriptors   int     // of the process; 0 = unknown
 	Connections   int     // of clients, by the settings
-	Bytes         int64   // of requests in memory, by the settings; 0 = no bound
+	Bytes         int64   // that requests may hold in memory, by the settings; 0 = no bound
 	ResponseSlack float64 // s by which a response may come after the client's timeout
 }
 
 // Limits of admission.
 const (
-	maxLagShare       = 0.25 // of a client's timeout that lag may take before the request is rejected
-	maxHeldBytesShare = 0.9  // of the limit of bytes, above which requests are rejected
+	maxLagShare       = 0.25 // a request is rejected if lag would take more than this share of its client's timeout
+	maxHeldBytesShare = 0.9  // a request is rejected if all requests in memory would hold more than this share of Limits.Bytes
 )
 
 // Reasons of a Decision.
@@ -73,13 +73,13 @@
 // Decision says whether a request is admitted.
 type Decision struct {
 	Admitted       bool
-	ClientTimeLeft float64 // s until the response has to be on its way, less the node's own lag
+	ClientTimeLeft float64 // s that the client still waits, less the part of the lag that exceeds Limits.ResponseSlack
 	RetryAfter     float64 // of a rejection: s until the client may retry
 	Reason         string  // of a rejection: lag, time or bytes
 }
 
-// Admit decides on a request. It rejects a request if lag would take so much of its time that a response might come too late, or
-// if the remaining time is no longer than the lag: a rejection is certain to be in time only if it is given at once.
+// Admit decides on a request. It rejects a request if lag would take too much of its client's timeout, if the time left is no
+// longer than the lag, or if requests hold too many bytes. It does so at once, because a later rejection might come too late.
 func (c *Controller) Admit(now float64, request Request) Decision {
 	lag := c.Lag(now)
 	timeLeft := request.ClientTimeout - request.Elapsed - max(0, lag-c.limits.ResponseSlack)
--- a/internal/decide/permit/audit.go
+++ b/internal/decide/permit/audit.go
@@ -20,17 +20,17 @@
 	disconnectNoticeTime = 0.1
 	// maxPause is how long a node may be paused between reading its clock and writing (s).
 	maxPause = 0.15
-	// responseLostAfter is the delay after which a response counts as lost rather than as worthless (s).
+	// responseLostAfter is the delay past its deadline after which a response counts as lost rather than as worthless (s).
 	responseLostAfter = 0.5
 )
 
-// Written describes an attempt as it was written. At is the time of its first byte; the other times are 0 for never.
+// Written describes an attempt as it was written. At is the time of its first byte. The other times are 0 if they do not apply.
 type Written struct {
 	At                   float64
 	ClientDisconnectedAt float64
 	ClientDeadline       float64
 	DedupWindowEnd       float64 // when engines stopped recognizing the attempt as a repeat
-	DrainingSince        float64 // since when its engine was known to be draining or removed
+	DrainingSince        float64 // when its engine became known to be draining or removed
 	DrainGrace           float64
 }
 
@@ -81,8 +81,8 @@
 
 // HeldState describes a state that an engine holds with no attempt in flight, after a call that was to release it.
 type HeldState struct {
-	Acknowledged bool // an engine has acknowledged the call
-	At           float64
+	Acknowledged bool    // an engine has acknowledged the call
+	At           float64 // when the engine still held it
 	Deadline     float64 // latest time at which the state may be held: its limit plus HeldStateSlack
 }
 
--- a/internal/decide/permit/permit.go
+++ b/internal/decide/permit/permit.go
@@ -43,7 +43,7 @@
 	MaxOpen  int
 }
 
-// Reason returns why the request may not be accepted.
+// Reason returns why the request must not be accepted, or Allowed.
 func (a Accept) Reason() Reason {
 	switch {
 	case a.Stopping:
@@ -62,12 +62,12 @@
 	AttemptsLeft int
 	EngineKnown  bool
 	Draining     bool    // the engine is draining or removed
-	DrainingFor  float64 // how long this has been known
-	DrainGrace   float64 // how long such an engine may still receive attempts
+	DrainingFor  float64 // how long that state has been known
+	DrainGrace   float64 // how long a draining or removed engine may still receive attempts
 	Repeat       Repeat
 }
 
-// Reason returns why the attempt may not be started.
+// Reason returns why the attempt must not be started, or Allowed.
 func (s Send) Reason() Reason {
 	switch {
 	case s.RequestEnded:
@@ -95,7 +95,7 @@
 	SameZone     bool
 }
 
-// Reason returns why the request may not be sent again.
+// Reason returns why the request must not be sent again, or Allowed.
 func (r Repeat) Reason() Reason {
 	if r.Effect == scheduler.Idempotent || !r.MayHaveRun {
 		return Allowed
@@ -131,7 +131,7 @@
 	DedupWindowLeft    float64 // how long engines still recognize the attempt as a repeat
 }
 
-// Reason returns why the attempt may not be written.
+// Reason returns why the attempt must not be written, or Allowed.
 func (w Write) Reason() Reason {
 	switch {
 	case w.AttemptCanceled:
@@ -155,11 +155,11 @@
 	ClientTimeLeft float64 // until the client's deadline
 }
 
-// minRetryTime is the time that a client needs for a retry (s). With less time left, a rejection after an attempt without a
-// response is of no use to the client, and a failure is the better response to an at-most-once request.
+// minRetryTime is the time that a client needs for a retry (s). With less time left, the promise of a safe retry is of no use to
+// the client. If an attempt was written and got no response, a failure is then the better response.
 const minRetryTime = 0.1
 
-// Reason returns why the promise may not be made.
+// Reason returns why the promise must not be made, or Allowed.
 func (r Reject) Reason() Reason {
 	keyedInFleet := r.Effect == scheduler.IdempotentByKey && r.DedupScope == scheduler.DedupFleet
 	switch {
@@ -181,7 +181,7 @@
 	MinIdle float64 // idle time after which it is unlikely that a request is already on its way
 }
 
-// Reason returns why the connection may not be closed.
+// Reason returns why the connection must not be closed, or Allowed.
 func (c CloseIdle) Reason() Reason {
 	if c.Evicts && c.IdleFor <= c.MinIdle {
 		return IdleTooBriefly
@@ -189,18 +189,19 @@
 	return Allowed
 }
 
-// Release describes a call that releases every state that any engine holds for a request and that no attempt is to fetch.
+// Release describes a call that releases every state that any engine holds for a request and that no attempt needs to fetch.
 type Release struct {
 	AttemptsInFlight int
 	StateNeeded      bool
-	// Due means that the time for which the state may be held is nearly over (staterelease.DueAt). Only an attempt whose response
-	// has begun (Responding) is certain to have reached its engine. If another attempt has reached its engine, the call costs it
-	// a prefill. If it has not, the state must be released, because such an attempt does not stop the limit.
+	// Due means that the time for which the state may be held is nearly over (staterelease.DueAt). The call is then made unless a
+	// response has begun (Responding), because only a response proves that an attempt has reached its engine. An attempt that has
+	// reached its engine without a response loses a prefill by the call. If none has reached its engine, the state must be
+	// released, because such an attempt does not stop the limit.
 	Due        bool
 	Responding bool
 }
 
-// Reason returns why the call may not be made yet.
+// Reason returns why the call must not be made yet, or Allowed.
 func (r Release) Reason() Reason {
 	switch {
 	case r.Due && !r.Responding:
--- a/internal/decide/requesttable/attempts.go
+++ b/internal/decide/requesttable/attempts.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// attemptsLeft returns how many attempts a request may still have.
+// attemptsLeft returns the number of attempts that may still be started for a request.
 func (t *Table) attemptsLeft(record *requestRecord) int {
 	counted := len(record.attempts)
 	if t.config.ExemptUnsentAttempts {
@@ -70,7 +70,7 @@
 	return t.config.MaxAttempts - counted
 }
 
-// sendPermit returns why an attempt may not be started.
+// sendPermit returns why an attempt must not be started, or permit.Allowed.
 func (t *Table) sendPermit(now float64, record *requestRecord, next *attempt) permit.Reason {
 	engine := t.engines[next.engine]
 	check := permit.Send{
@@ -105,7 +105,7 @@
 	return repeat
 }
 
-// dedupWindowEnd returns when engines stop recognizing a repeat of a request by its idempotency key; 0 = no limit.
+// dedupWindowEnd returns when engines stop recognizing a repeat of a request by its idempotency key (s); 0 = no limit.
 func (r *requestRecord) dedupWindowEnd() float64 {
 	if earlier := r.possibleEffect(); earlier != nil && r.class.Effect == scheduler.IdempotentByKey {
 		return earlier.sentAt + r.class.DedupWindow
@@ -126,7 +126,7 @@
 	}
 }
 
-// cancelOthers cancels every attempt in flight but the one given (nil = every one).
+// cancelOthers cancels every attempt in flight except the given one; nil = it cancels all of them.
 func (t *Table) cancelOthers(id string, record *requestRecord, except *attempt, cause outcome.Cause) {
 	for i := range record.attempts {
 		a := &record.attempts[i]
@@ -158,7 +158,7 @@
 	if record.state.isHeld() && !a.fetches(record.state) { // the engine computed the prefill itself
 		t.releaseHeldState(id, record)
 	}
-	record.state.clear() // otherwise the fetch is complete and the prefill engine has freed the state
+	record.state.clear() // if it was not released here, the attempt has fetched it and the prefill engine has freed it
 	t.issue(GrantResponse{ID: id, Attempt: number, Granted: true})
 	t.emit(scheduler.FirstToken{ID: id, Attempt: number, Engine: a.engine, Spent: now - a.sentAt})
 	t.cancelOthers(id, record, a, outcome.CanceledByScheduler) // hedged requests that lost
@@ -209,7 +209,7 @@
 	t.scheduleStateCheck(now, id, record)
 }
 
-// endedUnanswered reports whether an attempt may have reached its engine and ended before a response began.
+// endedUnanswered reports whether an attempt may have reached its engine and ended without a complete response or a first token.
 func endedUnanswered(evidence outcome.Evidence) bool {
 	written := evidence.Progress >= outcome.RequestWritten && evidence.Progress < outcome.Streaming
 	return written && evidence.Cause != outcome.ResponseComplete
--- a/internal/decide/requesttable/commands.go
+++ b/internal/decide/requesttable/commands.go
@@ -13,11 +13,11 @@
 	Engine     string
 	Attempt    int // number of the attempt among those of the request
 	Stage      outcome.Stage
-	FetchState bool // the attempt is to fetch a state that a prefill engine holds
-	// StateAttempt is the number of the attempt that made the state.
+	FetchState bool // the attempt must fetch a state that a prefill engine holds
+	// StateAttempt is the number of the prefill attempt that made this state.
 	StateAttempt int
 	Timeout      float64 // 0 = only the client's deadline applies
-	// WriteBy is when the request must have been written, because engines recognize a repeat for a limited time; 0 = no limit.
+	// WriteBy is the time by which the request must have been written; 0 = no limit. Engines recognize a repeat only until then.
 	WriteBy float64
 }
 
@@ -42,26 +42,27 @@
 	ID      string
 	Engine  string
 	Attempt int // number of the attempt that left the state
-	// InterruptedAt is when that attempt was interrupted (s): its engine may hold a state now, or only later. 0 = the state is held.
+	// InterruptedAt is when that attempt was interrupted (s); 0 = it was not, and the state is held. The engine of an interrupted attempt
+	// may hold a state now, or only later.
 	InterruptedAt float64
 	HeldSince     float64 // when the limit on the hold time of the state began to run (s)
 	// Acknowledged states that an engine has acknowledged a release call since the attempt was interrupted. Only the state of a prefill
 	// that its engine completed after that call may still be held.
 	Acknowledged bool
-	// AtLimit states that the hold time has reached its limit, so that the state is released whatever attempts are in flight.
+	// AtLimit states that the hold time has reached its limit: the state is released even while attempts are in flight.
 	AtLimit bool
-	// LastUnanswered is the latest attempt of which the engine may notice the end late. A release call that is made before then may
-	// free nothing.
+	// LastUnanswered is the latest attempt whose end its engine may notice late. A release call that the engine receives before it
+	// notices the end may free nothing.
 	LastUnanswered UnansweredAttempt
 	// Repeated states that the state was released before, while an attempt was in flight that may have been waiting for it.
 	Repeated bool
 }
 
-// UnansweredAttempt is an attempt that ended without a response after its request had been written. The zero value means that there is
-// none.
+// UnansweredAttempt is an attempt that ended without a complete response or a first token, after its request had been written. The zero
+// value means that there is none.
 type UnansweredAttempt struct {
 	Engine string
-	At     float64 // s
+	At     float64 // when it ended (s)
 }
 
 // CheckHeldState asks the host to call HeldStateDue at a time (s).
@@ -78,7 +79,7 @@
 	Reason     string
 }
 
-// PassThrough sends a client the response with which an engine has reported its request as invalid.
+// PassThrough sends a client the response of an engine that has reported the request as invalid.
 type PassThrough struct {
 	ID      string
 	Attempt int
--- a/internal/decide/requesttable/endpoints.go
+++ b/internal/decide/requesttable/endpoints.go
@@ -7,7 +7,7 @@
 // engineRecord is what the table knows about an engine.
 type engineRecord struct {
 	state scheduler.EngineState
-	since float64 // when the state was first reported (s)
+	since float64 // when the endpoint list changed the engine to this state (s)
 	cell  int
 	zone  int
 	role  scheduler.Role
@@ -58,8 +58,8 @@
 	}
 }
 
-// removedEngineRetention is the least time for which a removed engine stays in the table (s). No request waits longer for its
-// response to begin, so the engine of a possible effect is known for as long as the scheduler may ask for a repeat.
+// removedEngineRetention is the minimum time for which a removed engine stays in the table (s). No request waits longer for its
+// response to begin. So while the scheduler may ask for a repeat, the engine that may have run the request is known.
 const removedEngineRetention = 120
 
 // pruneRemoved deletes engines that were removed long ago, because a fleet may replace its engines continually.
@@ -77,7 +77,7 @@
 	return engine != nil && engine.state == scheduler.EngineReady
 }
 
-// DrainingSince returns since when an engine has been known to be draining or removed (s); 0 = it is ready or unknown.
+// DrainingSince returns when an engine entered its present state, if that is draining or removed (s); 0 = it is ready or unknown.
 func (t *Table) DrainingSince(id string) float64 {
 	if engine := t.engines[id]; engine != nil && engine.state != scheduler.EngineReady {
 		return engine.since
--- a/internal/decide/requesttable/heldstate.go
+++ b/internal/decide/requesttable/heldstate.go
@@ -10,21 +10,21 @@
 )
 
 // This file enforces the limit on the time for which engines hold a state (rule 5). While a state is held, or a release is deferred, a
-// check is pending. The check releases what is due, whatever the scheduler or an attempt may still do about it. When several parts could
-// make such a release and each relied on another, the release was never made.
+// check is pending. The check releases the states that are due and relies neither on the scheduler nor on an attempt for that. If several
+// parts could make such a release and each relied on another, the release would never be made.
 //
-// A prefill in flight does not start the limit, although its response may be lost and its engine may hold the state: a release call would
-// discard the state that the engine is still computing. By rule 5 the attempt is in flight until it ends.
+// A prefill in flight does not start the limit: a release call would discard the state that the engine is still computing. Its response may
+// be lost while its engine holds the state, but by rule 5 the attempt is in flight until it ends.
 
 // mayHoldState reports whether an engine holds a state of the request, or may hold one whose release is deferred. The deferred release for
-// an interrupted prefill does not count once an engine has acknowledged a call: freeing the state that this prefill may still leave is not
-// worth ending another prefill that is in flight.
+// an interrupted prefill does not count once an engine has acknowledged a call. That prefill may still leave a state, but a release call
+// would end another prefill in flight, which costs more than the state.
 func (r *requestRecord) mayHoldState() bool {
 	interrupted := r.deferred.interruptedAttempt
 	return r.state.isHeld() || r.deferred.heldState != nil || interrupted != nil && !interrupted.Acknowledged
 }
 
-// dueAt returns when the states that engines hold must be released, if the limit began to run at limitStart.
+// dueAt returns when the states that engines hold must be released (s), if the limit began to run at limitStart.
 func (t *Table) dueAt(record *requestRecord, limitStart float64) float64 {
 	attemptAt := record.hold.lastSendAt
 	if record.inFlight == 0 {
@@ -41,7 +41,7 @@
 	}
 	at := t.nextCheck(now, record)
 	if at == 0 || record.hold.checkAt > 0 && record.hold.checkAt <= at {
-		return // a pending check that comes too early schedules the next one
+		return // the pending check is made before this time and schedules the next one
 	}
 	record.hold.checkAt = at
 	t.issue(CheckHeldState{ID: id, At: at})
@@ -66,8 +66,8 @@
 // Deliveries is the set of attempts in flight, by number, whose requests have left this machine.
 type Deliveries map[int]bool
 
-// HeldStateDue reports that the time of a CheckHeldState has come. It enforces the limit on states that are due, and repeats a release
-// that was made during decode attempts.
+// HeldStateDue reports that the time of a CheckHeldState has been reached. It enforces the limit on states that are due, and repeats a
+// release that was made during decode attempts.
 func (t *Table) HeldStateDue(now float64, check CheckHeldState, delivered Deliveries) {
 	record := t.records[check.ID]
 	if record == nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-// progress returns the progress of the attempt in flight that has come furthest.
+// progress returns the progress of the attempt in flight that has progressed furthest.
 func (r *requestRecord) progress(delivered Deliveries) staterelease.Progress {
 	furthest := staterelease.NoneInFlight
 	for i := range r.attempts {
@@ -140,13 +140,13 @@
 	release.LastUnanswered = record.lastUnanswered
 	record.hold.repeatAt = 0
 	if record.decodeInFlight() {
-		release.LastUnanswered = UnansweredAttempt{} // the follow-up calls are made after the end of the decode attempt instead
+		release.LastUnanswered = UnansweredAttempt{} // the follow-up calls come after the end of the decode attempt instead
 		record.releaseDuringDecode = &release
 	}
 	t.issue(release)
 }
 
-// ReleaseAcknowledged reports that a call of a release has been acknowledged. If an attempt in flight is waiting for the state, the call
+// ReleaseAcknowledged reports that an engine has acknowledged a release call. If an attempt in flight is waiting for the state, the call
 // freed nothing. The engine may lose that attempt at any moment without reporting it, so the release is repeated until the attempt gets a
 // response or ends.
 func (t *Table) ReleaseAcknowledged(now float64, release ReleaseState) {
@@ -159,7 +159,7 @@
 }
 
 // repeatRelease repeats the release that was made during decode attempts. It postpones the repeat if another state is held or a prefill is
-// in flight: the release at the limit of that state covers both.
+// in flight, because the release of that state at its limit covers both states.
 func (t *Table) repeatRelease(now float64, record *requestRecord) {
 	if record.state.isHeld() || record.prefillInFlight() {
 		record.hold.repeatAt = now + staterelease.RepeatInterval(t.config.StateReleaseLimit)
@@ -179,7 +179,8 @@
 	return now >= t.dueAt(record, max(release.HeldSince, record.hold.lastResponseAt))
 }
 
-// attemptsWaitFor reports whether the host delays every attempt in flight until the call of a release has been made.
+// attemptsWaitFor reports whether the host delays every attempt in flight until the call of this release has been made. An attempt that
+// started before the latest unanswered attempt ended does not wait.
 func (r *requestRecord) attemptsWaitFor(now float64, release ReleaseState) bool {
 	attemptEnd := staterelease.AttemptEnd{At: release.LastUnanswered.At}
 	if r.state.isHeld() || !attemptEnd.AttemptsMustWait(now) {
@@ -189,8 +190,8 @@
 	return !slices.ContainsFunc(r.attempts, startedBefore)
 }
 
-// ReleaseAllowed reports whether a release call may be made some time after its command was issued. If the call would free a state that is
-// needed now, and the release is not due, it returns false, and the table defers the release and issues the command again later.
+// ReleaseAllowed reports whether a release call may be made now, some time after its command was issued. It returns false if the release
+// is not due and the call would free a state that is needed now. The table then defers the release and issues the command again later.
 func (t *Table) ReleaseAllowed(now float64, release ReleaseState) bool {
 	record := t.records[release.ID]
 	if record == nil || !t.config.ReleaseFreesAllStates || record.attemptsWaitFor(now, release) {
--- a/internal/decide/requesttable/heldstate_test.go
+++ b/internal/decide/requesttable/heldstate_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// heldStateHarness drives a table with one request, on simulated time. It calls HeldStateDue when the table has asked for it.
+// heldStateHarness drives a table with one request, in simulated time. It calls HeldStateDue at the time for which the table has asked.
 type heldStateHarness struct {
 	table          *Table
 	now            float64
@@ -87,10 +87,10 @@
 	}
 }
 
-// Guards against states that stay held because the table relies on the scheduler or on an attempt. The table alone releases a state at
-// its limit, whatever the effect of the class, whether or not the attempt that is to fetch the state was delivered, however many attempts
-// are left, and whether or not another prefill is in flight, the first release call was acknowledged, or the canceled attempt ends. The
-// scheduler takes no action here.
+// Guards against states that stay held because the table relies on the scheduler or on an attempt. The scheduler takes no action here, and
+// the table alone releases a state at its limit. The cases differ in the effect of the class, in the number of attempts left, in whether
+// the attempt that must fetch the state was delivered and ends after its cancellation, and in whether another prefill is in flight. Without
+// an acknowledgment of the first release call, a second one is allowed.
 func TestTableReleasesHeldStateAtItsLimitByItself(t *testing.T) {
 	for _, freesAll := range []bool{true, false} {
 		for class := range classes() {
@@ -174,8 +174,8 @@
 	}
 }
 
-// The release after an interrupted prefill does not end another prefill in flight once a call has been acknowledged. If none has, it does
-// at its limit.
+// Once a release call after an interrupted prefill was acknowledged, no further call ends another prefill in flight. If none was
+// acknowledged, a call does so at the limit.
 func TestAcknowledgedReleaseDoesNotEndPrefillInFlight(t *testing.T) {
 	for _, acknowledged := range []bool{true, false} {
 		h := newHeldStateHarness(true, idempotent)
@@ -251,8 +251,8 @@
 	}
 }
 
-// Property test over random histories of a request with a scheduler that may do anything: no state is held beyond its limit, plus the time
-// that checks take, unless a response streams.
+// Property test over random histories of a request, with random actions of the scheduler: no state is held for longer than its limit plus
+// the time that checks take, unless a response streams.
 func TestNoStateIsHeldBeyondItsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHeldStateHarness(rapid.Bool().Draw(t, "one call frees all"), rapid.IntRange(0, 3).Draw(t, "class"))
--- a/internal/decide/requesttable/helpers_test.go
+++ b/internal/decide/requesttable/helpers_test.go
@@ -60,7 +60,7 @@
 	return table
 }
 
-// attemptsBegunAfter is a time after which an attempt no longer waits for a release call (s).
+// attemptsBegunAfter is a time after the end of an attempt; the next attempt no longer waits for a release call then (s).
 const attemptsBegunAfter = 0.05
 
 // releaseLimit is the limit on held states of newTableWithLimit (s).
--- a/internal/decide/requesttable/record.go
+++ b/internal/decide/requesttable/record.go
@@ -25,8 +25,8 @@
 	deferred       deferredReleases
 	lastUnanswered UnansweredAttempt // the latest attempt that ended without a response; zero once a response has begun
 
-	// releaseDuringDecode is the release that was made at the limit while decode attempts were in flight, and that may therefore have freed
-	// nothing. nil = there was none, or none of these attempts is in flight any more.
+	// releaseDuringDecode is a release that was made at the limit while decode attempts were in flight. It may have freed nothing, because
+	// such an attempt may have been waiting for the state. nil = there was none, an attempt has responded, or all of them have ended.
 	releaseDuringDecode *ReleaseState
 
 	pendingResponse *Respond // final response to issue once the streaming attempt has ended; nil = none
@@ -38,7 +38,7 @@
 // States of a response.
 const (
 	responseQueued          responseState = iota // no response has begun
-	responseStreaming                            // the response belongs to one attempt
+	responseStreaming                            // one attempt writes its response to the client
 	responseEnded                                // the request ended before the response of an attempt began
 	responseEndedAfterStart                      // the request ended after the response of an attempt had begun
 )
@@ -134,15 +134,15 @@
 
 // holdTime holds the times from which the limit on held states (rule 5) is computed; see heldstate.go.
 type holdTime struct {
-	heldSince      float64 // since when engines have held, or may have held, states without interruption; 0 = no state is held
+	heldSince      float64 // start of the current period in which engines always hold, or may hold, a state; 0 = no state is held
 	lastResponseAt float64 // when an engine last responded to an attempt of the request
 	lastSendAt     float64 // when the latest attempt was started
 	checkAt        float64 // time of the next CheckHeldState that has been issued; 0 = none is pending
 	repeatAt       float64 // when releaseDuringDecode is repeated; 0 = its call has not been acknowledged, or there is none
 }
 
-// limitStart returns when the limit began to run. Only a response proves that an attempt reached a running engine, which suspends
-// the limit until that response. An attempt that was written and ended without a response may have reached no engine.
+// limitStart returns when the limit began to run (s). The limit starts again at each response, because only a response proves that
+// its attempt reached a running engine. An attempt that was written and ended without a response may have reached no engine.
 func (h *holdTime) limitStart() float64 { return max(h.heldSince, h.lastResponseAt) }
 
 // deferredReleases are the releases that wait until no attempt is in flight and no state is needed
@@ -171,7 +171,7 @@
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.isInFlight() && a.stage == stage })
 }
 
-// clearReleaseDuringDecode records that no attempt in flight can keep an earlier release from freeing its state.
+// clearReleaseDuringDecode ends the repeats of a release that was made during decode attempts.
 func (r *requestRecord) clearReleaseDuringDecode() {
 	r.releaseDuringDecode = nil
 	r.hold.repeatAt = 0
@@ -201,8 +201,8 @@
 }
 
 // provenNotRun reports whether the bytes of every attempt prove that it has not run: it has ended, and either its request was
-// not written completely or its engine responded that it did not run. That a prefill has no effect is no such proof: this
-// depends on which engine was reached at the address, and an engine that did not respond has not confirmed which one it is.
+// not written completely or its engine responded that it did not run. The fact that a prefill has no effect is no such proof:
+// another engine may have been reached at the address, and without a response it is unknown which one was.
 func (r *requestRecord) provenNotRun() bool {
 	return r.effect == nil && !r.evidence.notRunUnproven && r.inFlight == 0
 }
--- a/internal/decide/requesttable/releaseduringdecode_test.go
+++ b/internal/decide/requesttable/releaseduringdecode_test.go
@@ -22,7 +22,7 @@
 }
 
 // Guards against a state that is never released: the release at the limit freed nothing, because a decode attempt was waiting for the state
-// at its engine, and the release was not repeated when that attempt ended, whatever ended it.
+// at its engine, and the release was not repeated when that attempt ended. The cases are the ways in which an attempt can end.
 func TestReleaseDuringDecodeIsRepeatedWhenAttemptEnds(t *testing.T) {
 	ends := map[string]func(h *heldStateHarness, n int){
 		"canceled":     func(h *heldStateHarness, n int) { h.end(n, writtenCancel) },
@@ -70,8 +70,8 @@
 	}
 }
 
-// A new prefill follows the attempt that has ended. A further call of the repeated release would end it, so that the release is deferred
-// until the new state is released.
+// A new prefill starts after the end of the decode attempt. A further call of the repeated release would end that prefill, so the release
+// is deferred until the new state is released.
 func TestRepeatedReleaseDoesNotEndNewPrefill(t *testing.T) {
 	h, decode := releaseDuringDecode(t, true, idempotent)
 	h.releases = nil
@@ -169,8 +169,8 @@
 	}
 }
 
-// Guards against two releases of one state at the end of an attempt: follow-up calls come after the end of the decode attempt in flight,
-// and not after the release during that attempt as well.
+// Guards against two releases of one state at the end of an attempt: follow-up calls are made only after the end of the decode attempt in
+// flight, and not already after the release during that attempt.
 func TestReleaseDuringDecodeHasNoFollowUpCalls(t *testing.T) {
 	h := newHeldStateHarness(true, idempotent)
 	h.end(h.send("r0", true), prefillDone)
--- a/internal/decide/requesttable/releases.go
+++ b/internal/decide/requesttable/releases.go
@@ -36,7 +36,7 @@
 	return t.config.ReleaseFreesAllStates && !a.fetchesState && class.MayHaveRun && class.Status != scheduler.Completed
 }
 
-// stateIsGone reports whether the end of an attempt that was to fetch a state shows that no other attempt can fetch it: either the
+// stateIsGone reports whether the end of an attempt that was started to fetch a state shows that no other attempt can fetch it: either the
 // attempt completed, or its engine found no state.
 func stateIsGone(class outcome.Classification) bool {
 	if class.Status == scheduler.Rejected {
@@ -45,7 +45,7 @@
 	return class.Status == scheduler.Completed && !class.PassThrough
 }
 
-// release carries out the scheduler's Release. It does nothing if an attempt in flight is to fetch the state.
+// release carries out the scheduler's Release. It does nothing if an attempt in flight was started to fetch the state.
 func (t *Table) release(now float64, id string) {
 	record := t.records[id]
 	if record == nil || !record.state.isHeld() {
@@ -90,8 +90,8 @@
 	}
 }
 
-// repeatReleaseAfterDecode repeats a release that was made while a decode attempt was in flight, now that the attempt has ended. While
-// its engine kept the attempt waiting for the state, the call freed nothing, whatever the response to the call was.
+// repeatReleaseAfterDecode repeats a release that was made while a decode attempt was in flight, now that the attempt has ended. As long
+// as the attempt waited for the state at its engine, a call freed nothing, even if it was acknowledged.
 func (t *Table) repeatReleaseAfterDecode(now float64, record *requestRecord, ended *attempt) {
 	if record.releaseDuringDecode == nil || ended.stage != outcome.Decode {
 		return
@@ -106,14 +106,14 @@
 	t.releaseOrDefer(record, release)
 }
 
-// releasePermit returns why a call that releases every state of the request may not be made yet.
+// releasePermit returns why a call that releases every state of the request must not be made yet, or permit.Allowed.
 func (r *requestRecord) releasePermit() permit.Reason {
 	return permit.Release{AttemptsInFlight: r.inFlight, StateNeeded: r.state.isHeld()}.Reason()
 }
 
 // issueDeferredReleases issues the deferred releases once no attempt is in flight and no state is needed. The release of a
-// held state comes first: unlike the release for an interrupted attempt, it needs no delay, and the next attempt may start
-// before that delay has passed.
+// held state is issued first because it needs no delay. The release for an interrupted attempt needs one, and the next attempt
+// may start before that delay has passed.
 func (t *Table) issueDeferredReleases(record *requestRecord) {
 	if record.releasePermit() != permit.Allowed {
 		return
--- a/internal/decide/requesttable/responses.go
+++ b/internal/decide/requesttable/responses.go
@@ -7,7 +7,7 @@
 )
 
 // respondForScheduler ends a request with the final response that the scheduler asks for. A rejection that promises a safe
-// retry becomes a failure if that promise may not be made.
+// retry becomes a failure if that promise must not be made.
 func (t *Table) respondForScheduler(now float64, response Respond) {
 	record := t.records[response.ID]
 	if record == nil || record.response != responseQueued {
@@ -25,7 +25,7 @@
 	t.endRequest(response.ID, record, outcome.RequestEnded)
 }
 
-// rejectPermit returns why a response may not promise that a retry is safe.
+// rejectPermit returns why a response must not promise that a retry is safe, or permit.Allowed.
 func (r *requestRecord) rejectPermit(now float64) permit.Reason {
 	return permit.Reject{
 		Effect:         r.class.Effect,
@@ -109,8 +109,8 @@
 	t.endRequest(id, record, outcome.ClientDisconnected)
 }
 
-// DeadlineReached reports that the time returned by Deadline has come. The scheduler is expected to have responded; if it has
-// not, the table responds.
+// DeadlineReached reports that the time returned by Deadline has been reached. The scheduler is expected to have responded by
+// then; if it has not, the table responds.
 func (t *Table) DeadlineReached(now float64, id string) {
 	record := t.records[id]
 	if record == nil || record.response.ended() {
@@ -163,7 +163,7 @@
 
 const stoppingReason = "the node is stopping"
 
-// CutStream ends a stream whose client resumes it elsewhere. It does nothing to a request that is not streaming.
+// CutStream ends a stream, which its client can resume at another node. It does nothing to a request that is not streaming.
 func (t *Table) CutStream(now float64, id string) {
 	if record := t.records[id]; record != nil && record.response == responseStreaming {
 		t.respondForTable(now, id, record, stoppingResponse, stoppingReason)
@@ -173,7 +173,7 @@
 // RespondToQueued ends every request whose response has not begun.
 func (t *Table) RespondToQueued(now float64) { t.respondWhere(now, responseState.queued) }
 
-// RespondToAll ends every open request: as rejected where a retry is safe, else as failed. Streams end with an error.
+// RespondToAll ends every open request: with stoppingResponse if a retry is safe, otherwise as failed. Streams end with an error.
 func (t *Table) RespondToAll(now float64) { t.respondWhere(now, responseState.open) }
 
 // respondWhere ends the requests for whose response state chosen returns true.
--- a/internal/decide/requesttable/responses_test.go
+++ b/internal/decide/requesttable/responses_test.go
@@ -7,9 +7,9 @@
 	"dillroute/scheduler"
 )
 
-// A rejection that promises a safe retry needs proof from the bytes of every attempt that it has not run. That prefills have no
-// effect is no such proof, because an engine that did not respond as a prefill engine may be another one. If every engine
-// discards repeats, the promise is true without proof, but of no use once the client's time is up.
+// A rejection that promises a safe retry needs proof from the bytes of every attempt that it has not run. The fact that prefills
+// have no effect is no such proof, because an engine that did not respond as a prefill engine may be another one. If every engine
+// discards repeats, the promise is true without proof, but of no use to a client without time left for a retry.
 func TestRetrySafeRejectionNeedsProofForEveryAttempt(t *testing.T) {
 	malformed := outcome.Evidence{Progress: outcome.RequestWritten, Cause: outcome.MalformedResponse}
 	brokenWrite := outcome.Evidence{Progress: outcome.Connected, Cause: outcome.ConnectionBroken}
--- a/internal/decide/requesttable/strictengines_test.go
+++ b/internal/decide/requesttable/strictengines_test.go
@@ -18,9 +18,9 @@
 	longestHang = 9.0
 )
 
-// strictHarness drives one request of a table with engines that interpret the protocol strictly: a release call frees no state while, from
-// the engine's point of view, an attempt waits for it, and the call is acknowledged nevertheless. Engines may notice the end of an attempt
-// late, and may lose attempts silently. The harness plays the host and makes the calls that staterelease schedules.
+// strictHarness drives one request of a table with engines that interpret the protocol strictly: they acknowledge a release call, but free
+// no state for which, from their point of view, an attempt still waits. Engines may notice the end of an attempt late, and may lose
+// attempts silently. The harness plays the host and makes the calls that staterelease schedules.
 type strictHarness struct {
 	*heldStateHarness
 	t *rapid.T
@@ -30,7 +30,7 @@
 	prefilling map[int]bool
 	streaming  bool // a response streams
 	stateHeld  bool
-	idleSince  float64        // since when a state has been held with no attempt in flight from the engines' point of view
+	idleSince  float64        // start of the time in which a state is held and, for the engines, no attempt is in flight
 	calls      []releaseCalls // releases with calls still to be made
 	scheduled  int            // number of elements of releases that have been moved to calls
 }
@@ -110,7 +110,7 @@
 	}
 }
 
-// start starts an attempt. One that is to fetch a state may never reach its engine, on a connection that delivers nothing.
+// start starts an attempt. One that must fetch a state may never reach its engine, because its connection delivers nothing.
 func (h *strictHarness) start() {
 	before := len(h.inFlight)
 	engine := rapid.SampledFrom([]string{"r0", "r1", "w0", "w1"}).Draw(h.t, "engine")
--- a/internal/decide/requesttable/table.go
+++ b/internal/decide/requesttable/table.go
@@ -4,17 +4,17 @@
 // that the scheduler must receive and the commands that the host must carry out (Drain). It does no I/O, reads no clock,
 // starts no goroutine and is not safe for concurrent use. Times are in seconds.
 //
-// The table does not decide where or when a request is sent. It guarantees, whatever the scheduler asks for:
+// The table does not decide where or when a request is sent. It guarantees the following for any actions of the scheduler:
 //   - one final response for each request;
 //   - one scheduler.Outcome for each scheduler.Send;
-//   - no attempt for a request that has ended, and none at an engine that has left the endpoint list for longer than the
+//   - no attempt for a request that has ended, and none at an engine that has been draining or removed for longer than the
 //     drain grace;
 //   - no attempt that could make an effect happen twice (internal/decide/permit).
 //
 // An action that would break one of these is not carried out; the table returns a ReportFault command instead.
 //
-// Commands are returned in the order in which the host must begin them. A ReleaseState comes after the end of the
-// attempt that left the state behind.
+// Commands are returned in the order in which the host must begin them. A ReleaseState is issued only after the attempt
+// that left the state has ended.
 //
 // States of a request (responseState):
 //
@@ -52,7 +52,7 @@
 type Config struct {
 	Classes         []scheduler.Class
 	MaxOpenRequests int
-	MaxAttempts     int // for one request
+	MaxAttempts     int // maximum number of attempts of one request
 	// ExemptUnsentAttempts excludes attempts that ended before their request was written from the count against
 	// MaxAttempts. At most MaxAttempts of them are excluded.
 	ExemptUnsentAttempts bool
@@ -162,7 +162,7 @@
 	return outcome.Response{}, true
 }
 
-// rejections holds the response for each reason for which a request may not be added.
+// rejections holds the response for each reason for which a request must not be added.
 var rejections = map[permit.Reason]outcome.Response{
 	permit.NodeStopping: {HTTPStatus: 503, Code: "node_draining", RetryIsSafe: true},
 	permit.NodeFull:     {HTTPStatus: 429, Code: "node_full", RetryIsSafe: true},
@@ -233,5 +233,5 @@
 // Accepting reports whether AddRequest accepts requests.
 func (t *Table) Accepting() bool { return !t.stopping }
 
-// ProbeResult passes the scheduler a load report that did not come with the end of an attempt.
+// ProbeResult passes a load report to the scheduler that was not part of the end of an attempt.
 func (t *Table) ProbeResult(result scheduler.ProbeResult) { t.emit(result) }
--- a/internal/decide/shutdown/shutdown.go
+++ b/internal/decide/shutdown/shutdown.go
@@ -21,12 +21,13 @@
 	At float64
 }
 
-// interval is a part of the remaining time, as shares of it.
+// interval is a part of the remaining time. from and to are shares of that time.
 type interval struct{ from, to float64 }
 
 var (
-	// fewNodesInterval is for a rolling restart of a few nodes. At the start the previous node may not be available yet, and
-	// towards the end the next node may have begun to stop, so that for a while no node may be available.
+	// fewNodesInterval is for a rolling restart of a few nodes. At the start of the remaining time, the node that was restarted
+	// before may not be available yet. Towards its end, the next node may have begun to stop. At both times a client may find
+	// no node.
 	fewNodesInterval = interval{from: 0.45, to: 0.9}
 	// manyNodesInterval is for more nodes, of which some are always available. Streams should end by themselves if they can,
 	// because the rest of a stream that is ended early has to be prefilled and generated again.
@@ -37,7 +38,7 @@
 const maxFewNodes = 3
 
 // CutoffSchedule returns when a node ends each stream that has not ended by itself by then. nodes is the number of all nodes.
-// All streams are ended before the deadline, the youngest first, because they have most left to send.
+// All streams are ended before the deadline, the youngest first, because they have the most left to send.
 func CutoffSchedule(now, deadline float64, nodes int, streams []Stream) []Cutoff {
 	timeLeft := max(0, deadline-now)
 	part := fewNodesInterval
--- a/internal/decide/staterelease/attemptend.go
+++ b/internal/decide/staterelease/attemptend.go
@@ -11,19 +11,20 @@
 }
 
 const (
-	// delayedCallShare is the share of the allowed time after which an engine that may notice the end late is called.
+	// delayedCallShare is the share of the allowed time from the end to the first delayed call. Delayed calls are for an engine that
+	// notices the end late.
 	delayedCallShare = 0.7
-	// delayedCallInterval is the share of the allowed time from one such call to the next: the allowed time of a state starts when
-	// its engine notices the end.
+	// delayedCallInterval is the share of the allowed time from one delayed call to the next. It is below 1 because the allowed time of
+	// a state starts when its engine notices the end.
 	delayedCallInterval = 0.9
-	// delayedCallTime is how long such calls continue while the engine has responded to no later request (s).
+	// delayedCallTime is how long after the end delayed calls continue if the engine has responded to no later request (s).
 	delayedCallTime = 15.0
 	// timeTolerance is the share of an interval by which a computed time may be too early because of rounding.
 	timeTolerance = 1e-3
 )
 
 // NextCall returns the time of the next call that the end requires even if all earlier calls were acknowledged; again is false if there
-// is none. A delayed call is for engines that are slow to notice the end.
+// is none. delayed reports whether the call is for an engine that is slow to notice the end.
 func (e AttemptEnd) NextCall(now, allowed float64) (at float64, delayed, again bool) {
 	if e.At <= 0 {
 		return 0, false, false
@@ -43,14 +44,14 @@
 	return at, true, at <= e.At+delayedCallTime
 }
 
-// MaxAttemptDelay returns how long the next attempt of the request waits at most for a release that starts now (s). It waits for the call
-// that is made once the engine can have noticed the end, because that call would also release the state of the next attempt. An earlier
-// call is not enough: it may have reached the engine before the end did.
+// MaxAttemptDelay returns the longest time for which the next attempt of the request waits for a release that starts now (s). The attempt
+// waits for the call that is made once the engine can have noticed the end, because that call would otherwise release the attempt's own
+// state. To wait for an earlier call is not enough: that call may have reached the engine before the end did.
 func (e AttemptEnd) MaxAttemptDelay(now float64) float64 {
 	return max(0, e.At+canceledAttemptDelay-now) + ReleaseLeadTime
 }
 
-// FollowUpCallPending reports whether the call that follows once the engine can have noticed the end has yet to be made.
+// FollowUpCallPending reports whether the follow-up call, which is made once the engine can have noticed the end, is still to be made.
 func (e AttemptEnd) FollowUpCallPending(now float64) bool {
 	return e.At > 0 && now < e.At+canceledAttemptDelay
 }
--- a/internal/decide/staterelease/attemptend_test.go
+++ b/internal/decide/staterelease/attemptend_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// An engine that has served no later request may notice the end of an attempt at any time up to 10 s later, the longest that engines
-// hang. A call then follows within the limit on the state. The number of calls is bounded.
+// Engines hang for up to 10 s, so an engine that has served no later request may notice the end of an attempt that much later. Whenever it
+// does, a call follows within the limit on the state. The number of calls is bounded.
 func TestACallFollowsWithinTheLimitWheneverAnEngineNoticesTheEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		allowed := rapid.Float64Range(0.3, 3).Draw(t, "allowed")
--- a/internal/decide/staterelease/limit.go
+++ b/internal/decide/staterelease/limit.go
@@ -26,7 +26,7 @@
 	Wait Action = iota
 	// Cancel cancels the attempts, none of which has reached its engine, and checks again after CancelGrace.
 	Cancel
-	// Release releases the state at once, whatever is in flight.
+	// Release releases the state at once, even while attempts are in flight.
 	Release
 )
 
@@ -43,8 +43,8 @@
 	return "unknown"
 }
 
-// ActionAtLimit returns what is done when a state is due for release. fetchable means that an attempt in flight may be there to fetch the
-// state. The class of the request and possible actions of the scheduler don't matter: nothing else has used the state in time.
+// ActionAtLimit returns what is done when a state is due for release. fetchable means that an attempt in flight may need to fetch the
+// state. The class of the request and later actions of the scheduler don't matter, because nothing has used the state until it was due.
 //
 // The state of a silent attempt is released although the attempt may have reached a slow engine. Data received from the engine, the
 // connection that it came over and its order do not prove that the attempt arrived (docs/incidents/held-states-2026-12.md).
@@ -61,9 +61,9 @@
 // CancelGrace is the time within which a canceled attempt ends (s).
 const CancelGrace = canceledAttemptDelay
 
-// repeatShare is the share of the allowed time after which a release is repeated that was made while a silent attempt was in flight. The
-// interval stays within the slack that rule 5 gives the limit, so that the state is released in time even if its attempt was lost just
-// after a call.
+// repeatShare is the share of the allowed time after which a release that was made while a silent attempt was in flight is repeated. The
+// interval is shorter than the slack that rule 5 adds to the limit. So the state is released within that slack even if its engine lost
+// the attempt just after a call.
 const repeatShare = 0.25
 
 // RepeatInterval returns the time from a release that was acknowledged while a silent attempt was in flight to the next one (s).
--- a/internal/decide/staterelease/rank.go
+++ b/internal/decide/staterelease/rank.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Engine is an engine that may be called to release a state, if any engine can release it.
+// Engine is an engine that can be called to release a state that it or another engine holds (RetrySchedule.AnyEngine).
 type Engine struct {
 	ID                       string
 	Listed                   bool    // the endpoint list names it
@@ -28,14 +28,14 @@
 	return ranked
 }
 
-// laterRoundCalls is the number of parallel calls in each round after the first, whose call is mostly acknowledged. Each call may need a
-// connection, and a node has few connections.
+// laterRoundCalls is the number of parallel calls in each round after the first. The first round makes one call, because that is usually
+// acknowledged. Each call may need a connection, and a node has few connections.
 const laterRoundCalls = 4
 
 // NextEngines returns the engines that the next round of calls goes to: the first ones in the order of RankEngines that have not been
-// called. Later rounds call several engines, so that a node that is cut off from nearly all engines finds one that responds in time.
-// When a further call follows an acknowledged one, its first round goes to a different engine that responds, because the previous
-// engine may not reach the others.
+// called. Later rounds call several engines, so that a node that is cut off from nearly all engines finds one that responds before the
+// deadline. If an earlier call was acknowledged and another is required, that one goes to a different engine whose last call did not
+// fail, because the previous engine may not reach the others.
 func (s *RetrySchedule) NextEngines(engines []Engine) []string {
 	calls := 1
 	if s.Attempts > 0 {
--- a/internal/decide/staterelease/retry.go
+++ b/internal/decide/staterelease/retry.go
@@ -5,7 +5,7 @@
 // RetrySchedule schedules the calls that release one state.
 type RetrySchedule struct {
 	Deadline  float64         // the latest time at which the state may still be held
-	Attempts  int             // rounds of calls so far; if only one engine is called, a round is one call
+	Attempts  int             // rounds of calls since the last acknowledged one; if only one engine is called, a round is one call
 	AnyEngine bool            // any engine can release a state that another holds: the next calls go to others after short pauses
 	Allowed   float64         // how long a state may be held (s); 0 = there is no limit
 	End       AttemptEnd      // end of an attempt that requires calls even if all earlier ones were acknowledged
@@ -19,7 +19,7 @@
 
 // Outcomes of a call.
 const (
-	Acknowledged   CallResult = iota // the engine has released the states that no attempt of it waits for, or does not support the call
+	Acknowledged   CallResult = iota // the engine has released the states that none of its attempts waits for, or does not support the call
 	Unacknowledged                   // the connection failed or broke: the call may not have arrived
 )
 
@@ -38,7 +38,7 @@
 const (
 	initialPause     = 0.04 // s before the first retry
 	pauseGrowth      = 2    // factor from one pause to the next
-	maxPauseDivisor  = 4    // a pause is at most the remaining time divided by this
+	maxPauseDivisor  = 4    // a pause before a call to another engine is at most the remaining time divided by this, or initialPause
 	maxAttempts      = 6    // calls in total to one engine: an engine that acknowledges none of them is down, and its states are lost
 	spreadAttempts   = 2    // number of last calls that are spread over the remaining time
 	minCallTimeout   = 0.05 // s, a few times what a connection and a response take
@@ -48,7 +48,7 @@
 // Parameters of calls past the deadline. They continue because the state is still held and the cause of the failures may end.
 const (
 	minOverduePause   = 0.25 // s between calls
-	overdueRetryTime  = 60.0 // s for which calls continue; by then an engine has evicted the unused state, or is removed
+	overdueRetryTime  = 60.0 // s past the deadline until which calls continue; by then the unused state is evicted, or its engine removed
 	overduePauseParts = 4    // a pause is at least the time past the deadline divided by this
 )
 
@@ -78,7 +78,7 @@
 	return s.lastCall, true
 }
 
-// nextAfterEnd returns when the next call that the end of an attempt requires is made. It gets as many retries as a first call.
+// nextAfterEnd returns the time of the next call that the end of an attempt requires. That call gets as many retries as a first call.
 func (s *RetrySchedule) nextAfterEnd(now float64) (at float64, again bool) {
 	at, s.delayed, again = s.End.NextCall(now, s.Allowed)
 	if again {
--- a/internal/decide/staterelease/staterelease.go
+++ b/internal/decide/staterelease/staterelease.go
@@ -1,8 +1,8 @@
 // Package staterelease decides when, and on which engine, the state that engines hold for a request is released.
 //
-// A state must be released within a stated time (rule 5). A release call may be lost, and is then repeated; an engine that has
-// responded, or that must have terminated, needs no second call. The package does no I/O and reads no clock; times are in seconds.
-// Its functions are safe for concurrent use; a RetrySchedule is not.
+// A state must be released within a stated time (rule 5). A release call may be lost, and is then repeated. An acknowledged call is
+// followed by others only if an attempt ended without a response (AttemptEnd). Calls to an engine that must have terminated stop. The
+// package does no I/O and reads no clock; times are in seconds. Its functions are safe for concurrent use; a RetrySchedule is not.
 package staterelease
 
 // ReleaseLeadTime is how long an attempt waits for a release call that was started just before it (s). If the call reached the
