--- a/internal/decide/endpoints/watch_test.go
+++ b/internal/decide/endpoints/watch_test.go
@@ -27,7 +27,7 @@
 			}
 		}
 		if now >= silentSince+notifiedAfter {
-			t.Fatalf("the next call comes %.2f s after the watch became silent, too late", now-silentSince)
+			t.Fatalf("the next call is made %.2f s after the watch became silent, which is too late", now-silentSince)
 		}
 	})
 }
--- a/internal/decide/requesttable/attempts_test.go
+++ b/internal/decide/requesttable/attempts_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// Attempts that ended before their request was written count against the limit by default. With ExemptUnsentAttempts, as many
-// of them as the limit do not count.
+// Attempts that ended before their request was written count against the limit by default. With ExemptUnsentAttempts, up to
+// MaxAttempts of them do not count.
 func TestUnsentAttemptsAreExemptWhereConfigured(t *testing.T) {
 	for exempt, want := range map[bool]int{false: 4, true: 8} {
 		table := newTable()
--- a/internal/decide/requesttable/strictengines_test.go
+++ b/internal/decide/requesttable/strictengines_test.go
@@ -24,8 +24,8 @@
 type strictHarness struct {
 	*heldStateHarness
 	t *rapid.T
-	// waiting holds the decode attempts that have reached their engines and wait there for the state, by number, with the time at which the
-	// engine notices their end (neverNoticed for those that have not ended).
+	// waiting has an entry for each decode attempt, by number, that has reached its engine and waits there for the state. The value is the
+	// time at which the engine notices the end of the attempt; neverNoticed = the attempt has not ended.
 	waiting    map[int]float64
 	prefilling map[int]bool
 	streaming  bool // a response streams
@@ -47,7 +47,7 @@
 	return &strictHarness{heldStateHarness: newHeldStateHarness(true, class), t: t, waiting: map[int]float64{}, prefilling: map[int]bool{}}
 }
 
-// neverNoticed stands for the time at which an engine notices the end of an attempt that has not ended.
+// neverNoticed is the time in strictHarness.waiting for an attempt that has not ended.
 const neverNoticed = 1e9
 
 // advanceInSteps advances the time in steps that are much shorter than every limit, and makes the calls that become due.
--- a/internal/decide/staterelease/attemptend_test.go
+++ b/internal/decide/staterelease/attemptend_test.go
@@ -7,7 +7,7 @@
 )
 
 // callsAfterEnd returns the times of the calls that follow an attempt that ended at endedAt, if each call is acknowledged at once. At
-// servedAt the engine responds to a request that it was sent then (0 = never).
+// servedAt the engine responds to a later request that was started at that time; 0 = never.
 func callsAfterEnd(endedAt, allowed, servedAt float64) (calls []float64) {
 	schedule := RetrySchedule{Deadline: endedAt + allowed, AnyEngine: true, Allowed: allowed, End: AttemptEnd{At: endedAt}}
 	now := endedAt
@@ -24,11 +24,11 @@
 	}
 }
 
-// After an attempt was cut, further calls follow the first one although each is acknowledged, because a prefill may end between them.
-// Each of these calls is repeated if it fails.
+// After an attempt ended without a response, further calls follow the first one although each is acknowledged, because a prefill may end
+// between them. Each of these calls is repeated if it fails.
 func TestCallsFollowACutAttempt(t *testing.T) {
 	if calls := callsAfterEnd(0, 1, 0); len(calls) != 0 {
-		t.Errorf("no attempt was cut: got calls at %v, want none", calls)
+		t.Errorf("without such an attempt: got calls at %v, want none", calls)
 	}
 	calls := callsAfterEnd(5, 1, 5.04)
 	if len(calls) != 2 || calls[0] > 5.1 || calls[1] < 5.5 || calls[1] > 5.9 {
--- a/internal/decide/staterelease/rank.go
+++ b/internal/decide/staterelease/rank.go
@@ -35,7 +35,7 @@
 // NextEngines returns the engines that the next round of calls goes to: the first ones in the order of RankEngines that have not been
 // called. Later rounds call several engines, so that a node that is cut off from nearly all engines finds one that responds before the
 // deadline. If an earlier call was acknowledged and another is required, that one goes to a different engine whose last call did not
-// fail, because the previous engine may not reach the others.
+// fail, as long as there is one, because the previous engine may not reach the others.
 func (s *RetrySchedule) NextEngines(engines []Engine) []string {
 	calls := 1
 	if s.Attempts > 0 {
--- a/internal/decide/staterelease/staterelease_test.go
+++ b/internal/decide/staterelease/staterelease_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// The number of calls is bounded, none is made after the deadline, and there are at least two if the first was lost and time remains.
+// The number of calls is bounded and none is made after the deadline. If the first call was lost and time remains, a second one is made.
 func TestReleaseCallsAreBoundedAndInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Float64Range(0, 1e9).Draw(t, "now")
@@ -59,8 +59,8 @@
 	}
 }
 
-// A node that is cut off from all engines but one finds that engine within four rounds and calls no engine twice before. After that it
-// starts over.
+// A node that is cut off from all engines but one finds that engine within four rounds, in which it calls no engine twice. Once all have
+// been called, it starts over.
 func TestRoundsOfCallsFindTheEngineThatResponds(t *testing.T) {
 	var engines []Engine
 	for i := range 11 {
@@ -151,7 +151,7 @@
 			now = at
 		}
 		if now > schedule.Deadline {
-			t.Fatalf("the call after the outage comes %.3f s after the deadline", now-schedule.Deadline)
+			t.Fatalf("the call after the outage is made %.3f s after the deadline", now-schedule.Deadline)
 		}
 	})
 }
