--- a/internal/decide/classify/recent_ids_test.go
+++ b/internal/decide/classify/recent_ids_test.go
@@ -22,8 +22,8 @@
 	return false
 }
 
-// An id is not new again while fewer others than the minimum size have been added since, or within the window while fewer than four
-// times as many have. The memory is bounded.
+// An id is not new again while fewer than the minimum number of others have been added since. Within the window, that number is
+// four times as large. The memory is bounded.
 func TestRecentIDsAreNewOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(0, 20).Draw(t, "size")
--- a/internal/decide/endpoints/shared_test.go
+++ b/internal/decide/endpoints/shared_test.go
@@ -85,7 +85,7 @@
 		t.Errorf("the call after a silent watch may be answered only %g s after the watch began, want less than 6 s", got)
 	}
 	if policy.FirstCallSpread+policy.FirstByte >= 6 {
-		t.Errorf("the first call may come %g s after the start, and be queued", policy.FirstCallSpread)
+		t.Errorf("the first call may be made %g s after the start: too late with a queued response", policy.FirstCallSpread)
 	}
 	poller := policy.NewPoller()
 	now := 100.0
@@ -106,7 +106,7 @@
 	for i := range rejectionsAfterResponse - 1 {
 		at := poller.AfterRejection(now)
 		if wait := at - now; wait+policy.FirstByte >= 6 {
-			t.Errorf("backoff after %d rejections is %g s", i+1, wait)
+			t.Errorf("backoff after %d rejections is %g s: with a queued response a change would arrive too late", i+1, wait)
 		}
 		now = at
 	}
--- a/internal/decide/endpoints/start_times_test.go
+++ b/internal/decide/endpoints/start_times_test.go
@@ -59,8 +59,8 @@
 }
 
 // An engine whose start was missing from the source's last response does not count as older than that response allows, even if the
-// wall clock of the node's machine was ahead when the node started. The age by a correct clock is used as long as the source's
-// report may have been late.
+// wall clock of the node's machine was ahead when the node started. The age by a correct clock is used if it is short enough for
+// the source's report to be still on its way at that response.
 func TestStartTimeWhenWallClockIsAhead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := 1e9 + rapid.Float64Range(0, 1e6).Draw(t, "now")
--- a/internal/decide/permit/permit.go
+++ b/internal/decide/permit/permit.go
@@ -189,14 +189,15 @@
 	return Allowed
 }
 
-// Release describes a call that releases every state that any engine holds for a request and that no attempt needs to fetch.
+// Release describes a call that releases a state that no attempt will fetch. The call releases every state that any engine holds
+// for the request.
 type Release struct {
 	AttemptsInFlight int
 	StateNeeded      bool
 	// Due means that the time for which the state may be held is nearly over (staterelease.DueAt). The call is then made unless a
-	// response has begun (Responding), because only a response proves that an attempt has reached its engine. An attempt that has
-	// reached its engine without a response loses a prefill by the call. If none has reached its engine, the state must be
-	// released, because such an attempt does not stop the limit.
+	// response has begun (Responding), because only a response proves that an attempt has reached its engine. If an attempt
+	// without a response has reached its engine, the call costs it a prefill. If it has not, the state must be released, because
+	// such an attempt does not stop the limit.
 	Due        bool
 	Responding bool
 }
--- a/internal/decide/requesttable/property_test.go
+++ b/internal/decide/requesttable/property_test.go
@@ -301,7 +301,7 @@
 	}
 }
 
-// Whatever the scheduler asks for and the sockets report, in any order, the table complies with the rules.
+// The table complies with the rules for any actions of the scheduler and any events on sockets, in any order.
 func TestTableCompliesWithRulesUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newPropertyHarness(t)
--- a/internal/decide/staterelease/retry.go
+++ b/internal/decide/staterelease/retry.go
@@ -38,7 +38,7 @@
 const (
 	initialPause     = 0.04 // s before the first retry
 	pauseGrowth      = 2    // factor from one pause to the next
-	maxPauseDivisor  = 4    // a pause before a call to another engine is at most the remaining time divided by this, or initialPause
+	maxPauseDivisor  = 4    // the pause before another engine is at most the remaining time divided by this, but at least initialPause
 	maxAttempts      = 6    // calls in total to one engine: an engine that acknowledges none of them is down, and its states are lost
 	spreadAttempts   = 2    // number of last calls that are spread over the remaining time
 	minCallTimeout   = 0.05 // s, a few times what a connection and a response take
