--- a/internal/decide/endpoints/shared_test.go
+++ b/internal/decide/endpoints/shared_test.go
@@ -82,10 +82,10 @@
 func TestSharedPollPolicyFitsNotificationTime(t *testing.T) {
 	policy := SharedPollPolicy(6, 10, func() float64 { return 0.999 })
 	if got := policy.CallDeadline(policy.WatchDeadline(0), 1); got >= 6 {
-		t.Errorf("polled, and answered after the longest queue, %g s after the watch became silent", got)
+		t.Errorf("the call after a silent watch may be answered only %g s after the watch began, want less than 6 s", got)
 	}
 	if policy.FirstCallSpread+policy.FirstByte >= 6 {
-		t.Errorf("the first call may come %g s after the start, and be queued", policy.FirstCallSpread)
+		t.Errorf("the first call may be made %g s after the start: too late with a queued response", policy.FirstCallSpread)
 	}
 	poller := policy.NewPoller()
 	now := 100.0
@@ -106,7 +106,7 @@
 	for i := range rejectionsAfterResponse - 1 {
 		at := poller.AfterRejection(now)
 		if wait := at - now; wait+policy.FirstByte >= 6 {
-			t.Errorf("backoff after %d rejections is %g s", i+1, wait)
+			t.Errorf("backoff after %d rejections is %g s: with a queued response a change would arrive too late", i+1, wait)
 		}
 		now = at
 	}
--- a/internal/decide/requesttable/strictengines_test.go
+++ b/internal/decide/requesttable/strictengines_test.go
@@ -18,19 +18,19 @@
 	longestHang = 9.0
 )
 
-// strictHarness drives one request of a table with engines that interpret the protocol strictly: a release call frees no state while, from
-// the engine's point of view, an attempt waits for it, and the call is acknowledged nevertheless. Engines may notice the end of an attempt
-// late, and may lose attempts silently. The harness plays the host and makes the calls that staterelease schedules.
+// strictHarness drives one request of a table with engines that interpret the protocol strictly: they acknowledge a release call, but free
+// no state for which, from their point of view, an attempt still waits. Engines may notice the end of an attempt late, and may lose
+// attempts silently. The harness plays the host and makes the calls that staterelease schedules.
 type strictHarness struct {
 	*heldStateHarness
 	t *rapid.T
-	// waiting holds the decode attempts that have reached their engines and wait there for the state, by number, with the time at which the
-	// engine notices their end (neverNoticed for those that have not ended).
+	// waiting has an entry for each decode attempt, by number, that has reached its engine and waits there for the state. The value is the
+	// time at which the engine notices the end of the attempt; neverNoticed = the attempt has not ended.
 	waiting    map[int]float64
 	prefilling map[int]bool
 	streaming  bool // a response streams
 	stateHeld  bool
-	idleSince  float64        // since when a state has been held with no attempt in flight from the engines' point of view
+	idleSince  float64        // start of the time in which a state is held and, for the engines, no attempt is in flight
 	calls      []releaseCalls // releases with calls still to be made
 	scheduled  int            // number of elements of releases that have been moved to calls
 }
@@ -47,7 +47,7 @@
 	return &strictHarness{heldStateHarness: newHeldStateHarness(true, class), t: t, waiting: map[int]float64{}, prefilling: map[int]bool{}}
 }
 
-// neverNoticed stands for the time at which an engine notices the end of an attempt that has not ended.
+// neverNoticed is the time in strictHarness.waiting for an attempt that has not ended.
 const neverNoticed = 1e9
 
 // advanceInSteps advances the time in steps that are much shorter than every limit, and makes the calls that become due.
@@ -110,7 +110,7 @@
 	}
 }
 
-// start starts an attempt. One that is to fetch a state may never reach its engine, on a connection that delivers nothing.
+// start starts an attempt. One that must fetch a state may never reach its engine, because its connection delivers nothing.
 func (h *strictHarness) start() {
 	before := len(h.inFlight)
 	engine := rapid.SampledFrom([]string{"r0", "r1", "w0", "w1"}).Draw(h.t, "engine")
--- a/internal/decide/staterelease/attemptend_test.go
+++ b/internal/decide/staterelease/attemptend_test.go
@@ -7,7 +7,7 @@
 )
 
 // callsAfterEnd returns the times of the calls that follow an attempt that ended at endedAt, if each call is acknowledged at once. At
-// servedAt the engine responds to a request that it was sent then (0 = never).
+// servedAt the engine responds to a later request that was started at that time; 0 = never.
 func callsAfterEnd(endedAt, allowed, servedAt float64) (calls []float64) {
 	schedule := RetrySchedule{Deadline: endedAt + allowed, AnyEngine: true, Allowed: allowed, End: AttemptEnd{At: endedAt}}
 	now := endedAt
@@ -24,11 +24,11 @@
 	}
 }
 
-// After an attempt was cut, further calls follow the first one although each is acknowledged, because a prefill may end between them.
-// Each of these calls is repeated if it fails.
+// After an attempt ended without a response, further calls follow the first one although each is acknowledged, because a prefill may end
+// between them. Each of these calls is repeated if it fails.
 func TestCallsFollowACutAttempt(t *testing.T) {
 	if calls := callsAfterEnd(0, 1, 0); len(calls) != 0 {
-		t.Errorf("no attempt was cut: got calls at %v, want none", calls)
+		t.Errorf("without such an attempt: got calls at %v, want none", calls)
 	}
 	calls := callsAfterEnd(5, 1, 5.04)
 	if len(calls) != 2 || calls[0] > 5.1 || calls[1] < 5.5 || calls[1] > 5.9 {
@@ -49,8 +49,8 @@
 	}
 }
 
-// An engine that has served no later request may notice the end of an attempt at any time up to 10 s later, the longest that engines
-// hang. A call then follows within the limit on the state. The number of calls is bounded.
+// Engines hang for up to 10 s, so an engine that has served no later request may notice the end of an attempt that much later. Whenever it
+// does, a call follows within the limit on the state. The number of calls is bounded.
 func TestACallFollowsWithinTheLimitWheneverAnEngineNoticesTheEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		allowed := rapid.Float64Range(0.3, 3).Draw(t, "allowed")
