--- a/internal/http1/accept.go
+++ b/internal/http1/accept.go
@@ -44,7 +44,7 @@
 // connection) may be temporary and further connections may be waiting, so the server continues to accept after a delay.
 func (s *Server) handleAcceptError(err error) {
 	if IsDescriptorShortage(err) {
-		s.CloseIdle(1) // frees a descriptor; other connections may close by themselves in the meantime
+		s.CloseIdle(1) // frees a descriptor; if none may be evicted, one may close by itself during the delay
 	}
 	if IsProcessDescriptorLimit(err) && s.OnDescriptorShortage != nil {
 		s.OnDescriptorShortage(s.Conns())
@@ -81,9 +81,10 @@
 	}
 }
 
-// startConn starts the goroutine of a connection. A connection over the limit enters the rejection queue and stays there until its
-// first request head is read and rejected: a rejection that is written before the request is read would be lost to a reset. While the
-// rejection queue is full too, startConn blocks, so that nothing more is accepted until a connection leaves the queue.
+// startConn starts the goroutine of a connection. A connection over the limit enters the rejection queue and stays there until the head
+// of its first request has been read and the request is rejected. A rejection that is written before the request is read would be lost
+// to a reset. While the rejection queue is full, startConn blocks: the server accepts nothing until a connection leaves the queue or a
+// drain begins.
 func (s *Server) startConn(nc net.Conn) {
 	c := &conn{server: s, netConn: nc, ahead: &readAhead{netConn: nc, heldBytes: &s.heldBytes}}
 	s.mu.Lock()
--- a/internal/http1/accept_test.go
+++ b/internal/http1/accept_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// failingListener fails the next accepts, as many as failures, with err. beforeAccept, if set, is called before each accept.
+// failingListener is a listener whose next accepts fail with err. failures is the number of accepts that are still to fail. beforeAccept,
+// if set, is called before each accept.
 type failingListener struct {
 	*net.TCPListener
 	failures     atomic.Int32
--- a/internal/http1/clientconn.go
+++ b/internal/http1/clientconn.go
@@ -17,7 +17,7 @@
 type ClientConn struct {
 	address   string
 	pool      *Pool
-	closeOnce sync.Once // of Close
+	closeOnce sync.Once // subtracts the connection from pool.open when it is closed for the first time
 	netConn   net.Conn
 	buffered  *bufio.Reader
 	limits    Limits
@@ -25,7 +25,7 @@
 	deadline  time.Time // of reads and writes, as set by SetDeadline; zero = none
 
 	deadlineMu    sync.Mutex // guards finalDeadline and the order in which deadlines are set
-	finalDeadline time.Time  // no later deadline can be set; zero = FinishWithin was not called
+	finalDeadline time.Time  // set by FinishWithin; SetDeadline sets no later deadline; zero = FinishWithin was not called
 
 	readPastDeadline int // bytes read after finalDeadline
 	// Reused states that the connection carried an exchange before.
@@ -34,7 +34,7 @@
 	IdleFor time.Duration
 }
 
-// isReusable checks, without blocking, that the server has neither closed the connection nor sent unexpected bytes. Without this check
+// isReusable reports whether the server has neither closed the connection nor sent unexpected bytes. It does not block. Without this check
 // a request could be written to a connection that the server has closed, and whether the request ran would be unknown.
 func (c *ClientConn) isReusable() bool {
 	if prober, ok := c.netConn.(interface{ Unread() bool }); ok {
@@ -127,11 +127,11 @@
 	return !c.finalDeadline.IsZero()
 }
 
-// maxReadPastDeadline is the maximum number of bytes read after finalDeadline, which the kernel had buffered by then.
+// maxReadPastDeadline limits the bytes read from the kernel's buffer after finalDeadline. The last read may exceed it.
 const maxReadPastDeadline = 256 << 10
 
-// deadlineReader reads a connection. After finalDeadline it still returns bytes that have arrived, which a read of the net.Conn does not
-// do after its deadline. Only the connection's goroutine may use it.
+// deadlineReader reads a connection. After finalDeadline it still returns bytes that have arrived, whereas a read of a net.Conn fails
+// once its deadline has passed. Only the connection's goroutine may use it.
 type deadlineReader struct{ c *ClientConn }
 
 func (r deadlineReader) Read(p []byte) (int, error) {
--- a/internal/http1/clientconn_test.go
+++ b/internal/http1/clientconn_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// Pool.Head limits only the head: after a head in time, the body is read until the connection's own deadline.
+// Pool.Head limits only the head. Once the head has arrived within that time, only the connection's own deadline limits the body.
 func TestHeadTimeoutEndsWithTheHead(t *testing.T) {
 	c, peer := dialedConn(t, &Pool{Limits: DefaultLimits, Head: 50 * time.Millisecond, Chunk: 1 << 10})
 	c.SetDeadline(time.Now().Add(5 * time.Second))
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -157,8 +157,8 @@
 // maxLingerBytes is the maximum number of bytes read from a closing connection.
 const maxLingerBytes = 256 << 10
 
-// linger closes the sending side and continues to read for Timeouts.Linger: unread bytes at a close would cause a reset, by which the
-// client could lose the response (RFC 9112, section 9.6). It does nothing if the client has disconnected.
+// linger closes the sending side and continues to read for Timeouts.Linger. Without it, bytes that are unread when the connection closes
+// would cause a reset, and the client could lose the response (RFC 9112, section 9.6). It does nothing if the client has disconnected.
 func (c *conn) linger(disconnected bool) {
 	if tc, ok := c.netConn.(interface{ CloseWrite() error }); ok && !disconnected {
 		tc.CloseWrite()
--- a/internal/http1/disconnect.go
+++ b/internal/http1/disconnect.go
@@ -12,9 +12,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// watchDisconnect waits for the end of an exchange and reports whether the client disconnected first. Bytes that a client sends after its
-// request are read ahead and buffered for the next request, so that a close after them is detected. Beyond the read-ahead limit they
-// stay in the kernel, where a close is visible only in the TCP state, and not at all if the client has sent more than the kernel buffers.
+// watchDisconnect waits for the end of an exchange and reports whether the client disconnected first. To detect a close behind bytes that
+// the client has sent after its request, it reads these bytes ahead and buffers them for the next request. Beyond the read-ahead limit
+// they stay in the kernel. A close behind them is then visible only in the TCP state. It is not visible at all if the client has sent
+// more than the kernel can buffer.
 func (c *conn) watchDisconnect(x *Exchange) (disconnected bool) {
 	for {
 		select {
@@ -74,8 +75,9 @@
 	tcpLastAck   = 9
 )
 
-// peerClosed reports whether the peer has closed the connection, or only its sending side (halfClosed), even if bytes are still unread. A
-// connection with neither a file descriptor nor a PeerClosed method counts as open.
+// peerClosed reports whether the peer has closed the connection or its sending side (closed). If halfClosed is set too, only the close of
+// the sending side is known. A close is reported even if bytes before it are still unread. A connection with neither a file descriptor
+// nor a PeerClosed method counts as open.
 func peerClosed(netConn net.Conn) (closed, halfClosed bool) {
 	if prober, ok := netConn.(interface {
 		PeerClosed() (closed, halfClosed bool)
--- a/internal/http1/events.go
+++ b/internal/http1/events.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// More reports whether Next would return a further event without waiting for the peer. A buffered comment does not count: an event that
-// is delayed in order to be written together with the next one would be delayed until the peer sends that one.
+// More reports whether Next would return a further event without waiting for the peer. It does not count a buffered comment. The
+// caller delays an event in order to write it together with the next one, and the event after a comment may arrive much later.
 func (e *EventReader) More() bool {
 	b, _ := e.buffered.Peek(e.buffered.Buffered())
 	return bytes.HasPrefix(b, []byte("data:")) && bytes.Contains(b, []byte("\n\n"))
--- a/internal/http1/eviction_test.go
+++ b/internal/http1/eviction_test.go
@@ -36,8 +36,8 @@
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// A request that begins to arrive on an idle connection after an eviction or a drain has chosen that connection, and before its deadline
-// is set, is answered, although its body arrives later.
+// An eviction or a drain has chosen an idle connection for closing. Before it sets the connection's deadline, a request begins to arrive
+// on that connection. The request must be answered, although its body arrives later.
 func TestRequestArrivingWhileItsIdleConnectionIsClosedIsAnswered(t *testing.T) {
 	for name, closeIdle := range map[string]func(s *Server){
 		"eviction": func(s *Server) { s.CloseIdle(1) },
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -134,7 +134,7 @@
 }
 
 // AbortBody ends an incomplete streamed response: its connection closes without the last chunk. Bytes that were written still reach the
-// client, since the connection closes only its sending side first and is read for a short time (see linger).
+// client, because only the sending side is closed at first and the connection is read for a short time after that (see linger).
 func (x *Exchange) AbortBody() {
 	if !x.phase.CompareAndSwap(phaseBegun, phaseEnded) {
 		return
@@ -170,8 +170,9 @@
 	return err
 }
 
-// finish unblocks the read of the connection's goroutine by a deadline in the past. The deadline is set before done closes, so that it
-// cannot affect the next request. By finishing, watchDisconnect recognizes this deadline.
+// finish closes done, and closes the connection if err is not nil. To unblock a read of the connection's goroutine, it sets a read deadline
+// in the past. The deadline is set before done closes, so that it cannot affect the next request. watchDisconnect
+// recognizes this deadline by the flag finishing.
 func (x *Exchange) finish(err error) {
 	if err != nil {
 		x.close = true
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -17,7 +17,7 @@
 type Limits struct {
 	Line    int   // bytes of a request or status line
 	Header  int   // bytes of all header fields together
-	Headers int   // header fields
+	Headers int   // number of header fields
 	Body    int64 // bytes of a body
 }
 
@@ -36,10 +36,11 @@
 	return &Error{status, fmt.Sprintf(format, args...)}
 }
 
-// errLineTooLong is returned by readLine; callers replace it by an Error with the status for the kind of line.
+// errLineTooLong is returned by readLine; callers replace it with an Error whose status depends on the kind of line.
 var errLineTooLong = errors.New("http1: line too long")
 
-// readLine reads up to CRLF and returns the line without it. A bare LF or CR is an error, since two parsers may treat it differently.
+// readLine reads a line of at most limit bytes and returns it without its CRLF. A bare LF or CR is an error, since two parsers may treat
+// it differently.
 func readLine(br *bufio.Reader, limit int) ([]byte, error) {
 	var line []byte
 	for {
--- a/internal/http1/idle.go
+++ b/internal/http1/idle.go
@@ -39,9 +39,9 @@
 	return IdleConn{IdleFor: time.Duration(sinceStart() - c.idleSince), Evicts: c.evicted}, c.idle
 }
 
-// expireIdle limits the connection's wait for a request to within, if the connection is idle and may be closed, and reports whether it
-// did.
-func (c *conn) expireIdle(within time.Duration, evicts bool) bool {
+// expireIdle checks whether the connection is idle and may be closed. If so, it limits the remaining wait for a request to timeout. It
+// reports whether it set this limit.
+func (c *conn) expireIdle(timeout time.Duration, evicts bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := IdleConn{IdleFor: time.Duration(sinceStart() - c.idleSince), Evicts: evicts}
@@ -49,7 +49,7 @@
 		return false
 	}
 	c.evicted = evicts
-	c.netConn.SetReadDeadline(time.Now().Add(within))
+	c.netConn.SetReadDeadline(time.Now().Add(timeout))
 	return true
 }
 
@@ -60,8 +60,8 @@
 	return s.closeIdle(n)
 }
 
-// closeIdle is CloseIdle with s.mu held. It closes only connections that have been idle for some time, since on the others a request may
-// be in transit. Connections on which no request ever arrived are closed first.
+// closeIdle is CloseIdle with s.mu held. It closes only connections that mayCloseIdle allows: on one that became idle a moment ago,
+// a request may be in transit. Connections on which no request ever arrived are closed first.
 func (s *Server) closeIdle(n int) (closed int) {
 	for closed < n {
 		oldest := s.evictionCandidate()
--- a/internal/http1/pool.go
+++ b/internal/http1/pool.go
@@ -17,7 +17,7 @@
 	MaxOpen     int           // maximum number of open connections; idle ones count and are evicted; 0 = no limit
 	IdleTimeout time.Duration // after which an idle connection is closed
 	Limits      Limits
-	// MaxIdleTime returns how long a connection that Get returns may have been idle; nil = IdleTimeout.
+	// MaxIdleTime returns a maximum idle time for Get and CloseExpired. It applies if it is shorter than IdleTimeout; nil = IdleTimeout.
 	MaxIdleTime func() time.Duration
 	// MinIdleTime is the minimum time that a connection is idle before it carries another request; 0 = none. A faulty server may send a
 	// second response to a request shortly after the first. Unread bytes on an idle connection prevent its reuse, but only once they have
--- a/internal/http1/pool_reuse_test.go
+++ b/internal/http1/pool_reuse_test.go
@@ -36,8 +36,8 @@
 	p.mu.Unlock()
 }
 
-// A connection is not reused before MinIdleTime, within which a second response to the previous request could still arrive, nor once such a
-// response has arrived.
+// A second response to the previous request may still arrive shortly after the first. A connection must not be reused before it has been
+// idle for MinIdleTime, and not at all once such a response has arrived.
 func TestConnectionIsIdleForMinIdleTimeBeforeReuse(t *testing.T) {
 	p := &Pool{MaxIdle: 2, IdleTimeout: time.Minute, Limits: DefaultLimits, MinIdleTime: time.Minute / 2}
 	defer p.Close()
--- a/internal/http1/readahead.go
+++ b/internal/http1/readahead.go
@@ -14,7 +14,7 @@
 	netConn   net.Conn
 	heldBytes *atomic.Int64 // of the server: bytes held by all connections
 	pending   []byte        // read ahead and not yet returned by Read
-	err       error         // of a read ahead; Read returns it after pending
+	err       error         // error of reading ahead; Read returns it after the pending bytes
 
 	total    int64     // bytes read from the connection
 	arrivals []arrival // in order, of bytes that may not have been consumed yet
@@ -26,8 +26,8 @@
 	at  time.Time
 }
 
-// Arrivals within arrivalStep of the previous one, and those beyond maxArrivals, are merged into it: their bytes count as read at its
-// time.
+// An arrival is merged into the latest recorded one if it follows within arrivalStep, or if maxArrivals are recorded already: its bytes
+// count as read at the time of the recorded one.
 const (
 	arrivalStep = 5 * time.Millisecond
 	maxArrivals = 64
@@ -62,8 +62,8 @@
 
 // Limits of reading ahead on one connection, in bytes.
 const (
-	maxReadAhead  = 1 << 20 // some requests of the largest size
-	readAheadStep = 4 << 10
+	maxReadAhead  = 1 << 20 // four request bodies of the relay protocol's maximum size (256 KiB); a chat request may be larger
+	readAheadStep = 4 << 10 // bytes read at a time
 )
 
 // errReadAheadFull is returned if no more bytes may be read ahead.
--- a/internal/http1/rejection.go
+++ b/internal/http1/rejection.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// Limits of the rejection queue, which holds the connections over the limit that are being rejected.
+// Limits of the rejection queue. It holds connections over Server.MaxConns while they are being rejected. The timeout for the first byte
+// is short, because clients open connections in advance and never use some of them.
 const (
-	defaultRejectionQueue     = 64
-	defaultRejectionFirstByte = 250 * time.Millisecond // for the first byte: clients open connections in advance and never use some
-	rejectionHeadTimeout      = time.Second
+	defaultRejectionQueue     = 64                     // connections
+	defaultRejectionFirstByte = 250 * time.Millisecond // from accepting the connection to its first byte
+	rejectionHeadTimeout      = time.Second            // from the first byte to the end of the request head
 )
 
 func (s *Server) rejectionQueueSize() int {
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// headTimeout turns a timeout within a head into an *Error, since the first bytes of the message had arrived.
+// headTimeout turns a timeout within a head into an *Error. The first bytes of the response have arrived by then, so the response counts as
+// malformed and not as missing.
 func headTimeout(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return newError(502, "timeout within the response head")
--- a/internal/http1/responsebody.go
+++ b/internal/http1/responsebody.go
@@ -12,9 +12,9 @@
 // before a byte of that chunk is returned.
 type boundedChunks struct {
 	buffered   *bufio.Reader
-	max        int64
-	left       int64
-	atChunkEnd bool // the CRLF after a chunk must be read next
+	max        int64 // maximum size of a chunk in bytes
+	left       int64 // unread bytes of the current chunk
+	atChunkEnd bool  // the CRLF after a chunk must be read next
 }
 
 func (b *boundedChunks) Read(p []byte) (int, error) {
@@ -102,7 +102,7 @@
 // sizedBody reads a body with a Content-Length. It returns io.ErrUnexpectedEOF if the connection ends earlier.
 type sizedBody struct {
 	source io.Reader
-	left   int64
+	left   int64 // unread bytes of the body
 }
 
 func (b *sizedBody) Read(p []byte) (int, error) {
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -22,16 +22,17 @@
 	Handler        Handler
 	Limits         Limits
 	Timeouts       Timeouts
-	MaxConns       func() int // maximum number open, called at each accept; further ones get a 503 and close; nil = no limit
+	MaxConns       func() int // returns the maximum number of open connections; more are rejected with a 503; nil = no limit
 	RejectionQueue int        // maximum number of connections being rejected at a time; 0 = defaultRejectionQueue
-	MaxBytes       int64      // maximum bytes of request bodies held, over all connections; 0 = no limit
+	MaxBytes       int64      // maximum of HeldBytes; a request whose body would exceed it gets a 503; 0 = no limit
 	// Shared states that other processes accept from the same socket. A drain then stops accepting immediately, since the other
 	// processes accept the connections in its queue.
 	Shared bool
 	// OnDescriptorShortage is called with the number of open connections when an accept fails because the process has reached its limit
 	// of file descriptors; may be nil.
 	OnDescriptorShortage func(open int)
-	// MayCloseIdle reports whether an idle connection may be closed now; nil = an eviction after Timeouts.MinIdle, any other close always.
+	// MayCloseIdle reports whether an idle connection may be closed now. If it is nil, a connection may be evicted once it has been idle
+	// for longer than Timeouts.MinIdle, and closed for any other cause at any time.
 	MayCloseIdle func(IdleConn) bool
 	// OnClose is called for each connection that has closed; may be nil.
 	OnClose func(ConnClosed)
@@ -44,7 +45,7 @@
 	queueFree    sync.Cond // the rejection queue is no longer full; its lock is mu
 	listener     net.Listener
 	draining     atomic.Bool
-	idleDeadline atomic.Int64 // when a draining server stops waiting on idle connections, in sinceStart time
+	idleDeadline atomic.Int64 // when a draining server stops waiting on idle connections; ns, as of sinceStart
 	heldBytes    atomic.Int64
 	closed       bool      // Close was called
 	connEnded    sync.Cond // a connection has ended; its lock is mu
@@ -78,8 +79,8 @@
 	return len(s.conns) == 0
 }
 
-// Close closes all connections and waits for their goroutines. It also aborts exchanges that have no response yet: their owner may have
-// ended, and Close would otherwise wait for them forever.
+// Close closes all connections and waits for their goroutines. It also aborts exchanges that have not ended: the goroutine
+// that would end them may be gone, and Close would otherwise wait for them forever.
 func (s *Server) Close() {
 	s.draining.Store(true)
 	s.mu.Lock()
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -240,8 +240,8 @@
 	}
 }
 
-// A node that is killed drops exchanges that its handler has passed on and nothing has processed yet. They never get a response, so that a
-// Close that waited for them never returned (seen with 60 nodes under load).
+// When a node is killed, it drops exchanges that its handler has queued and that were not processed yet. They never get a response. A Close
+// that waited for them never returned (seen with 60 nodes under load).
 func TestCloseDoesNotWaitForAbandonedExchanges(t *testing.T) {
 	received := make(chan struct{})
 	s := &Server{Handler: HandlerFunc(func(*Exchange) { close(received) }), Limits: DefaultLimits, Timeouts: DefaultTimeouts}
--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -108,8 +108,8 @@
 	})
 }
 
-// watchDeadline starts a timer for the deadline of a request in the request table. When the timer fires, the deadline is reported to the
-// table, and another timer is started if the table has a later deadline for the request then.
+// watchDeadline starts a timer for the deadline of a request in the request table. When the timer fires, it reports the deadline to the
+// table. If the table then has a later deadline for the request, another timer is started.
 func (n *Node) watchDeadline(request *activeRequest) {
 	at, ok := n.table().Deadline(request.id)
 	if !ok {
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -42,9 +42,9 @@
 	})
 }
 
-// attemptLimits returns the timeout of an attempt, which does not extend beyond the deadline at which the request table itself responds,
-// and the time of the client's deadline, which is ResponseSlack before that deadline (s). The attempt's own timeout, if it has one, bounds
-// both.
+// attemptLimits returns the timeout of an attempt and the time of the client's deadline (s). The timeout does not extend beyond the request
+// table's deadline for the request, at which the table itself responds. The client's deadline is ResponseSlack earlier than that. The
+// command's own timeout, if it has one, limits both. It is the only limit if the table has no deadline for the request.
 func (n *Node) attemptLimits(now float64, command requesttable.StartAttempt) (timeout, clientDeadline float64) {
 	at, ok := n.table().Deadline(command.ID)
 	if !ok {
--- a/internal/node/chat_harness_test.go
+++ b/internal/node/chat_harness_test.go
@@ -34,8 +34,8 @@
 	requests int
 }
 
-// emulators returns members for so many prefill, decode and mixed engines, named by role and number. change, if not nil, changes the
-// settings of each.
+// emulators returns members for the given numbers of prefill, decode and mixed engines, named by role and number. change, if not nil,
+// changes the settings of each.
 func emulators(prefill, decode, mixed int, change func(*emulator.Settings)) []fleet.Member {
 	var members []fleet.Member
 	for _, g := range []struct {
--- a/internal/node/chat_test.go
+++ b/internal/node/chat_test.go
@@ -330,8 +330,8 @@
 	}
 }
 
-// The decode engine never responds to an attempt, while the client is still waiting. The state that the attempt was to fetch must be
-// released in time, for requests of every class.
+// The decode engine never responds to an attempt, while the client is still waiting. The state that the attempt would have
+// fetched must be released by its limit, for requests of every class.
 func TestChatStateOfSilentAttemptIsReleasedInTime(t *testing.T) {
 	h := newChatHarness(t, emulators(1, 1, 0, nil), nil)
 	h.fleet.Engine("decode-1").SetFaults(emulator.Faults{Silent: true})
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -100,7 +100,8 @@
 	}
 }
 
-// No engine acknowledges the release of a state in time, because all engines hang. The state must be released once they respond again.
+// All engines hang, and no release call for a state is acknowledged within the limit on its hold time. The state must be released once the
+// engines respond again.
 func TestRelayStateIsReleasedAfterEngineOutage(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
 	rejectAttempts(engines, "w0")
--- a/internal/node/disconnect_phases_test.go
+++ b/internal/node/disconnect_phases_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// A client disconnects when its response has been granted and the write of the first event to its socket is blocked. Whichever of
-// the two the node processes first, no further attempt may start, and the engine's connection must be closed.
+// A client disconnects when its response has been granted and the write of the first event to its socket is blocked. Whichever
+// the node processes first, the disconnect or the write, no further attempt may start, and the engine's connection must be closed.
 func TestRelayDisconnectAsResponseBegins(t *testing.T) {
 	for how, disconnect := range disconnects {
 		t.Run(how, func(t *testing.T) {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -14,7 +14,7 @@
 	address     string
 	lastSuccess float64 // when the engine last responded to a call
 	lastFailure float64 // when a call last failed
-	servedAt    float64 // when the latest of the requests that the engine has responded to was started
+	servedAt    float64 // latest start time of a call that the engine has responded to
 }
 
 // updateEndpoints posts an endpoint list to the event loop. It is called on the goroutine of the endpoint source.
@@ -39,7 +39,7 @@
 	}
 }
 
-// forgetUnknownEngines removes the engines that the request table does not know any more.
+// forgetUnknownEngines removes the engines that the request table no longer knows.
 func (n *Node) forgetUnknownEngines() {
 	for id := range n.owned.engines {
 		if !n.table().EngineKnown(id) {
@@ -71,8 +71,8 @@
 // engineIDs returns the ids of the known engines in ascending order.
 func (n *Node) engineIDs() []string { return slices.Sorted(maps.Keys(n.owned.engines)) }
 
-// recordAttemptResult records whether an engine responded to an attempt that was started at startedAt. Where every engine can release
-// any state, the engines for release calls are ranked by it (releaseTargets).
+// recordAttemptResult records whether an engine responded to an attempt that was started at startedAt. The record is used to rank the
+// engines for release calls (releaseTargets). It is kept only where every engine can release any state.
 func (n *Node) recordAttemptResult(now float64, id string, startedAt float64, cause outcome.Cause) {
 	endpoint := n.owned.engines[id]
 	if !n.config.anyEngineReleases || endpoint == nil || endpoint.address == "" {
--- a/internal/node/engine_faults_test.go
+++ b/internal/node/engine_faults_test.go
@@ -28,7 +28,7 @@
 }
 
 // A stream ends without its final event or within its last chunk, or has only comments from some point on. It must not be forwarded as
-// complete, and the client's connection must be closed in time.
+// complete, and the client's connection must be closed within 5 s.
 func TestRelayIncompleteStreamsEndTheClientConnection(t *testing.T) {
 	for _, f := range []platform.Fault{platform.NoFinalEvent, platform.CloseInLastChunk, platform.EndlessComments} {
 		t.Run(string(f), func(t *testing.T) {
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// post queues a task for the loop. It never blocks. It returns false if the loop has ended; a queued task does not run if the loop is
-// stopped before.
+// post queues a task for the loop. It never blocks. It returns false if the loop has ended. A queued task does not run if the loop is
+// stopped before it takes the task.
 func (l *eventLoop) post(f task) bool { return l.inbox.post(f) }
 
 // query runs f on the loop's goroutine and returns its result; ok is false if the loop has ended.
--- a/internal/node/golden_relay_test.go
+++ b/internal/node/golden_relay_test.go
@@ -127,7 +127,7 @@
 	return strings.Join(remaining, "")
 }
 
-// goldenRelayBody returns a request with a valid header and the given body.
+// goldenRelayWithBody returns a request with a valid header and the given body.
 func goldenRelayWithBody(text string) string {
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nX-Call-Id: l%d\r\n"+
 		"X-Call-Class: chat\r\nX-Caller: branch\r\nX-Budget: 1\r\n"+
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -241,7 +241,7 @@
 	}
 }
 
-// goldenCase is a named request, and a function that is called before it is sent.
+// goldenCase is a request with a name. before is called before the request is sent.
 type goldenCase struct {
 	name, request string
 	before        func() // nil = nothing
--- a/internal/node/isolation_test.go
+++ b/internal/node/isolation_test.go
@@ -41,7 +41,8 @@
 	harness.requireNoViolations()
 }
 
-// Nodes that start together while discovery does not respond must become ready with the endpoint list in their configuration.
+// Nodes that start together while discovery does not respond must become ready with the endpoint list in their configuration, within 10 s
+// for at least nine tenths of them.
 func TestRelayNodesBecomeReadyWithoutDiscovery(t *testing.T) {
 	const nodes = 300
 	p := platform.New("n0", &record.Log{})
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -14,14 +14,14 @@
 	responseFailed         = "failed"          // the request may have had an effect; a retry is not declared safe
 	responseRejected       = "rejected"        // the response declares a retry safe
 	responseNotAdmitted    = "not_admitted"    // rejected before the request entered the request table
-	responseInvalidRequest = "invalid_request" // the response with which engines rejected the request as invalid
+	responseInvalidRequest = "invalid_request" // an engine's rejection of the request as invalid was forwarded
 )
 
 // Reasons for state releases: the values of the label reason.
 const (
 	releaseUnneeded = "unneeded" // no attempt will fetch the state
 	releaseAtLimit  = "limit"    // no attempt had used the state when its release was due
-	releaseRepeated = "again"    // repeated: at the limit, an attempt in flight may have been waiting for the state
+	releaseRepeated = "again"    // a release at the limit is repeated: an attempt in flight may have been waiting for the state
 	releaseAfterCut = "cut"      // an attempt that was cut off may have left a state
 )
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -58,7 +58,7 @@
 type hostState struct {
 	requests         map[string]*activeRequest
 	engines          map[string]*engineEndpoint
-	shutdownDeadline float64 // by when a node that shuts down must have responded to what it accepts (s); 0 = no deadline
+	shutdownDeadline float64 // a node that is shutting down must respond to its requests before this (s); 0 = no deadline
 	pendingReleases  int     // states that are being released
 }
 
@@ -74,9 +74,9 @@
 	release         releaseWait // the latest release that has started, for which new attempts wait
 	releasedAtLimit bool        // a state was released at its limit, perhaps while an attempt was in flight
 	responseGranted bool        // an attempt was granted the response
-	responded       bool        // a goroutine has been started that writes the final response
+	responded       bool        // the goroutine that writes the final response has been started
 	startedAt       time.Time
-	dueBy           float64 // when the response is due, with slack (s)
+	dueBy           float64 // deadline of the response, including the response slack (s)
 	disconnectedAt  float64 // when the client's disconnect was noticed (s); 0 = it has not disconnected
 }
 
@@ -96,8 +96,8 @@
 	overload          overload.Limits
 	timeouts          http1.Timeouts
 	limits            http1.Limits
-	rejectionQueue    int   // connections over the limit that are being rejected at a time; 0 = default of http1.Server
-	maxHeldBytes      int64 // of request bodies in memory; 0 = no bound
+	rejectionQueue    int   // maximum number of connections being rejected at a time; 0 = default of http1.Server
+	maxHeldBytes      int64 // maximum bytes of request bodies in memory; 0 = no limit
 	anyEngineReleases bool  // every engine can release the states that any engine holds
 	clientsMayResume  bool  // a client whose stream was cut off resumes it at another node
 }
@@ -237,8 +237,8 @@
 // AdminAddr returns the address of the admin listener, or nil if there is none.
 func (n *Node) AdminAddr() net.Addr { return n.adminAddr }
 
-// Failed returns a channel that receives an error if the scheduler panics. The node has responded to every open request by then, and the
-// caller should stop it.
+// Failed returns a channel that receives an error if the scheduler panics. By then the node has begun to write the responses to all open
+// requests, and the caller should shut it down.
 func (n *Node) Failed() <-chan error { return n.failed }
 
 // Ready reports whether the node can serve requests. It returns false once the node has stopped.
--- a/internal/node/race_test.go
+++ b/internal/node/race_test.go
@@ -2,5 +2,5 @@
 
 package node_test
 
-// raceEnabled reports whether the race detector is enabled, with which a simulated scenario takes about ten times as long.
+// raceEnabled reports whether the race detector is enabled. A simulated scenario takes about ten times as long with it.
 const raceEnabled = true
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -78,6 +78,6 @@
 		limits:         relay.RequestLimits,
 		rejectionQueue: budget.RejectionQueue,
 	}
-	h.scheduler.Limits.ExemptUnsentAttempts = true // attempts count once their last byte was sent (PROTOCOL, nodes to engines)
+	h.scheduler.Limits.ExemptUnsentAttempts = true // the limit counts attempts whose last byte was sent (PROTOCOL, nodes to engines)
 	return h
 }
--- a/internal/node/relay_clients_test.go
+++ b/internal/node/relay_clients_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// Connections that send nothing, or a header or body that does not end, must be closed within 3 s. Other clients must be served meanwhile,
-// at the smallest limits.
+// Connections that send nothing, or a header or body that does not end, must be closed within 3 s. Meanwhile the node must serve other
+// clients, even with the smallest limits on memory and sockets.
 func TestRelaySilentConnectionsAreClosed(t *testing.T) {
 	harness, _ := newRelayHarness(t, 32, 256, "r0 read", "w0 write")
 	var conns []net.Conn
--- a/internal/node/relay_endpoints_test.go
+++ b/internal/node/relay_endpoints_test.go
@@ -50,8 +50,8 @@
 	harness.requireNoViolations()
 }
 
-// Discovery sends invalid lists, does not respond, or refuses connections. The node must serve with the latest valid list, and a
-// removal must take effect at once.
+// Discovery sends invalid lists, does not respond, or refuses connections. The node must serve with the latest valid list. When
+// discovery works again, an engine that it reports as draining must receive no attempt from 0.6 s on.
 func TestRelayServesDuringDiscoveryFaults(t *testing.T) {
 	harness, _ := newRelayHarness(t, 64, 256, "r0 read", "w0 write", "w1 write")
 	requireServed := func(what string) {
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// A stream is malformed or cut off after its first events. The client's connection must be closed soon, without the last chunk.
+// A stream is malformed or cut off after its first events. The client's connection must be closed without the last chunk, within
+// 2 s, or within 5 s if the stream stalls.
 func TestRelayFaultsMidStreamEndTheClientConnection(t *testing.T) {
 	for _, f := range []platform.Fault{platform.MalformedChunkSize, platform.ChunkSizeMismatch, platform.HugeChunk,
 		platform.CloseMidStream, platform.StallMidStream} {
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -13,7 +13,8 @@
 	"dillroute/lab/record"
 )
 
-// With missing, zero or unusual values in its settings, a node must either respond to requests in time or fail to start with a clear error.
+// With missing, zero or unusual values in its settings, a node must either respond to requests within 2 s or fail to start with a clear
+// error.
 func TestRelayUnusualSettings(t *testing.T) {
 	for name, edit := range map[string][2]string{
 		"zero attempts":          {`"max_attempts":4`, `"max_attempts":0`},
@@ -52,8 +53,8 @@
 	}
 }
 
-// requireServedOrClearError starts a node with the settings. It must respond to a request in time, or fail to start with an error that says
-// why.
+// requireServedOrClearError starts a node with the settings. It must respond to a request within 2 s, or fail to start with an error that
+// says why.
 func requireServedOrClearError(t *testing.T, settings string) {
 	t.Helper()
 	p := platform.New("n0", &record.Log{})
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -24,19 +24,20 @@
 	n.finish()
 }
 
-// ShutdownBy is Shutdown for a process that will be killed. A request whose response has not begun receives a final response within the
-// given time; streams may continue for up to streamWait after that. A request that arrives meanwhile is accepted only if its response can
-// begin in time. Where clients resume streams at other nodes, streams are cut off one by one within that time instead.
-func (n *Node) ShutdownBy(within, streamWait time.Duration) {
-	deadline := time.Now().Add(within)
-	n.loop.post(func(now float64) { n.owned.shutdownDeadline = now + within.Seconds() })
+// ShutdownBy is Shutdown for a process that will be killed. A request whose response has not begun receives a final response within
+// responseTimeout. Streams may continue for up to streamWait after that. Where clients resume streams at other nodes, streams are instead
+// cut off one by one within responseTimeout. A request that arrives during the shutdown is accepted only if its response can begin before
+// responseTimeout has passed.
+func (n *Node) ShutdownBy(responseTimeout, streamWait time.Duration) {
+	deadline := time.Now().Add(responseTimeout)
+	n.loop.post(func(now float64) { n.owned.shutdownDeadline = now + responseTimeout.Seconds() })
 	if n.config.clientsMayResume {
 		cutoffTimer := time.AfterFunc(n.config.timeouts.DrainAccept, func() { n.loop.post(n.scheduleCutoffs) })
 		defer cutoffTimer.Stop()
 	}
 	n.stopAccepting(deadline)
 	if n.config.clientsMayResume {
-		n.loop.post(n.scheduleCutoffs) // for streams that have begun since
+		n.loop.post(n.scheduleCutoffs) // for streams that have begun since the first call
 	}
 	n.awaitResponses(deadline)
 	if !n.config.clientsMayResume {
@@ -59,7 +60,8 @@
 	}
 }
 
-// stopAccepting drains the server. Requests in transit are still accepted, until the deadline at the latest.
+// stopAccepting drains the server and then stops the request table from accepting requests. Between the two it waits for requests in
+// transit. The wait ends at the deadline, or when RespondNow is called, if either is earlier.
 func (n *Node) stopAccepting(deadline time.Time) {
 	n.server.Drain()
 	acceptUntil := earlier(time.Now().Add(n.config.timeouts.AcceptsFor()), deadline)
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -32,7 +32,7 @@
 	return &openConnection{h, c, bufio.NewReader(c)}
 }
 
-// send sends a request for a response of so many tokens and reads the response to its end; status is 0 if there is none.
+// send sends a request for a response of the given number of tokens and reads the response to its end; status is 0 if there is none.
 func (k *openConnection) send(id string, tokens int) (status int, complete bool) {
 	k.harness.t.Helper()
 	request := k.harness.newRequest("chat")
@@ -49,7 +49,7 @@
 }
 
 // Where clients cannot resume streams, a node that shuts down must not cut a running stream, and must not accept a request that SIGKILL
-// could cut off: a request that arrives on an open connection after more than 0.7 s is rejected.
+// could cut off: a request that arrives on an open connection more than 0.7 s after the shutdown began is rejected.
 func TestRelayShutdownWithoutResume(t *testing.T) {
 	settings := strings.Replace(platform.SettingsJSON, `"resume":true`, `"resume":false`, 1)
 	harness, engines := newRelayHarnessWith(t, settings, 64, 256, "r0 read", "w0 write")
@@ -83,8 +83,8 @@
 	harness.requireNoViolations()
 }
 
-// A node that shuts down must give every request a final response in time, and cut off its streams one by one, so that their clients resume
-// them at another node.
+// A node that shuts down must end every request before the process could be killed. It must cut off its streams one by one, so that their
+// clients resume them at another node.
 func TestRelayShutdownCutsStreamsInTime(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
 	engines["w0"].TokenInterval = 200 * time.Millisecond
--- a/internal/node/simulated_days_test.go
+++ b/internal/node/simulated_days_test.go
@@ -71,7 +71,7 @@
 	traceRecords(t, got)
 }
 
-// maxReportedViolations is how many violations of one scenario are reported at most.
+// maxReportedViolations is the maximum number of violations of one scenario that are reported.
 const maxReportedViolations = 8
 
 // traceRecords logs the records that COLLAPSE_TRACE selects: those of a request id, or of a node and an engine ("NODE ENGINE").
--- a/internal/node/staterelease.go
+++ b/internal/node/staterelease.go
@@ -15,9 +15,9 @@
 type stateRelease struct {
 	command  requesttable.ReleaseState
 	schedule staterelease.RetrySchedule
-	dueBy    float64 // when the state must be released (s)
+	dueBy    float64 // the state must be released before this (s)
 	reason   string  // value of the metric label reason
-	audited  bool    // whether the state was released in time is known
+	audited  bool    // auditRelease has its result: a call was acknowledged, or a violation was reported
 	pending  bool    // counted in hostState.pendingReleases, for which a shutdown waits
 
 	unblockAttempts func() // called when the calls that must precede the next attempt have ended
@@ -25,7 +25,8 @@
 
 // releaseState releases a state by calls to the engine that may hold it or, where every engine can release any state, to engines that
 // respond. The first call starts at once, in the order of the table's commands. It does not wait for an attempt that starts in the same
-// scheduler step, which may take long to connect while the hold time runs on. Each later call is made only if the table allows it.
+// scheduler step: that attempt may take long to connect, and the state would be held for all that time. Each later call is made only if
+// the table allows it.
 func (n *Node) releaseState(now float64, command requesttable.ReleaseState) {
 	release := &stateRelease{
 		command: command,
--- a/internal/node/staterelease_test.go
+++ b/internal/node/staterelease_test.go
@@ -14,7 +14,7 @@
 )
 
 // The engine that holds a state and all engines of the other role hang, while the attempt that was to fetch the state is in flight. The
-// state must be released in time, both when the client disconnects and when its deadline passes.
+// state must be released by its limit, both when the client disconnects and when its deadline passes.
 func TestRelayStateIsReleasedWhenOneRoleIsSilent(t *testing.T) {
 	for _, disconnect := range []bool{true, false} {
 		harness, engines := newRelayHarness(t, 64, 256, "r0 read", "r1 read", "w0 write", "w1 write", "w2 write")
@@ -93,7 +93,7 @@
 }
 
 // The attempt that was to fetch a state is in flight, but its request stays in the kernel's send buffer because the decode engine's machine
-// accepts no more bytes. The state must still be released in time: an undelivered attempt does not extend the limit on the hold time.
+// accepts no more bytes. The state must still be released by its limit: an undelivered attempt does not extend the limit on the hold time.
 func TestRelayStateIsReleasedWhenAttemptIsNotDelivered(t *testing.T) {
 	harness, _ := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
 	full := unreadListener(t)
