--- a/internal/http1/idle_test.go
+++ b/internal/http1/idle_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// A request that has arrived when the idle deadline of its connection passes is answered.
+// A request that has arrived when the idle deadline of its connection passes is answered. Here the deadline passes after 1 ns, and the
+// server waits 1 ms more at most. Requests that arrive after that are not answered, so that only one response in 20 is required.
 func TestRequestAtTheIdleDeadlineIsAnswered(t *testing.T) {
 	s := &Server{Timeouts: Timeouts{First: time.Nanosecond, Head: time.Second, Body: time.Second, Idle: time.Nanosecond,
 		Write: time.Second}}
--- a/internal/node/chat_test.go
+++ b/internal/node/chat_test.go
@@ -142,8 +142,8 @@
 }
 
 func TestChatMalformedEngineResponsesAreRetriedWhereSafe(t *testing.T) {
-	for name, faults := range map[string]emulator.Faults{"garbage": {MalformedEvent: true}, "lying chunk": {ChunkSizeMismatch: true},
-		"cut body": {TruncatedBody: true}, "half close": {HalfCloseAfter: 2}} {
+	for name, faults := range map[string]emulator.Faults{"garbage": {MalformedEvent: true},
+		"chunk size mismatch": {ChunkSizeMismatch: true}, "truncated body": {TruncatedBody: true}, "half close": {HalfCloseAfter: 2}} {
 		t.Run(name, func(t *testing.T) {
 			harness := newChatHarness(t, emulators(1, 2, 0, nil), nil)
 			harness.fleet.Engine("decode-1").SetFaults(faults)
