--- a/internal/node/chat_test.go
+++ b/internal/node/chat_test.go
@@ -142,8 +142,8 @@
 }
 
 func TestChatMalformedEngineResponsesAreRetriedWhereSafe(t *testing.T) {
-	for name, faults := range map[string]emulator.Faults{"garbage": {MalformedEvent: true}, "lying chunk": {ChunkSizeMismatch: true},
-		"cut body": {TruncatedBody: true}, "half close": {HalfCloseAfter: 2}} {
+	for name, faults := range map[string]emulator.Faults{"garbage": {MalformedEvent: true},
+		"chunk size mismatch": {ChunkSizeMismatch: true}, "truncated body": {TruncatedBody: true}, "half close": {HalfCloseAfter: 2}} {
 		t.Run(name, func(t *testing.T) {
 			harness := newChatHarness(t, emulators(1, 2, 0, nil), nil)
 			harness.fleet.Engine("decode-1").SetFaults(faults)
@@ -330,8 +330,8 @@
 	}
 }
 
-// The decode engine never responds to an attempt, while the client is still waiting. The state that the attempt was to fetch must be
-// released in time, for requests of every class.
+// The decode engine never responds to an attempt, while the client is still waiting. The state that the attempt would have
+// fetched must be released by its limit, for requests of every class.
 func TestChatStateOfSilentAttemptIsReleasedInTime(t *testing.T) {
 	h := newChatHarness(t, emulators(1, 1, 0, nil), nil)
 	h.fleet.Engine("decode-1").SetFaults(emulator.Faults{Silent: true})
