--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -188,12 +188,14 @@
 
 func (l attemptLog) add(kind record.Kind) { l.log.Add(l.record(kind)) }
 
+// requestSent records that the request is sent. Its record holds the client's patience (s) in Tokens.
 func (l attemptLog) requestSent() {
 	r := l.record(record.RequestSent)
 	r.Tokens = l.request.Patience.Seconds()
 	l.log.Add(r)
 }
 
+// finalResponse records the result. Its record holds RetryHarmless in State and the number of stream events in Tokens.
 func (l attemptLog) finalResponse(result *Result) {
 	r := l.record(record.FinalResponse)
 	r.Outcome = result.Outcome
--- a/lab/emulator/engine.go
+++ b/lab/emulator/engine.go
@@ -15,7 +15,7 @@
 	"dillroute/lab/record"
 )
 
-// Engine is an emulated engine on a loopback socket. It may be started and killed any number of times, in turn.
+// Engine is an emulated engine on a loopback socket. It may be started again after each Kill.
 type Engine struct {
 	Settings
 	log    *record.Log
@@ -29,7 +29,7 @@
 	startedAt float64 // Unix seconds
 }
 
-// process is the state of a running engine that is lost when the engine stops.
+// process is the state that an engine has only while it runs. It is lost when the engine stops.
 type process struct {
 	ctx       context.Context
 	stop      context.CancelFunc
--- a/lab/emulator/eventwriter.go
+++ b/lab/emulator/eventwriter.go
@@ -10,8 +10,8 @@
 // eventWriter sends the events of a stream and injects the faults that interrupt streams.
 type eventWriter struct {
 	job    *job
-	faults *Faults // of the engine when the stream began
-	sent   int     // events
+	faults *Faults // the engine's faults when the stream began
+	sent   int     // number of events sent
 }
 
 // send sends an event. It returns false if the stream has ended.
--- a/lab/emulator/job.go
+++ b/lab/emulator/job.go
@@ -47,7 +47,7 @@
 	})
 }
 
-// reject responds with an error, which means that the job was not run, and records the rejection.
+// reject responds with an error and records the rejection. The error means that the job was not run.
 func (j *job) reject(status int, code, message string) {
 	j.record(record.AttemptRejected, code)
 	respondError(j.response, status, code, message)
--- a/lab/emulator/kvstate.go
+++ b/lab/emulator/kvstate.go
@@ -20,7 +20,7 @@
 	tokens int
 	mark   Mark
 
-	fetches int // in progress; guarded by process.mu
+	fetches int // number of fetches in progress; guarded by process.mu
 }
 
 // releasedIDs holds the most recent ids that were released before they had a state. A prefill for one of them that ends later stores no
--- a/lab/emulator/listener.go
+++ b/lab/emulator/listener.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Attempts to listen, and the pause between them. The address may still be in use while the previous socket closes.
+// An engine makes at most listenAttempts attempts to listen, with listenPause between them. The address may still be in use while the
+// previous socket closes.
 const (
 	listenAttempts = 50
 	listenPause    = 10 * time.Millisecond
@@ -25,13 +26,13 @@
 	return nil, err
 }
 
-// slowListener delays accepted connections while the engine has the fault HandshakeDelayMS.
+// slowListener delays the first read from each connection that it accepts while the engine has the fault HandshakeDelayMS.
 type slowListener struct {
 	net.Listener
 	engine *Engine
 }
 
-// Accept returns the next connection, delayed by the current value of the fault.
+// Accept returns the next connection. The current value of the fault determines the delay of its first read.
 func (l *slowListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
--- a/lab/emulator/loadreport.go
+++ b/lab/emulator/loadreport.go
@@ -9,8 +9,8 @@
 // loadReport is the load that an engine reports with its responses.
 type loadReport struct {
 	memoryShare float64 // share of the KV memory that is in use
-	waiting     float64
-	running     float64
+	waiting     float64 // requests in the queue
+	running     float64 // requests in slots
 }
 
 // addLoadReport adds the load report to the response's header in ORCA's JSON format. The load is as of its last refresh.
--- a/lab/emulator/prefill.go
+++ b/lab/emulator/prefill.go
@@ -17,7 +17,8 @@
 	total  int            // sum of tokens
 }
 
-// add caches every prefix of a prompt, and returns how many of its tokens were already cached.
+// add caches every prefix of a prompt, and returns how many of its tokens were already cached. If the cache then holds more than
+// limitTokens, it evicts the oldest prefixes.
 func (c *prefixCache) add(messages []Message, limitTokens int) (cachedTokens int) {
 	sum := 0
 	for i := range messages {
@@ -107,7 +108,8 @@
 	return true
 }
 
-// expireState drops the state if it has not been fetched or released within its TTL. The goroutine ends with the process at the latest.
+// expireState starts a goroutine that drops the state if it has not been fetched or released within its TTL. The goroutine ends early if
+// the engine stops.
 func (j *job) expireState() {
 	p := j.process
 	p.handlers.Add(1)
--- a/lab/emulator/text.go
+++ b/lab/emulator/text.go
@@ -25,7 +25,7 @@
 // TokenText returns the token at a position of the response to a prompt. Its text contains the position, so that repeated or missing
 // tokens and mixed-up responses are detected.
 func TokenText(digest uint64, position int) string {
-	x := digest ^ uint64(position)*0x9e3779b97f4a7c15 // mixed as in splitmix64
+	x := digest ^ uint64(position)*0x9e3779b97f4a7c15 // mixed with the constants of splitmix64
 	x ^= x >> 29
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 32
--- a/lab/faultyrouter/faultyrouter.go
+++ b/lab/faultyrouter/faultyrouter.go
@@ -45,12 +45,12 @@
 	LeavesState Defect = "keep_failed"
 )
 
-// Delays that the defects of these names add.
+// Delays that the defects of the same names add.
 const (
-	neverAnswersWait = 2 * time.Second        // beyond the client's patience
-	answersLateWait  = 200 * time.Millisecond // beyond the client's patience
-	delaysDecodeWait = 2500 * time.Millisecond
-	afterAnswerWait  = 700 * time.Millisecond
+	neverAnswersWait = 2 * time.Second         // beyond the client's patience
+	answersLateWait  = 200 * time.Millisecond  // beyond the client's patience
+	delaysDecodeWait = 2500 * time.Millisecond // between the prefill and the decode attempt
+	afterAnswerWait  = 700 * time.Millisecond  // between the final response and the next request to an engine
 )
 
 // Engine is an entry of the router's engine list. WarmingUp marks an engine in slow start.
@@ -199,7 +199,7 @@
 		go func() {
 			defer r.inFlight.Done()
 			r.wait(afterAnswerWait)
-			_, _ = r.prefill(prefillEngine, m, id+"x") // the engine records the request, whatever its result
+			_, _ = r.prefill(prefillEngine, m, id+"x") // the engine records the request even if it fails
 			r.release(prefillEngine, id+"x")
 		}()
 	}
--- a/lab/knownfailures/verdict.go
+++ b/lab/knownfailures/verdict.go
@@ -95,7 +95,7 @@
 	return count
 }
 
-// describe returns the line that a passing run prints for a listed test.
+// describe returns the line that main prints for a listed test: always for a flaky one, for others only if the run passes.
 func (r *testResults) describe(failure knownFailure) string {
 	if !failure.flaky() {
 		return "KNOWN RED, passed over: " + failure.String()
--- a/lab/memnet/conn.go
+++ b/lab/memnet/conn.go
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// Close closes the connection. Bytes that this end has not read reset it, as in TCP.
+// Close closes the connection. If this end has not read all bytes that it received, the connection is reset, as in TCP.
 func (c *Conn) Close() error {
 	c.closeOnce.Do(func() {
 		unread := false
--- a/lab/memnet/direction.go
+++ b/lab/memnet/direction.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// setDeadline sets the deadline of a direction's reads or writes and, unless it is zero, wakes those that wait.
+// setDeadline sets the deadline of a direction's reads or writes. Unless the deadline is zero, reads and writes that wait are woken now and
+// at the deadline, to check whether it has passed.
 func setDeadline(d *direction, limit *deadline, t time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/lab/memnet/listener.go
+++ b/lab/memnet/listener.go
@@ -11,7 +11,7 @@
 type Listener struct {
 	network     *Network
 	address     hostAddr
-	acceptReady chan struct{} // receives a value when Accept has to check for a connection or the close
+	acceptReady chan struct{} // receives a value when a connection is pending or the listener is closed
 
 	mu              sync.Mutex
 	pending         []*Conn        // connected, not accepted yet
@@ -40,7 +40,7 @@
 	return client, nil
 }
 
-// signal wakes an Accept that waits, or the next one.
+// signal wakes one waiting Accept. If none waits, the next Accept that would wait checks the listener again at once.
 func (l *Listener) signal() {
 	select {
 	case l.acceptReady <- struct{}{}:
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// SetDeadline closes the listener at time t, so that Accept returns then. Its error is net.ErrClosed instead of a timeout.
+// SetDeadline closes the listener at time t. Accept then returns net.ErrClosed instead of a timeout.
 func (l *Listener) SetDeadline(t time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lab/memnet/network.go
+++ b/lab/memnet/network.go
@@ -35,7 +35,8 @@
 	return l
 }
 
-// Silence sets whether an address does not answer, so that a dial of it blocks until its context ends.
+// Silence makes an address stop answering if on is true, and answer again otherwise. A dial of a silent address blocks until its context
+// ends.
 func (n *Network) Silence(address string, on bool) {
 	n.mu.Lock()
 	n.silent[address] = on
@@ -69,7 +70,7 @@
 // String returns the name of the host.
 func (a hostAddr) String() string { return string(a) }
 
-// timeoutError is the error of a connection that was not established in time.
+// timeoutError is the error of a dial whose context ended before the address answered.
 type timeoutError struct{}
 
 // Error returns the text of the error.
--- a/lab/overhead/memory.go
+++ b/lab/overhead/memory.go
@@ -13,12 +13,14 @@
 )
 
 const (
-	// openStreamEvents and openStreamIntervalMS are long enough for a stream to outlast the measurement.
+	// openStreamEvents is the number of events of a stream, and openStreamIntervalMS the time between them (ms). With these values each
+	// stream outlasts the measurement.
 	openStreamEvents     = 1000
 	openStreamIntervalMS = 1000
 	// streamsTimeout limits how long the measurement waits for all streams to begin.
 	streamsTimeout = 60 * time.Second
-	// streamsPerPause: opening streams pauses whenever the number of streams that have begun is a multiple of it.
+	// streamsPerPause limits how fast streams are opened: measureStreams pauses for 1 ms after it opens a stream if the number of streams
+	// that have begun is then a multiple of streamsPerPause.
 	streamsPerPause = 50
 )
 
--- a/lab/overhead/overhead.go
+++ b/lab/overhead/overhead.go
@@ -24,7 +24,7 @@
 
 // Plan is the load for one target. All loads are bounded.
 type Plan struct {
-	ClosedLoopRequests int           // of the closed loop, which measures the request rate
+	ClosedLoopRequests int           // requests of the closed loop, which measures the request rate
 	Workers            int           // concurrent workers of the closed loop, each with one request at a time
 	OpenLoopRequests   int           // requests of the open loop, which measures latency
 	Rate               float64       // requests per second of the open loop
@@ -77,7 +77,7 @@
 	SteadyEventsPerCore    float64 `json:"typed_events_per_core_s"` // of streams with an interval between events
 	BytesPerIdleConnection float64 `json:"resident_bytes_per_idle_connection"`
 	BytesPerStream         float64 `json:"resident_bytes_per_open_stream"`
-	DecideP99ms            float64 `json:"decide_p99_ms"`
+	DecideP99ms            float64 `json:"decide_p99_ms"` // duration of a scheduler step, 99th percentile
 	Errors                 int64   `json:"errors"`
 }
 
@@ -141,7 +141,7 @@
 	result.EventsPerCore = perCore(float64(events.Load()), used)
 }
 
-// measureSteadyStreams measures the CPU time of events that arrive one by one.
+// measureSteadyStreams measures events per second of CPU time for streams whose events arrive steadyIntervalMS apart.
 func (l *loadGenerator) measureSteadyStreams(ctx context.Context, p Plan, result *Result) {
 	cpu := cpuSeconds(l.target.PID)
 	var events atomic.Int64
--- a/lab/overhead/process.go
+++ b/lab/overhead/process.go
@@ -49,8 +49,8 @@
 	return kilobytes << 10
 }
 
-// decideCounts reads the node's histogram of the duration of scheduler steps. It returns cumulative counts by upper bound, or nil if the
-// metrics cannot be read.
+// decideCounts reads the node's histogram of the duration of scheduler steps. It returns cumulative counts by upper bound (s), or nil if
+// the metrics cannot be read.
 func decideCounts(admin string) map[float64]float64 {
 	if admin == "" {
 		return nil
--- a/lab/scenario/check.go
+++ b/lab/scenario/check.go
@@ -8,7 +8,8 @@
 	"dillroute/internal/config"
 )
 
-// Check checks the kinds and ends of faults, and all references to names of the script. It returns config.Problems if it finds any.
+// Check checks that each fault is of a known kind and ends before the scenario does, and that all names to which the script refers exist.
+// It returns config.Problems if it finds any.
 func (s *Script) Check() error {
 	c := &checker{script: s, engineIDs: s.engineIDs()}
 	for i, g := range s.Engines {
--- a/lab/scenario/clients.go
+++ b/lab/scenario/clients.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// sessionRate returns the number of sessions that start per second at a time of the run (s). It is 0 once the maximum number of requests
-// has been sent.
+// sessionRate returns the number of sessions that start per second at a time of the run (s). It is 0 once the clients have begun the
+// maximum number of requests; retries do not count.
 func (r *run) sessionRate(at float64) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,7 +68,7 @@
 	return rate
 }
 
-// factorAt returns the load factor at a share of the run.
+// factorAt returns the factor of the session rate when this share of the run has passed.
 func (l *Load) factorAt(share float64) float64 {
 	if len(l.Shape) == 0 {
 		return 1
@@ -142,7 +142,7 @@
 	}
 }
 
-// drawTurnTokens counts a request and draws the size of its turn.
+// drawTurnTokens counts a request and draws the size of its turn in tokens.
 func (r *run) drawTurnTokens(s *session) int {
 	r.mu.Lock()
 	tail, heavy := r.heavyTails[s.class.Name]
--- a/lab/scenario/convert.go
+++ b/lab/scenario/convert.go
@@ -7,18 +7,18 @@
 	"slices"
 )
 
-// benchDay is the part of a bench's day file that has a counterpart in a script. Its fields have the names that the file uses. Times are
-// in microseconds unless a name says otherwise.
+// benchDay is the part of a day file of the bench that has a counterpart in a script. The bench is the simulator that cmd/adapter serves.
+// A field without a tag has the name that the file uses, except for case. Times are in microseconds unless a name says otherwise.
 type benchDay struct {
 	Site     string
 	Family   string
 	Length   float64
 	Zones    []string
-	Front    float64 `json:"front_notice"`
-	Noise    uint64
-	Grace    float64 `json:"drain_grace"`
-	Multiple float64 `json:"fall_multiple"`
-	FallFor  float64 `json:"fall_for"`
+	Front    float64 `json:"front_notice"` // time after which clients avoid a node that is down
+	Noise    uint64  // seed of the day
+	Grace    float64 `json:"drain_grace"`   // grace period of rule 3
+	Multiple float64 `json:"fall_multiple"` // overload multiple of rule 4
+	FallFor  float64 `json:"fall_for"`      // slow-start window of rule 4
 	Traffic  struct {
 		Shape [][2]float64
 	}
@@ -60,8 +60,8 @@
 		Kind        string
 		At, Len     float64
 		Size, Extra float64
-		On          []int
-		Which       int
+		On          []int // positions of the affected engines in Servers
+		Which       int   // position of the affected class or zone
 		Part        float64
 	} `json:"troubles"`
 	Fam struct {
@@ -71,10 +71,10 @@
 			ReadPerS             float64 `json:"read_per_s"`
 			StepMS               float64 `json:"step_ms"`
 		}
-		Near    float64
-		Release float64
-		Roles   []string
-		Reads   bool `json:"writers_read"`
+		Near    float64  // rate at which KV states are transferred (tokens/s)
+		Release float64  // limit of rule 5 for the release of a state
+		Roles   []string // of the kinds of engines: "read", "write" or another one for mixed engines
+		Reads   bool     `json:"writers_read"` // decode engines may prefill
 		Talks   []struct {
 			AimPerK      float64 `json:"aim_ms_per_k"`
 			NewTokens    float64 `json:"new_tokens"`
@@ -97,12 +97,13 @@
 	microseconds = 1e6
 	// answerSlackSeconds is the slack of rule 1, which day files do not contain.
 	answerSlackSeconds = 0.05
-	// shapePoints is the approximate number of points to which the load curve is reduced.
+	// shapePoints is the minimum number of points to which a load curve is reduced. A curve of fewer than twice as many points stays as it
+	// is.
 	shapePoints = 20
 )
 
-// Convert converts a bench's day file into a script with a rate of sessions per second and a length in seconds; length 0 keeps the length
-// of the day. What has no counterpart on sockets (prices, shares of tenants) is omitted.
+// Convert converts a day file of the bench into a script. rate is the number of sessions per second, and length the length of the scenario
+// in seconds; length 0 keeps the length of the day. What has no counterpart on sockets (prices, shares of tenants) is omitted.
 func Convert(text []byte, rate, length float64) (*Script, error) {
 	var day benchDay
 	if err := json.Unmarshal(text, &day); err != nil {
@@ -220,8 +221,8 @@
 	return day.Zones
 }
 
-// downsampleShape reduces the load curve of a day to about shapePoints points. Their times are shares of the day, and their loads are
-// relative to the mean.
+// downsampleShape reduces the load curve of a day to shapePoints points or more, but fewer than twice as many. The times of the points
+// are shares of the day, and their loads are relative to the mean load.
 func downsampleShape(points [][2]float64) [][2]float64 {
 	if len(points) == 0 {
 		return nil
@@ -293,7 +294,7 @@
 	}
 }
 
-// adapt converts the values of a bench's fault to the units and defaults of its counterpart in a script.
+// adapt converts the values of a fault of the bench to the units and defaults of its counterpart in a script.
 func (f *Fault) adapt(day *benchDay, which int, s *Script) {
 	if f.Part == 0 && len(f.Engines) == 0 {
 		f.Part = defaultPart
@@ -322,7 +323,8 @@
 	f.Len = math.Min(f.Len, s.LengthSeconds-f.At)
 }
 
-// toUnit converts a time of a day file from microseconds to a unit, unless the file already gives the time in that unit.
+// toUnit converts a time of a day file from microseconds to a unit of this many microseconds. A value of at most minMicroseconds is
+// returned unchanged, because the file already gives it in that unit.
 func toUnit(value, unit float64) float64 {
 	const minMicroseconds = 1000 // times in microseconds are longer than this
 	if value > minMicroseconds {
--- a/lab/scenario/defaults.go
+++ b/lab/scenario/defaults.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// setDefault sets a field to a value if the script does not give it.
+// setDefault sets a field to a value if the script gives no value for it, or gives the zero value.
 func setDefault[T comparable](field *T, value T) { *field = cmp.Or(*field, value) }
 
 // defaults sets the default values of fields that the script does not give.
--- a/lab/scenario/enginefaults.go
+++ b/lab/scenario/enginefaults.go
@@ -16,7 +16,8 @@
 	stateGone     = "gone"
 )
 
-// engineFault returns an injector that sets a fault of the emulator on the affected engines.
+// engineFault returns an injector that sets a fault of the emulator on the affected engines. Its end function removes all faults of these
+// engines, including those that other injectors have set.
 func engineFault(set func(*emulator.Faults, Fault)) faultInjector {
 	return func(r *run, f Fault) func() {
 		engines := r.affectedEngines(f, defaultPart)
@@ -157,7 +158,7 @@
 }
 
 // randomEngineRestarts kills single engines at random, Size of them per second, and restarts each in slow start after Extra seconds.
-// The list shows both changes after the list delay.
+// The list shows the stop and the restart, each after the list delay.
 func (r *run) randomEngineRestarts(f Fault) func() {
 	const (
 		defaultRate     = 0.1 // restarts per second
--- a/lab/scenario/faults.go
+++ b/lab/scenario/faults.go
@@ -15,8 +15,7 @@
 // faultInjector starts a fault and returns a function that ends it, or nil if the fault has already ended or is permanent.
 type faultInjector func(*run, Fault) (end func())
 
-// faultInjectors holds the injector of each kind of fault, by the bench's name of the kind. It is set by init because injectors refer to
-// it.
+// faultInjectors holds the injector of each kind of fault. The names of the kinds are those of the bench (see Convert). init sets it.
 var faultInjectors map[string]faultInjector
 
 func init() {
@@ -77,8 +76,9 @@
 	fmt.Fprintf(r.options.Out, "%6.1f s  %s ended\n", time.Since(r.start).Seconds(), f.Kind)
 }
 
-// affectedEngines returns the engines that a fault affects: those it names, or a share of all engines or of its zone, drawn from the
-// script's seed.
+// affectedEngines returns the engines that a fault affects. These are the engines that it names. If it names none, they are drawn from its
+// zone or, without a zone, from all engines: a share of them, but at least one. part is the share if the fault gives none. The draw
+// depends on the script's seed.
 func (r *run) affectedEngines(f Fault, part float64) []*emulator.Engine {
 	var engines []*emulator.Engine
 	for _, m := range r.fleet.Members() {
--- a/lab/scenario/fleetplan.go
+++ b/lab/scenario/fleetplan.go
@@ -20,8 +20,9 @@
 // cellPattern lists the kinds of the engines in a cell.
 var cellPattern = []string{"prefill", "decode", "decode", "prefill", "decode", "mixed"}
 
-// Script returns the script of a plan. It has prefill, decode and a few mixed engines in cells, two classes as users have them, and the
-// faults of the plan: nodes restart at random from the seed and, near the end, all of them within one second.
+// Script returns the script of a plan. It has prefill, decode and a few mixed engines in cells, two classes that resemble those of users,
+// and the faults of the plan. If the plan says so, nodes restart at random times, which the seed determines, and all nodes restart within
+// one second near the end.
 func (p FleetPlan) Script() *Script {
 	s := &Script{
 		Name:          fmt.Sprintf("fleet of %d nodes and %d engines", p.Nodes, p.Engines),
@@ -109,7 +110,8 @@
 
 // Capacity returns how many sessions per second the engines can serve. The stage with less capacity determines it: prefill, or decode
 // with all slots in use. It assumes that mixed engines only decode and that each prompt is prefilled where its prefix is cached, as in
-// a fleet with working prefix affinity. A fleet that has lost its affinity, or that spreads its prompts, has less capacity.
+// a fleet with working prefix affinity. A fleet that has lost its affinity, or that spreads prompts with the same prefix over many
+// engines, has less capacity.
 func (s *Script) Capacity() float64 {
 	var prefill, decode float64 // tokens per second
 	s.eachEngine(func(_ string, k Kind, g Group) {
@@ -128,7 +130,7 @@
 	return totalShare * min(prefill/max(1, promptTokens), decode/max(1, responseTokens))
 }
 
-// RestartFaults returns the faults of a release: all of the given engines restart in batches. The first batch stops at start and
+// RestartFaults returns the faults of a software release: all of the given engines restart in batches. The first batch stops at start and
 // the others follow at the interval. Each engine is down for the downtime (all in seconds).
 func RestartFaults(engines []string, batchSize int, start, interval, downtime float64) []Fault {
 	var faults []Fault
--- a/lab/scenario/loadfaults.go
+++ b/lab/scenario/loadfaults.go
@@ -36,7 +36,7 @@
 		func() { r.hotShare = 0 })
 }
 
-// makeImpatient makes a share (Size) of the clients wait only a share of their patience.
+// makeImpatient makes clients wait only impatientPatienceShare of their patience for a share (Size) of the requests.
 func (r *run) makeImpatient(f Fault) func() {
 	return r.override(func() { r.impatientShare = cmp.Or(f.Size, 0.3) }, func() { r.impatientShare = 0 })
 }
--- a/lab/scenario/machine.go
+++ b/lab/scenario/machine.go
@@ -19,8 +19,8 @@
 	WakeLatenessMax float64 `json:"late_most_s"` // maximum
 }
 
-// The machine was the limit if goroutines woke up later than a rule's slack, or if nearly all cores were in use. Clients and engines are
-// then late by themselves.
+// Limits above which the machine determines a run's results. Beyond them, goroutines wake up later than the slack of a rule, or nearly all
+// cores are in use. Clients and engines are then late even if no node delays them.
 const (
 	maxLateness = 0.05 // at the 99th percentile (s)
 	maxCPU      = 0.9  // share of the cores
--- a/lab/scenario/nodefaults.go
+++ b/lab/scenario/nodefaults.go
@@ -77,7 +77,8 @@
 	}
 }
 
-// claimRestart marks a node as restarting. It returns false if the node is already restarting or is down.
+// claimRestart marks a node as restarting. It returns false if the node was already restarting or is down. A node that is down for another
+// reason is marked too, and remains so: its later claims fail.
 func (r *run) claimRestart(slot *nodeSlot) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/scenario/nodes.go
+++ b/lab/scenario/nodes.go
@@ -69,8 +69,8 @@
 	return names
 }
 
-// startNode starts a node and waits until it is ready. A restarted node listens at its previous address and has no state but its latest
-// endpoint list.
+// startNode starts a node and waits until it is ready or readyTimeout has passed. A restarted node listens at its previous address and has
+// no state but its latest endpoint list.
 func (r *run) startNode(slot *nodeSlot) error {
 	node, started, err := r.launch(slot)
 	if err != nil {
@@ -106,7 +106,7 @@
 	return node, started, err
 }
 
-// killNode kills a node at once. It does nothing if the node is down.
+// killNode kills a node at once. If the node is already down, it only sets stoppedAt to the current time.
 func (r *run) killNode(slot *nodeSlot) {
 	r.mu.Lock()
 	node := slot.node
--- a/lab/scenario/report.go
+++ b/lab/scenario/report.go
@@ -28,7 +28,7 @@
 	Machine          Machine            `json:"machine"`
 	Unfinished       string             `json:"unfinished,omitempty"` // what was still running when the run was aborted
 	SlowStartUse     rules.SlowStartUse `json:"cold_use"`
-	Fairness         map[string]float64 `json:"fairness"`    // Jain's index of the work sent to the engines of each kind
+	Fairness         map[string]float64 `json:"fairness"`    // Jain's index of the work sent to the engines, by kind; "tenants": see report
 	ReadyP99         float64            `json:"ready_p99_s"` // time from the start of a node until it is ready
 	NodeStarts       int                `json:"node_starts"`
 	Series           []Point            `json:"series"`
@@ -37,14 +37,14 @@
 
 // Row counts the operations of a class whose first attempt was sent during a fault.
 type Row struct {
-	Fault           string  `json:"trouble"` // noFault, or wholeRun for all operations
+	Fault           string  `json:"trouble"` // kind of the fault; noFault = sent while no fault was active, wholeRun = all operations
 	Class           string  `json:"class"`
 	Sent            int     `json:"asked"`
 	ServedInTime    int     `json:"served_in_time"`
 	ServedLate      int     `json:"served_late"`
 	Rejected        int     `json:"refused"`
 	Failed          int     `json:"failed"`
-	Lost            int     `json:"lost"` // no node was reached, no first token in time, or a broken connection, as of a killed node
+	Lost            int     `json:"lost"` // no node reached, no first token within the patience, or connection lost (node killed)
 	Disconnected    int     `json:"left"` // the client disconnected on purpose
 	FirstTokenP50   float64 `json:"first_token_p50_s"`
 	FirstTokenP99   float64 `json:"first_token_p99_s"`
@@ -71,7 +71,8 @@
 	NodesUp      int                `json:"nodes_up"`
 }
 
-// report returns the report of a run that has ended. The caller sets Records, Machine and Unfinished.
+// report returns the report of a run that has ended. Its fairness for "tenants" is Jain's index of the share of each tenant's operations
+// that was served in time. The caller sets Records, Machine and Unfinished.
 func (r *run) report(checker *rules.Checker, counts *tally) *Report {
 	report := &Report{
 		Name:       r.script.Name,
--- a/lab/scenario/run.go
+++ b/lab/scenario/run.go
@@ -50,7 +50,7 @@
 	overtimeSeconds = 30.0
 	// finalWaitSeconds is how long the run then waits for canceled tasks before it ends without them (s).
 	finalWaitSeconds = 20.0
-	// releaseMargin is added to the time that rule 5 allows for state releases, for which the run waits before it ends (s).
+	// releaseMargin is added to the skew and the time that rule 5 allows for state releases. The run waits for the sum before it ends (s).
 	releaseMargin = 0.2
 )
 
@@ -176,8 +176,8 @@
 	return report
 }
 
-// awaitTasks waits until all clients, faults and list deliveries have ended. Once the context has ended it waits at most
-// finalWaitSeconds, and describes what is still running.
+// awaitTasks waits until all clients, faults and list deliveries have ended, and returns "". After the end of the context it waits at most
+// finalWaitSeconds longer, and then returns a description of what is still running.
 func (r *run) awaitTasks(ctx context.Context) (unfinished string) {
 	ended := make(chan struct{})
 	go func() {
@@ -198,7 +198,7 @@
 	}
 }
 
-// awaitStateReleases waits for the time that rule 5 allows for the release of held states, and then ends the record.
+// awaitStateReleases waits for the time that rule 5 allows for the release of held states, and then adds the last record, RecordEnded.
 func (r *run) awaitStateReleases() {
 	time.Sleep(seconds(r.script.Rules.StateReleaseLimit + r.options.Skew + releaseMargin))
 	r.log.Add(record.Record{Kind: record.RecordEnded})
@@ -277,8 +277,8 @@
 	return config
 }
 
-// decodeTokensPerSecond returns the decode rate of an engine of the kind after its slow start, with all slots in use. speed is the factor
-// of the engine's group.
+// decodeTokensPerSecond returns the decode rate of an engine of the kind after its slow start, with all slots in use. speed is the speed
+// factor of the engine's group.
 func (k Kind) decodeTokensPerSecond(speed float64) float64 {
 	slots := float64(k.Slots)
 	return slots / ((k.StepMS + k.PerSeqMS*slots) / 1000 / speed)
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// runShortScript runs the short example script, with its faults removed and then changed by change, and reports rule violations as
-// test errors.
+// runShortScript removes the faults from the short example script, lets change modify it, and runs it. Rule violations are reported as test
+// errors.
 func runShortScript(t *testing.T, change func(*scenario.Script)) *scenario.Report {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/scenario/short.json")
@@ -132,8 +132,8 @@
 	return r
 }
 
-// Half of the nodes have an endpoint list that is three seconds older than that of the others. It does not yet show that one engine is
-// draining, one has stopped and one has changed its role.
+// Half of the nodes receive each endpoint list three seconds after the others. For that time their list does not show that one engine
+// is draining, one has stopped and one has changed its role.
 func TestNoRuleIsViolatedWhileHalfTheNodesHaveAnOlderList(t *testing.T) {
 	r := runShortScript(t, func(s *scenario.Script) {
 		s.Nodes, s.LengthSeconds = 6, 7
@@ -151,7 +151,8 @@
 	}
 }
 
-// Engines that all nodes have removed restart in slow start and become available to all nodes at the same time.
+// Engines that all nodes have removed restart in slow start and become available to all nodes at the same time. All nodes together must
+// stay within the slow-start budget of each engine.
 func TestColdEngineBeforeAllNodesAtOnce(t *testing.T) {
 	r := runShortScript(t, func(s *scenario.Script) {
 		s.Nodes, s.LengthSeconds, s.Load.SessionsPerSecond, s.Rules.SlowStartSeconds = 20, 8, 60, 3
@@ -175,7 +176,7 @@
 	}
 }
 
-// A release restarts each prefill engine once, and the load of a fleet is proportional to the capacity of its engines.
+// A software release restarts each prefill engine once, and the load of a fleet is proportional to the capacity of its engines.
 func TestReleaseRestartsEachPrefillEngineOnceAndLoadFollowsCapacity(t *testing.T) {
 	p := scenario.FleetPlan{Nodes: 2, Engines: 24, Length: 60, Load: 0.5}
 	prefillEngines := p.Script().PrefillEngines()
--- a/lab/scenario/script.go
+++ b/lab/scenario/script.go
@@ -1,6 +1,6 @@
-// Package scenario runs scripted fault scenarios against real nodes on loopback, with clients, emulated engines, an endpoint list that is
-// delivered late, and faults whose kinds have the bench's names. The rules are checked against what passes on the sockets (lab/rules).
-// Nodes are started only through a Launch function.
+// Package scenario runs scripted fault scenarios against real nodes on loopback, with clients, emulated engines, and an endpoint list that
+// reaches the nodes with a delay. Its kinds of faults have the names that the bench uses in its day files (see Convert).
+// The rules are checked against what passes on the sockets (lab/rules). Nodes are started only through a Launch function.
 package scenario
 
 import (
@@ -101,7 +101,7 @@
 	Retries               int     `json:"retries"`
 	Backoff               float64 `json:"backoff_s"`
 	DisconnectShare       float64 `json:"hangups"`        // share of the requests whose client disconnects during the stream
-	FailureDetectionDelay float64 `json:"front_notice_s"` // time for which requests are still sent to a dead node
+	FailureDetectionDelay float64 `json:"front_notice_s"` // time for which clients still send requests to a dead node
 	AttemptShare          float64 `json:"try_share"`      // share of the patience that a client waits for one attempt
 }
 
--- a/lab/scenario/tally.go
+++ b/lab/scenario/tally.go
@@ -53,13 +53,13 @@
 	firstTokenDelay float64       // of the last attempt (s); 0 = no token yet
 	firstTokenAt    float64
 	promptTokens    float64
-	lastRecord      float64
+	lastRecord      float64 // time of its last record
 }
 
 // rowKey identifies a row by its fault and class.
 type rowKey struct{ fault, class string }
 
-// tenantCounts counts the operations of a tenant.
+// tenantCounts counts the operations of a tenant: all of them, and those served in time.
 type tenantCounts struct{ requests, servedInTime float64 }
 
 func newTally(script *Script, start float64) *tally {
@@ -257,7 +257,8 @@
 	return names
 }
 
-// countOperation counts an operation in the rows of its class, and for its tenant.
+// countOperation counts an operation for its tenant and in the rows of its class: those of the faults that were active when its first
+// attempt was sent, and that of the whole run.
 func (t *tally) countOperation(op *operation) {
 	tenant := t.tenants[op.tenant]
 	if tenant == nil {
