--- a/lab/overhead/load.go
+++ b/lab/overhead/load.go
@@ -93,7 +93,8 @@
 	group.Wait()
 }
 
-// openLoop sends n requests at a steady rate (requests per second) without waiting for responses. Latency is measured from the time at which a request is due.
+// openLoop sends n requests at a steady rate (requests per second) without waiting for responses. Latency is measured from the time at
+// which a request is due.
 func (l *loadGenerator) openLoop(ctx context.Context, n int, rate float64, latencies *hdrhistogram.Histogram) {
 	var requests sync.WaitGroup
 	var mu sync.Mutex // guards latencies
--- a/lab/scenario/convert.go
+++ b/lab/scenario/convert.go
@@ -7,8 +7,9 @@
 	"slices"
 )
 
-// benchDay is the part of a day file of the bench that has a counterpart in a script. The bench is the simulator that cmd/adapter serves.
-// A field without a tag has the name that the file uses, except for case. Times are in microseconds unless a name says otherwise.
+// benchDay is the part of a day file of the bench that has a counterpart in a script. The bench is the simulator to which cmd/adapter
+// connects schedulers. A field without a tag has the name that the file uses, except for case. Times are in microseconds unless a name
+// says otherwise.
 type benchDay struct {
 	Site     string
 	Family   string
