--- a/lab/platform/client.go
+++ b/lab/platform/client.go
@@ -21,8 +21,8 @@
 	Tenant         string
 	Session        string
 	ResponseTokens int
-	Timeout        time.Duration // stated in X-Budget; the client waits a little longer for the response head
-	ID             string        // call ID; "": Send assigns a new one
+	Timeout        time.Duration // stated in X-Budget; the client waits headGrace longer for the head of the response
+	ID             string        // ID of the call; "": Send assigns a new one
 	ExtraHeader    string        // further header lines, each ending with CRLF
 }
 
@@ -37,7 +37,7 @@
 	Duration   time.Duration
 }
 
-// lastCallID is the last ID that was assigned to a request without one.
+// lastCallID is the last ID that Send assigned.
 var lastCallID atomic.Uint64
 
 // Encode returns the request as it is sent: header and body.
@@ -77,8 +77,8 @@
 	return response
 }
 
-// FinalRecord returns the record of a response: base with its outcome, its error, and whether its text is the expected one. The text of
-// a failed response must be a prefix of the expected one.
+// FinalRecord returns the record of a response. It is base with the outcome, the error, and whether the text is as expected: of a served
+// response, the expected text; of a failed response, a prefix of it.
 func FinalRecord(base record.Record, r Request, response Response) record.Record {
 	final := base
 	final.Kind = record.FinalResponse
@@ -103,7 +103,7 @@
 	streamTimeout = 20 * time.Second
 )
 
-// receive reads the response. A stream without its last chunk counts as failed, and a missing head as a cut connection.
+// receive reads the response. A stream without its last chunk counts as a failed response, and a missing head as a lost connection.
 func (p *Platform) receive(conn net.Conn, r Request, base record.Record) Response {
 	conn.SetReadDeadline(time.Now().Add(r.Timeout + headGrace))
 	head, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/lab/platform/discovery.go
+++ b/lab/platform/discovery.go
@@ -33,8 +33,8 @@
 	endpoints map[string]Endpoint
 	changed   map[string]int // version at which an entry changed last
 	update    chan struct{}  // closed and replaced at each change
-	body      string         // sent instead of lists; "": lists are sent
-	silent    bool           // no response is sent
+	body      string         // body of responses instead of a list; "": lists are sent
+	silent    bool           // the agent sends no responses
 	server    *http.Server
 	listener  net.Listener
 }
@@ -88,14 +88,14 @@
 	}()
 }
 
-// Address returns the newest address.
+// Address returns the address of the newest server.
 func (d *Discovery) Address() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listener.Addr().String()
 }
 
-// HTTPServer returns the server at the newest address.
+// HTTPServer returns the newest server.
 func (d *Discovery) HTTPServer() *http.Server {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -121,7 +121,7 @@
 // SetState sets the state of an entry.
 func (d *Discovery) SetState(id, state string) { d.Update(id, func(e *Endpoint) { e.State = state }) }
 
-// SetFault sets a body that is sent instead of lists ("": lists are sent); silent makes discovery send no response at all.
+// SetFault sets the faults of the agent. It sends body instead of lists ("": it sends lists), or no responses at all if silent is true.
 func (d *Discovery) SetFault(body string, silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -158,15 +158,15 @@
 	return list
 }
 
-// discoveryResponse is what a call is answered with, taken under one lock.
+// discoveryResponse holds the data of the response to a call. All fields are read under one lock, so that they are consistent.
 type discoveryResponse struct {
 	list   endpointList
 	body   string
 	silent bool
 }
 
-// awaitUpdate blocks until there is a change after the given version, a fault is set, or maxWait has passed. It returns false if the
-// call is canceled first.
+// awaitUpdate blocks until the list has changed after the given version, a fault is set, or maxWait has passed. It returns false if the
+// call is canceled before that.
 func (d *Discovery) awaitUpdate(ctx context.Context, after int, maxWait time.Duration) (discoveryResponse, bool) {
 	timeout := time.After(maxWait)
 	timedOut := false
--- a/lab/platform/engine.go
+++ b/lab/platform/engine.go
@@ -28,10 +28,10 @@
 	address          string
 	listener         net.Listener
 	conns            map[net.Conn]bool
-	faults           []Fault // of the next responses
+	faults           []Fault // queued faults: each of the next responses takes one
 	stopped          bool
-	startDelay       time.Duration
-	hung             chan struct{} // closed when the engine recovers; nil: it does not hang
+	startDelay       time.Duration // time before the engine starts to serve a request
+	hung             chan struct{} // closed when the engine stops hanging; nil: it does not hang
 	frozen           bool          // while it hangs, it does not detect closed connections either
 	attemptsLost     chan struct{} // closed when the engine loses the attempts that it has received
 	streamsStarted   int
--- a/lab/platform/exchange.go
+++ b/lab/platform/exchange.go
@@ -12,8 +12,8 @@
 	"dillroute/lab/record"
 )
 
-// exchange is one request at an engine and its response. The methods that serve or write return whether the connection can carry
-// another request.
+// exchange is one request at an engine and its response. The boolean result of a method that serves or writes says whether the connection
+// can carry another request.
 type exchange struct {
 	engine       *Engine
 	conn         net.Conn
@@ -46,7 +46,7 @@
 	return x.serveAttempt()
 }
 
-// serveRelease releases the states of a call unless an attempt waits for them. The response doesn't say whether any was released.
+// serveRelease releases the states of a call, unless an attempt waits for them. The response is the same in both cases.
 func (x *exchange) serveRelease(call string) bool {
 	if !x.awaitRecovery() {
 		return false
@@ -142,7 +142,8 @@
 	return x.fault != DelayedSecondResponse || x.sendSecondResponse()
 }
 
-// serveDecode generates the response of an attempt whose state is reserved, or which needs none.
+// serveDecode generates the response of a decode attempt. If the attempt needs a reserved state and there is none, it responds with
+// status 410.
 func (x *exchange) serveDecode() bool {
 	platform := x.engine.platform
 	switch {
--- a/lab/platform/fault.go
+++ b/lab/platform/fault.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Fault is a deviation of an engine in one response.
+// Fault is a deviation of an engine from its normal behavior in one response.
 type Fault string
 
-// Faults of a response. Those marked valid conform to the protocol: a node has to handle them without an error.
+// Faults of a response. The faults marked valid conform to the protocol, so a node has to handle them without an error.
 const (
 	NoFault                   Fault = ""
 	GarbageHead               Fault = "noise"         // bytes that are not HTTP instead of the head; the connection stays open
@@ -53,10 +53,11 @@
 	e.mu.Unlock()
 }
 
-// SetHung makes the engine accept connections and requests without serving them (true), or ends that (false).
+// SetHung makes the engine hang (true) or ends the hang (false). A hung engine accepts connections and requests without serving them.
 func (e *Engine) SetHung(hung bool) { e.setHung(hung, false) }
 
-// SetFrozen is SetHung for an engine whose process is suspended: until it resumes, it does not detect closed connections either.
+// SetFrozen makes the engine hang (true), or ends the hang (false), as if its process were suspended and resumed. In contrast to
+// SetHung, the engine does not detect closed connections before it resumes.
 func (e *Engine) SetFrozen(frozen bool) { e.setHung(frozen, true) }
 
 func (e *Engine) setHung(hung, frozen bool) {
@@ -78,8 +79,8 @@
 	e.frozen = false
 }
 
-// LoseAttempts makes a hung engine lose the attempts that it has received, as when its machine vanishes: the attempts end, and their
-// connections stay open and carry nothing more.
+// LoseAttempts makes a hung engine lose the attempts that it has received, as if its machine had vanished. The attempts are never served,
+// and their connections stay open and carry nothing more.
 func (e *Engine) LoseAttempts() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -106,7 +107,7 @@
 	return fault, e.startDelay
 }
 
-// awaitRecovery waits while the engine hangs. It returns false if the connection ends first or the attempt is lost.
+// awaitRecovery waits until the engine no longer hangs. It returns false if the connection has ended or the attempt was lost by then.
 func (x *exchange) awaitRecovery() bool {
 	x.engine.mu.Lock()
 	hung, lost, disconnected := x.engine.hung, x.engine.attemptsLost, x.disconnected
--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -17,18 +17,18 @@
 // Platform is an emulated platform: the state that its engines share. New creates one. Its methods are safe for concurrent use.
 type Platform struct {
 	Log  *record.Log
-	Node string // node named in records of attempts that came over no registered route
-	// LosesResponse reports whether bytes that an engine sends on the connection from peer are lost on the way; nil: none are.
+	Node string // node that the records name for attempts that arrived at an address without a registered route
+	// LosesResponse reports whether bytes that an engine sends on the connection from peer are lost on the way; nil: none are lost.
 	LosesResponse func(engine string, peer net.Addr) bool
 
 	mu              sync.Mutex // guards the fields below
 	engines         map[string]*Engine
-	states          map[string]map[string]bool // by call ID: the engines that reserve a state for it
-	waitingAttempts map[string]int             // by call ID: attempts that have arrived at decode engines and have not fetched its state
+	states          map[string]map[string]bool // by call ID: the engines that store a reserved state for the call
+	waitingAttempts map[string]int             // by call ID: number of attempts that wait for the state of the call at decode engines
 	operations      map[string]Operation       // by call ID
 	budgets         map[string][]Budget        // by name of the operation
 	headers         map[string][]http.Header   // by name of the operation
-	routes          map[string]string          // nodes, by the address that only this node uses to reach an engine
+	routes          map[string]string          // by address that only one node uses to reach an engine: the node
 
 	goroutines sync.WaitGroup // of engines and discovery agents
 }
@@ -88,7 +88,7 @@
 	return e
 }
 
-// Stop stops all engines and waits for all goroutines of engines and discovery agents. The caller closes the agents first.
+// Stop stops all engines and waits for all goroutines of engines and discovery agents. The caller must have closed the agents.
 func (p *Platform) Stop() {
 	p.mu.Lock()
 	var engines []*Engine
--- a/lab/platform/state.go
+++ b/lab/platform/state.go
@@ -5,14 +5,14 @@
 // stateID returns the name that records use for the state of a call at an engine.
 func stateID(call, engine string) string { return call + "@" + engine }
 
-// CallsWithState returns the number of calls for which at least one engine reserves a state.
+// CallsWithState returns the number of calls for which at least one engine stores a reserved state.
 func (p *Platform) CallsWithState() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.states)
 }
 
-// reserveState reserves a state for a call at an engine and records that with the given note.
+// reserveState reserves a state for a call at an engine. It records the reservation with the given note.
 func (p *Platform) reserveState(node, call, engine, note string) {
 	p.mu.Lock()
 	operation := p.operations[call]
@@ -64,7 +64,7 @@
 	}
 }
 
-// stateHolder returns an engine that reserves a state for a call; "" if there is none.
+// stateHolder returns an engine that stores a reserved state for a call; "" if there is none.
 func (p *Platform) stateHolder(call string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/lab/platform/stream.go
+++ b/lab/platform/stream.go
@@ -41,7 +41,7 @@
 	return x.endStream()
 }
 
-// breakStream injects the fault of the exchange if it is a mid-stream fault, and reports whether it has ended the stream.
+// breakStream injects the fault of the exchange if it is a mid-stream fault. It returns whether it has injected one, which ends the stream.
 func (x *exchange) breakStream() bool {
 	switch x.fault {
 	case CloseMidStream:
@@ -63,7 +63,7 @@
 	return true
 }
 
-// writeHugeChunk announces a chunk of 3 GB and writes 4 MB of it.
+// writeHugeChunk writes the size line of a chunk of 3 GB, and 4 MB of the chunk's data.
 func (x *exchange) writeHugeChunk() {
 	x.write("c0000000\r\n")
 	for range 64 {
--- a/lab/record/record.go
+++ b/lab/record/record.go
@@ -22,13 +22,14 @@
 	FinalResponse Kind = "answer"
 	// ClientDisconnected is a disconnect initiated by the client.
 	ClientDisconnected Kind = "hangup"
-	// ExtraResponse is a second final response, or any other data after the first.
+	// ExtraResponse is a second final response, or any other data after the first. The engines of lab/platform also
+	// record a request whose id no client sent as an ExtraResponse.
 	ExtraResponse Kind = "more"
 )
 
 // Events observed by engines.
 const (
-	// AttemptArrived is a complete attempt that an engine received.
+	// AttemptArrived is the arrival of an attempt whose request the engine has received completely.
 	AttemptArrived Kind = "arrive"
 	// AttemptRejected is an attempt that the engine rejected.
 	AttemptRejected Kind = "turned"
@@ -36,7 +37,7 @@
 	EffectStarted Kind = "run"
 	// AttemptEnded is the end of an attempt at its engine.
 	AttemptEnded Kind = "end"
-	// StateReserved is a prefilled state that the engine stores until it is fetched or released.
+	// StateReserved is the reservation of a prefilled state, which the engine stores until it is fetched, released or lost.
 	StateReserved Kind = "parsed"
 	// StateEnded is the end of a state: it was fetched, released or lost.
 	StateEnded Kind = "state_end"
@@ -54,7 +55,7 @@
 	NodeStarted Kind = "node_up"
 	// NodeKilled is the kill of a node's process.
 	NodeKilled Kind = "node_kill"
-	// RecordEnded is the end of the recording: events were recorded until then.
+	// RecordEnded is the end of the recording; later events were not recorded.
 	RecordEnded Kind = "close"
 )
 
@@ -67,13 +68,13 @@
 	Served Outcome = "served"
 	// Rejected is a rejection that promises that a retry is harmless.
 	Rejected Outcome = "refused"
-	// Failed is an error response.
+	// Failed is an error response or an incomplete stream.
 	Failed Outcome = "failed"
 	// ConnectionLost is a connection that broke without a final response.
 	ConnectionLost Outcome = "cut"
 	// Unreachable is a node that accepted no connection.
 	Unreachable Outcome = "unmet"
-	// TimedOut is a request without a first token in time.
+	// TimedOut is a request for which no first token arrived while its client waited.
 	TimedOut Outcome = "overdue"
 )
 
@@ -89,7 +90,7 @@
 	Engine     string
 	State      string // id of a state, or the state of an engine in an endpoint list
 	Outcome    Outcome
-	Tokens     float64 // of the prompt or of the response; RequestSent: the client's patience (s)
+	Tokens     float64 // number of tokens; RequestSent: the client's patience (s); EngineStarted: 1 = cold start
 	Work       float64 // AttemptArrived: tokens of the prompt to process, or of the response to generate
 	StatedTime float64 // AttemptArrived: the client's remaining time as stated to the engine (s); 0 = not stated
 	Note       string
@@ -150,6 +151,6 @@
 	return records
 }
 
-// ResponseLost is the note of a StateReserved whose prefill was answered over a connection that no longer carries data. The attempt is
-// in flight until its node closes that connection, which ends the attempt.
+// ResponseLost is the note of a StateReserved record if the engine answered the prefill on a connection that no longer carries data. The
+// attempt is in flight until its node closes that connection, which ends the attempt.
 const ResponseLost = "response lost"
--- a/lab/rules/checker.go
+++ b/lab/rules/checker.go
@@ -1,6 +1,6 @@
 // Package rules checks the records of a run's socket traffic against the five rules. It imports no package of the router, so that
-// a fault of the router cannot hide from the checker. Each rule has a file of its own; it processes records and reports violations.
-// A Checker processes records during a run; Check processes those of a completed run.
+// a fault of the router cannot hide from the checker. The code of each rule is in a file of its own. A Checker processes records during
+// a run; Check processes the records of a completed run.
 package rules
 
 import (
@@ -16,13 +16,13 @@
 type Config struct {
 	Classes           map[string]Class
 	Engines           map[string]Engine
-	AnswerSlack       float64 // rule 1: delay of a response allowed beyond the client's patience
+	AnswerSlack       float64 // rule 1: how long after the end of the client's patience a response may arrive
 	StatedTimeSlack   float64 // rule 1: maximum excess of the time stated to an engine over the client's remaining time; 0 = not checked
 	DrainGrace        float64 // rule 3: grace period after which no attempt may be sent
-	ListLag           float64 // rule 3: time for a node to read a delivered endpoint list
+	ListLag           float64 // rule 3: time that a node may take to read a delivered endpoint list
 	OverloadMultiple  float64 // rule 4: maximum work sent, as a multiple of the engine's capacity in slow start
 	SlowStartWindow   float64 // rule 4: length of the window over which work is summed
-	StateReleaseLimit float64 // rule 5: maximum time that an idle state may wait
+	StateReleaseLimit float64 // rule 5: maximum time that a state may wait while no attempt to fetch it is in flight
 	Skew              float64 // tolerance for clock skew, scheduling and socket delays
 }
 
@@ -39,7 +39,7 @@
 	Cell, Zone             string
 	PrefillTokensPerSecond float64
 	DecodeTokensPerSecond  float64
-	SlowStartShare         float64 // fraction of these rates at the start of the engine
+	SlowStartShare         float64 // fraction of these rates that the engine reaches at its start
 	SlowStartSeconds       float64 // duration of slow start
 }
 
@@ -59,8 +59,8 @@
 }
 
 const (
-	// horizon is how long the checker retains an operation, a state or a killed node after its last record (s). A violation that
-	// becomes visible only after that is not detected.
+	// horizon is how long the checker retains an operation after its last record, and a state after it has become idle (s). A
+	// violation that becomes visible only after that is not detected.
 	horizon = 30.0
 	// sweepInterval is the time between two passes that delete entries older than the horizon (s).
 	sweepInterval = horizon / 4
@@ -70,8 +70,8 @@
 	violationsPerRule = 25
 )
 
-// Checker checks the rules during a run. Its memory is bounded by the events within the horizon, not by the length of the run. It
-// is not safe for concurrent use.
+// Checker checks the rules during a run. Its memory use depends on the number of events within the horizon, not on the length of the
+// run. It is not safe for concurrent use.
 type Checker struct {
 	reorder    reorderBuffer
 	findings   *findings
@@ -83,7 +83,7 @@
 	lastSweep  float64
 }
 
-// NewChecker returns a checker without records.
+// NewChecker returns a checker that has processed no records yet.
 func NewChecker(config Config) *Checker {
 	found := &findings{counts: map[int]int{}}
 	kills := &nodeKills{skew: config.Skew, times: map[string][]float64{}}
@@ -106,7 +106,7 @@
 	return checker.Close()
 }
 
-// Add adds a record. Records may be out of order by up to reorderWindow.
+// Add adds a record. Records may be out of order by up to reorderWindow (0.5 s).
 func (c *Checker) Add(r record.Record) {
 	c.reorder.add(r)
 	for {
@@ -118,7 +118,8 @@
 	}
 }
 
-// Close checks the remaining records and returns the stored violations, the first ones of each rule, ordered by time.
+// Close checks the remaining records and returns the stored violations, ordered by time. Of each rule, only the first
+// violationsPerRule violations are stored.
 func (c *Checker) Close() []Violation {
 	for {
 		next, ok := c.reorder.next()
@@ -145,7 +146,7 @@
 // ViolationsByRule returns the number of violations by rule; rule 0 counts incorrect response texts.
 func (c *Checker) ViolationsByRule() map[int]int { return maps.Clone(c.findings.counts) }
 
-// SlowStartUse returns the greatest use of an engine's slow-start budget so far.
+// SlowStartUse returns the greatest fraction of a slow-start budget (SlowStartUse.Share) that was used so far.
 func (c *Checker) SlowStartUse() SlowStartUse { return c.slowStart.peak }
 
 // check passes one record to every rule; records must be passed in order of time.
@@ -163,7 +164,7 @@
 	}
 }
 
-// findings stores the violations of all rules.
+// findings counts the violations of all rules and stores the first ones.
 type findings struct {
 	violations []Violation
 	counts     map[int]int // by rule
@@ -180,7 +181,8 @@
 // nodeEngine is a pair of a node and an engine.
 type nodeEngine struct{ node, engine string }
 
-// nodeKills holds the times at which nodes were killed. Requests in flight on a killed node are excused: their clients have to retry.
+// nodeKills holds the times at which nodes were killed (Unix seconds). A missing response to a request that was in flight on a killed
+// node is no violation, because the client has to retry it. Neither is a late release of that node's states.
 type nodeKills struct {
 	skew  float64
 	times map[string][]float64 // by node
--- a/lab/rules/draining.go
+++ b/lab/rules/draining.go
@@ -5,12 +5,12 @@
 // stateReady is the endpoint list's state of an engine that accepts requests.
 const stateReady = "ready"
 
-// drainRule checks rule 3: a node sends nothing to an engine that its endpoint list has shown as draining or gone for longer than
-// the grace period.
+// drainRule checks rule 3: if a node's endpoint list has shown an engine as draining or gone for longer than the grace period, the
+// node sends nothing to this engine.
 type drainRule struct {
 	config    Config
 	findings  *findings
-	delivered map[nodeEngine]record.Record // the first delivery of the engine's current state
+	delivered map[nodeEngine]record.Record // the first delivery of the current state of the engine in the node's list
 }
 
 func (d *drainRule) observe(r record.Record) {
--- a/lab/rules/effects.go
+++ b/lab/rules/effects.go
@@ -2,8 +2,8 @@
 
 import "dillroute/lab/record"
 
-// Rule 2: an operation takes effect at most once, or as often as its class allows, and a response promises that a retry is harmless
-// only if it is.
+// Rule 2: an operation takes effect at most once, unless its class allows more effects. A response may promise that a retry is
+// harmless only if that is true.
 
 // addEffect processes the start of an operation's effect at an engine.
 func (o *operationRules) addEffect(r record.Record) {
@@ -19,7 +19,8 @@
 	op.effects = append(op.effects, r)
 }
 
-// checkRetryHarmless reports a rejection, which promises that a retry is harmless, if the attempt has taken effect.
+// checkRetryHarmless reports a rejection of an attempt that has taken effect, because a rejection promises that a retry is harmless.
+// It reports nothing if the class makes a second effect harmless at every engine.
 func (o *operationRules) checkRetryHarmless(response record.Record, a *attempt) {
 	class := o.config.Classes[response.Class]
 	if class.Effect == "repeatable" || class.Effect == "by_key" && class.Group == "all" {
@@ -46,7 +47,8 @@
 	}
 }
 
-// sameGroup reports whether two engines deduplicate by the same keys; group is the scope of the keys: all, zone or cell.
+// sameGroup reports whether two engines share their deduplication keys. group says which engines share them: all engines, those of a
+// zone or those of a cell.
 func (o *operationRules) sameGroup(group, first, second string) bool {
 	a, b := o.config.Engines[first], o.config.Engines[second]
 	switch group {
--- a/lab/rules/operations.go
+++ b/lab/rules/operations.go
@@ -10,15 +10,15 @@
 // operation is a unit of work requested by a user; the client's retries belong to the same operation.
 type operation struct {
 	attempts     map[int]*attempt
-	effects      []record.Record // each start of its effect at an engine
-	lastRecordAt float64
+	effects      []record.Record // one record for each start of its effect at an engine
+	lastRecordAt float64         // Unix seconds
 }
 
 // attempt is one request of a client to a node.
 type attempt struct {
-	request           record.Record // zero until the request was sent
+	request           record.Record // zero until the record of the request has been processed
 	finalResponses    []record.Record
-	firstTokenAt      float64 // 0 = no token has arrived
+	firstTokenAt      float64 // Unix seconds; 0 = no token has arrived
 	effectEngine      string  // engine at which its effect began; "" = none
 	reportedAsMissing bool    // a missing final response has been reported
 }
@@ -73,7 +73,8 @@
 	return a
 }
 
-// sweep deletes completed operations that had no record within the horizon.
+// sweep deletes the operations that had no record within the horizon and whose clients no longer wait. It first reports their missing
+// final responses.
 func (o *operationRules) sweep(now float64) {
 	for _, id := range slices.Sorted(maps.Keys(o.operations)) {
 		op := o.operations[id]
@@ -84,7 +85,8 @@
 	}
 }
 
-// awaitsResponse reports whether the client of any attempt may still be waiting for the first token.
+// awaitsResponse reports whether an attempt has neither a first token nor a final response, and its client's patience ended less than
+// the horizon ago or has not ended.
 func (op *operation) awaitsResponse(now float64) bool {
 	for _, a := range op.attempts {
 		if len(a.finalResponses) == 0 && a.firstTokenAt == 0 && now < a.request.T+patienceOf(a.request)+horizon {
--- a/lab/rules/reorder.go
+++ b/lab/rules/reorder.go
@@ -6,14 +6,15 @@
 	"dillroute/lab/record"
 )
 
-// reorderWindow is how far records may be out of order (s): many goroutines write records at the same time.
+// reorderWindow is how far records may be out of order (s). They can be out of order because many goroutines write records at the
+// same time.
 const reorderWindow = 0.5
 
 // reorderBuffer stores records until no earlier one can arrive, and returns them in order of time.
 type reorderBuffer struct {
 	waiting recordHeap
-	latest  float64 // time of the latest record
-	serial  uint64
+	latest  float64 // time of the latest record (Unix seconds)
+	serial  uint64  // number of records added
 }
 
 func (b *reorderBuffer) add(r record.Record) {
@@ -22,7 +23,7 @@
 	b.latest = max(b.latest, r.T)
 }
 
-// nextDue removes and returns the earliest record if it is older than the reorder window.
+// nextDue removes and returns the earliest record, unless an earlier one may still arrive; it then returns false.
 func (b *reorderBuffer) nextDue() (record.Record, bool) {
 	if len(b.waiting) == 0 || b.waiting[0].T >= b.latest-reorderWindow {
 		return record.Record{}, false
@@ -44,8 +45,8 @@
 	serial uint64
 }
 
-// recordHeap is a heap ordered by time. With a sorted slice, each insertion moves all later records: at 20,000 records a second the
-// checker used more CPU time than the system under test.
+// recordHeap is a heap ordered by time. A sorted slice is too slow, because each insertion moves all later records: at 20,000 records
+// a second the checker used more CPU time than the system under test.
 type recordHeap []waitingRecord
 
 func (h recordHeap) Len() int      { return len(h) }
--- a/lab/rules/responses.go
+++ b/lab/rules/responses.go
@@ -2,10 +2,11 @@
 
 import "dillroute/lab/record"
 
-// Rule 1: each attempt of a client gets exactly one final response, correct and within the client's patience; nothing is sent to
-// an engine after it; and the time stated to an engine does not exceed the client's remaining time.
+// Rule 1: each attempt of a client gets exactly one final response. The response is correct and begins before the client's patience
+// ends. Nothing is sent to an engine after the final response. The time stated to an engine does not exceed the client's remaining
+// time.
 
-// addFinalResponse processes a final response, a client's disconnect, or anything received after one of them.
+// addFinalResponse processes a final response, a client's disconnect, or data that a client received after one of them.
 func (o *operationRules) addFinalResponse(r record.Record) {
 	a := o.attemptOf(r)
 	a.finalResponses = append(a.finalResponses, r)
@@ -20,7 +21,8 @@
 	o.checkRetryHarmless(r, a)
 }
 
-// checkDelivery checks that a final response arrived in time.
+// checkDelivery reports a response that began after the client's patience, and a missing response unless the node was killed while
+// the client waited. It does not report a node that accepted no connection.
 func (o *operationRules) checkDelivery(response record.Record, a *attempt) {
 	request := a.request
 	patience := patienceOf(request)
@@ -55,7 +57,8 @@
 	}
 }
 
-// checkArrival checks an attempt of a node that arrived at an engine against the client's attempt that it serves.
+// checkArrival processes the arrival of a node's attempt at an engine. It checks the stated time, and that the client's attempt had no
+// final response yet.
 func (o *operationRules) checkArrival(r record.Record) {
 	a := o.attemptOf(r)
 	o.checkStatedTime(r, a.request)
@@ -68,7 +71,7 @@
 	}
 }
 
-// checkStatedTime checks the time that the node stated to the engine against the client's remaining time.
+// checkStatedTime checks that the time that the node stated to the engine does not exceed the client's remaining time.
 func (o *operationRules) checkStatedTime(r, request record.Record) {
 	if o.config.StatedTimeSlack <= 0 || request.T <= 0 {
 		return
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -18,12 +18,12 @@
 // defectCase is a fleet of engines behind a router with a defect.
 type defectCase struct {
 	defect        faultyrouter.Defect
-	brokenRule    int // rule that the checker must report; -1 = none
+	brokenRule    int // rule that the checker must report; 0 = incorrect response text, -1 = none
 	changeRequest func(*client.Request)
 	injectFault   func(f *fleet.Fleet)
 }
 
-// runDefectCase sends requests through the router and returns the violations that the checker reports.
+// runDefectCase sends requests through the router of a case and returns the violations that the checker reports.
 func runDefectCase(t *testing.T, s defectCase) []rules.Violation {
 	t.Helper()
 	log := &record.Log{}
@@ -62,7 +62,7 @@
 	case faultyrouter.SendsToDraining:
 		draining["decode-1"] = true
 		deliverList("decode-1", "draining")
-		time.Sleep(1100 * time.Millisecond) // the grace period must have ended
+		time.Sleep(1100 * time.Millisecond) // longer than the grace period
 	case faultyrouter.FloodsColdEngine:
 		engineFleet.Engine("decode-1").Kill()
 		if err := engineFleet.Engine("decode-1").Start(true); err != nil {
@@ -100,7 +100,7 @@
 	}
 	wg.Wait()
 	if s.defect == faultyrouter.SendsAfterAnswer || s.defect == faultyrouter.LeavesState {
-		time.Sleep(1800 * time.Millisecond) // the attempt after the response, or the missing release, has to be recorded
+		time.Sleep(1800 * time.Millisecond) // until the attempt after the response, or the missing release, is recorded
 	}
 	router.Stop()
 	log.Add(record.Record{Kind: record.RecordEnded})
@@ -125,8 +125,8 @@
 	})
 }
 
-// Guards against a checker that misses a violation: for each defective router it must report the rule that the defect violates, and
-// for the router without a defect no rule.
+// Guards against a checker that misses violations or reports false ones. For each defective router, it must report the rule that the
+// defect violates. For the router without a defect, it must report nothing.
 func TestCheckerReportsEachDefect(t *testing.T) {
 	cutStreamsAfter := func(k int) func(f *fleet.Fleet) {
 		return func(f *fleet.Fleet) {
--- a/lab/rules/slowstart.go
+++ b/lab/rules/slowstart.go
@@ -8,33 +8,35 @@
 	"dillroute/lab/record"
 )
 
-// slowStartRule checks rule 4: in every window of Config.SlowStartWindow, the work that all nodes together send to an engine in slow
-// start stays below Config.OverloadMultiple times the engine's capacity at that time, plus an allowance of two requests. Each request
-// counts with the mean work of its class and stage so far.
+// slowStartRule checks rule 4 for each window of length Config.SlowStartWindow. The budget for the work that all nodes together send to
+// an engine in slow start is Config.OverloadMultiple times the engine's capacity at that time, plus an allowance of two requests. The
+// rule is violated if the work exceeds the budget and at least two thirds of it came from nodes whose endpoint lists showed the
+// engine's start. Each request counts with the mean work of its class and stage so far.
 type slowStartRule struct {
 	config     Config
 	findings   *findings
-	coldStarts map[string]float64  // by engine: the time of its last start, if it was a cold start
-	informed   map[nodeEngine]bool // the node's list has shown the engine as ready since that start
-	sent       map[string][]sentWork
-	weights    map[string]*mean // by class and stage
-	peak       SlowStartUse
+	coldStarts map[string]float64    // by engine: the time of its last start (Unix seconds), if it was a cold start
+	informed   map[nodeEngine]bool   // whether the node's list has shown the engine as ready since its last start
+	sent       map[string][]sentWork // by engine: the work in the current window
+	weights    map[string]*mean      // by class and stage: the mean work of a request (tokens)
+	peak       SlowStartUse          // the greatest use of a budget so far
 }
 
-// SlowStartUse is the work sent to an engine in slow start, relative to the engine's budget.
+// SlowStartUse is the work that was sent to an engine in slow start within one window, as a fraction of the engine's budget.
 type SlowStartUse struct {
-	Share  float64 // fraction of the budget used; above 1 the rule is violated
+	Share  float64 // fraction of the budget that was used; a violation needs more than 1
 	Engine string
-	T      float64 // time (Unix seconds)
+	T      float64 // end of the window (Unix seconds)
 }
 
 // sentWork is work that was sent to an engine in slow start.
 type sentWork struct {
-	sentAt, weight float64
-	informed       bool // the sending node's endpoint list showed the start
+	sentAt, weight float64 // Unix seconds; tokens
+	informed       bool    // the sending node's endpoint list showed the start
 }
 
-// slowStartAllowance is the number of requests of mean weight by which the budget may be exceeded: requests cannot be split.
+// slowStartAllowance is the part of the budget that does not depend on the capacity, in requests of mean work. It is needed because
+// requests cannot be split.
 const slowStartAllowance = 2
 
 // mean is a running mean.
@@ -81,7 +83,7 @@
 	maps.DeleteFunc(s.informed, func(key nodeEngine, _ bool) bool { return key.engine == r.Engine })
 }
 
-// checkArrival checks the work in the window that ends with this record.
+// checkArrival checks the work in the window that ends with the arrival of an attempt at an engine in slow start.
 func (s *slowStartRule) checkArrival(r record.Record) {
 	weight := s.weigh(r)
 	startedAt, warming := s.coldStarts[r.Engine]
@@ -124,7 +126,8 @@
 	return m.value()
 }
 
-// capacity returns the number of tokens that an engine can process in one window; age is the time since its start (s).
+// capacity returns the number of tokens that an engine can process in one window, for the stage of the record r. age is the time since
+// the engine's start (s).
 func (s *slowStartRule) capacity(r record.Record, age float64) float64 {
 	engine := s.config.Engines[r.Engine]
 	rate := engine.DecodeTokensPerSecond
@@ -142,7 +145,7 @@
 	stageDecode  = "decode"
 )
 
-// stageOf returns the stage of an engine's record. The record's note begins with it.
+// stageOf returns the stage of an engine's record. The note of a record of the prefill stage begins with its name.
 func stageOf(r record.Record) string {
 	if strings.HasPrefix(r.Note, stagePrefill) {
 		return stagePrefill
--- a/lab/rules/statedtime_test.go
+++ b/lab/rules/statedtime_test.go
@@ -7,7 +7,8 @@
 	"dillroute/lab/rules"
 )
 
-// A node that states more time to an engine than its client has left violates rule 1.
+// A node violates rule 1 if it states more time to an engine than its client has left. A violation is reported only beyond
+// StatedTimeSlack (0.15 s).
 func TestExcessiveStatedTimeIsReported(t *testing.T) {
 	for _, c := range []struct {
 		stated float64
--- a/lab/rules/staterelease.go
+++ b/lab/rules/staterelease.go
@@ -7,9 +7,10 @@
 	"dillroute/lab/record"
 )
 
-// stateReleaseRule checks rule 5: a state that an engine has reserved for a decode attempt waits no longer than the limit while no
-// attempt to fetch it is in flight. If the prefill's response was lost in transit, the prefill counts as in flight until its node closes
-// it: until then no node can know of the state, and a release call would end prefills that are still running.
+// stateReleaseRule checks rule 5: a state that an engine has reserved for a decode attempt waits no longer than
+// Config.StateReleaseLimit while no attempt to fetch it is in flight. If the prefill's response was lost in transit, the prefill counts
+// as in flight until its node closes the connection. Before that, the node cannot know that the state exists, and a release call would
+// end prefills that are still running.
 type stateReleaseRule struct {
 	config   Config
 	findings *findings
@@ -20,10 +21,10 @@
 // reservedState is a prefilled state stored at an engine.
 type reservedState struct {
 	reservation     record.Record
-	idleSince       float64 // time since which no attempt to fetch it is in flight
-	inFlight        int     // attempts to fetch it, plus the prefill that made it if its response was lost
-	prefillInFlight bool    // the response of that prefill was lost and the prefill has not ended
-	reported        bool
+	idleSince       float64 // time since which no attempt to fetch it is in flight (Unix seconds)
+	inFlight        int     // number of attempts to fetch it, plus 1 while prefillInFlight
+	prefillInFlight bool    // the response of the prefill that made the state was lost, and the prefill has not ended
+	reported        bool    // a violation was reported for it
 }
 
 func (s *stateReleaseRule) observe(r record.Record) {
@@ -64,7 +65,7 @@
 	}
 }
 
-// check reports a state if it has been idle for longer than the limit.
+// check reports a state that has been idle for longer than the limit, unless its node was killed.
 func (s *stateReleaseRule) check(state *reservedState, now float64) {
 	if state.inFlight > 0 || state.reported {
 		return
--- a/lab/rules/staterelease_test.go
+++ b/lab/rules/staterelease_test.go
@@ -7,8 +7,8 @@
 	"dillroute/lab/rules"
 )
 
-// If the response of a prefill was lost, the time limit of its state starts at the end of that prefill, and no later. For any other
-// state it starts at the reservation, even if the connection of the prefill stays open.
+// If the response of a prefill was lost, the time limit for its state starts at the end of the prefill. For any other state it starts at
+// the reservation, even if the connection of the prefill stays open for longer.
 func TestStateReleaseLimitStartsAtEndOfPrefillWithLostResponse(t *testing.T) {
 	const limit, skew = 1.0, 0.1
 	for _, c := range []struct {
--- a/lab/simulation/attempt.go
+++ b/lab/simulation/attempt.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// lateResponseGrace is how long a client waits for a response beyond its patience (s).
+	// lateResponseGrace is how long a client waits for the head of a response after its patience has ended (s).
 	lateResponseGrace = 0.5
-	// maxStreamTime is how long a client waits for the end of a stream.
+	// maxStreamTime is how long a client waits for the end of a stream, counted from the head of the response.
 	maxStreamTime = time.Minute
 	// slowSendPause is the delay between the two parts of a request under SlowClients.
 	slowSendPause = 300 * time.Millisecond
@@ -36,7 +36,7 @@
 	outcome      Outcome
 	code         string
 	firstTokenAt time.Time
-	retryAfter   float64 // s
+	retryAfter   float64 // value of Retry-After (s); 0 = none
 	connReusable bool    // the connection may carry another request
 }
 
@@ -50,7 +50,7 @@
 	NoResponse:   record.ConnectionLost,
 }
 
-// sendAttempt sends one attempt to a node and returns the result.
+// sendAttempt sends one attempt to a node and returns the result. It reuses an idle connection if there is one.
 func (p *productRun) sendAttempt(h *host, a *clientAttempt) clientResponse {
 	p.addAttempt(a)
 	conn := h.takeIdle()
@@ -119,7 +119,7 @@
 	text := a.text()
 	if f, ok := p.scenario.active(SlowClients, a.at); ok && a.draws.backoff < f.Fraction {
 		half := len(text) / 2
-		io.WriteString(conn, text[:half]) // an error shows again when the second part is written
+		io.WriteString(conn, text[:half]) // after an error, writing the second part fails too
 		time.Sleep(slowSendPause)
 		text = text[half:]
 	}
@@ -140,14 +140,14 @@
 		a.id, className(a.class), tenantName(a.tenant), a.session, a.budget, info, len(body), body)
 }
 
-// disconnection is a scheduled disconnect by the client; nil = none.
+// disconnection is a scheduled disconnect of a client; nil = none is scheduled.
 type disconnection struct {
 	timer *time.Timer
 	done  chan struct{}
 }
 
-// disconnectLater schedules the client's disconnect, which closes the connection of its first attempt after disconnectAfter. It
-// returns nil if there is none to schedule.
+// disconnectLater schedules the client's disconnect: the connection of its first attempt is closed after disconnectAfter seconds. It
+// returns nil if the client doesn't disconnect, or if this is not its first attempt.
 func (p *productRun) disconnectLater(conn net.Conn, a *clientAttempt) *disconnection {
 	if a.disconnectAfter <= 0 || a.number > 0 {
 		return nil
--- a/lab/simulation/baseline.go
+++ b/lab/simulation/baseline.go
@@ -9,10 +9,10 @@
 // Policy degrades the baseline policy, so that the oracle itself can be tested. The zero value is the baseline policy.
 type Policy struct {
 	RejectAll      bool
-	RejectThird    bool
-	AvoidWarmingUp bool    // engines in slow start are sent nothing
+	RejectThird    bool    // a random third of the requests is rejected
+	AvoidWarmingUp bool    // no requests are sent to engines in slow start
 	RejectFrom     float64 // time from which all requests are rejected (s)
-	RejectUntil    float64 // end of that time (s)
+	RejectUntil    float64 // time until which they are rejected (s)
 }
 
 // rejects reports whether the policy rejects a request without an attempt.
@@ -42,9 +42,9 @@
 const (
 	// noEngineWait is the delay after which a node that found no engine looks again (s).
 	noEngineWait = 0.05
-	// retryMargin is added to a client's backoff (s).
+	// retryMargin is the time that a client waits in addition to its backoff (s).
 	retryMargin = 0.05
-	// otherZoneCost is the cost of an engine of another zone, in requests in flight.
+	// otherZoneCost is the additional cost of an engine of another zone, in requests in flight.
 	otherZoneCost = 2
 	// maxRandomCost is the maximum random part of an engine's cost, in requests in flight.
 	maxRandomCost = 0.5
@@ -81,8 +81,8 @@
 	return &Report{Scenario: s, Results: results}
 }
 
-// injectNodeFault takes nodes out of service without a replacement. A node that shuts down accepts no requests for as long as a node of
-// the product may take to shut down.
+// injectNodeFault takes nodes out of service for a time, without a replacement. A node that shuts down is out of service for the
+// longest time that a node of the product may take to shut down and start.
 func (b *baseline) injectNodeFault(f Fault, done <-chan struct{}) {
 	nodes := b.site.affectedNodes(f)
 	step := 0.0 // delay between two nodes (s)
@@ -113,7 +113,7 @@
 	b.down[node] = isDown
 }
 
-// pickNode picks the node for a request by a random number among the running nodes; false = none is running.
+// pickNode picks a running node for a request; draw is a random number from 0 to 1. false = no node is running.
 func (b *baseline) pickNode(draw float64) (node int, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -174,9 +174,10 @@
 	mayHaveRun        bool      // an attempt without a complete response may have had its effect
 }
 
-// serve makes attempts until one streams its response to the end.
+// serve makes attempts until one streams its response to the end. It stops early after an attempt that may have had an effect that must
+// not be repeated, and when no attempt or no time is left.
 func (b *baseline) serve(node int, q *request, deadline time.Time) serveResult {
-	var owner, avoid *engine // owner stores the state; avoid is the engine of the last failed attempt
+	var owner, avoid *engine // owner is the engine that stores the state; avoid is the engine of the last failed attempt
 	for remaining := b.site.MaxAttempts; remaining > 0 && time.Now().Before(deadline); remaining-- {
 		e := b.pickEngine(node, b.eligible(owner, avoid, remaining > 1))
 		if e == nil {
@@ -212,7 +213,8 @@
 	return serveResult{}
 }
 
-// eligible returns a predicate of the engines that may be sent the next attempt: a prefill, if attempts remain after it, or a decode.
+// eligible returns a predicate that matches the engines to which the next attempt may be sent. Without a stored state, the attempt may
+// be a separate prefill only if another attempt remains for the decode (canPrefillSeparately).
 func (b *baseline) eligible(owner, avoid *engine, canPrefillSeparately bool) func(*engine) bool {
 	return func(e *engine) bool {
 		switch {
@@ -227,7 +229,8 @@
 	}
 }
 
-// pickEngine returns the eligible engine with the fewest of the node's requests in flight, preferring those of the node's zone.
+// pickEngine returns the eligible engine with the lowest cost; nil if none is eligible. The cost is the number of the node's requests in
+// flight at the engine, plus otherZoneCost for an engine of another zone and a random part.
 func (b *baseline) pickEngine(node int, eligible func(*engine) bool) *engine {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -255,7 +258,7 @@
 	b.inFlight[nodeEngine{node, e.ID}] += change
 }
 
-// firstToken is the stream of a baseline attempt. It stores the time of the first token, unless the attempt was canceled before it.
+// firstToken is the stream of a baseline attempt. It stores the time of the first token, unless the attempt was canceled before that.
 type firstToken struct {
 	canceled <-chan struct{}
 
@@ -288,7 +291,8 @@
 	return true
 }
 
-// attempt makes one attempt and cancels it if its timeout ends before the first token. owner is the engine that stores the state.
+// attempt makes one attempt and cancels it if its timeout ends before the first token, or maxStall after its timeout. owner is the
+// engine that stores the state; nil = there is no state. The returned time is that of the first token; zero = none.
 func (b *baseline) attempt(node int, e *engine, q *request, owner *engine, timeout time.Duration) (attemptOutcome, time.Time) {
 	b.addInFlight(node, e, 1)
 	defer b.addInFlight(node, e, -1)
--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -33,30 +33,30 @@
 type Result struct {
 	At              float64 // time from the start of the run (s)
 	Class, Tenant   int
-	Node            string // node of the first attempt
+	Node            string // node of the first attempt; "" = no attempt was made
 	Outcome         Outcome
 	Code            string // code of the last rejection or failure
 	RequestedWeight float64
 	ServedWeight    float64
 	ClientAttempts  int
-	Attempts        int // attempts of nodes that reached an engine
+	Attempts        int // number of nodes' attempts that reached an engine
 }
 
 const (
-	// detectionDelay is how long the load balancer continues to send to a node that has stopped (s).
+	// detectionDelay is how long the load balancer continues to send requests to a node that has stopped (s).
 	detectionDelay = 2.0
 	// maxUnreachableAttempts is the number of attempts without a reachable node after which a client stops.
 	maxUnreachableAttempts = 4
 	// noNodeWait is how long a client waits before its next attempt if no node is running (s).
 	noNodeWait = 0.2
-	// stormRetries is the number of retries of each client during a RetryStorm.
+	// stormRetries is the maximum number of retries of each client during a RetryStorm.
 	stormRetries = 4
 	// minPatienceShare is the smallest fraction of the class's patience that a client waits.
 	minPatienceShare = 0.6
 )
 
-// pickNode picks the node for an attempt by a random number among those in the load balancer's rotation, preferring the client's zone.
-// It returns nil if the rotation is empty.
+// pickNode picks a node for an attempt from those in the load balancer's rotation; nil = there is none. If the client's zone has such
+// nodes, it picks one of them. draw is a random number from 0 to 1.
 func (p *productRun) pickNode(zone int, draw float64) *host {
 	var sameZone, all []*host
 	for _, h := range p.hosts {
@@ -93,7 +93,7 @@
 	startedAt   time.Time
 	retries     int
 	backoff     float64 // s
-	nodeDraw    float64 // random number that picks the next node
+	nodeDraw    float64 // random number from 0 to 1 that picks the next node
 	unreachable int     // number of attempts that reached no node
 	result      Result
 }
@@ -172,7 +172,8 @@
 	return false
 }
 
-// countServed sets the served weight of the operation. The latency objective counts from the first attempt.
+// countServed sets the served weight of the operation. The latency objective for the first token counts from the start of the operation,
+// so a response that met it only in a retry is late.
 func (o *operation) countServed(r clientResponse) {
 	if r.outcome == ServedInTime && r.firstTokenAt.Sub(o.startedAt).Seconds() > o.class.firstTokenObjective(o.request) {
 		o.result.Outcome = ServedLate
@@ -222,7 +223,7 @@
 	return nil
 }
 
-// maxIdle is the number of idle connections to a host beyond which none is added.
+// maxIdle is a number of idle connections to a host: if there are more, none is added.
 const maxIdle = 4
 
 // putIdle stores a connection for reuse, or closes it if there are enough or no node is running.
--- a/lab/simulation/discovery.go
+++ b/lab/simulation/discovery.go
@@ -32,7 +32,7 @@
 	State   string  `json:"state"`
 	Weight  float64 `json:"weight"`
 	Started int64   `json:"started_ms"`
-	version int
+	version int     // version of the list at which the entry changed last
 }
 
 // discovery stores the endpoint list and serves it to the nodes.
@@ -40,12 +40,12 @@
 	fleet *fleet
 
 	mu            sync.Mutex // guards all that follows
-	version       int
+	version       int        // of the list; each change increments it
 	entries       map[string]listEntry
-	changed       chan struct{} // closed at the next change
+	changed       chan struct{} // closed and replaced at the next change
 	silent        chan struct{} // closed when discovery responds again; nil = it responds
 	extraDelay    float64       // additional delay of changes (s)
-	capacityShare float64       // fraction of its capacity that a shared discovery has; 0 = all
+	capacityShare float64       // fraction of its capacity to which a shared discovery is reduced; 0 = not reduced
 	freeAt        time.Time     // when a shared discovery will have answered all waiting polls
 }
 
@@ -53,7 +53,7 @@
 	return &discovery{fleet: f, entries: map[string]listEntry{}, changed: make(chan struct{})}
 }
 
-// set lists an engine with a state, immediately. The engine's actual state may differ.
+// set lists an engine with a state immediately. The engine's actual state may differ from it.
 func (d *discovery) set(e *engine, state string) {
 	started := e.startMillis()
 	d.mu.Lock()
@@ -84,8 +84,8 @@
 	return e.startedAt.UnixMilli()
 }
 
-// setAfterDelay lists a change after a delay (s), unless the engine has stopped or restarted in the meantime so that the change is
-// obsolete.
+// setAfterDelay lists an engine with a state after a delay (s). It does nothing if the state is obsolete by then: the engine has
+// restarted although it would be listed as removed, or it is down although it would be listed with another state.
 func (d *discovery) setAfterDelay(e *engine, state string, delay float64) {
 	d.mu.Lock()
 	delay += d.extraDelay
@@ -100,8 +100,8 @@
 	})
 }
 
-// recordDeliveryAfterDelay records a change as delivered to all nodes changeDeliveredAfter seconds after discovery has listed it and
-// responds to polls.
+// recordDeliveryAfterDelay records a listed state as delivered to all nodes after changeDeliveredAfter seconds, if it has not changed by
+// then. If discovery is silent, this time starts when the silence ends. For engines listed as up, it records nothing.
 func (d *discovery) recordDeliveryAfterDelay(id, state string) {
 	if state == stateUp {
 		return
@@ -169,7 +169,8 @@
 // fullList is the version for which changesSince returns the full list.
 const fullList = -1
 
-// changesSince returns the entries changed after a version, or the full list, and their JSON text.
+// changesSince returns the entries that changed after a version, and their JSON text. For fullList it returns all entries but the
+// removed ones.
 func (d *discovery) changesSince(version int) (entries []listEntry, text []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -187,7 +188,8 @@
 	return entries, text
 }
 
-// serveOn serves the polls on a listener: those of one node, through its agent, or of all nodes.
+// serveOn serves the polls that arrive on a listener. The listener of an agent receives those of one node, the listener of a shared
+// discovery service those of all nodes.
 func (d *discovery) serveOn(l *memnet.Listener) {
 	d.fleet.run(func() {
 		for {
@@ -231,8 +233,8 @@
 	return respond(conn, http.StatusOK, "Content-Type: application/json\r\n", string(text))
 }
 
-// awaitChange waits for a change after a version or until maxWait has passed. While discovery is silent it waits in either case. false =
-// the node has disconnected.
+// awaitChange waits until the list has changed after a version or maxWait has passed. While discovery is silent, it waits even then.
+// false = the node has disconnected.
 func (d *discovery) awaitChange(version int, maxWait time.Duration, peerClosed <-chan struct{}) bool {
 	end := time.NewTimer(maxWait)
 	defer end.Stop()
@@ -264,7 +266,7 @@
 }
 
 const (
-	// discoveryTimeout is the maximum wait of a poll at a shared discovery, which rejects polls that would wait longer (s).
+	// discoveryTimeout is the maximum time that a poll waits at a shared discovery (s). It rejects polls that would wait longer.
 	discoveryTimeout = 2.0
 	// rejectionCost is the cost of a rejection for a shared discovery, as a multiple of that of a response.
 	rejectionCost = 0.3
--- a/lab/simulation/draw.go
+++ b/lab/simulation/draw.go
@@ -12,7 +12,7 @@
 func uniform(rng *rand.Rand, low, high float64) float64 { return low + (high-low)*rng.Float64() }
 
 // Draw draws a deployment with the given number of nodes from a seed. Its request rate is a fraction of its engines' capacity, and at
-// most maxRate.
+// most maxRate (requests/s).
 func Draw(seed uint64, nodes int, maxRate float64) Site {
 	rng := rand.New(rand.NewPCG(seed, 0x5174))
 	s := Site{ // the order of the fields is that of the draws
@@ -106,11 +106,11 @@
 	mixedOnly      fleetForm = iota
 	noMixed                  // prefill and decode engines
 	oneMixed                 // prefill and decode engines, and one mixed engine
-	thirdMixed               // prefill engines, and of all others a third mixed and the rest decode engines
+	thirdMixed               // prefill engines; of the other engines, a third are mixed and the rest decode engines
 	fleetFormCount           // number of forms
 )
 
-// drawEngines draws the kinds and the number of engines, and sets the request rate and the quotas accordingly.
+// drawEngines draws the kinds and the number of engines. It then sets the request rate, the number of sockets and the quotas accordingly.
 func (s *Site) drawEngines(rng *rand.Rand, maxRate float64) {
 	prefill, decode, mixed := drawKinds(rng)
 	form := fleetForm(rng.IntN(int(fleetFormCount)))
@@ -133,7 +133,7 @@
 	}
 	s.placeEngines(counts, engines, 4+rng.IntN(4))
 	s.setRate(maxRate)
-	for s.requestsInFlight() > float64(s.Sockets)/5 { // even in a burst, clients use at most a third of the descriptors
+	for s.requestsInFlight() > float64(s.Sockets)/5 { // outside a burst, requests in flight use at most a fifth of the descriptors
 		s.Sockets *= 2
 	}
 	for i := range s.Tenants {
@@ -202,8 +202,8 @@
 	}
 }
 
-// setRate sets the request rate from the capacity of the engines. If the rate exceeds maxRate, the engines are made slower to match
-// it: several engines of a real deployment are then represented by one.
+// setRate sets the request rate from the capacity of the engines. If the rate would exceed maxRate (requests/s), it scales down the
+// slots, queues and speeds of the engines: one engine of the site then represents a fraction of a real one.
 func (s *Site) setRate(maxRate float64) {
 	fullyAvailable := func(EngineSpec) float64 { return 1 }
 	s.Rate = s.Load * s.Capacity(fullyAvailable)
--- a/lab/simulation/engine.go
+++ b/lab/simulation/engine.go
@@ -17,7 +17,7 @@
 	Healthy EngineFault = ""
 	// Hangs accepts connections and requests, but sends no response.
 	Hangs EngineFault = "hangs"
-	// Silent accepts no connection and sends nothing on open ones.
+	// Silent accepts no connections and sends nothing on open ones.
 	Silent EngineFault = "silent"
 	// RejectsAll rejects all requests.
 	RejectsAll EngineFault = "refuses"
@@ -25,9 +25,9 @@
 	FailsAll EngineFault = "errors"
 	// SlowsDown reduces the engine's speed to slowSpeed.
 	SlowsDown EngineFault = "crawls"
-	// LosesStates answers each fetch of a state that the state is lost.
+	// LosesStates answers each decode request that needs a stored state with an error: the state is lost (status 410).
 	LosesStates EngineFault = "loses"
-	// LosesPrefixes empties the prefix cache and caches no prefixes.
+	// LosesPrefixes empties the prefix cache and adds no prefixes to it.
 	LosesPrefixes EngineFault = "forgets"
 )
 
@@ -40,15 +40,15 @@
 	kind  Kind
 	fleet *fleet
 
-	mu             sync.Mutex // guards all that follows
-	running        int        // slots in use
-	queue          []chan struct{}
+	mu             sync.Mutex      // guards all that follows
+	running        int             // slots in use
+	queue          []chan struct{} // of each waiting request, closed when it is granted a slot
 	fault          EngineFault
 	up             bool
 	exited         chan struct{} // closed when the process ends
 	startedAt      time.Time     // time of the last cold start; zero = none during the run
 	arrivals       []arrival     // requests received in the slow-start window
-	overloaded     bool          // received more than the limit during slow start
+	overloaded     bool          // received more work than the limit during slow start
 	cachedPrefixes map[string]bool
 	listener       *memnet.Listener
 }
@@ -155,7 +155,7 @@
 	waitEnded // the process ended or the request was canceled
 )
 
-// acquireSlot waits for a slot until canceled is closed.
+// acquireSlot waits for a slot until the process ends or canceled is closed.
 func (e *engine) acquireSlot(canceled <-chan struct{}) slotResult {
 	e.mu.Lock()
 	if e.running < e.kind.Slots {
--- a/lab/simulation/engineserver.go
+++ b/lab/simulation/engineserver.go
@@ -13,7 +13,7 @@
 	"dillroute/lab/record"
 )
 
-// The platform's headers, as engines write them.
+// Headers of the platform's protocol that engines write.
 const (
 	rejectedHeader   = "X-Rejected: 1\r\n"
 	loadReportHeader = "X-Load-Report: "
@@ -126,7 +126,7 @@
 	return e.serveDecode(conn, a, arrived, owner, peerClosed)
 }
 
-// serveRelease releases the state of an attempt.
+// serveRelease releases the state of an attempt; false = the connection must be closed.
 func (e *engine) serveRelease(conn net.Conn, id string, peerClosed <-chan struct{}) bool {
 	state := e.state()
 	if state.fault == Hangs || state.fault == Silent {
@@ -142,7 +142,7 @@
 	switch e.prefill(a.request, peerClosed) {
 	case completed:
 		select {
-		case <-peerClosed: // the prefill continued without a client: no state is reserved
+		case <-peerClosed: // the node has disconnected during the prefill: no state is reserved
 			return false
 		default:
 		}
@@ -156,7 +156,7 @@
 	return false
 }
 
-// responseStream writes a response to a connection.
+// responseStream writes the response of a decode attempt to a connection.
 type responseStream struct {
 	conn    net.Conn
 	fleet   *fleet
--- a/lab/simulation/faultinjection.go
+++ b/lab/simulation/faultinjection.go
@@ -20,13 +20,13 @@
 	flapInterval = 1
 	// idleInterval is the time between two batches of connections of IdleClients.
 	idleInterval = 500 * time.Millisecond
-	// idleSeconds is how long each of these connections stays open (s).
+	// idleSeconds is how long each connection of IdleClients stays open (s).
 	idleSeconds = 3
-	// idleSocketDivisor divides a node's sockets: each batch opens one such part of them.
+	// idleSocketDivisor is the number by which the limit of a node's sockets is divided to get the number of connections in a batch.
 	idleSocketDivisor = 8
 )
 
-// sleep waits for a time (s); false = done was closed before.
+// sleep waits for a time (s); false = done was closed before the time had passed.
 func sleep(seconds float64, done <-chan struct{}) bool {
 	timer := time.NewTimer(duration(seconds))
 	defer timer.Stop()
@@ -38,7 +38,7 @@
 	}
 }
 
-// injectFaults injects the faults of a run until done is closed. injectNodeFault injects those of nodes.
+// injectFaults injects the faults of a run until done is closed. It calls injectNodeFault for faults of nodes and for IdleClients.
 func (f *fleet) injectFaults(scenario *Scenario, done <-chan struct{}, injectNodeFault func(Fault)) {
 	for i, fault := range scenario.Faults {
 		f.run(func() {
@@ -121,7 +121,7 @@
 	f.discovery.setAfterDelay(e, stateUp, f.site.DiscoveryDelay/2)
 }
 
-// rollingRestart restarts engines one after another, within a time (s).
+// rollingRestart starts the restarts of engines one after another, spread evenly over a time (s).
 func (f *fleet) rollingRestart(engines []*engine, seconds float64, done <-chan struct{}) {
 	for _, e := range engines {
 		f.run(func() { f.drainAndRestart(e, done) })
@@ -144,7 +144,7 @@
 	}
 }
 
-// flapList lists engines as draining and as up in turn, for a time (s).
+// flapList lists engines alternately as draining and as up, for a time (s).
 func (f *fleet) flapList(engines []*engine, seconds float64, done <-chan struct{}) {
 	for end := f.now() + seconds; f.now() < end; {
 		for _, state := range []string{stateDraining, stateUp} {
@@ -186,7 +186,7 @@
 	}
 }
 
-// openIdleConnections opens connections that send nothing, enough to fill the connection table of each node.
+// openIdleConnections opens connections that send nothing to all nodes, for a time (s), in order to fill their connection tables.
 func (p *productRun) openIdleConnections(seconds float64) {
 	dial := p.network.Dialer("crowd")
 	for end := p.now() + seconds; p.now() < end; time.Sleep(idleInterval) {
--- a/lab/simulation/fleet.go
+++ b/lab/simulation/fleet.go
@@ -16,7 +16,7 @@
 	disconnectSlack = 0.1
 	// budgetSlack is the maximum excess of the time stated to an engine over the client's remaining time.
 	budgetSlack = 0.15
-	// stepSlack allows for one iteration of a node's event loop and its socket operations.
+	// stepSlack is the time allowed for one iteration of a node's event loop and its socket operations.
 	stepSlack = 0.02
 	// changeDeliveredAfter is the time after which a change counts as delivered to all nodes.
 	changeDeliveredAfter = 6.0
@@ -29,13 +29,13 @@
 	id     string
 	number int
 	sentAt time.Time
-	budget float64 // how long its client waits (s)
+	budget float64 // how long its client waits for the first token (s)
 
-	disconnectedAt time.Time // when its client closed the connection or stopped using it; zero = not yet; guarded by fleet.mu
+	disconnectedAt time.Time // when its client disconnected or had its final response; zero = not yet; guarded by fleet.mu
 	reached        int       // number of the node's attempts that reached an engine; guarded by fleet.mu
 }
 
-// fleet holds the engines and the discovery of a run, and the data that is recorded with either policy.
+// fleet holds the engines and the discovery of a run, and the data that is recorded in runs of the product and of the baseline policy.
 type fleet struct {
 	site      Site
 	log       *record.Log
@@ -50,7 +50,7 @@
 	attempts      map[string]*clientAttempt
 	stateOwners   map[string]*engine // by id of the attempt
 	violations    []string
-	slowStartPeak float64 // greatest fraction of a slow-start budget that was used
+	slowStartPeak float64 // greatest fraction of a slow-start limit that was used
 }
 
 func newFleet(site Site, network *memnet.Network) *fleet {
@@ -76,7 +76,7 @@
 	return f
 }
 
-// run runs a function on a new goroutine, for which the end of the run waits.
+// run runs a function on a new goroutine. The simulation ends only after the function has returned.
 func (f *fleet) run(task func()) {
 	f.tasks.Add(1)
 	go func() {
@@ -120,14 +120,15 @@
 	return f.attempts[id]
 }
 
-// clientClosed records that the client of an attempt has closed its connection or no longer needs it.
+// clientClosed records that the client of an attempt has disconnected or received its final response.
 func (f *fleet) clientClosed(a *clientAttempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	a.disconnectedAt = time.Now()
 }
 
-// attemptReached checks an attempt that has reached an engine against the rules on client disconnects and on the stated time.
+// attemptReached counts an attempt of a node that has reached an engine. It checks that the client had not disconnected before, and that
+// the stated time does not exceed the client's remaining time.
 func (f *fleet) attemptReached(a *clientAttempt, e *engine, node, statedTime string) {
 	f.mu.Lock()
 	a.reached++
--- a/lab/simulation/oracle.go
+++ b/lab/simulation/oracle.go
@@ -14,10 +14,10 @@
 	Results      []Result
 	Violations   []string // violations of rules and of the platform's requirements
 	Records      []record.Record
-	SlowStartUse float64 // greatest fraction of a slow-start budget that was used
+	SlowStartUse float64 // greatest fraction of a slow-start limit that was used
 }
 
-// Share returns the fraction of the weight that was served, over the requests whose result matches, and their number.
+// Share returns the fraction of the requested weight that was served, over the results that match, and the number of these results.
 func (r *Report) Share(matches func(Result) bool) (share float64, count int) {
 	var requested, served float64
 	for _, x := range r.Results {
@@ -33,7 +33,8 @@
 	return served / requested, count
 }
 
-// Bounds of the oracle: a served share below these fractions of the baseline's is a shortfall if there are enough requests to compare.
+// Bounds of the oracle. If there are enough requests to compare, a served share below one of the first three fractions of the baseline's
+// share is a shortfall.
 const (
 	minFraction          = 0.5     // over all requests, and by class, effect, tenant and third of the run
 	minWindowFraction    = 1.0 / 3 // over any window of windowLength
@@ -42,9 +43,9 @@
 	recoveryTime         = 10.0    // s
 	minRequests          = 30      // minimum number of requests to compare
 	minBaselineShare     = 0.1     // served share of the baseline below which nothing is required
-	minRejectingTime     = 4.0     // how long a node rejects all its requests before it is reported (s)
-	minNodeRequests      = 10      // minimum number of requests of such a node
-	minOverallShare      = 0.3     // minimum share served over all nodes in that time
+	minRejectingTime     = 4.0     // how long a node must reject all its requests to be reported (s)
+	minNodeRequests      = 10      // minimum number of requests that it must reject in that time to be reported
+	minOverallShare      = 0.3     // served share over all nodes in that time, below which the node is not reported
 	unlimited            = 1e6     // s
 )
 
@@ -133,7 +134,8 @@
 	}
 }
 
-// rejectingNodes reports the nodes that reject all their requests for a time, without an attempt at an engine, while others serve.
+// rejectingNodes returns a text for each node that serves none of its requests for a time, without an attempt at an engine, while other
+// nodes serve theirs.
 func rejectingNodes(r *Report) []string {
 	byNode := map[string][]Result{}
 	for _, x := range r.Results {
@@ -150,8 +152,8 @@
 	return found
 }
 
-// rejectsAll returns a text on the time in which a node rejected all its requests for too long; "" = there was none. The results must
-// be in order of time.
+// rejectsAll returns a text on the first time of at least minRejectingTime in which a node rejected all its requests; "" = there was
+// none. The results must be in order of time.
 func (r *Report) rejectsAll(node string, results []Result) string {
 	first := 0 // index of the first of consecutive rejected requests
 	for i, x := range results {
--- a/lab/simulation/oracle_test.go
+++ b/lab/simulation/oracle_test.go
@@ -20,8 +20,8 @@
 	return r
 }
 
-// The oracle must report a policy that rejects all requests, a third of them, or all of them for a time, and a policy that sends nothing
-// to engines in slow start. It must not report the baseline policy itself.
+// The oracle must report a policy that rejects all requests, a third of them, or all of them for a time. It must also report a policy
+// that sends nothing to engines in slow start. It must not report the baseline policy itself.
 func TestOracleReportsBadPolicies(t *testing.T) {
 	scenario := slowStartScenario()
 	baseline := runBaseline(t, scenario, Policy{})
--- a/lab/simulation/productrun.go
+++ b/lab/simulation/productrun.go
@@ -22,17 +22,17 @@
 	Kill()
 }
 
-// StartNode starts a node with the text of its configuration file. It serves on l and makes its connections with dial.
+// StartNode starts a node with the text of its configuration file. The node serves on l and makes its connections with dial.
 type StartNode func(config []byte, l net.Listener, dial func(ctx context.Context, network, address string) (net.Conn, error)) (Node, error)
 
 const (
-	// warmUpSeconds is how long nodes run before the first request (s): slightly longer than any slow-start window.
+	// warmUpSeconds is how long nodes run before the first request (s). It is longer than any drawn slow-start window (at most 2 s).
 	warmUpSeconds = 4.0
 	// startDelay is how long a node takes to start (s).
 	startDelay = 0.3
-	// killMargin is the time between SIGTERM and SIGKILL beyond the longest patience of a class (s).
+	// killMargin is the time between SIGTERM and SIGKILL in addition to the longest patience of a class (s).
 	killMargin = 0.7
-	// maxKillPatience bounds the patience that is used for that time (s).
+	// maxKillPatience is the maximum patience that counts for the time between SIGTERM and SIGKILL (s).
 	maxKillPatience = 3.0
 	// sharedDiscoveryAddress is the address of the shared discovery service.
 	sharedDiscoveryAddress = "registry:8500"
@@ -46,7 +46,7 @@
 	mu       sync.Mutex // guards all that follows
 	node     Node       // nil = no node is running
 	listener *memnet.Listener
-	readyAt  time.Time  // when a node was last started; zero = never
+	readyAt  time.Time  // when the last start of a node was completed; zero = never
 	endedAt  time.Time  // when a node last ended; zero = never
 	idle     []net.Conn // connections of clients to the node
 }
@@ -243,7 +243,7 @@
 	return r
 }
 
-// checkerConfig returns the configuration of the rule checker. Rule 4 is checked by the emulated engines instead.
+// checkerConfig returns the configuration of the rule checker. The rule checker does not check rule 4 here: the emulated engines do.
 func (s *Site) checkerConfig() rules.Config {
 	const neverOverloaded = 1e6
 	config := rules.Config{
--- a/lab/simulation/scenario.go
+++ b/lab/simulation/scenario.go
@@ -27,7 +27,7 @@
 
 // Faults other than those of EngineFault.
 const (
-	// EngineCrash kills engines at the same time; they restart cold.
+	// EngineCrash kills engines at the same time; they restart cold when the fault ends.
 	EngineCrash FaultKind = "crash"
 	// RollingRestart drains and restarts engines one after another.
 	RollingRestart FaultKind = "release"
@@ -37,15 +37,15 @@
 	NodeKills FaultKind = "kills"
 	// DiscoverySilent stops all responses of discovery.
 	DiscoverySilent FaultKind = "list silent"
-	// DiscoverySlow reduces the capacity of a shared discovery service.
+	// DiscoverySlow reduces the capacity of a shared discovery service to slowDiscoveryShare.
 	DiscoverySlow FaultKind = "list slow"
 	// DiscoveryDelayed delays endpoint list changes.
 	DiscoveryDelayed FaultKind = "list late"
 	// ListFlaps lists engines alternately as draining and as up.
 	ListFlaps FaultKind = "list flaps"
-	// Burst increases the request rate.
+	// Burst increases the request rate by the fault's fraction.
 	Burst FaultKind = "burst"
-	// HeavyPrompts makes a fraction of the prompts longer by heavyFactor.
+	// HeavyPrompts multiplies the length of a fraction of the prompts by heavyFactor.
 	HeavyPrompts FaultKind = "heavy prompts"
 	// RetryStorm makes clients retry more often and without backoff.
 	RetryStorm FaultKind = "retry storm"
@@ -55,7 +55,7 @@
 	IdleClients FaultKind = "idle clients"
 	// SlowClients makes a fraction of the clients send their requests in two parts.
 	SlowClients FaultKind = "slow clients"
-	// TenantOverrun makes one tenant send several times its share.
+	// TenantOverrun makes the first tenant send overrunFactor times its share.
 	TenantOverrun FaultKind = "tenant overrun"
 )
 
--- a/lab/simulation/settings.go
+++ b/lab/simulation/settings.go
@@ -121,7 +121,8 @@
 func zoneName(i int) string   { return fmt.Sprintf("zone-%d", i) }
 func kindName(i int) string   { return fmt.Sprintf("kind-%d", i) }
 
-// config returns the text of a node's configuration file; list is discovery's current endpoint list.
+// config returns the text of a node's configuration file. The node listens on listen and polls discoveryAddress; list is the current
+// endpoint list of discovery.
 func (s *Site) config(rank int, listen, discoveryAddress string, list []byte) []byte {
 	text, err := json.Marshal(object{
 		"name":      listen,
--- a/lab/simulation/site.go
+++ b/lab/simulation/site.go
@@ -34,16 +34,16 @@
 	Effect, Group         string
 	KeyTTL                float64
 	LatencyObjective      float64 // for the first token
-	LatencyObjectivePerK  float64 // added to it per thousand tokens of the prompt
-	Patience              float64
-	TokenLatencyObjective float64
+	LatencyObjectivePerK  float64 // added to LatencyObjective per thousand tokens of the prompt
+	Patience              float64 // how long a client waits for the first token
+	TokenLatencyObjective float64 // per output token
 	PriorityWeight        float64
-	LateValue             float64 // fraction of the weight that a late response has
+	LateValue             float64 // fraction of PriorityWeight with which a late response counts
 	Share                 float64 // fraction of the requests
-	PromptTokens          float64 // mean
-	PrefixTokens          float64 // of the shared prefix within the prompt, mean
-	ResponseTokens        float64 // mean
-	PrefixCount           int
+	PromptTokens          float64 // median
+	PrefixTokens          float64 // length of the shared prefix, unless the prompt is too short for it
+	ResponseTokens        float64 // median
+	PrefixCount           int     // number of different prefixes
 	Spread                float64 // standard deviation of the logarithm of prompt and response lengths
 }
 
@@ -61,7 +61,7 @@
 type Site struct {
 	Seed              uint64
 	Nodes             int
-	Zones             []float64 // by zone: share of the requests
+	Zones             []float64 // share of the requests, by zone
 	Kinds             []Kind
 	Classes           []Class
 	Tenants           []Tenant
@@ -94,14 +94,14 @@
 const (
 	// prefillOverhead is the fixed time of a prefill, independent of its tokens (s).
 	prefillOverhead = 0.01
-	// cachedPrefixShare is the fraction of the prefixes that the estimate of the capacity assumes to be cached.
+	// cachedPrefixShare is the fraction of the prefix tokens that are assumed to be cached when the engines' work is estimated.
 	cachedPrefixShare = 0.7
 )
 
-// work is the time of one engine of a kind that a request uses (s).
+// work is the time that a request uses of one engine of a kind (s).
 type work struct {
 	prefill float64
-	decode  float64 // with all slots in use
+	decode  float64 // its share of the engine's time, with all slots in use
 }
 
 // secondsOn returns the time that the request uses at an engine of a kind, by its role: prefill and mixed engines process the prompt,
@@ -129,7 +129,7 @@
 
 // work returns the mean work of the requests of the class at an engine of a kind.
 func (c Class) work(k Kind) work {
-	growth := math.Exp(c.Spread * c.Spread / 2) // the mean of the log-normal distribution
+	growth := math.Exp(c.Spread * c.Spread / 2) // the mean of the log-normal distribution, as a multiple of its median
 	w := work{prefill: prefillOverhead + (c.PromptTokens*growth-cachedPrefixShare*c.PrefixTokens)/k.PrefillTokensPerSecond}
 	if k.Role != RolePrefill {
 		w.decode = c.ResponseTokens * growth * k.secondsPerToken(k.Slots) / float64(k.Slots)
@@ -150,7 +150,7 @@
 	return s.Rate / float64(s.Nodes) * longest
 }
 
-// Capacity returns the number of requests per second that the engines can serve; availability returns the fraction of an engine that is
+// Capacity returns the number of requests per second that the engines can serve. availability returns which fraction of an engine is
 // available.
 func (s *Site) Capacity(availability func(EngineSpec) float64) float64 {
 	var prefill, decode, mixed, mixedDecode float64
--- a/lab/simulation/slowstart.go
+++ b/lab/simulation/slowstart.go
@@ -11,12 +11,12 @@
 	weight float64 // work of its class as a multiple of the mean
 }
 
-// slowStartLoad is the work that an engine in slow start has received in the window that ends now, and its capacity in one window, both
-// in requests of mean work.
+// slowStartLoad is the work that an engine in slow start has received in the window that ends now, and OverloadMultiple times the work
+// that it can process in one window. Both are in requests of mean work.
 type slowStartLoad struct{ received, capacity float64 }
 
-// limit returns the maximum work that the engine may receive: its capacity and an allowance for random variation, which is larger if
-// the capacity is small.
+// limit returns the maximum work that the engine may receive in one window: the capacity plus an allowance for random variation. The
+// allowance has a larger factor if the capacity is below smallWindow requests.
 func (l slowStartLoad) limit() float64 {
 	const smallWindow = 30
 	n := l.capacity
@@ -71,7 +71,8 @@
 	return load, true
 }
 
-// requestArrived counts a request at an engine in slow start. An engine that exceeds the limit is overloaded and sends no more responses.
+// requestArrived counts a request at an engine in slow start. An engine that has received more work than the limit is overloaded: it
+// sends no more responses.
 func (e *engine) requestArrived(q *request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/lab/simulation/summary.go
+++ b/lab/simulation/summary.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Summary returns a readable comparison of a run with the baseline's.
+// Summary returns a readable comparison of a run of the product with the baseline's run.
 func (r *Report) Summary(baseline *Report) string {
 	var b strings.Builder
 	s := &r.Scenario.Site
--- a/lab/simulation/traffic.go
+++ b/lab/simulation/traffic.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// maxPromptTokens is the maximum length of a prompt.
+	// maxPromptTokens is the maximum length of a prompt (tokens).
 	maxPromptTokens = 60000
-	// heavyFactor is the factor by which HeavyPrompts makes prompts longer.
+	// heavyFactor is the factor by which HeavyPrompts multiplies the length of prompts.
 	heavyFactor = 6
-	// overrunFactor is the factor by which the tenant of TenantOverrun exceeds its share.
+	// overrunFactor is the factor by which TenantOverrun multiplies the requests of a tenant.
 	overrunFactor = 3
 	// disconnectShare is the fraction of the clients that disconnect without a fault.
 	disconnectShare = 0.01
-	// maxResponseFactor is the maximum length of a response, as a multiple of its class's mean.
+	// maxResponseFactor is the maximum length of a response, as a multiple of its class's median.
 	maxResponseFactor = 4
-	// maxTokensFactor is the limit that a client sets for its response, as a multiple of its class's mean.
+	// maxTokensFactor is the limit that a client sets for the length of its response, as a multiple of its class's median. A longer
+	// response gets a limit of its own length.
 	maxTokensFactor = 3
 	// maxPrefixShare is the maximum fraction of a prompt that is its prefix.
 	maxPrefixShare = 0.9
@@ -69,7 +70,7 @@
 	}
 }
 
-// traffic returns the request rate at a time, and the tenants' shares of it.
+// traffic returns the request rate at a time (requests/s), and the weights by which tenants share it.
 func (s *Scenario) traffic(at float64) (rate float64, tenantShares []float64) {
 	rate = s.Site.Rate
 	if f, ok := s.active(Burst, at); ok {
@@ -115,7 +116,7 @@
 	}
 }
 
-// drawIndex draws an index with the given weights.
+// drawIndex draws an index of weights; the probability of an index is proportional to its weight.
 func drawIndex(rng *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
--- a/lab/simulation/work.go
+++ b/lab/simulation/work.go
@@ -5,15 +5,16 @@
 const (
 	// transferTokensPerSecond is the speed at which a state is transferred within a cell.
 	transferTokensPerSecond = 200e3
-	// crossCellFactor is the duration of a transfer between cells as a multiple of one within a cell.
+	// crossCellFactor is the duration of a transfer between cells, as a multiple of the duration within a cell.
 	crossCellFactor = 3
-	// minPrefillTokens is the minimum work of a prefill, in tokens, even if more of the prompt is cached.
+	// minPrefillTokens is the minimum number of tokens that a prefill processes, even if fewer are not cached.
 	minPrefillTokens = 16
-	// minEventTokens is the minimum number of tokens per event of a stream.
+	// minEventTokens is the minimum number of tokens per event of a stream, unless fewer are left or eventInterval requires fewer.
 	minEventTokens = 6
-	// maxEvents is the maximum number of events of a stream, unless the time between two would exceed eventInterval.
+	// maxEvents is the number by which a response is divided to get the tokens per event. Rounding down, and eventInterval, can lead to
+	// more events.
 	maxEvents = 8
-	// eventInterval is the maximum time between two events (s).
+	// eventInterval is the maximum time between two events of more than one token (s).
 	eventInterval = 1.0
 )
 
@@ -21,7 +22,7 @@
 type attemptOutcome int
 
 const (
-	completed        attemptOutcome = iota // the prompt was processed, or the response streamed to its end
+	completed        attemptOutcome = iota // the prompt was processed, or the response was streamed to its end
 	rejectedByEngine                       // it never ran
 	stateNotFound                          // the engine no longer stores the state to be fetched: it never ran
 	failedAtEngine                         // an error: it may have run
@@ -65,8 +66,8 @@
 	return work()
 }
 
-// workFor waits for the duration of some work (s); false = the process ended or the request was canceled before. On a site where a
-// cancellation does not stop work, the work continues without a client.
+// workFor waits for the duration of some work (s); false = the process ended or the request was canceled before the work was done. On a
+// site where a cancellation does not stop work, the work continues after the client has disconnected.
 func (e *engine) workFor(seconds float64, exited, canceled <-chan struct{}) bool {
 	if !e.fleet.site.CancelStopsWork {
 		canceled = nil
@@ -82,13 +83,13 @@
 	return false
 }
 
-// prefillSeconds returns the time that the prompt of a request takes (s), and caches its prefix.
+// prefillSeconds returns the time for processing the prompt of a request (s), and caches its prefix.
 func (e *engine) prefillSeconds(q *request) float64 {
 	tokens := e.prefillTokens(q)
 	return tokens / (e.kind.PrefillTokensPerSecond * e.speed())
 }
 
-// prefillTokens returns the number of prompt tokens that are not cached, and caches the prompt's prefix.
+// prefillTokens returns the number of prompt tokens that are not cached, at least minPrefillTokens, and caches the prompt's prefix.
 func (e *engine) prefillTokens(q *request) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/lab/soak/agent.go
+++ b/lab/soak/agent.go
@@ -14,14 +14,14 @@
 	"dillroute/lab/record"
 )
 
-// Latest times at which a change counts as delivered to a node (PROTOCOL and STANDING of the platform).
+// Times after which a change counts as delivered to a node in any case (PROTOCOL and STANDING of the platform).
 const (
-	watchRecoveryTime = 6 * time.Second // after a watch has stalled
-	reloadTime        = 4 * time.Second // after a new configuration
+	watchRecoveryTime = 6 * time.Second // counted from the stall of a watch
+	reloadTime        = 4 * time.Second // counted from a new configuration
 )
 
 const (
-	// oldAddressOverlap is how long an agent that has moved keeps its old server open.
+	// oldAddressOverlap is how long an agent that has moved to a new address keeps the server at the old one open.
 	oldAddressOverlap = 1500 * time.Millisecond
 	// silencePollInterval is how often a pending watch checks whether a silence has ended.
 	silencePollInterval = 20 * time.Millisecond
@@ -34,15 +34,15 @@
 	engineAddress func(engine string) string // returns the address at which the node reaches an engine
 
 	mu                   sync.Mutex // guards the fields below
-	version              int        // of the agent's list
+	version              int        // version of the agent's list
 	endpoints            map[string]platform.Endpoint
 	changed              map[string]int // version at which an entry changed last
-	delivered            map[string]int // versions of entries that count as delivered to the node
-	deliveryDelayedUntil time.Time      // a change before this time counts as delivered at this time, or when a response delivers it
+	delivered            map[string]int // by ID: version of the entry that counts as delivered to the node
+	deliveryDelayedUntil time.Time      // a change before this time counts as delivered only at this time, or when a response delivers it
 	activeSilences       int            // number of active faults that silence the agent
-	watchesStarted       int            // number of watches since the start
-	pendingWatches       map[int]bool   // by number
-	stalledWatches       map[int]bool   // pending watches that are never answered
+	watchesStarted       int            // number of watches started so far
+	pendingWatches       map[int]bool   // by number of the watch
+	stalledWatches       map[int]bool   // by number: the pending watches that are never answered
 	update               chan struct{}  // closed and replaced at each change
 	server               *http.Server
 	address              string
@@ -93,7 +93,7 @@
 	return a.server, a.address
 }
 
-// Address returns the newest address.
+// Address returns the address of the newest server.
 func (a *Agent) Address() string {
 	_, address := a.current()
 	return address
@@ -118,7 +118,7 @@
 	return a.listen(address)
 }
 
-// StallWatches makes the watches that are pending now wait forever.
+// StallWatches makes the watches that are pending now wait until their node cancels them.
 func (a *Agent) StallWatches() {
 	a.mu.Lock()
 	for watch := range a.pendingWatches {
@@ -128,8 +128,8 @@
 	a.allowDeliveryDelay(watchRecoveryTime)
 }
 
-// Silence makes the agent send no responses and apply no changes (true), or ends that (false). Changes made meanwhile count as delivered
-// at the end of the silence.
+// Silence starts a silence of the agent (true) or ends it (false). A silent agent sends no responses and applies no changes. It applies
+// the changes made during the silence at its end, and they count as delivered then. Silences may overlap.
 func (a *Agent) Silence(on bool) {
 	a.mu.Lock()
 	if on {
@@ -144,8 +144,8 @@
 	}
 }
 
-// allowDeliveryDelay lets changes within the given time from now count as delivered later: at the end of that time, or when a response
-// delivers them.
+// allowDeliveryDelay delays the time at which changes count as delivered. A change within the time d from now counts as delivered at the
+// end of d, or when a response delivers it before.
 func (a *Agent) allowDeliveryDelay(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -188,8 +188,8 @@
 	a.recordDeliveryLocked(endpoint, version)
 }
 
-// recordDeliveryLocked is recordDelivery for callers that hold the lock. A version that is not newer than the delivered one is not
-// recorded.
+// recordDeliveryLocked is recordDelivery for callers that hold the lock. It does nothing if this or a newer version of the entry already
+// counts as delivered.
 func (a *Agent) recordDeliveryLocked(endpoint platform.Endpoint, version int) {
 	if version <= a.delivered[endpoint.ID] {
 		return
@@ -238,7 +238,7 @@
 	return list
 }
 
-// serve answers a call, and records the entries that it delivered.
+// serve answers a call, and records the entries in the response as delivered to the node.
 func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
 	after := wholeList
 	if from := r.URL.Query().Get("from"); from != "" {
@@ -260,8 +260,8 @@
 	}
 }
 
-// awaitUpdate blocks until the list has another version than the given one or maxWait has passed, and as long as the agent is silent or
-// the watch is stalled. It returns false if the call is canceled first.
+// awaitUpdate blocks until the list has another version than the given one or maxWait has passed. If the agent is silent then, it blocks
+// until the silence ends; if the watch is stalled, it never returns true. It returns false if the call is canceled.
 func (a *Agent) awaitUpdate(ctx context.Context, version int, maxWait time.Duration) bool {
 	timeout := time.After(maxWait)
 	timedOut := false
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -24,7 +24,7 @@
 type clientConn struct {
 	net.Conn
 	reader *bufio.Reader
-	used   bool // it has carried a request, or the client has closed its sending side
+	used   bool // an attempt on it has ended, or the client has closed its sending side
 }
 
 // dial opens a connection to a node.
@@ -36,7 +36,8 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// idle reports whether a connection without a request in progress has received neither bytes nor a close.
+// idle reports whether a connection without a request in progress is still usable: it has received no bytes, and the node has not
+// closed it.
 func (k *clientConn) idle() bool {
 	k.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := k.reader.Peek(1)
@@ -62,19 +63,19 @@
 
 func newCallID() string { return fmt.Sprintf("%016x", lastCallID.Add(1)) }
 
-// Behavior of clients. Each share says what it is a share of.
+// Behavior of clients. Each share is a probability from 0 to 1; its comment says of what it is a share.
 const (
-	meanThinkTime       = 120 * time.Millisecond
-	longThinkTimeShare  = 0.03                   // of pauses, which last seconds: nodes close idle connections meanwhile
+	meanThinkTime       = 120 * time.Millisecond // mean pause before an operation
+	longThinkTimeShare  = 0.03                   // of pauses, which last 1 s to 5 s, so that nodes close idle connections
 	disconnectShare     = 0.10                   // of attempts, whose client disconnects
-	maxDisconnectDelay  = 600 * time.Millisecond // latest time of the disconnect after the attempt was sent
+	maxDisconnectDelay  = 600 * time.Millisecond // maximum time from sending an attempt to the disconnect
 	halfCloseShare      = 0.02                   // of attempts, whose client closes its sending side and waits for the response
 	immediateRetryShare = 0.3                    // of rejections, which are retried immediately in spite of Retry-After
 	unreachablePause    = 50 * time.Millisecond  // after an attempt that could not connect
-	maxAttempts         = 4
-	maxResponseTokens   = 60
-	shortTimeoutShare   = 0.05 // of operations, whose timeout is at most 0.32 s
-	stoppingNodeShare   = 0.7  // of attempts of clients with an open connection to a stopping node, which go to that node
+	maxAttempts         = 4                      // per operation
+	maxResponseTokens   = 60                     // per response
+	shortTimeoutShare   = 0.05                   // of operations, whose timeout is 0.02 s to 0.32 s
+	stoppingNodeShare   = 0.7                    // of attempts whose client has an open connection to a stopping node: they go to it
 )
 
 // classes are the classes of requests; each entry is drawn with the same probability.
@@ -148,8 +149,8 @@
 	}
 }
 
-// pickNode draws the node of the next attempt: a node in service or, with probability stoppingNodeShare, a stopping node to which a
-// connection is still open.
+// pickNode draws the node of the next attempt; nil if there is none. If the client has an open connection to a stopping node, it returns
+// that node with probability stoppingNodeShare. Otherwise it draws a node in service.
 func (c *client) pickNode() *Node {
 	if n := c.stoppingNode(); n != nil && c.rng.Float64() < stoppingNodeShare {
 		return n
@@ -157,8 +158,8 @@
 	return c.fleet.pickNode(c.rng)
 }
 
-// stoppingNode returns a stopping node to which a connection is still open; nil if there is none. It draws no random numbers, so that
-// a scenario without stops has the same operations whatever the value of stoppingNodeShare.
+// stoppingNode returns a stopping node to which the client has an open connection; nil if there is none. It draws no random numbers, so
+// that stoppingNodeShare does not change the operations of a scenario without stops.
 func (c *client) stoppingNode() *Node {
 	for _, n := range c.fleet.nodes {
 		conn := c.conns[n]
@@ -176,8 +177,8 @@
 
 // Outcomes of an attempt that are not recorded.
 const (
-	resend    record.Outcome = "crossed" // not written, because the node had closed the idle connection: the request is sent again
-	abandoned record.Outcome = "over"    // the client has disconnected, or may not retry
+	resend    record.Outcome = "crossed" // the request could not be written on a reused connection: it is sent again
+	abandoned record.Outcome = "over"    // the client has disconnected, or must not retry
 )
 
 // connect returns the idle connection to a node if it is still usable, or a new one.
@@ -192,7 +193,7 @@
 	return dial(n)
 }
 
-// attempt makes one attempt and records it. With a rejection, it returns the delay of the Retry-After header.
+// attempt makes one attempt and records it. retryAfter is the value of the Retry-After header; 0 if the response has none.
 func (c *client) attempt(n *Node, request platform.Request, number int) (outcome record.Outcome, retryAfter time.Duration) {
 	conn, err := c.connect(n)
 	if err != nil {
@@ -218,7 +219,7 @@
 		return record.Unreachable, 0
 	}
 	c.fleet.log.Add(sent)
-	var ended atomic.Bool // the attempt has ended, by its response or by the client's disconnect
+	var ended atomic.Bool // the attempt has ended with its response or with the client's disconnect
 	if timer := c.scheduleClientFault(conn, request.ID, base, &ended); timer != nil {
 		defer timer.Stop()
 	}
@@ -290,7 +291,7 @@
 	streamTimeout = 20 * time.Second
 )
 
-// receive reads a response, and calls first when a stream begins. reusable is true if the connection can carry another request.
+// receive reads a response, and calls first when a stream begins. reusable says whether the connection can carry another request.
 func receive(conn *clientConn, request platform.Request, first func()) (response platform.Response, reusable bool) {
 	conn.SetReadDeadline(time.Now().Add(request.Timeout + headGrace))
 	if _, err := conn.reader.Peek(1); err != nil {
--- a/lab/soak/clock.go
+++ b/lab/soak/clock.go
@@ -13,7 +13,8 @@
 // clockBytes is the size of a clock's file, which holds the clock's offset in nanoseconds as an int64.
 const clockBytes = 8
 
-// Clock steps the wall clock of the processes of one node. The offset is in a file that testdata/clock.c maps into each process.
+// Clock steps the wall clock of the processes of one node. The clock's offset is in a file. The library built from testdata/clock.c maps
+// this file into each process.
 type Clock struct {
 	path   string
 	offset []byte
@@ -33,7 +34,7 @@
 	return &Clock{path: path, offset: offset}, err
 }
 
-// Step sets the clock's offset from the real time, in nanoseconds.
+// Step sets the clock's offset from the real time to ns nanoseconds.
 func (c *Clock) Step(ns int64) { *(*int64)(unsafe.Pointer(&c.offset[0])) = ns }
 
 // Close unmaps the file.
--- a/lab/soak/evaluate.go
+++ b/lab/soak/evaluate.go
@@ -15,16 +15,17 @@
 const (
 	minServedShare     = 0.9 // of the whole fleet
 	minNodeServedShare = 0.7 // of each node
-	minNodeRequests    = 12  // a node with fewer requests isn't checked, because its share says little
+	minNodeRequests    = 12  // a node with fewer requests isn't checked, because its share is mostly chance
 )
 
-// An unanswered request is excused if its node was killed within these times before or after the request was sent (s).
+// An unanswered request is no finding if its node was killed less than killWindowBefore before or killWindowAfter after the request was
+// sent (s).
 const (
 	killWindowBefore = 0.2
 	killWindowAfter  = 6
 )
 
-// rulesConfig returns the parameters of the rules, as the platform's settings and pages state them.
+// rulesConfig returns the configuration of the rule checker, with the limits that the platform's settings and pages state.
 func (f *Fleet) rulesConfig() rules.Config {
 	config := rules.Config{
 		Classes: map[string]rules.Class{
@@ -45,7 +46,7 @@
 	return config
 }
 
-// cellOf returns the cell of an engine, which follows from the number in its ID.
+// cellOf returns the cell of an engine, according to the number in its ID.
 func cellOf(id string) int {
 	_, text, _ := strings.Cut(id, "-")
 	number, _ := strconv.Atoi(text)
@@ -103,7 +104,7 @@
 	}
 }
 
-// killedAt reports whether a node was killed around the time t: from killWindowBefore before it to killWindowAfter after it.
+// killedAt reports whether a node was killed between killWindowBefore before and killWindowAfter after the time t (Unix seconds).
 func (f *Fleet) killedAt(n *Node, t float64) bool {
 	for _, x := range f.log.All() {
 		if x.Kind == record.NodeKilled && x.Node == n.name && x.T > t-killWindowBefore && x.T < t+killWindowAfter {
@@ -113,7 +114,8 @@
 	return false
 }
 
-// evaluateRecovery checks that nearly all requests of the recovery window were served. The caller holds the lock.
+// evaluateRecovery checks that the shares of requests served in the recovery window, of the fleet and of each node, reach their minimums.
+// The caller holds the lock.
 func (f *Fleet) evaluateRecovery() {
 	end := time.Since(f.startedAt)
 	served, total := servedOf(f.recoveryOutcomes)
--- a/lab/soak/fault.go
+++ b/lab/soak/fault.go
@@ -47,7 +47,8 @@
 // maxFaultPause is the maximum pause between two faults of one sequence.
 const maxFaultPause = 400 * time.Millisecond
 
-// injectFaults injects faults until the scenario's duration has passed, in as many parallel sequences as the scenario states.
+// injectFaults injects faults until the scenario's duration has passed. It runs Scenario.Parallel sequences of faults (at least 1)
+// concurrently.
 func (f *Fleet) injectFaults() {
 	end := time.Now().Add(f.scenario.Duration)
 	names := f.scenario.Faults
@@ -84,7 +85,7 @@
 	t.pause(0, maxFaultPause)
 }
 
-// injection is one fault while it is injected. Its draw methods add what they drew to its notes.
+// injection is a fault that is being injected. Its draw methods add the drawn values to its notes.
 type injection struct {
 	fleet *Fleet
 	rng   *rand.Rand
@@ -107,7 +108,7 @@
 	return n
 }
 
-// drawNodes draws at least one and at most the given number of nodes.
+// drawNodes draws at least one node and at most the given number of nodes.
 func (t *injection) drawNodes(most int) []*Node {
 	nodes := slices.Clone(t.fleet.nodes)
 	t.rng.Shuffle(len(nodes), func(i, k int) { nodes[i], nodes[k] = nodes[k], nodes[i] })
@@ -129,7 +130,7 @@
 	return id
 }
 
-// drawReplaceableEngine is drawEngine, but returns "" if no other engine of the same kind is up.
+// drawReplaceableEngine draws an engine that is listed as up; "" if there is none, or if no other engine of the drawn one's kind is up.
 func (t *injection) drawReplaceableEngine() string {
 	id := t.drawEngine()
 	if id == "" || !t.fleet.registry.hasPeers(id) {
--- a/lab/soak/fault_client.go
+++ b/lab/soak/fault_client.go
@@ -33,9 +33,10 @@
 }
 
 const (
-	// badClientLimit is the time in which a node must respond to a bad client or close its connection (DAYS of the platform, bad clients).
+	// badClientLimit is the time within which a node must respond to a bad client or close its connection (DAYS of the platform, bad
+	// clients).
 	badClientLimit = 3 * time.Second
-	// badClientSlack is the delay that a loaded machine may add.
+	// badClientSlack is added to badClientLimit, because a loaded machine may delay the node.
 	badClientSlack = 300 * time.Millisecond
 	// badClientCount is the number of bad clients that connect at once.
 	badClientCount = 10
@@ -55,7 +56,7 @@
 	"",
 }
 
-// badClients sends bad requests, and reports those after which the node neither responds nor closes the connection in time.
+// badClients sends bad requests. It reports a request if the node neither responds nor closes the connection within badClientLimit.
 func badClients(t *injection) {
 	n := t.drawNode()
 	if !n.isInService() {
@@ -75,7 +76,7 @@
 	clients.Wait()
 }
 
-// ignoresBadRequest sends a bad request, and reports whether the node neither responds nor closes the connection in time.
+// ignoresBadRequest sends a bad request. It returns whether the node neither responds nor closes the connection within badClientLimit.
 func ignoresBadRequest(n *Node, text string) bool {
 	start := time.Now()
 	conn, err := net.DialTimeout("tcp", n.address, connectTimeout)
@@ -93,7 +94,8 @@
 // idleConnectTimeout is the connect timeout of each idle client of fillDescriptors.
 const idleConnectTimeout = 50 * time.Millisecond
 
-// fillDescriptors opens connections without requests until they use up a node's file descriptors, and closes them after a while.
+// fillDescriptors opens connections without requests, up to a node's limit of sockets or until the node accepts no more, and closes them
+// after up to 3 s.
 func fillDescriptors(t *injection) {
 	n := t.drawNode()
 	var conns []net.Conn
--- a/lab/soak/fault_discovery.go
+++ b/lab/soak/fault_discovery.go
@@ -42,7 +42,7 @@
 	t.fleet.registry.Update(id, func(e *platform.Endpoint) { e.State = state })
 }
 
-// drainEngine lists an engine as draining for a while.
+// drainEngine lists an engine as draining for 0.5 s to 3 s.
 func drainEngine(t *injection) {
 	id := t.drawReplaceableEngine()
 	if id == "" {
--- a/lab/soak/fault_engine.go
+++ b/lab/soak/fault_engine.go
@@ -23,7 +23,7 @@
 const (
 	stallGoesOn        = "goes on"                   // the engine resumes them
 	stallResets        = "resets its connections"    // their connections are reset
-	stallFrozen        = "notices closes late"       // the engine resumes them, and only then detects closed connections
+	stallFrozen        = "notices closes late"       // the engine resumes them, and detects closed connections only then
 	stallLosesAttempts = "loses attempts in silence" // the engine loses them, and their connections stay open
 )
 
@@ -36,7 +36,7 @@
 	e.SetHung(true)
 }
 
-// stallDecodeEngines stalls each engine that decodes with a probability of one third. All stalls are of one kind, which is drawn.
+// stallDecodeEngines stalls each decode or mixed engine with a probability of one third. It draws one kind for all stalls.
 func stallDecodeEngines(t *injection) {
 	kind := []string{stallGoesOn, stallResets, stallFrozen, stallLosesAttempts}[t.rng.IntN(4)]
 	t.note("kind=%q", kind)
@@ -79,7 +79,7 @@
 	}
 }
 
-// blackholeEngineConnections makes the open connections to one engine, including idle ones, carry nothing more.
+// blackholeEngineConnections stops all data on the open connections to one engine, including idle ones, without closing them.
 func blackholeEngineConnections(t *injection) {
 	id := t.drawEngine()
 	if id == "" {
@@ -91,8 +91,8 @@
 	t.pause(0, time.Second)
 }
 
-// blackholeConnectionsOfHalf makes the open connections to half of all engines carry nothing more, one to three times. New connections
-// work.
+// blackholeConnectionsOfHalf stops all data on the open connections to about half of all engines, without closing them, and does so one
+// to three times. New connections work.
 func blackholeConnectionsOfHalf(t *injection) {
 	for range 1 + t.rng.IntN(3) {
 		for _, id := range t.fleet.ids() {
@@ -107,8 +107,8 @@
 	}
 }
 
-// cutOffEngines cuts the machines of 80% of the engines of one role, or of 40% of all engines, off from some nodes. It leaves some engines
-// reachable, unless other faults affect them: without a reachable engine, no state could be released.
+// cutOffEngines cuts the machines of engines off from some nodes: each prefill engine with a probability of 80%, or each decode engine
+// with 80%, or each engine with 40%. Some engines should stay reachable, because no state could be released without one.
 func cutOffEngines(t *injection) {
 	roles := []string{"read", "write", ""}
 	role := roles[t.rng.IntN(len(roles))]
--- a/lab/soak/fault_node.go
+++ b/lab/soak/fault_node.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// reserve reserves a node for a stop, a kill or a reload, which cannot overlap on one node. It returns false if another fault has
-// reserved the node.
+// reserve reserves a node for a stop, a kill or a reload, because these must not overlap on one node. It returns false if another fault
+// has reserved the node.
 func (n *Node) reserve() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -35,7 +35,7 @@
 	n.awaitReady()
 }
 
-// stopNodes performs planned restarts of nodes. Some nodes get a new configuration or further signals meanwhile.
+// stopNodes performs planned restarts of nodes. Some nodes get a new configuration or further signals around or during their stop.
 func stopNodes(t *injection) {
 	var stops sync.WaitGroup
 	for _, n := range t.drawNodes(max(1, len(t.fleet.nodes)/4)) {
@@ -43,7 +43,7 @@
 			continue
 		}
 		serving := 200*time.Millisecond + time.Duration(t.rng.Int64N(int64(200*time.Millisecond)))
-		extra := time.Duration(0) // SIGKILL follows after the minimum time
+		extra := time.Duration(0) // time that the process gets beyond minStopTime before SIGKILL
 		if t.rng.IntN(3) == 0 {
 			extra = time.Duration(t.rng.Int64N(int64(maxExtraStopTime)))
 		}
@@ -129,7 +129,8 @@
 	n.signal(syscall.SIGHUP)
 }
 
-// reloadNodes gives nodes in service one to three new configurations in a row. Some of these follow one that cannot be parsed.
+// reloadNodes gives nodes in service one to three new configurations in a row. Some of these follow a configuration that cannot be
+// parsed.
 func reloadNodes(t *injection) {
 	for _, n := range t.drawNodes(max(1, len(t.fleet.nodes)/2)) {
 		if !n.isInService() || !n.reserve() {
@@ -149,7 +150,7 @@
 	t.pause(500*time.Millisecond, 3*time.Second)
 }
 
-// pauseNodes repeatedly suspends nodes for up to 0.15 s.
+// pauseNodes suspends nodes ten times, for up to 0.15 s each.
 func pauseNodes(t *injection) {
 	nodes := t.drawNodes(3)
 	for range 10 {
@@ -186,7 +187,7 @@
 	seed := t.rng.Uint64()
 	t.note("share=%.2f", share)
 	for i, n := range nodes {
-		rng := rand.New(rand.NewPCG(seed, uint64(i))) // used under the supervisor's lock
+		rng := rand.New(rand.NewPCG(seed, uint64(i))) // used only by the function below, which the supervisor calls under its lock
 		n.mu.Lock()
 		p := n.process
 		n.mu.Unlock()
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -40,7 +40,7 @@
 	node      *Node
 	id        string
 	operation string
-	sentAt    float64 // Unix seconds
+	sentAt    float64 // Unix seconds; of a pipelined request: when the client noticed the close
 }
 
 // initialEngineRoles are the roles of the engines with which a scenario begins.
@@ -67,7 +67,7 @@
 	return f
 }
 
-// losesResponse reports whether a proxy drops what an engine sends on the connection from peer.
+// losesResponse reports whether a proxy drops the data that an engine sends on the connection from peer.
 func (f *Fleet) losesResponse(engine string, peer net.Addr) bool {
 	for _, p := range f.proxies(engine) {
 		if p.LosesResponse(peer) {
@@ -180,7 +180,7 @@
 	return listener.Addr().String(), nil
 }
 
-// addRoute starts the proxy from a node to an engine. The caller holds the lock, or the scenario has not begun.
+// addRoute starts the proxy from a node to an engine. The caller must hold the lock once the scenario has begun.
 func (f *Fleet) addRoute(n *Node, id string) {
 	proxy, err := NewProxy(f.engines[id].Address())
 	if err != nil {
@@ -200,7 +200,7 @@
 	for _, n := range f.nodes {
 		f.addRoute(n, id)
 	}
-	started := int64(0) // 1970: only engines that start during the scenario are in slow start
+	started := int64(0) // 1970, long ago: only engines that start during the scenario are in slow start
 	if len(f.nodes) > 0 {
 		started = time.Now().UnixMilli()
 	}
--- a/lab/soak/launch.go
+++ b/lab/soak/launch.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Environment variables of a process that Launch turns into a node.
+// Environment variables of a process that Launch replaces by a node's program.
 const (
 	envProgram     = "SOAK_PROGRAM" // path of the program to execute
 	envDescriptors = "SOAK_FILES"   // limit of the program's open file descriptors
@@ -19,9 +19,9 @@
 )
 
 const (
-	// notifierFD is the descriptor of the socket on which the supervisor receives the notifier.
+	// notifierFD is the descriptor of the socket on which the process sends its seccomp notifier to the supervisor.
 	notifierFD = 3
-	// exitLaunchFailed is the exit status if the program cannot be executed, the same as a shell's for a command that is not found.
+	// exitLaunchFailed is the exit status if the launch fails. A shell uses the same status for a command that is not found.
 	exitLaunchFailed = 127
 )
 
--- a/lab/soak/node.go
+++ b/lab/soak/node.go
@@ -18,7 +18,7 @@
 
 // Resource limits of a node.
 const (
-	nodeSockets  = 256
+	nodeSockets  = 256 // open file descriptors
 	nodeMemoryMB = 96
 )
 
@@ -35,9 +35,9 @@
 	logFile *os.File // receives the logs of all processes; nil: each process has a file of its own
 
 	mu           sync.Mutex // guards the fields below
-	process      *process   // the one that was started last
+	process      *process   // the process that was started last
 	starts       int
-	inService    bool // new client connections go to it
+	inService    bool // clients open new connections to it
 	reserved     bool // a fault is stopping, restarting or reloading it
 	terminatedAt time.Time
 	killedAt     time.Time
@@ -83,7 +83,7 @@
 	return n.inService
 }
 
-// stopping reports whether the node was sent SIGTERM and its process has not ended. Clients use the connections that it leaves open.
+// stopping reports whether the node's process was sent SIGTERM and has not ended. Clients continue to use their open connections to it.
 func (n *Node) stopping() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -97,7 +97,8 @@
 	readyCallTimeout  = time.Second // of one health check
 )
 
-// awaitReady waits until the node's health check succeeds, and puts the node into service. It reports a node that isn't ready in time.
+// awaitReady waits until the node's health check succeeds, and puts the node into service. It reports a node that isn't ready within
+// readyTimeout.
 func (n *Node) awaitReady() {
 	start := time.Now()
 	n.mu.Lock()
@@ -155,7 +156,7 @@
 // forbiddenLine matches lines that must not appear in a node's log.
 var forbiddenLine = regexp.MustCompile(`level=ERROR|^panic:|^fatal error:|DATA RACE|rule violated`)
 
-// allowedLine matches exceptions from forbiddenLine, which a fault causes: a configuration that cannot be read.
+// allowedLine matches exceptions from forbiddenLine: the lines about a configuration that a fault made unreadable or malformed.
 var allowedLine = regexp.MustCompile(`configuration rejected`)
 
 // requestReceived is the part of a log line that precedes the ID of a request that the node has received.
--- a/lab/soak/pipeline.go
+++ b/lab/soak/pipeline.go
@@ -12,7 +12,7 @@
 const (
 	// pipelinedRequests is the number of requests that a client sends at once.
 	pipelinedRequests = 5
-	// pipelinedTimeout is the timeout that each of them states.
+	// pipelinedTimeout is the timeout that each pipelined request states.
 	pipelinedTimeout = 3 * time.Second
 )
 
@@ -36,14 +36,14 @@
 		awaited = c.rng.IntN(pipelinedRequests)
 	}
 	for i, request := range requests[:awaited] {
-		request.Timeout *= time.Duration(i + 1) // each one also waits for the ones before it
+		request.Timeout *= time.Duration(i + 1) // each request also waits for the responses to those before it
 		if !c.receivePipelined(n, conn, request, i == 0) {
 			return
 		}
 	}
 }
 
-// drawPipelined draws the requests of a pipeline.
+// drawPipelined draws the requests that pipeline sends, and registers their IDs.
 func (c *client) drawPipelined() []platform.Request {
 	requests := make([]platform.Request, pipelinedRequests)
 	for i := range requests {
--- a/lab/soak/process.go
+++ b/lab/soak/process.go
@@ -19,13 +19,13 @@
 
 	err           error // result of waiting for its end
 	endedAt       time.Time
-	stopRequested bool // it was sent SIGTERM or killed
+	stopRequested bool // SIGTERM or SIGKILL was sent to it
 }
 
-// start starts a process with the endpoint list known; awaitReady puts it into service.
+// start starts a process. known is the endpoint list that it starts with. The caller calls awaitReady, which puts it into service.
 func (n *Node) start(known []byte) error { return n.startWithFailures(known, nil) }
 
-// startWithFailures is start for a process whose watched system calls fail from the beginning as fail decides.
+// startWithFailures is like start, but the watched system calls of the process fail from its beginning as fail decides (Supervisor.Fail).
 func (n *Node) startWithFailures(known []byte, fail func(call uint32) syscall.Errno) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -84,7 +84,7 @@
 	return cmd, nil
 }
 
-// awaitEnd waits for the end of a process, and reports a process that ends without having been stopped or killed.
+// awaitEnd waits for the end of a process. It reports the process if it ended without having been sent SIGTERM or SIGKILL.
 func (n *Node) awaitEnd(p *process) {
 	err := p.cmd.Wait()
 	n.mu.Lock()
@@ -109,8 +109,8 @@
 	}
 }
 
-// kill kills the process and waits for its end. The time before the signal and the time of the end are both recorded, because the
-// process may have acted in between.
+// kill kills the process and waits for its end. It records a kill before the signal and another at the end of the process, because the
+// process may still act between the two.
 func (n *Node) kill() {
 	n.mu.Lock()
 	p := n.process
@@ -128,14 +128,15 @@
 	n.mu.Unlock()
 }
 
-// Times of a planned restart (PROTOCOL of the platform, figures). The settings' longest deadline is over 3 s, so it counts as 3 s.
+// Times of a planned restart (PROTOCOL of the platform, figures). minStopTime is 0.7 s more than the longest deadline of the settings,
+// which counts as 3 s because it is longer than that.
 const (
 	minStopTime      = 3700 * time.Millisecond // minimum time from SIGTERM to SIGKILL
 	maxExtraStopTime = 600 * time.Millisecond  // maximum time that some processes get in addition
 )
 
-// stop ends the process as a planned restart does: it sends SIGTERM, and SIGKILL after minStopTime + extra. The node stays in service
-// for the time serving after SIGTERM.
+// stop ends the process as a planned restart does. It sends SIGTERM, and SIGKILL if the process has not ended after minStopTime + extra.
+// After SIGTERM, the node stays in service for the time given by serving.
 func (n *Node) stop(serving, extra time.Duration) {
 	n.mu.Lock()
 	p := n.process
--- a/lab/soak/proxy.go
+++ b/lab/soak/proxy.go
@@ -47,11 +47,12 @@
 	fragmentInterval = 50 * time.Microsecond
 	// modePollInterval is how often a connection that carries nothing checks the mode again.
 	modePollInterval = 10 * time.Millisecond
-	// acceptQueueFillers is more connections than the shortest accept queue holds, including the one that the proxy has accepted.
+	// acceptQueueFillers is a number of connections that is larger than the shortest accept queue holds, including the connection that
+	// the proxy accepts under CutOff.
 	acceptQueueFillers = 8
-	// fillerTimeout is the longest time for establishing a connection to the proxy itself, unless the kernel drops the connection request.
+	// fillerTimeout is the time after which a connection to the proxy itself counts as dropped by the kernel if it is not established.
 	fillerTimeout = 30 * time.Millisecond
-	// queuedTimeout is the time after CutOff during which accepted connections count as established under CutOff.
+	// queuedTimeout is how long after the end of CutOff accepted connections still count as established under CutOff.
 	queuedTimeout = 20 * time.Millisecond
 	// forwardBufferBytes is the maximum number of bytes that are forwarded after one read.
 	forwardBufferBytes = 16 << 10
@@ -65,7 +66,7 @@
 	mu         sync.Mutex // guards the fields below
 	mode       Mode
 	conns      map[net.Conn]bool // connections from clients and to the target
-	blackholed map[net.Conn]bool // those of conns that carry nothing more
+	blackholed map[net.Conn]bool // the connections in conns that carry nothing more
 	fillers    []net.Conn        // the proxy's connections to itself that keep the accept queue full under CutOff
 }
 
@@ -83,7 +84,7 @@
 // Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// SetMode changes the mode. All connections are reset at the end of Blackhole and of CutOff; data that was not forwarded stays lost.
+// SetMode changes the mode. If the mode was Blackhole or CutOff, all connections are reset and the data that was not forwarded is lost.
 func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
 	previous := p.mode
@@ -146,7 +147,7 @@
 	return p.mode
 }
 
-// BlackholeConnections makes all open connections carry nothing more, without closing them. New connections are forwarded.
+// BlackholeConnections stops all data on the open connections, without closing them. New connections are forwarded.
 func (p *Proxy) BlackholeConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -225,7 +226,7 @@
 	}
 }
 
-// resetQueued resets connections that were established in the accept queue under CutOff, so that data written to them is lost.
+// resetQueued resets the connections that the kernel established in the accept queue under CutOff. Data written to them is lost.
 func (p *Proxy) resetQueued() {
 	l := p.listener.(*net.TCPListener)
 	l.SetDeadline(time.Now().Add(queuedTimeout))
@@ -256,7 +257,7 @@
 func (p *Proxy) serve(c net.Conn) {
 	if p.currentMode() == DelayNew {
 		time.Sleep(newConnectionDelay)
-		if peerClosed(c) { // the peer would not read the response
+		if peerClosed(c) { // the client no longer waits for a response
 			p.untrack(c)
 			c.Close()
 			return
@@ -290,7 +291,7 @@
 	return !established
 }
 
-// forward copies one direction. The end of the data closes both connections, an error resets them.
+// forward copies the data of one direction. At the end of the data it closes both connections; after an error it resets them.
 func (p *Proxy) forward(from, to net.Conn) {
 	buffer := make([]byte, forwardBufferBytes)
 	for {
--- a/lab/soak/registry.go
+++ b/lab/soak/registry.go
@@ -20,7 +20,7 @@
 	agents    []*Agent
 }
 
-// NewRegistry returns a registry without endpoints, whose agents record deliveries in log.
+// NewRegistry returns a registry without endpoints. Its agents record the deliveries of endpoints to nodes in log.
 func NewRegistry(log *record.Log) *Registry {
 	return &Registry{log: log, endpoints: map[string]platform.Endpoint{}, changed: map[string]int{}}
 }
--- a/lab/soak/scenario.go
+++ b/lab/soak/scenario.go
@@ -16,7 +16,7 @@
 	Seed           uint64
 	Nodes          int
 	ClientsPerNode int
-	Duration       time.Duration // period in which faults begin
+	Duration       time.Duration // length of the period in which faults begin
 	Program        string        // path of the node's program, linked against the C library
 	ClockLib       string        // path of the library that steps clocks (BuildClock)
 	Directory      string        // directory for logs and configurations
@@ -58,7 +58,7 @@
 	Findings         []Finding
 	Events           []FaultEvent
 	Outcomes         map[record.Outcome]int
-	RecoveryOutcomes map[record.Outcome]int // in the recovery window, when all faults were over
+	RecoveryOutcomes map[record.Outcome]int // numbers of attempts in the recovery window, by outcome
 	Unanswered       int                    // requests on reused connections that closed without a response
 	FailedCalls      map[string]int         // numbers of failed system calls, by call number and error
 }
--- a/lab/soak/scenario_test.go
+++ b/lab/soak/scenario_test.go
@@ -111,7 +111,7 @@
 			s.startClients(8)
 			time.Sleep(300 * time.Millisecond)
 			s.node.clock.Step(int64(step))
-			for i := range 300 { // frequent discovery calls: each change answers one, and the node makes the next
+			for i := range 300 { // each change answers one discovery call, and the node then makes the next
 				s.fleet.registry.Update("both-9", func(x *platform.Endpoint) { x.Weight = 1 + float64(i)/100 })
 				time.Sleep(40 * time.Millisecond)
 			}
@@ -128,7 +128,7 @@
 	}
 }
 
-// A step of the wall clock during a shutdown must not make the shutdown late, nor leave a received request without a response.
+// A step of the wall clock during a shutdown must not delay the shutdown. It must not leave a received request without a response either.
 func TestShutdownIsUnaffectedByWallClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
@@ -221,8 +221,8 @@
 func TestNodeServesWhenItsLogPipeIsClosed(t *testing.T) { testServingWithLogPipe(t, true) }
 func TestNodeServesWhenItsLogPipeIsFull(t *testing.T)   { testServingWithLogPipe(t, false) }
 
-// testServingWithLogPipe checks that a node continues to serve, and stops in time, when its log goes to a pipe that is closed or that
-// nobody reads.
+// testServingWithLogPipe checks that a node continues to serve, and stops within minStopTime of SIGTERM, if its log is written to a pipe
+// that is closed or from which nobody reads.
 func testServingWithLogPipe(t *testing.T, pipeClosed bool) {
 	t.Helper()
 	s := newFixture(t)
@@ -274,8 +274,8 @@
 	}
 }
 
-// States must be released in time even if the decode attempts that would fetch them were written to connections that carry nothing more:
-// an attempt that has not reached a running engine does not count as in flight.
+// States must be released before their limit even if the decode attempts that would fetch them were written to connections that carry
+// nothing more. Such an attempt has not reached a running engine, so it does not count as in flight.
 func TestStatesAreReleasedWhenDecodeConnectionsAreBlackholed(t *testing.T) {
 	s := newFixture(t)
 	s.startNode()
@@ -289,14 +289,14 @@
 	s.checkRules()
 }
 
-// Guards against states of repeatable requests that are neither used nor released in time when several decode engines are cut off at
-// once. Open connections to them accept decode attempts but carry nothing, and new connections fail only after the connect timeout, which
-// uses up most of the states' time.
+// Guards against states of repeatable requests that are neither used nor released before their limit when several decode engines are cut
+// off at once. Attempts can be written to open connections to these engines, but are not delivered. New connections fail only after the
+// connect timeout, which uses up most of the time within the limit.
 //
-// A written attempt counted as in flight, and each of three mechanisms relied on another one to end it before the limit on the state:
-// the scheduler cancels only overdue attempts, which failed connections delay, and only with two attempts left; the release beside a
-// silent attempt left these classes to the scheduler; the host checked only once (log line "attempt silent"). So nothing released the
-// states before the end of the client's time.
+// The failure arose because a written attempt counted as in flight, and each of three mechanisms relied on another one to end it before
+// the limit. The scheduler cancels an attempt only if it is overdue, which failed connections delay, and only with two attempts left. The
+// release beside a silent attempt left these classes to the scheduler. The host checked only once (log line "attempt silent"). So
+// nothing released the states before the client's time ended.
 func TestStatesAreReleasedWhenDecodeEnginesAreCutOff(t *testing.T) {
 	s := newFixture(t)
 	s.startNode()
@@ -319,8 +319,9 @@
 	s.checkRules()
 }
 
-// As TestStatesAreReleasedWhenDecodeEnginesAreCutOff, but without failed connections: open connections repeatedly stop carrying data,
-// while new ones work. Nodes keep receiving responses from the engines, which doesn't prove that an earlier attempt has arrived there.
+// Guards against the same failure as TestStatesAreReleasedWhenDecodeEnginesAreCutOff, but without failed connections. Open connections
+// repeatedly stop carrying data, while new ones work. So nodes still receive responses from an engine to which an earlier attempt was
+// not delivered.
 func TestStatesAreReleasedWhenOpenConnectionsAreBlackholed(t *testing.T) {
 	s := newFixture(t)
 	s.startNode()
@@ -340,7 +341,7 @@
 	s.checkRules()
 }
 
-// setDecodeMode sets the mode of the proxies to all engines that decode.
+// setDecodeMode sets the mode of the proxies to all decode and mixed engines.
 func (s *fixture) setDecodeMode(m Mode) {
 	for _, id := range s.fleet.engineIDs {
 		if id[0] != 'r' {
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -47,7 +47,8 @@
 	return or
 }
 
-// logDirectory returns the directory for the logs of a scenario: one within SOAK_LOGS, which is kept, or else a temporary one.
+// logDirectory returns the directory for the logs of a scenario. If SOAK_LOGS is set, the directory is within it and is kept; otherwise
+// it is a temporary one.
 func logDirectory(t *testing.T, name string) string {
 	t.Helper()
 	logs := os.Getenv("SOAK_LOGS")
@@ -61,9 +62,9 @@
 	return dir
 }
 
-// Processes under overlapping faults must follow the rules, not crash, and serve again when the faults are over. SOAK_SEEDS=5-14 selects
-// other seeds, SOAK_NODES, SOAK_SECONDS and SOAK_PARALLEL set the size of the scenario, SOAK_TROUBLES=stop,drain selects faults, and
-// SOAK_LOGS names a directory in which the nodes' logs are kept.
+// Processes under overlapping faults must follow the rules, must not crash, and must serve again when the faults are over. Environment
+// variables change the run: SOAK_SEEDS=5-14 selects other seeds; SOAK_NODES, SOAK_SECONDS and SOAK_PARALLEL set the size of the scenario;
+// SOAK_TROUBLES=stop,drain selects faults; SOAK_LOGS names a directory in which the nodes' logs are kept.
 func TestSoak(t *testing.T) {
 	program, clockLib := build(t)
 	from, to := 1, 1
--- a/lab/soak/staterelease_test.go
+++ b/lab/soak/staterelease_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// runStalls repeatedly stalls about one in three decode engines, and checks the rules.
+// runStalls repeatedly stalls about one in three decode and mixed engines, and then checks the rules.
 func runStalls(t *testing.T, kind string) {
 	s := newFixture(t)
 	s.startNode()
@@ -31,8 +31,8 @@
 	s.checkRules()
 }
 
-// endStall ends a stall of engines. With stallLosesAttempts, the attempts are lost 2 s before the engines resume, but only after the
-// releases at the limit.
+// endStall ends a stall of engines. With stallLosesAttempts, the engines lose their attempts 2 s before they resume. At that time, the
+// states have already been released at their limit.
 func (s *fixture) endStall(ids []string, kind string) {
 	for _, id := range ids {
 		switch kind {
@@ -50,8 +50,9 @@
 	}
 }
 
-// Guards against states that stay at prefill engines forever. A release at the limit was acknowledged while an attempt that a decode
-// engine had received still waited for the state, so it released nothing. It was not repeated after the attempt had ended.
+// Guards against states that stay at prefill engines forever. When a state reached its limit, the node sent a release call, and the
+// engine acknowledged it. But an attempt that a decode engine had received still waited for the state, so the call released nothing. The
+// node did not repeat the call after the attempt had ended.
 func TestStatesAreReleasedAfterWaitingAttemptsEnd(t *testing.T) {
 	for _, kind := range []string{stallResets, stallGoesOn, stallFrozen, stallLosesAttempts} {
 		t.Run(kind, func(t *testing.T) {
--- a/lab/soak/supervisor.go
+++ b/lab/soak/supervisor.go
@@ -48,8 +48,8 @@
 	failed map[string]int                  // numbers of failed calls, by call number and error
 }
 
-// Fail sets a function that returns the error of each watched call from now on; 0 lets the call proceed, and a nil function lets all
-// calls proceed. decide runs under the supervisor's lock, for one call at a time.
+// Fail sets a function that decides about each watched call from now on. It returns the error with which the call fails; 0 lets the call
+// proceed. If decide is nil, all calls proceed. decide runs under the supervisor's lock, for one call at a time.
 func (s *Supervisor) Fail(decide func(call uint32) syscall.Errno) {
 	s.mu.Lock()
 	s.decide = decide
@@ -65,7 +65,7 @@
 	}
 }
 
-// decideCall returns the error with which a call fails; 0 if it proceeds.
+// decideCall returns the error with which a call fails, and counts the failure; 0 if the call proceeds.
 func (s *Supervisor) decideCall(call uint32) syscall.Errno {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// respond returns the response to a notification. Opening any file other than the watched one always proceeds.
+// respond returns the response to a notification. A call that opens a file other than the watched one always proceeds.
 func (s *Supervisor) respond(n *notification) notificationResponse {
 	proceed := notificationResponse{id: n.id, flags: notifyContinue}
 	if n.callNumber == unix.SYS_OPENAT && s.openedPath(n) != s.watchedFile {
