--- a/lab/platform/fault.go
+++ b/lab/platform/fault.go
@@ -79,8 +79,8 @@
 	e.frozen = false
 }
 
-// LoseAttempts makes a hung engine lose the attempts that it has received, as if its machine had vanished. The attempts are never served,
-// and their connections stay open and carry nothing more.
+// LoseAttempts makes a hung engine lose the attempts that it has received, as if its machine had vanished. The attempts end
+// without a response, and their connections stay open and carry nothing more.
 func (e *Engine) LoseAttempts() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/lab/record/record.go
+++ b/lab/record/record.go
@@ -22,8 +22,8 @@
 	FinalResponse Kind = "answer"
 	// ClientDisconnected is a disconnect initiated by the client.
 	ClientDisconnected Kind = "hangup"
-	// ExtraResponse is a second final response, or any other data after the first. The engines of lab/platform also
-	// record a request whose id no client sent as an ExtraResponse.
+	// ExtraResponse is a second final response, or any other data after the first. The engines of lab/platform also record a request
+	// whose id no client sent as an ExtraResponse.
 	ExtraResponse Kind = "more"
 )
 
--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -223,7 +223,7 @@
 	return nil
 }
 
-// maxIdle is a number of idle connections to a host: if there are more, none is added.
+// maxIdle limits the idle connections to a host: none is added if there are more than maxIdle.
 const maxIdle = 4
 
 // putIdle stores a connection for reuse, or closes it if there are enough or no node is running.
--- a/lab/simulation/discovery.go
+++ b/lab/simulation/discovery.go
@@ -40,7 +40,7 @@
 	fleet *fleet
 
 	mu            sync.Mutex // guards all that follows
-	version       int        // of the list; each change increments it
+	version       int        // version of the list; each change increments it
 	entries       map[string]listEntry
 	changed       chan struct{} // closed and replaced at the next change
 	silent        chan struct{} // closed when discovery responds again; nil = it responds
--- a/lab/simulation/draw.go
+++ b/lab/simulation/draw.go
@@ -133,7 +133,7 @@
 	}
 	s.placeEngines(counts, engines, 4+rng.IntN(4))
 	s.setRate(maxRate)
-	for s.requestsInFlight() > float64(s.Sockets)/5 { // outside a burst, requests in flight use at most a fifth of the descriptors
+	for s.requestsInFlight() > float64(s.Sockets)/5 { // at most a fifth of the descriptors: a burst can nearly double the rate
 		s.Sockets *= 2
 	}
 	for i := range s.Tenants {
@@ -203,7 +203,7 @@
 }
 
 // setRate sets the request rate from the capacity of the engines. If the rate would exceed maxRate (requests/s), it scales down the
-// slots, queues and speeds of the engines: one engine of the site then represents a fraction of a real one.
+// slots, queues and speeds of the engines: one engine of the site then represents several of a real deployment.
 func (s *Site) setRate(maxRate float64) {
 	fullyAvailable := func(EngineSpec) float64 { return 1 }
 	s.Rate = s.Load * s.Capacity(fullyAvailable)
--- a/lab/simulation/oracle.go
+++ b/lab/simulation/oracle.go
@@ -152,8 +152,9 @@
 	return found
 }
 
-// rejectsAll returns a text on the first time of at least minRejectingTime in which a node rejected all its requests; "" = there was
-// none. The results must be in order of time.
+// rejectsAll returns a text on the first time of at least minRejectingTime in which a node rejected all its requests. It returns "" if
+// there was none, or if the requests of all nodes in that time are too few or their served share is too low to blame the node. The
+// results must be in order of time.
 func (r *Report) rejectsAll(node string, results []Result) string {
 	first := 0 // index of the first of consecutive rejected requests
 	for i, x := range results {
--- a/lab/simulation/slowstart.go
+++ b/lab/simulation/slowstart.go
@@ -11,8 +11,8 @@
 	weight float64 // work of its class as a multiple of the mean
 }
 
-// slowStartLoad is the work that an engine in slow start has received in the window that ends now, and OverloadMultiple times the work
-// that it can process in one window. Both are in requests of mean work.
+// slowStartLoad is the work that an engine in slow start has received in the window that ends now, and its capacity:
+// OverloadMultiple times the work that it can process in one window. Both are in requests of mean work.
 type slowStartLoad struct{ received, capacity float64 }
 
 // limit returns the maximum work that the engine may receive in one window: the capacity plus an allowance for random variation. The
--- a/lab/simulation/work.go
+++ b/lab/simulation/work.go
@@ -7,14 +7,13 @@
 	transferTokensPerSecond = 200e3
 	// crossCellFactor is the duration of a transfer between cells, as a multiple of the duration within a cell.
 	crossCellFactor = 3
-	// minPrefillTokens is the minimum number of tokens that a prefill processes, even if fewer are not cached.
+	// minPrefillTokens is the minimum number of tokens that count for a prefill, even if nearly all tokens of the prompt are cached.
 	minPrefillTokens = 16
 	// minEventTokens is the minimum number of tokens per event of a stream, unless fewer are left or eventInterval requires fewer.
 	minEventTokens = 6
-	// maxEvents is the number by which a response is divided to get the tokens per event. Rounding down, and eventInterval, can lead to
-	// more events.
+	// maxEvents is the number of events into which a long response is divided. Rounding and eventInterval can lead to more events.
 	maxEvents = 8
-	// eventInterval is the maximum time between two events of more than one token (s).
+	// eventInterval is the maximum time between two events (s), unless a single token takes longer.
 	eventInterval = 1.0
 )
 
--- a/lab/soak/process.go
+++ b/lab/soak/process.go
@@ -128,8 +128,8 @@
 	n.mu.Unlock()
 }
 
-// Times of a planned restart (PROTOCOL of the platform, figures). minStopTime is 0.7 s more than the longest deadline of the settings,
-// which counts as 3 s because it is longer than that.
+// Times of a planned restart (PROTOCOL of the platform, figures). minStopTime is 0.7 s more than the longest deadline of the settings.
+// That deadline is over 3 s, and counts as 3 s.
 const (
 	minStopTime      = 3700 * time.Millisecond // minimum time from SIGTERM to SIGKILL
 	maxExtraStopTime = 600 * time.Millisecond  // maximum time that some processes get in addition
--- a/lab/soak/scenario.go
+++ b/lab/soak/scenario.go
@@ -17,7 +17,7 @@
 	Nodes          int
 	ClientsPerNode int
 	Duration       time.Duration // length of the period in which faults begin
-	Program        string        // path of the node's program, linked against the C library
+	Program        string        // path of the node's program, which must be linked against the C library
 	ClockLib       string        // path of the library that steps clocks (BuildClock)
 	Directory      string        // directory for logs and configurations
 	Faults         []string      // names of the faults that may be drawn; empty: all
