--- a/lab/rules/operations.go
+++ b/lab/rules/operations.go
@@ -23,8 +23,8 @@
 	reportedAsMissing bool    // a missing final response has been reported
 }
 
-// operationRules checks rule 1 (one final response in time, and nothing after it) and rule 2 (no second effect) on the operations
-// that clients and engines recorded.
+// operationRules checks rule 1 (one final response before the client's patience ends, and nothing after it) and rule 2 (no second
+// effect) on the operations that clients and engines recorded.
 type operationRules struct {
 	config     Config
 	findings   *findings
@@ -103,6 +103,6 @@
 	}
 }
 
-// patienceOf returns how long the client of a request waits for the first token (s); 0 = no limit. The record of a request stores it
-// in Tokens.
+// patienceOf returns how long the client of a request waits for the first token (s). The record of a request stores it in Tokens. If it
+// is 0, the checker reports no late response to the request.
 func patienceOf(request record.Record) float64 { return request.Tokens }
