--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -7,8 +7,8 @@
 
 import "time"
 
-// Clock is a time in seconds since 1970 that never goes back: the wall clock at its creation, advanced by the monotonic clock. It is
-// safe for concurrent use. The zero Clock is not usable; options use it as "none given".
+// Clock counts the seconds since 1970 and never goes back: it starts at the wall-clock time of its creation and is advanced by the
+// monotonic clock. It is safe for concurrent use. The zero Clock is not usable; as the value of an option it means that no clock was given.
 type Clock struct {
 	base  float64 // seconds since 1970 at start
 	start time.Time
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -50,7 +50,7 @@
 	needsRestart("/engines", c.Engines, next.Engines)
 	needsRestart("/state_dir", c.StateDir, next.StateDir)
 	m.setClassDefaults()
-	if err := m.check(); err != nil { // models and match rules may name classes that this node does not have before a restart
+	if err := m.check(); err != nil { // fails, for example, if a model or match rule names a class that only a restart adds
 		return c, nil, append(applied, restartRequired...)
 	}
 	return &m, applied, restartRequired
--- a/internal/decide/batching/batching.go
+++ b/internal/decide/batching/batching.go
@@ -1,6 +1,6 @@
 // Package batching decides how often the decision module runs a decision pass. If it ran one at every event, a burst would use up
-// the event loop's time with passes that each handle one event; rare passes add their interval to every request twice. The package
-// does no I/O and reads no clock; times are in seconds.
+// the event loop's time with passes that each handle one event. If passes were rare, every request would wait for one twice: before
+// its prefill and before its decode. The package does no I/O and reads no clock; times are in seconds.
 package batching
 
 // maxTimeShare is the share of the event loop's time that decision passes may take.
--- a/internal/decide/classify/classify.go
+++ b/internal/decide/classify/classify.go
@@ -19,7 +19,7 @@
 type Class struct {
 	ClientTimeout            float64 // s until the client disconnects
 	ClientTimeoutPer1KTokens float64 // s more for each 1,000 prompt tokens
-	MaxTokens                int     // of a response, where the request states none
+	MaxTokens                int     // of a response, if the request states none
 	OutputTokenObjective     float64 // s between tokens
 }
 
--- a/internal/decide/classify/recent_ids.go
+++ b/internal/decide/classify/recent_ids.go
@@ -21,8 +21,8 @@
 // floodFactor is the number of ids that are remembered under a flood, in units of the minimum size.
 const floodFactor = 4
 
-// NewRecentIDs returns a RecentIDs that remembers the latest minSize ids, at least one, and those added within the window (s) if
-// there are more of them, up to four times as many.
+// NewRecentIDs returns a RecentIDs that remembers the latest minSize ids (1 if minSize is less). If more ids were added within the
+// window (s), it remembers these too, up to four times minSize in total.
 func NewRecentIDs(minSize int, window float64) *RecentIDs {
 	minSize = max(1, minSize)
 	return &RecentIDs{minSize: minSize, maxSize: floodFactor * minSize, window: window, ids: map[string]bool{}}
--- a/internal/decide/connreuse/connreuse.go
+++ b/internal/decide/connreuse/connreuse.go
@@ -10,12 +10,12 @@
 
 // Parameters of the limit on the idle time of reused connections.
 const (
-	idleTimeoutShare = 0.5  // of the engines' idle timeout: highest limit
+	idleTimeoutShare = 0.5  // share of the engines' idle timeout that the limit never exceeds
 	longestIdle      = 5.0  // s; the limit never exceeds it
-	lossShare        = 0.25 // of the idle time of a lost connection: the limit after the loss
+	lossShare        = 0.25 // the limit after a loss, as a share of the idle time of the lost connection
 	doublingTime     = 30.0 // s in which the limit doubles while no connection is lost
 	shortestIdle     = 0.02 // s; the limit never falls below it
-	pauseAfterLoss   = 10.0 // s without any reuse after the loss of a connection that had been idle for about shortestIdle
+	pauseAfterLoss   = 10.0 // s without any reuse after the loss of a connection that had been idle for at most shortestIdle/lossShare
 )
 
 // Policy limits the idle time of reused connections by the observed losses. It is not safe for concurrent use.
--- a/internal/decide/endpoints/poller.go
+++ b/internal/decide/endpoints/poller.go
@@ -30,7 +30,7 @@
 // Poll interval of a congested source (AfterResponse).
 const (
 	initialInterval       = 0.25 // s; the first interval when congestion begins
-	intervalDecreaseShare = 0.25 // of initialInterval, by which each response in time shortens the interval
+	intervalDecreaseShare = 0.25 // share of initialInterval by which a response without congestion shortens the interval
 )
 
 // backoffGrowth is the factor by which a backoff may exceed the one before it (decorrelated jitter).
--- a/internal/decide/outcome/outcome.go
+++ b/internal/decide/outcome/outcome.go
@@ -66,7 +66,7 @@
 	EngineError    ResponseKind = iota // the engine failed, or gave a response that does not fit the request
 	PrefillDone                        // the prefill is complete and the engine holds its state
 	DecodeDone                         // the response was generated
-	EngineRejected                     // the engine is full, draining or the like; the request has not run
+	EngineRejected                     // the engine is full or draining, for example; the request has not run
 	StateMissing                       // there was no state to fetch; the request has not run
 	InvalidRequest                     // the engine calls the request invalid; it has not run
 )
--- a/internal/decide/overload/lag.go
+++ b/internal/decide/overload/lag.go
@@ -5,10 +5,10 @@
 	lagGain          = 0.125
 	deviationGain    = 0.25
 	boundDeviations  = 4
-	lagHalfLife      = 2.0 // s after which a lag that is not observed again counts half
-	minRetryAfter    = 0.1 // s after which a rejected client may retry at the earliest
-	maxRetryAfter    = 5.0 // s after which a rejected client may retry at the latest
-	retryRandomFloor = 0.5 // lowest multiple of the recovery time after which a client may retry; the highest is one more
+	lagHalfLife      = 2.0 // s in which the estimate halves if no further lag is observed
+	minRetryAfter    = 0.1 // s; lower bound of the delay before a rejected client may retry
+	maxRetryAfter    = 5.0 // s; upper bound of that delay
+	retryRandomFloor = 0.5 // the delay is the recovery time multiplied by a random number between this and this + 1
 )
 
 // lagEstimate is a moving mean and deviation of the lag.
--- a/internal/decide/overload/overload.go
+++ b/internal/decide/overload/overload.go
@@ -12,16 +12,16 @@
 
 // Limits are what the machine and the settings allow.
 type Limits struct {
-	Descriptors   int     // of the process; 0 = unknown
-	Connections   int     // of clients, by the settings
-	Bytes         int64   // of requests in memory, by the settings; 0 = no bound
+	Descriptors   int     // limit of the process; 0 = unknown
+	Connections   int     // configured limit on client connections
+	Bytes         int64   // configured limit on the bytes of requests in memory; 0 = no limit
 	ResponseSlack float64 // s by which a response may come after the client's timeout
 }
 
 // Limits of admission.
 const (
-	maxLagShare       = 0.25 // of a client's timeout that lag may take before the request is rejected
-	maxHeldBytesShare = 0.9  // of the limit of bytes, above which requests are rejected
+	maxLagShare       = 0.25 // share of a client's timeout; a request is rejected if lag would take more
+	maxHeldBytesShare = 0.9  // share of Limits.Bytes above which requests are rejected
 )
 
 // Reasons of a Decision.
@@ -70,12 +70,12 @@
 	Random        float64 // in [0, 1); the only source of randomness
 }
 
-// Decision says whether a request is admitted.
+// Decision is whether a request is admitted, and how long it has or when its client may retry.
 type Decision struct {
 	Admitted       bool
 	ClientTimeLeft float64 // s until the response has to be on its way, less the node's own lag
-	RetryAfter     float64 // of a rejection: s until the client may retry
-	Reason         string  // of a rejection: lag, time or bytes
+	RetryAfter     float64 // if rejected: s until the client may retry
+	Reason         string  // if rejected: lag, time or bytes
 }
 
 // Admit decides on a request. It rejects a request if lag would take so much of its time that a response might come too late, or
--- a/internal/decide/permit/audit.go
+++ b/internal/decide/permit/audit.go
@@ -20,7 +20,7 @@
 	disconnectNoticeTime = 0.1
 	// maxPause is how long a node may be paused between reading its clock and writing (s).
 	maxPause = 0.15
-	// responseLostAfter is the delay after which a response counts as lost rather than as worthless (s).
+	// responseLostAfter is the delay beyond which a late response counts as lost (s). With a shorter delay it only has no value.
 	responseLostAfter = 0.5
 )
 
--- a/internal/decide/permit/permit.go
+++ b/internal/decide/permit/permit.go
@@ -195,7 +195,8 @@
 	StateNeeded      bool
 	// Due means that the time for which the state may be held is nearly over (staterelease.DueAt). Only an attempt whose response
 	// has begun (Responding) is certain to have reached its engine. If another attempt has reached its engine, the call costs it
-	// a prefill. If it has not, the state must be released, because such an attempt does not stop the limit.
+	// a prefill. If it has not, the state must be released, because the time limit of a held state
+	// keeps running while an attempt has not reached its engine.
 	Due        bool
 	Responding bool
 }
--- a/internal/decide/requesttable/commands.go
+++ b/internal/decide/requesttable/commands.go
@@ -45,14 +45,14 @@
 	// AttemptCutAt is when that attempt was interrupted (s): its engine may hold a state now, or only later. 0 = the state is held.
 	AttemptCutAt float64
 	HeldSince    float64 // when the limit on the hold time of the state began to run (s)
-	// Acknowledged states that an engine has acknowledged a release call since the attempt was interrupted. Only the state of a prefill
+	// Acknowledged means that an engine has acknowledged a release call since the attempt was interrupted. Only the state of a prefill
 	// that its engine completed after that call may still be held.
 	Acknowledged bool
-	// AtLimit states that the hold time has reached its limit, so that the state is released whatever attempts are in flight.
+	// AtLimit means that the hold time has reached its limit, so that the state is released whatever attempts are in flight.
 	AtLimit bool
 	// Ended is the latest attempt of which the engine may notice the end late. A release call that is made before then may free nothing.
 	Ended EndedAttempt
-	// Again states that the state was released before, while an attempt was in flight that may have been waiting for it.
+	// Again means that the state was released before, while an attempt was in flight that may have been waiting for it.
 	Again bool
 }
 
@@ -82,7 +82,7 @@
 	Attempt int
 }
 
-// ForgetRequest states that no further command follows for a request.
+// ForgetRequest means that no further command follows for a request.
 type ForgetRequest struct{ ID string }
 
 // ReportFault reports an action or an input that contradicts the table and was not carried out.
--- a/internal/decide/shutdown/shutdown.go
+++ b/internal/decide/shutdown/shutdown.go
@@ -1,7 +1,7 @@
-// Package shutdown decides when a node that shuts down gracefully ends the streams that it still forwards, if clients reconnect
-// for the rest of a stream. A node that is killed ends all of them at once, perhaps while the other nodes restart too, and a
-// client that finds no node then loses its response. If the streams are ended one by one over the remaining time, most clients
-// find a node. The package does no I/O and reads no clock; times are in seconds.
+// Package shutdown decides when a node that shuts down gracefully ends the streams that it still forwards. It is for clients that
+// reconnect to another node for the rest of a stream. A node that is killed ends all of its streams at once, perhaps while the
+// other nodes restart too; a client that finds no node then loses its response. If the streams are ended one by one over the time
+// that remains until the deadline, most clients find a node. The package does no I/O and reads no clock; times are in seconds.
 package shutdown
 
 import (
@@ -15,7 +15,7 @@
 	StartedAt float64
 }
 
-// Cutoff is a stream and when the node ends it.
+// Cutoff is a stream and the time at which the node ends it.
 type Cutoff struct {
 	ID string
 	At float64
@@ -36,7 +36,8 @@
 // maxFewNodes is the largest number of nodes that fewNodesInterval is for.
 const maxFewNodes = 3
 
-// CutoffSchedule returns when a node ends each stream that has not ended by itself by then. nodes is the number of all nodes.
+// CutoffSchedule returns the time at which a node ends each stream, unless the stream has ended by itself. nodes is the number of
+// all nodes.
 // All streams are ended before the deadline, the youngest first, because they have most left to send.
 func CutoffSchedule(now, deadline float64, nodes int, streams []Stream) []Cutoff {
 	timeLeft := max(0, deadline-now)
--- a/internal/decide/staterelease/retry.go
+++ b/internal/decide/staterelease/retry.go
@@ -19,7 +19,7 @@
 
 // Outcomes of a call.
 const (
-	Acknowledged   CallResult = iota // the engine has released the states that no attempt of it waits for, or does not support the call
+	Acknowledged   CallResult = iota // the engine has released the states that none of its attempts waits for, or does not support the call
 	Unacknowledged                   // the connection failed or broke: the call may not have arrived
 )
 
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -174,7 +174,7 @@
 	}
 }
 
-// publish passes the view's list to OnUpdate, and saves it once a source has responded. Until then it rests on the saved list.
+// publish passes the view's list to OnUpdate, and saves it once a source has responded. Until then the view is based on the saved list.
 func (f *Follower) publish(now float64) {
 	snapshot := f.view.Snapshot(now)
 	f.options.OnUpdate(f.endpointList(now, snapshot))
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -8,7 +8,7 @@
 // response is a list from a source, or the error with which reading it failed.
 type response struct {
 	list       endpoints.List
-	indexReset bool // the source's index fell, because its server started anew
+	indexReset bool // the source's index fell, because its server was restarted
 	err        error
 }
 
--- a/internal/http1/clientconn.go
+++ b/internal/http1/clientconn.go
@@ -28,7 +28,7 @@
 	finalDeadline time.Time  // no later deadline can be set; zero = ReadOnFor was not called
 
 	readPastDeadline int // bytes read after finalDeadline
-	// Reused states that the connection carried an exchange before.
+	// Reused reports whether the connection carried an exchange before.
 	Reused bool
 	// IdleFor is how long the connection was idle before this use.
 	IdleFor time.Duration
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -18,7 +18,7 @@
 	phase     atomic.Int32 // phaseNotBegun, phaseBegun or phaseEnded
 	close     bool         // the connection closes after the response; set by the writer of the response, read after done closes
 	finishing atomic.Bool  // the response has ended; done is about to close
-	// unanswered states that the exchange was aborted before its response began. It is read after done closes.
+	// unanswered means that the exchange was aborted before its response began. It is read after done closes.
 	unanswered bool
 
 	mu           sync.Mutex
@@ -40,7 +40,7 @@
 var ErrExchangeEnded = errors.New("http1: the exchange has ended")
 
 // OnDisconnect sets the function that is called once if the client disconnects before the response has ended. If the client has already
-// disconnected, it is called immediately. half states that the client closed only its sending side and may still be reading.
+// disconnected, it is called immediately. half means that the client closed only its sending side and may still be reading.
 func (x *Exchange) OnDisconnect(f func(half bool)) {
 	x.mu.Lock()
 	x.onDisconnect = f
@@ -171,7 +171,7 @@
 }
 
 // finish unblocks the read of the connection's goroutine by a deadline in the past. The deadline is set before done closes, so that it
-// cannot affect the next request. By finishing, watchDisconnect recognizes this deadline.
+// cannot affect the next request. The field finishing lets watchDisconnect tell this deadline from that of a drain.
 func (x *Exchange) finish(err error) {
 	if err != nil {
 		x.close = true
--- a/internal/http1/readahead.go
+++ b/internal/http1/readahead.go
@@ -106,7 +106,7 @@
 	return err
 }
 
-// discard drops the bytes that were read ahead.
+// discard drops the bytes that were read ahead, which then no longer count toward Server.MaxBytes.
 func (a *readAhead) discard() {
 	a.heldBytes.Add(-int64(len(a.pending)))
 	a.pending = nil
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -17,7 +17,7 @@
 	Status int
 	Header textproto.MIMEHeader
 	Body   io.Reader
-	// Chunked states that the body has the chunked transfer coding.
+	// Chunked reports whether the body has the chunked transfer coding.
 	Chunked  bool
 	reusable bool // the connection may be reused once the body has ended
 }
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -25,7 +25,7 @@
 	MaxConns       func() int // maximum number open, called at each accept; further ones get a 503 and close; nil = no limit
 	RejectionQueue int        // maximum number of connections being rejected at a time; 0 = defaultRejectionQueue
 	MaxBytes       int64      // maximum bytes of request bodies held, over all connections; 0 = no limit
-	// Shared states that other processes accept from the same socket. A drain then stops accepting immediately, since the other
+	// Shared means that other processes accept from the same socket. A drain then stops accepting immediately, since the other
 	// processes accept the connections in its queue.
 	Shared bool
 	// OnDescriptorShortage is called with the number of open connections when an accept fails because the process has reached its limit
--- a/internal/imports_test.go
+++ b/internal/imports_test.go
@@ -7,7 +7,7 @@
 )
 
 // importRules are the imports that the package structure forbids (docs/design/node.md). A name that ends in a slash stands for all packages
-// below it, and any other name for one package.
+// below it, and any other name for one package. Of the node's packages only http1 may import net/http, for its constants of status texts.
 var importRules = []struct{ importer, forbidden, reason string }{
 	{"dillroute/scheduler", "dillroute/", "the scheduler is also used in other hosts and does not depend on this one"},
 	{"dillroute/internal/decide/", "net", "decision modules do no I/O"},
@@ -67,7 +67,6 @@
 			}
 			seen++
 			for _, imp := range f[1:] {
-				// Only http1 may import net/http, for its constants of status texts.
 				if within(imp, a.forbidden) {
 					t.Errorf("%s imports %s: %s", f[0], imp, a.reason)
 				}
--- a/internal/node/staterelease_test.go
+++ b/internal/node/staterelease_test.go
@@ -53,7 +53,7 @@
 }
 
 // When a state is released at its limit, the log at info level must show whether the release call was acknowledged and by which engine, and
-// how the attempt in flight ended. In an incident it showed only that the state was released.
+// how the attempt in flight ended. If it shows only that the state was released, a state that stays held cannot be explained.
 func TestLogShowsOutcomeOfReleaseAtLimit(t *testing.T) {
 	harness, engines := newRelayHarness(t, 64, 256, "r0 read", "w0 write")
 	engines["w0"].SetHung(true)
--- a/internal/openai/exchange.go
+++ b/internal/openai/exchange.go
@@ -11,7 +11,7 @@
 	"dillroute/internal/protocol"
 )
 
-// exchange is one chat request (protocol.ClientExchange). It belongs to the node's owner goroutine, except for client, which belongs to
+// exchange is one chat request (protocol.ClientExchange). It belongs to the event loop's goroutine, except for client, which belongs to
 // the attempt that was granted the response.
 type exchange struct {
 	front           *Front
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -28,8 +28,8 @@
 	Exchange             ClientExchange
 }
 
-// ClientExchange is a protocol's representation of one request. All methods except Respond are called on the owner's goroutine and must
-// not block.
+// ClientExchange is a protocol's representation of one request. All methods except Respond are called on the event loop's goroutine
+// and must not block.
 type ClientExchange interface {
 	// Attempt returns an attempt that has not started.
 	Attempt(spec AttemptSpec) Attempt
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -9,7 +9,7 @@
 )
 
 // exchange is one request (protocol.ClientExchange): the parts that are forwarded to engines unchanged, and the client connection. It
-// belongs to the node's owner goroutine, except for client, which belongs to the attempt that was granted the response.
+// belongs to the event loop's goroutine, except for client, which belongs to the attempt that was granted the response.
 type exchange struct {
 	front          *Front
 	id             string
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -42,7 +42,7 @@
 	maxID       = 64      // bytes of a request id
 	maxKey      = 256     // bytes of a session or prefix
 	maxTimeLeft = 3600    // seconds
-	maxTokens   = 1 << 20 // more than a body can hold
+	maxTokens   = 1 << 20 // of a prompt or a response; more than a body of the largest size can hold
 )
 
 // requestHeader reads header fields of a request and keeps the first error.
--- a/internal/timerwheel/timerwheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -11,14 +11,14 @@
 
 const resolution = 0.001 // s
 
-// listedTimer is a timer of a wheel in the list with which the wheel is compared.
+// listedTimer is the entry of the reference list for one timer of the wheel.
 type listedTimer struct {
 	at    float64
 	timer *Timer[int]
 	ended bool // it has fired or was canceled
 }
 
-// wheelMachine applies random operations to a wheel and to a list, and compares them.
+// wheelMachine applies random operations to a wheel and to a plain list as its reference, and compares the two.
 type wheelMachine struct {
 	wheel  *Wheel[int] // its values are indexes of timers
 	timers []listedTimer
@@ -85,7 +85,7 @@
 	}
 }
 
-// Compared with a list, every timer fires once, in the first Advance at or after its tick, never early, and never after it was
+// Compared with the reference list, every timer fires once, in the first Advance at or after its tick, never early, and never after it was
 // canceled.
 func TestWheelMatchesListOfTimers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/lab/emulator/engine.go
+++ b/lab/emulator/engine.go
@@ -15,7 +15,7 @@
 	"dillroute/lab/record"
 )
 
-// Engine is an emulated engine on a loopback socket. It may be started and killed any number of times, in turn.
+// Engine is an emulated engine on a loopback socket. It can be started and killed repeatedly.
 type Engine struct {
 	Settings
 	log    *record.Log
--- a/lab/emulator/job.go
+++ b/lab/emulator/job.go
@@ -71,7 +71,7 @@
 	defer func() { p.waiting-- }()
 	for p.running >= e.Slots || p.memoryTokens+memoryTokens > e.MemoryTokens {
 		if j.canceled() {
-			break // the job ends at its next sleep, and releaseSlot returns the slot and memory acquired here
+			break // the job ends at its next sleep, and releaseSlot releases the slot and memory acquired here
 		}
 		p.capacityChanged.Wait()
 	}
@@ -80,7 +80,7 @@
 	return true
 }
 
-// releaseSlot returns the slot and memory that acquireSlot acquired.
+// releaseSlot releases the slot and memory that acquireSlot acquired.
 func (j *job) releaseSlot(memoryTokens int) {
 	p := j.process
 	p.mu.Lock()
--- a/lab/emulator/settings.go
+++ b/lab/emulator/settings.go
@@ -24,7 +24,7 @@
 	LocalPrefill            bool    `json:"local_read"`  // a decode engine prefills prompts itself if there is no KV state
 	StateTTLSeconds         float64 `json:"state_ttl_s"` // a KV state that is neither fetched nor released is dropped after this time
 	LoadReportIntervalMS    float64 `json:"report_ms"`   // time between refreshes of the load report
-	ReleaseUnsupported      bool    `json:"no_release"`  // the release call is answered with 404
+	ReleaseUnsupported      bool    `json:"no_release"`  // the response to a release call has status 404
 	Seed                    uint64  `json:"seed"`
 }
 
--- a/lab/platform/discovery.go
+++ b/lab/platform/discovery.go
@@ -158,7 +158,7 @@
 	return list
 }
 
-// discoveryResponse is what a call is answered with, taken under one lock.
+// discoveryResponse is the response to a call. Its parts are read under one lock.
 type discoveryResponse struct {
 	list   endpointList
 	body   string
@@ -188,7 +188,7 @@
 	}
 }
 
-// serve answers a call, and records the states of the endpoints that it sent to the node.
+// serve responds to a call, and records the states of the endpoints that it sent to the node.
 func (d *Discovery) serve(w http.ResponseWriter, r *http.Request) {
 	after := wholeList
 	if from := r.URL.Query().Get("from"); from != "" {
--- a/lab/platform/fault.go
+++ b/lab/platform/fault.go
@@ -32,21 +32,21 @@
 	StateMissing              Fault = "no state"      // the state is lost: status 410
 )
 
-// QueueFaults adds faults to the queue: each of the next responses takes one.
+// QueueFaults adds faults to the queue. Each of the next responses takes one off the queue.
 func (e *Engine) QueueFaults(faults ...Fault) {
 	e.mu.Lock()
 	e.faults = append(e.faults, faults...)
 	e.mu.Unlock()
 }
 
-// PendingFaults returns the number of queued faults that no response has taken yet.
+// PendingFaults returns the number of faults that are still queued.
 func (e *Engine) PendingFaults() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.faults)
 }
 
-// ClearFaults removes the queued faults that no response has taken.
+// ClearFaults removes the faults that are still queued.
 func (e *Engine) ClearFaults() {
 	e.mu.Lock()
 	e.faults = nil
--- a/lab/scenario/run.go
+++ b/lab/scenario/run.go
@@ -50,7 +50,7 @@
 	overtimeSeconds = 30.0
 	// finalWaitSeconds is how long the run then waits for canceled tasks before it ends without them (s).
 	finalWaitSeconds = 20.0
-	// releaseMargin is added to the time that rule 5 allows for state releases, for which the run waits before it ends (s).
+	// releaseMargin is how much longer than rule 5 allows a run waits for state releases before it ends (s).
 	releaseMargin = 0.2
 )
 
--- a/lab/simulation/draw.go
+++ b/lab/simulation/draw.go
@@ -133,7 +133,7 @@
 	}
 	s.placeEngines(counts, engines, 4+rng.IntN(4))
 	s.setRate(maxRate)
-	for s.requestsInFlight() > float64(s.Sockets)/5 { // even in a burst, clients use at most a third of the descriptors
+	for s.requestsInFlight() > float64(s.Sockets)/5 { // up to a fifth of the descriptors; about a third in a burst
 		s.Sockets *= 2
 	}
 	for i := range s.Tenants {
--- a/lab/simulation/engine.go
+++ b/lab/simulation/engine.go
@@ -21,11 +21,11 @@
 	Silent EngineFault = "silent"
 	// RejectsAll rejects all requests.
 	RejectsAll EngineFault = "refuses"
-	// FailsAll answers 500 immediately.
+	// FailsAll responds to each request with status 500 immediately.
 	FailsAll EngineFault = "errors"
 	// SlowsDown reduces the engine's speed to slowSpeed.
 	SlowsDown EngineFault = "crawls"
-	// LosesStates answers each fetch of a state that the state is lost.
+	// LosesStates responds to each fetch of a state that the state is lost.
 	LosesStates EngineFault = "loses"
 	// LosesPrefixes empties the prefix cache and caches no prefixes.
 	LosesPrefixes EngineFault = "forgets"
--- a/lab/simulation/faultinjection.go
+++ b/lab/simulation/faultinjection.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// flapList lists engines as draining and as up in turn, for a time (s).
+// flapList lists engines alternately as draining and as up, for a time (s).
 func (f *fleet) flapList(engines []*engine, seconds float64, done <-chan struct{}) {
 	for end := f.now() + seconds; f.now() < end; {
 		for _, state := range []string{stateDraining, stateUp} {
--- a/lab/soak/agent.go
+++ b/lab/soak/agent.go
@@ -238,7 +238,7 @@
 	return list
 }
 
-// serve answers a call, and records the entries that it delivered.
+// serve responds to a call, and records the entries that it delivered.
 func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
 	after := wholeList
 	if from := r.URL.Query().Get("from"); from != "" {
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -9,7 +9,7 @@
 // Roles of an engine kind.
 const (
 	Prefill Role = iota // computes the state of a prompt
-	Decode              // generates an answer from a state
+	Decode              // generates a response from a state
 	Mixed               // does both
 )
 
@@ -64,7 +64,7 @@
 	ClientTimeout          float64    // how long the client waits in total
 	OutputTokenObjective   float64    // latency objective: mean time per output token
 	PriorityWeight         float64
-	LateValue              float64 // share of PriorityWeight that a late answer is worth
+	LateValue              float64 // share of PriorityWeight that a late response is worth
 }
 
 // Kind is one kind of engine.
--- a/scheduler/curve_test.go
+++ b/scheduler/curve_test.go
@@ -42,7 +42,7 @@
 }
 
 func TestRoughDurationHintsDoNotSlowTheCurve(t *testing.T) {
-	// Each answer has 100 tokens at 0.03 s per token. The duration hints stand for a third of these tokens or three times as many.
+	// Each response has 100 tokens at 0.03 s per token. The duration hints stand for a third of these tokens or three times as many.
 	sched := startScheduler(t, testConfig(), testFleet())
 	e := sched.engines["w0"]
 	for i := 0; i < 300; i++ {
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -13,7 +13,7 @@
 // before that of the previous call is replaced by that of the previous call. Token counts are numbers of tokens.
 // A Scheduler is not safe for concurrent use: one goroutine owns it.
 //
-// Each accepted Request gets exactly one final response: Reject, Fail, or the answer that the client receives from an
+// Each accepted Request gets exactly one final response: Reject, Fail, or the response that the client receives from an
 // attempt. Attempts of a request are numbered from 0 in the order of their Send actions, and a request has at most one
 // attempt in flight. An event that names an unknown request, attempt or engine has no effect; a load report in it is recorded.
 //
--- a/scheduler/engine.go
+++ b/scheduler/engine.go
@@ -49,5 +49,5 @@
 type classStats struct {
 	promptTokens decayingMean
 	streamTimes  []float64 // durations of the latest streams in seconds, scaled to the speed of a lone stream
-	outputShare  float64   // mean ratio of an answer's length to its token limit; 0 = not yet known
+	outputShare  float64   // mean ratio of a response's length to its token limit; 0 = not yet known
 }
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -13,7 +13,7 @@
 	Class, Tenant   int // indices into Config.Classes and Config.Tenants
 	Session, Prefix string
 	ClientTimeLeft  float64 // seconds until the client's timeout
-	DurationHint    float64 // approximate duration of the answer, in seconds, at the class's OutputTokenObjective; 0 = none
+	DurationHint    float64 // approximate duration of the response, in seconds, at the class's OutputTokenObjective; 0 = none
 	PromptTokens    float64
 	PrefixTokens    float64 // tokens of the prompt that it shares with other requests of the same Prefix
 	MaxOutputTokens float64
@@ -33,7 +33,7 @@
 	Report  *LoadReport
 }
 
-// FirstToken reports that an answer has started to stream.
+// FirstToken reports that a response has started to stream.
 type FirstToken struct {
 	ID      string
 	Attempt int
--- a/scheduler/expiry.go
+++ b/scheduler/expiry.go
@@ -45,7 +45,7 @@
 	}
 	valueUntil := req.deadline
 	if req.class.LateValue <= 0 {
-		valueUntil = req.firstTokenDue // a late answer is worth nothing
+		valueUntil = req.firstTokenDue // a late response is worth nothing
 	}
 	if lastStart := valueUntil - s.firstTokenBound.total; !s.mayExplore() && lastStart < expiry.at {
 		return expiration{at: lastStart, reason: ObjectiveUnreachable}
--- a/scheduler/expiry_test.go
+++ b/scheduler/expiry_test.go
@@ -40,7 +40,7 @@
 }
 
 // A request that can no longer be served with any value is rejected in the same step, not when half of its time has passed. A request
-// whose late answer still has value waits.
+// whose late response still has value waits.
 func TestRequestWithoutAttainableValueIsRejectedAtOnce(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
 	req := testRequest("a", 0)
--- a/scheduler/lifecycle.go
+++ b/scheduler/lifecycle.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// firstTokenArrived records that the answer has started to stream.
+// firstTokenArrived records that the response has started to stream.
 func (s *Scheduler) firstTokenArrived(event FirstToken) {
 	req := s.requests[event.ID]
 	if req == nil || !req.hasInFlight(event.Attempt) || req.stage != stageDecoding {
@@ -145,7 +145,7 @@
 	s.recordSuccess(ended.engine)
 }
 
-// streamCompleted records that the answer is complete.
+// streamCompleted records that the response is complete.
 func (s *Scheduler) streamCompleted(req *request, engine *engine) {
 	s.recordSuccess(engine)
 	s.learnDecode(req, engine)
--- a/scheduler/outputlength.go
+++ b/scheduler/outputlength.go
@@ -2,25 +2,25 @@
 
 import "cmp"
 
-// This file predicts how many tokens an answer will have.
+// This file predicts how many tokens a response will have.
 
 const (
 	// maxStreamTimes is the number of latest stream durations that are stored for each class.
 	maxStreamTimes = 128
-	// initialOutputShare is the prior of the ratio of an answer's length to its token limit.
+	// initialOutputShare is the prior of the ratio of a response's length to its token limit.
 	initialOutputShare = 0.3
 	// minStreamTimes is the number of stream durations that are needed to estimate the ratio.
 	minStreamTimes = maxStreamTimes / 8
 	// longestStreamQuantile is the quantile of the stream durations that is assumed for a stream at the token limit.
 	longestStreamQuantile = 0.99
-	// minOutputTokens is the shortest predicted length of an answer, in tokens.
+	// minOutputTokens is the shortest predicted length of a response, in tokens.
 	minOutputTokens = 4
 	// minOutputTokenObjective is the lower bound of the time per output token, in seconds, by which a duration hint is divided.
 	minOutputTokenObjective = 1e-3
 )
 
-// expectedOutputTokens predicts an answer's length in tokens: from its duration hint or, without one, from its token limit and the
-// mean ratio of its class. If no answer reaches the limit, the prediction is too long, and admission errs toward admitting too much.
+// expectedOutputTokens predicts a response's length in tokens: from its duration hint or, without one, from its token limit and the
+// mean ratio of its class. If no response reaches the limit, the prediction is too long, and admission errs toward admitting too much.
 func (s *Scheduler) expectedOutputTokens(req *request) float64 {
 	tokens := req.DurationHint / max(req.class.OutputTokenObjective, minOutputTokenObjective)
 	if req.DurationHint <= 0 {
--- a/scheduler/outputlength_test.go
+++ b/scheduler/outputlength_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// An answer of one or two tokens can begin and end within one step. If its duration of zero is learned, the expected output length
+// A response of one or two tokens can begin and end within one step. If its duration of zero is learned, the expected output length
 // becomes NaN, and then no decode engine with a stream passes the admission tests any more.
 func TestStreamsWithoutDurationAreNotLearned(t *testing.T) {
 	sched := startScheduler(t, testConfig(), testFleet())
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -8,9 +8,10 @@
 const (
 	// outputObjectiveShare is the share of the objective for the time per output token that a prediction may use.
 	outputObjectiveShare = 0.8
-	// slowestUsefulSpeed is the relative speed down to which an engine is loaded if it misses the objective even with one stream.
+	// slowestUsefulSpeed applies to an engine that misses the objective even with one stream. It gets further streams as long as each
+	// runs at more than this share of the speed of a single stream.
 	slowestUsefulSpeed = 0.5
-	// slowEngineCapacityFactor scales the spare capacity of such a slow engine, so that others are preferred.
+	// slowEngineCapacityFactor scales the spare capacity of such an engine, so that others are preferred.
 	slowEngineCapacityFactor = 1e-3
 	// memoryLimit is the share of a decode engine's memory that admissions may fill.
 	memoryLimit = 0.92
@@ -74,7 +75,7 @@
 	}
 	curve := s.curveOf(target)
 	required := curve.terms[0] / (outputObjectiveShare * objective)
-	if required >= 1 { // missed even by a lone stream: a late answer is worth more than none
+	if required >= 1 { // missed even with one stream: a late response is worth more than none
 		return slowEngineCapacityFactor * (curve.speed(streams) - slowestUsefulSpeed)
 	}
 	return 1 - required/curve.speed(streams)
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// A decode engine that misses the objective even with one stream, and reports load, is still used if there is no other: late answers
+// A decode engine that misses the objective even with one stream, and reports load, is still used if there is no other: late responses
 // are worth more than rejections. An engine that meets the objective is preferred.
 func TestDecodeEngineBelowOutputObjectiveIsTheLastResort(t *testing.T) {
 	for _, other := range []bool{false, true} {
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -9,7 +9,7 @@
 	stagePrefilling              // an attempt is in flight at a prefill engine
 	stagePrefilled               // its state waits at a prefill engine
 	stageDecoding                // an attempt is in flight at a decode or mixed engine, before its first token
-	stageStreaming               // the answer streams
+	stageStreaming               // the response streams
 )
 
 func (s stage) String() string {
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -209,7 +209,7 @@
 	}
 }
 
-// decodeAtOnce simulates a request whose prefill and answer take hundredths of a second, and returns its decode engines.
+// decodeAtOnce simulates a request whose prefill and response take hundredths of a second, and returns its decode engines.
 func decodeAtOnce(sched *Scheduler, now float64, id string) []string {
 	var engines []string
 	for _, prefill := range actionsOf[Send](sched.Step(now, []Event{testRequest(id, 0)})) {
