--- a/internal/decide/overload/overload.go
+++ b/internal/decide/overload/overload.go
@@ -70,7 +70,7 @@
 	Random        float64 // in [0, 1); the only source of randomness
 }
 
-// Decision says whether a request is admitted.
+// Decision is whether a request is admitted, and how long it has or when its client may retry.
 type Decision struct {
 	Admitted       bool
 	ClientTimeLeft float64 // s that the client still waits, less the part of the lag that exceeds Limits.ResponseSlack
--- a/internal/decide/requesttable/commands.go
+++ b/internal/decide/requesttable/commands.go
@@ -46,15 +46,15 @@
 	// may hold a state now, or only later.
 	InterruptedAt float64
 	HeldSince     float64 // when the limit on the hold time of the state began to run (s)
-	// Acknowledged states that an engine has acknowledged a release call since the attempt was interrupted. Only the state of a prefill
+	// Acknowledged means that an engine has acknowledged a release call since the attempt was interrupted. Only the state of a prefill
 	// that its engine completed after that call may still be held.
 	Acknowledged bool
-	// AtLimit states that the hold time has reached its limit: the state is released even while attempts are in flight.
+	// AtLimit means that the hold time has reached its limit: the state is released even while attempts are in flight.
 	AtLimit bool
 	// LastUnanswered is the latest attempt whose end its engine may notice late. A release call that the engine receives before it
 	// notices the end may free nothing.
 	LastUnanswered UnansweredAttempt
-	// Repeated states that the state was released before, while an attempt was in flight that may have been waiting for it.
+	// Repeated means that the state was released before, while an attempt was in flight that may have been waiting for it.
 	Repeated bool
 }
 
@@ -85,7 +85,7 @@
 	Attempt int
 }
 
-// ForgetRequest states that no further command follows for a request.
+// ForgetRequest means that no further command follows for a request.
 type ForgetRequest struct{ ID string }
 
 // ReportFault reports an action or an input that contradicts the table and was not carried out.
--- a/lab/simulation/engine.go
+++ b/lab/simulation/engine.go
@@ -21,7 +21,7 @@
 	Silent EngineFault = "silent"
 	// RejectsAll rejects all requests.
 	RejectsAll EngineFault = "refuses"
-	// FailsAll answers 500 immediately.
+	// FailsAll responds to each request with status 500 immediately.
 	FailsAll EngineFault = "errors"
 	// SlowsDown reduces the engine's speed to slowSpeed.
 	SlowsDown EngineFault = "crawls"
--- a/scheduler/outputlength.go
+++ b/scheduler/outputlength.go
@@ -2,18 +2,18 @@
 
 import "cmp"
 
-// This file predicts how many tokens an answer will have.
+// This file predicts how many tokens a response will have.
 
 const (
 	// maxStreamTimes is the largest number of stream durations that are stored for a class; older ones are dropped.
 	maxStreamTimes = 128
-	// initialOutputShare is the prior of the ratio of an answer's length to its token limit.
+	// initialOutputShare is the prior of the ratio of a response's length to its token limit.
 	initialOutputShare = 0.3
 	// minStreamTimes is the number of stream durations that are needed to estimate the ratio.
 	minStreamTimes = maxStreamTimes / 8
 	// longestStreamQuantile is the quantile of the stream durations that is taken as the duration of a stream at the token limit.
 	longestStreamQuantile = 0.99
-	// minOutputTokens is the shortest predicted length of an answer, in tokens.
+	// minOutputTokens is the shortest predicted length of a response, in tokens.
 	minOutputTokens = 4
 	// minOutputTokenObjective is the lower bound of the time per output token, in seconds, by which a duration hint is divided.
 	minOutputTokenObjective = 1e-3
