--- a/internal/cli/relay_test.go
+++ b/internal/cli/relay_test.go
@@ -20,8 +20,8 @@
 )
 
 // The program must keep the rules on the emulated platform of the users, under continuous client load. It meets malformed and broken
-// streams, draining engines, new configurations by SIGHUP (an invalid one first, then two signals at once) and a stop by SIGTERM. The
-// rules are checked by the traffic on the sockets.
+// streams, draining engines, new configurations by SIGHUP (an invalid one first, then two signals at the same time) and a stop by SIGTERM.
+// The rules are checked by the traffic on the sockets.
 func TestServeRelayThroughFaultsDrainReloadAndStop(t *testing.T) {
 	log := &record.Log{}
 	p := platform.New("n0", log)
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -1,5 +1,5 @@
 // Package config reads the JSON files of the program and validates them against their published schemas (package api). It reports
-// all problems of a file at once, each with its JSON pointer. The command line and the chat node use it.
+// all problems of a file together, each with its JSON pointer. The command line and the chat node use it.
 package config
 
 import (
--- a/internal/decide/classify/recent_ids.go
+++ b/internal/decide/classify/recent_ids.go
@@ -1,7 +1,7 @@
 package classify
 
-// RecentIDs remembers ids that clients chose, so that none is accepted twice: two requests with the same id could not be told
-// apart where requests are identified by id. An id is remembered for at least a time window, and longer while there are few ids.
+// RecentIDs remembers ids that clients chose, so that none is accepted twice: two requests with the same id could not be
+// distinguished where requests are identified by id. An id is remembered for at least a time window, and longer while there are few ids.
 // Under a flood of ids the oldest are forgotten even within the window. RecentIDs does not read the clock and is not safe for
 // concurrent use.
 type RecentIDs struct {
--- a/internal/decide/endpoints/endpoints.go
+++ b/internal/decide/endpoints/endpoints.go
@@ -5,10 +5,10 @@
 // source sends them. A Poller schedules the calls to the source, a PollPolicy limits how long each step may take, and StartTimes
 // translates reported start times to the node's clock. The package does no I/O and reads no clock; times are in seconds.
 //
-// A View applies at once that an engine drains, was added, restarted, moved or changed its role. It waits for confirmation
+// A View applies immediately that an engine drains, was added, restarted, moved or changed its role. It waits for confirmation
 // before it removes a large part of a role in one step, and before it treats an engine as ready that is removed and added
 // again and again. The cost of waiting is bounded: the node sends to removed engines for at most Options.ConfirmAfter, and
-// attempts fail at once there. Without the wait, a single broken response would make the node reject every request.
+// attempts fail immediately there. Without the wait, a single broken response would make the node reject every request.
 package endpoints
 
 import (
--- a/internal/decide/endpoints/notified.go
+++ b/internal/decide/endpoints/notified.go
@@ -13,7 +13,7 @@
 
 // NotifiedView is the endpoint view of a source whose updates count as notified from the moment they are sent. A node that
 // keeps sending to an engine after it was notified that the engine drains breaks rule 3, however implausible the list looks.
-// So the view always applies a removal or a drain at once. An update that makes an engine ready is ignored only if it is older
+// So the view always applies a removal or a drain immediately. An update that makes an engine ready is ignored only if it is older
 // than one already applied. NotifiedView is not safe for concurrent use.
 type NotifiedView struct {
 	version   int64
--- a/internal/decide/endpoints/notified_test.go
+++ b/internal/decide/endpoints/notified_test.go
@@ -59,7 +59,7 @@
 	step("removal of all engines is applied", "a- b- ", 5, true)
 }
 
-// drawUpdates draws up to four updates of different engines.
+// drawUpdates generates up to four updates of different engines.
 func drawUpdates(t *rapid.T) (updates []Update, named map[string]Update) {
 	kinds := []func(string) Update{readyUpdate, drainingUpdate, removedUpdate}
 	named = map[string]Update{}
--- a/internal/decide/endpoints/poll_policy.go
+++ b/internal/decide/endpoints/poll_policy.go
@@ -7,7 +7,7 @@
 	NewPoller       func() *Poller // returns the poller of one watch
 }
 
-// AgentPollPolicy returns the policy for an agent on the node's machine that serves only this node. It responds at once, and
+// AgentPollPolicy returns the policy for an agent on the node's machine that serves only this node. It responds immediately, and
 // calls to it cost nothing. notifiedAfter is the time after which a change counts as notified, even if all calls failed (s).
 func AgentPollPolicy(notifiedAfter float64, random func() float64) PollPolicy {
 	return PollPolicy{
@@ -22,7 +22,7 @@
 const (
 	sharedHoldShare            = 1.0 / 3  // time for which a watch asks the source to wait for a change
 	sharedFirstByteShare       = 1.0 / 3  // timeout of the first byte: a response may be queued for the source's whole timeout
-	sharedMaxCalls             = 2        // calls in flight at once
+	sharedMaxCalls             = 2        // calls in flight at the same time
 	sharedMinBackoff           = 0.5      // s
 	sharedMaxBackoffShare      = 0.65     // longest backoff, and longest delay of the first call: a queued response still fits
 	sharedMaxIntervalShare     = 0.4      // longest poll interval: a queued response and one more call still fit
@@ -31,7 +31,7 @@
 )
 
 // SharedPollPolicy returns the policy for a source that all nodes poll. It can respond to each of them only every few seconds,
-// and rejects calls that would be queued for longer than its timeout, so nodes that called again at once would keep it
+// and rejects calls that would be queued for longer than its timeout, so nodes that called again immediately would keep it
 // overloaded. Nodes that start with a saved list therefore spread their first calls, and each node backs off with jitter after
 // a failure. After repeated rejections the backoff is so long that the rejected nodes no longer overload the source, but at most
 // notifiedAfter (s). pollInterval is the time within which a node is expected to poll (s).
--- a/internal/decide/endpoints/poller.go
+++ b/internal/decide/endpoints/poller.go
@@ -6,7 +6,7 @@
 type Poller struct {
 	MinBackoff, MaxBackoff float64        // bounds of the backoff after a failed call
 	OverloadBackoff        float64        // longest backoff while the source is overloaded (AfterRejection); 0 = MaxBackoff applies
-	CallsPerSecond, Burst  float64        // call budget: average rate, and number of calls that may be made at once
+	CallsPerSecond, Burst  float64        // call budget: average rate, and number of calls that may be made without a pause
 	MaxInterval            float64        // longest poll interval after a response, while the source is congested; 0 = no interval
 	CongestionDelay        float64        // the source counts as congested if a response is delayed by more than this
 	Random                 func() float64 // returns numbers in [0, 1); the only source of randomness
@@ -43,7 +43,7 @@
 
 // NewAgentPoller returns a poller for an agent on the node's machine that serves only this node, so that it needs no backoff of
 // several seconds. A longer backoff than 0.2 s would be wrong: a watch continues only if its next call is made within 0.2 s, and
-// the changes that the source has when it recovers may count as notified at once.
+// the changes that the source has when it recovers may count as notified immediately.
 func NewAgentPoller(random func() float64) *Poller {
 	return &Poller{MinBackoff: 0.05, MaxBackoff: 0.2, CallsPerSecond: 10, Burst: 20, Random: random}
 }
--- a/internal/decide/endpoints/poller_test.go
+++ b/internal/decide/endpoints/poller_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// A source that responds at once instead of holding its calls is polled within the call budget, and a watch on it still continues.
+// A source that responds immediately instead of holding its calls is polled within the call budget, and a watch on it still continues.
 func TestAgentPollerContinuesWatchWithinCallBudget(t *testing.T) {
 	poller, now, calls := NewAgentPoller(func() float64 { return 0.5 }), 100.0, 0
 	for end := now + 10; now < end; calls++ {
--- a/internal/decide/endpoints/shared_test.go
+++ b/internal/decide/endpoints/shared_test.go
@@ -60,7 +60,7 @@
 	return n
 }
 
-// Nodes that start together all get a list soon from a source that they share, though it cannot answer all of them at once. With
+// Nodes that start together all get a list soon from a source that they share, though it cannot answer all of them at the same time. With
 // the policy for an agent they would keep it overloaded.
 func TestSharedPollPolicyEndsSourceOverload(t *testing.T) {
 	shared := func(draw func() float64) PollPolicy { return SharedPollPolicy(6, 10, draw) }
--- a/internal/decide/endpoints/steady_test.go
+++ b/internal/decide/endpoints/steady_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// longestWithoutResponse simulates nodes that poll a shared source, all of them at once at first, as after an outage. The source
+// longestWithoutResponse simulates nodes that poll a shared source, all of them at the same time at first, as after an outage. The source
 // takes roundTime seconds to answer one call of each node, and rejects calls that would be queued for longer than 2 s. There is
 // always a change, so that no watch waits. The function returns the longest time without a response to a node, from 20 s on.
 func longestWithoutResponse(nodes int, roundTime float64, useInterval bool, seed uint64) (longest float64) {
--- a/internal/decide/endpoints/view.go
+++ b/internal/decide/endpoints/view.go
@@ -64,7 +64,7 @@
 }
 
 // Restore applies the list that an earlier run saved. It is used until a source has responded, however old it is: calls to a
-// listed engine that no longer exists fail at once, and the first response adds engines that are missing. Start times are
+// listed engine that no longer exists fail immediately, and the first response adds engines that are missing. Start times are
 // restored unchanged, so that an engine in slow start stays in it. Restore does nothing if the view has engines already, or a
 // source has responded.
 func (v *View) Restore(now float64, saved []Endpoint) {
--- a/internal/decide/endpoints/view_property_test.go
+++ b/internal/decide/endpoints/view_property_test.go
@@ -14,7 +14,7 @@
 	lists     []List // sent since the source started
 }
 
-// drawList draws a list of up to five engines, some of them listed twice.
+// drawList generates a list of up to five engines, some of them listed twice.
 func (m *viewMachine) drawList(t *rapid.T, label string) []Endpoint {
 	var endpoints []Endpoint
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
--- a/internal/decide/overload/budget.go
+++ b/internal/decide/overload/budget.go
@@ -2,7 +2,7 @@
 
 // Budget divides a node's limits among its uses of descriptors and memory.
 type Budget struct {
-	Clients        int   // client connections, and requests open at once
+	Clients        int   // client connections, and requests open at the same time
 	RejectionQueue int   // further connections whose requests are being rejected
 	Engines        int   // connections to engines
 	BodyBytes      int64 // bytes of request bodies in memory
@@ -19,7 +19,7 @@
 	heapShare           = 0.6
 )
 
-// Limits of a node for which none are stated.
+// Defaults for limits that are not stated.
 const (
 	defaultDescriptors = 1024
 	defaultMemory      = 256 << 20 // bytes
--- a/internal/decide/overload/connections.go
+++ b/internal/decide/overload/connections.go
@@ -10,7 +10,7 @@
 	regrowthShare           = 0.1 // share of the full limit that is regained per second without a shortage
 )
 
-// connectionLimit limits the client connections. A shortage of descriptors lowers it at once; it grows again slowly.
+// connectionLimit limits the client connections. A shortage of descriptors lowers it immediately; it grows again slowly.
 type connectionLimit struct {
 	maximum   int // allowed by the settings and the descriptors
 	current   float64
--- a/internal/decide/overload/lag.go
+++ b/internal/decide/overload/lag.go
@@ -48,7 +48,7 @@
 }
 
 // retryAfter returns the time after which a rejected client may retry (s). It spreads the retries over the time that the node
-// needs to recover from a lag, so that the clients do not all retry at once.
+// needs to recover from a lag, so that the clients do not all retry at the same time.
 func retryAfter(lag, random float64) float64 {
 	recovery := min(maxRetryAfter, max(minRetryAfter, 2*lagHalfLife*min(1, lag)+2*lag))
 	return min(maxRetryAfter, recovery*(retryRandomFloor+random))
--- a/internal/decide/overload/overload.go
+++ b/internal/decide/overload/overload.go
@@ -51,7 +51,7 @@
 func (c *Controller) Lag(now float64) float64 { return c.lag.bound(now) }
 
 // ObserveDescriptorShortage records that a socket or file could not be opened for lack of a descriptor while the given number of
-// client connections was open. The limit of connections falls at once and grows again slowly.
+// client connections was open. The limit of connections falls immediately and grows again slowly.
 func (c *Controller) ObserveDescriptorShortage(now float64, open int) {
 	c.connections.observeShortage(now, open)
 }
@@ -79,7 +79,7 @@
 }
 
 // Admit decides on a request. It rejects a request if lag would take too much of its client's timeout, if the time left is no
-// longer than the lag, or if requests hold too many bytes. It does so at once, because a later rejection might come too late.
+// longer than the lag, or if requests hold too many bytes. It does so immediately, because a later rejection might come too late.
 func (c *Controller) Admit(now float64, request Request) Decision {
 	lag := c.Lag(now)
 	timeLeft := request.ClientTimeout - request.Elapsed - max(0, lag-c.limits.ResponseSlack)
--- a/internal/decide/overload/overload_test.go
+++ b/internal/decide/overload/overload_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// drawRequest draws a request for admission.
+// drawRequest generates a request for admission.
 func drawRequest(t *rapid.T) Request {
 	return Request{
 		ClientTimeout: rapid.Float64Range(0, 20).Draw(t, "client timeout"),
--- a/internal/decide/permit/permit.go
+++ b/internal/decide/permit/permit.go
@@ -88,7 +88,7 @@
 	Effect       scheduler.Effect
 	DedupScope   scheduler.DedupScope
 	MayHaveRun   bool    // an earlier attempt has run or may run yet
-	SinceFirst   float64 // time since that attempt was sent
+	SinceFirst   float64 // time since the first such attempt was sent
 	DedupWindow  float64 // how long engines recognize a repeat by its idempotency key
 	EnginesKnown bool    // both engines are known: the one that may have run the request and the next
 	SameCell     bool
--- a/internal/decide/requesttable/attempts.go
+++ b/internal/decide/requesttable/attempts.go
@@ -6,7 +6,7 @@
 	"dillroute/scheduler"
 )
 
-// send starts an attempt if the rules allow it. Otherwise the attempt ends at once with the status NotSent.
+// send starts an attempt if the rules allow it. Otherwise the attempt ends immediately with the status NotSent.
 func (t *Table) send(now float64, action scheduler.Send) {
 	record := t.records[action.ID]
 	if record == nil {
--- a/internal/decide/requesttable/releases.go
+++ b/internal/decide/requesttable/releases.go
@@ -68,7 +68,7 @@
 	t.releaseOrDefer(record, ReleaseState{ID: id, Engine: record.state.engine, Attempt: record.state.attempt})
 }
 
-// releaseOrDefer issues a release at once. If one release call frees every state of the request, it defers the release until
+// releaseOrDefer issues a release immediately. If one release call frees every state of the request, it defers the release until
 // no attempt is in flight and no state is needed.
 func (t *Table) releaseOrDefer(record *requestRecord, release ReleaseState) {
 	if release.HeldSince == 0 {
--- a/internal/decide/requesttable/releases_test.go
+++ b/internal/decide/requesttable/releases_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// The state of a prefill is released at once although a release after an interrupted attempt is deferred too: the scheduler
+// The state of a prefill is released immediately although a release after an interrupted attempt is deferred too: the scheduler
 // starts the next attempt together with the release, and that attempt would delay both. Further calls of the other release are
 // deferred until that attempt has ended.
 func TestStateIsReleasedBeforeNextAttemptStarts(t *testing.T) {
--- a/internal/decide/requesttable/strictengines_test.go
+++ b/internal/decide/requesttable/strictengines_test.go
@@ -20,7 +20,7 @@
 
 // strictHarness drives one request of a table with engines that interpret the protocol strictly: they acknowledge a release call, but free
 // no state for which, from their point of view, an attempt still waits. Engines may notice the end of an attempt late, and may lose
-// attempts silently. The harness plays the host and makes the calls that staterelease schedules.
+// attempts silently. The harness acts as the host and makes the calls that staterelease schedules.
 type strictHarness struct {
 	*heldStateHarness
 	t *rapid.T
--- a/internal/decide/shutdown/shutdown.go
+++ b/internal/decide/shutdown/shutdown.go
@@ -1,5 +1,5 @@
 // Package shutdown decides when a node that shuts down gracefully ends the streams that it still forwards. It is for clients that
-// reconnect to another node for the rest of a stream. A node that is killed ends all of its streams at once, perhaps while the
+// reconnect to another node for the rest of a stream. A node that is killed ends all of its streams at the same time, perhaps while the
 // other nodes restart too; a client that finds no node then loses its response. If the streams are ended one by one over the time
 // that remains until the deadline, most clients find a node. The package does no I/O and reads no clock; times are in seconds.
 package shutdown
@@ -37,7 +37,7 @@
 // maxFewNodes is the largest number of nodes that fewNodesInterval is for.
 const maxFewNodes = 3
 
-// CutoffSchedule returns when a node ends each stream that has not ended by itself by then. nodes is the number of all nodes.
+// CutoffSchedule returns when a node ends each stream that has not ended before. nodes is the number of all nodes.
 // All streams are ended before the deadline, the youngest first, because they have the most left to send.
 func CutoffSchedule(now, deadline float64, nodes int, streams []Stream) []Cutoff {
 	timeLeft := max(0, deadline-now)
--- a/internal/decide/shutdown/shutdown_test.go
+++ b/internal/decide/shutdown/shutdown_test.go
@@ -42,7 +42,7 @@
 	})
 }
 
-// A node without time left ends all streams at once.
+// A node without time left ends all streams immediately.
 func TestCutoffsWithoutTimeAreImmediate(t *testing.T) {
 	for _, cutoff := range CutoffSchedule(10, 9, 2, []Stream{{ID: "a", StartedAt: 1}, {ID: "b", StartedAt: 2}}) {
 		if cutoff.At != 10 {
--- a/internal/decide/staterelease/attemptend_test.go
+++ b/internal/decide/staterelease/attemptend_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// callsAfterEnd returns the times of the calls that follow an attempt that ended at endedAt, if each call is acknowledged at once. At
+// callsAfterEnd returns the times of the calls that follow an attempt that ended at endedAt, if each call is acknowledged immediately. At
 // servedAt the engine responds to a later request that was started at that time; 0 = never.
 func callsAfterEnd(endedAt, allowed, servedAt float64) (calls []float64) {
 	schedule := RetrySchedule{Deadline: endedAt + allowed, AnyEngine: true, Allowed: allowed, End: AttemptEnd{At: endedAt}}
--- a/internal/decide/staterelease/limit.go
+++ b/internal/decide/staterelease/limit.go
@@ -26,7 +26,7 @@
 	Wait Action = iota
 	// Cancel cancels the attempts, none of which has reached its engine, and checks again after CancelGrace.
 	Cancel
-	// Release releases the state at once, even while attempts are in flight.
+	// Release releases the state immediately, even while attempts are in flight.
 	Release
 )
 
--- a/internal/decide/staterelease/retry.go
+++ b/internal/decide/staterelease/retry.go
@@ -54,7 +54,7 @@
 
 // Next records the outcome of a call and returns when to make the next one; again is false if no further call is useful.
 //
-// The last call before the deadline may be made at the deadline itself. Calls that fail at once do not use up the calls too
+// The last call before the deadline may be made at the deadline itself. Calls that fail immediately do not use up the calls too
 // early: the pauses between them grow, and the last call is made shortly before the deadline, because the cause of the failures
 // may last only a moment. If any engine can release the state, calls continue past the deadline with growing pauses, because the
 // state is still held.
@@ -93,7 +93,7 @@
 func (s *RetrySchedule) OnlyDelayedCallsLeft() bool { return s.delayed }
 
 // pauseForOtherEngine returns the minimum time from one call to the next one if that goes to another engine. The second call is
-// made at once.
+// made immediately.
 func (s *RetrySchedule) pauseForOtherEngine(now float64) float64 {
 	if s.Attempts == 1 {
 		return 0
--- a/internal/decide/staterelease/staterelease_test.go
+++ b/internal/decide/staterelease/staterelease_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// Calls that fail at once, because a system call fails or a connection is refused, do not use up the number of calls during the outage:
+// Calls that fail immediately, because a system call fails or a connection is refused, do not use up the number of calls during the outage:
 // an engine that becomes reachable again before the deadline is called.
 func TestImmediateFailuresDoNotExhaustAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -190,7 +190,7 @@
 	}
 }
 
-// A state that is due is released at once, or its attempts are canceled so that the next check releases it, unless a response streams.
+// A state that is due is released immediately, or its attempts are canceled so that the next check releases it, unless a response streams.
 func TestEveryDueStateHasAnAction(t *testing.T) {
 	for _, c := range []struct {
 		progress  Progress
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -71,7 +71,7 @@
 	return f, nil
 }
 
-// openSource opens the configured source. It applies the content of a list file at once. If no saved list was restored, a file
+// openSource opens the configured source. It applies the content of a list file immediately. If no saved list was restored, a file
 // that cannot be read is an error.
 func (f *Follower) openSource() error {
 	o := f.options
--- a/internal/http1/accept.go
+++ b/internal/http1/accept.go
@@ -44,7 +44,7 @@
 // connection) may be temporary and further connections may be waiting, so the server continues to accept after a delay.
 func (s *Server) handleAcceptError(err error) {
 	if IsDescriptorShortage(err) {
-		s.CloseIdle(1) // frees a descriptor; if none may be evicted, one may close by itself during the delay
+		s.CloseIdle(1) // frees a descriptor; if none may be evicted, a connection may end during the delay
 	}
 	if IsProcessDescriptorLimit(err) && s.OnDescriptorShortage != nil {
 		s.OnDescriptorShortage(s.Conns())
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -21,7 +21,7 @@
 const (
 	releaseUnneeded = "unneeded" // no attempt will fetch the state
 	releaseAtLimit  = "limit"    // no attempt had used the state when its release was due
-	releaseRepeated = "again"    // a release at the limit is repeated: an attempt in flight may have been waiting for the state
+	releaseRepeated = "again"    // a release at the limit is repeated, because an attempt in flight may have been waiting for the state
 	releaseAfterCut = "cut"      // an attempt that was cut off may have left a state
 )
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -49,7 +49,7 @@
 	jobs       jobGroup       // goroutines of attempts, release calls and responses
 	loops      sync.WaitGroup // goroutines that run until the node stops: event loop and listeners
 	failed     chan error
-	respondNow atomic.Bool // a Shutdown that is waiting must respond at once
+	respondNow atomic.Bool // a Shutdown that is waiting must respond immediately
 	stopOnce   sync.Once
 }
 
@@ -260,7 +260,7 @@
 	return unfinished
 }
 
-// Stop closes all connections at once and waits for all goroutines. Open requests receive no response and are not retried.
+// Stop closes all connections immediately and waits for all goroutines. Open requests receive no response and are not retried.
 func (n *Node) Stop() { n.stopOnce.Do(n.stop) }
 
 func (n *Node) stop() {
--- a/internal/node/release_test.go
+++ b/internal/node/release_test.go
@@ -23,7 +23,7 @@
 	releaseTime = 5 * time.Millisecond
 )
 
-// failingDecodes is a fake protocol whose prefills complete at once and whose connections to decode engines fail after connectTime. It
+// failingDecodes is a fake protocol whose prefills complete immediately and whose connections to decode engines fail after connectTime. It
 // implements protocol.ClientExchange, protocol.EngineClient and protocol.EndpointSource.
 type failingDecodes struct {
 	responded chan struct{} // closed at the final response
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -100,5 +100,5 @@
 // StopSavingState stops writes to the state directory, so that a successor process can own it.
 func (n *Node) StopSavingState() { n.endpoints.SaveState(false) }
 
-// RespondNow ends the waiting of a Shutdown or ShutdownBy in progress, which then responds to the open requests at once.
+// RespondNow ends the waiting of a Shutdown or ShutdownBy in progress, which then responds to the open requests immediately.
 func (n *Node) RespondNow() { n.respondNow.Store(true) }
--- a/internal/node/staterelease.go
+++ b/internal/node/staterelease.go
@@ -24,9 +24,9 @@
 }
 
 // releaseState releases a state by calls to the engine that may hold it or, where every engine can release any state, to engines that
-// respond. The first call starts at once, in the order of the table's commands. It does not wait for an attempt that starts in the same
-// scheduler step: that attempt may take long to connect, and the state would be held for all that time. Each later call is made only if
-// the table allows it.
+// respond. The first call starts immediately, in the order of the table's commands. It does not wait for an attempt that starts in the
+// same scheduler step: that attempt may take long to connect, and the state would be held for all that time. Each later call is made
+// only if the table allows it.
 func (n *Node) releaseState(now float64, command requesttable.ReleaseState) {
 	release := &stateRelease{
 		command: command,
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -25,7 +25,7 @@
 type Front struct {
 	log           *slog.Logger
 	engines       *engine.Client
-	prefix        string // start of all request ids; differs between starts of a node
+	prefix        string // prefix of all request ids; it differs each time the node starts
 	serial        atomic.Uint64
 	configuration atomic.Pointer[configuration]
 }
--- a/internal/protocol/attemptcontrol.go
+++ b/internal/protocol/attemptcontrol.go
@@ -52,7 +52,7 @@
 	control.mu.Unlock()
 }
 
-// Cancel ends the attempt for the given cause by closing its connection; an attempt without a connection ends at once. A stream to the
+// Cancel ends the attempt for the given cause by closing its connection; an attempt without a connection ends immediately. A stream to the
 // client that is canceled because its request has ended still forwards what has arrived. Calls after the first have no effect.
 func (control *AttemptControl) Cancel(cause outcome.Cause) {
 	control.mu.Lock()
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -13,7 +13,7 @@
 )
 
 // notifiedAfter is the time in seconds from a change of the list until the change counts as notified, even if all calls to
-// discovery failed (the terms of the users' standing test).
+// discovery failed (a condition of the users' standing test).
 const notifiedAfter = 6
 
 // Discovery follows the engine list of the platform's discovery service.
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -261,7 +261,7 @@
 	}
 }
 
-// While discovery is down, the last list stays in use. When discovery recovers, it is polled at once, and a new connection must not
+// While discovery is down, the last list stays in use. When discovery recovers, it is polled immediately, and a new connection must not
 // lead to repeated requests for complete lists.
 func TestDiscoveryOutageAndRecovery(t *testing.T) {
 	const notified = 1.5 // s
@@ -289,7 +289,7 @@
 	}
 }
 
-// The next call must follow each response at once, so that the watch continues, and must request only changes.
+// The next call must follow each response immediately, so that the watch continues, and must request only changes.
 func TestWatchContinuesAfterResponse(t *testing.T) {
 	s := newFakeDiscovery(t, nil)
 	times := &updateTimes{}
@@ -306,7 +306,7 @@
 }
 
 // When a silent discovery recovers, it responds first to the calls that are waiting. The node must always have a call in flight,
-// so that a drain arrives at once after an outage of any length.
+// so that a drain arrives immediately after an outage of any length.
 func TestChangeArrivesAtOnceWhenDiscoveryRecovers(t *testing.T) {
 	recovered := make(chan struct{})
 	var down atomic.Bool
--- a/internal/relay/discovery_watch.go
+++ b/internal/relay/discovery_watch.go
@@ -37,7 +37,6 @@
 	conn       *http1.ClientConn // guarded by the watch's lock; nil = none yet
 }
 
-// callResult is the result of a call.
 type callResult struct {
 	*call
 	conn     *http1.ClientConn // connection of the call; nil = connecting failed
--- a/internal/relay/front.go
+++ b/internal/relay/front.go
@@ -40,8 +40,8 @@
 	return f
 }
 
-// idWindow returns the time for which a repeated id is rejected as a duplicate, in seconds: the longest client timeout plus
-// deduplication window of any class.
+// idWindow returns the time for which a repeated id is rejected as a duplicate, in seconds: the largest sum of client
+// timeout and deduplication window of any class.
 func idWindow(s *settings.Settings) float64 {
 	window := 0.0
 	for _, c := range s.Scheduler.Classes {
--- a/internal/settings/report.go
+++ b/internal/settings/report.go
@@ -5,7 +5,8 @@
 // thousandTokens is the unit in which the platform's load reports state waiting tokens.
 const thousandTokens = 1000
 
-// SetReportField sets a figure of a load report by its name in the settings object or in the users' pages. Unknown names are ignored.
+// SetReportField sets a figure of a load report by its name in the settings object or in the platform's documentation. Unknown names are
+// ignored.
 func SetReportField(report *scheduler.LoadReport, name string, figure float64) {
 	switch name {
 	case "active", "inflight":
--- a/lab/client/response.go
+++ b/lab/client/response.go
@@ -19,8 +19,8 @@
 // maxEventBytes is the longest line of a stream that a client reads.
 const maxEventBytes = 1 << 20
 
-// exchange sends a request and reads the response. It calls firstToken on the first event of a stream, or when a response that is one
-// body is complete.
+// exchange sends a request and reads the response. It calls firstToken on the first event of a stream or, if the response is
+// not a stream, when it is complete.
 func (c *Client) exchange(httpRequest *http.Request, r *Request, firstToken func()) Result {
 	result := Result{Outcome: record.ConnectionLost}
 	response, err := c.HTTP.Do(httpRequest)
--- a/lab/emulator/consul.go
+++ b/lab/emulator/consul.go
@@ -121,7 +121,7 @@
 	s.changed = make(chan struct{})
 }
 
-// handleHealth serves a blocking query. Under a fault it responds at once, or never if the fault is Hang.
+// handleHealth serves a blocking query. Under a fault it responds immediately, or never if the fault is Hang.
 func (s *ConsulServer) handleHealth(w http.ResponseWriter, r *http.Request) {
 	knownIndex, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
--- a/lab/emulator/engine.go
+++ b/lab/emulator/engine.go
@@ -114,7 +114,7 @@
 	p.mu.Unlock()
 }
 
-// Kill stops the engine at once and drops its connections, requests and KV states. It does nothing if the engine is stopped.
+// Kill stops the engine immediately and drops its connections, requests and KV states. It does nothing if the engine is stopped.
 func (e *Engine) Kill() {
 	e.mu.Lock()
 	p, server := e.process, e.server
--- a/lab/emulator/fault.go
+++ b/lab/emulator/fault.go
@@ -9,7 +9,7 @@
 
 // Faults are the active faults of an engine. The zero value is a healthy engine. POST /lab/fault sets them.
 type Faults struct {
-	ErrorShare           float64  `json:"errors,omitempty"`       // share of requests that fail at once with 500
+	ErrorShare           float64  `json:"errors,omitempty"`       // share of requests that fail immediately with 500
 	Full                 bool     `json:"refuse,omitempty"`       // every request is rejected with 503
 	RejectStatus         int      `json:"reject,omitempty"`       // every request is rejected with this status
 	Silent               bool     `json:"silent,omitempty"`       // requests are accepted and never answered
--- a/lab/emulator/settings.go
+++ b/lab/emulator/settings.go
@@ -12,7 +12,7 @@
 	ID                      string  `json:"id"`
 	Listen                  string  `json:"listen"` // host:port; port 0 = the system chooses a port at the first start
 	Role                    string  `json:"role"`   // prefill, decode or mixed
-	Slots                   int     `json:"slots"`  // maximum number of requests that run at once
+	Slots                   int     `json:"slots"`  // maximum number of requests that run at the same time
 	QueueLimit              int     `json:"queue"`  // maximum number of requests that wait for a slot
 	MemoryTokens            int     `json:"memory_tokens"`
 	PrefillTokensPerSecond  float64 `json:"read_per_s"`
@@ -20,7 +20,7 @@
 	DecodeStepPerSequenceMS float64 `json:"per_seq_ms"`  // added to a decode step by each running request
 	TransferTokensPerSecond float64 `json:"move_per_s"`  // rate at which KV states are sent to other engines
 	SlowStartShare          float64 `json:"cold_share"`  // share of the full speed right after a cold start
-	SlowStartSeconds        float64 `json:"cold_s"`      // time until the engine reaches its full speed; 0 = at once
+	SlowStartSeconds        float64 `json:"cold_s"`      // time until the engine reaches its full speed; 0 = immediately
 	LocalPrefill            bool    `json:"local_read"`  // a decode engine prefills prompts itself if there is no KV state
 	StateTTLSeconds         float64 `json:"state_ttl_s"` // a KV state that is neither fetched nor released is dropped after this time
 	LoadReportIntervalMS    float64 `json:"report_ms"`   // time between refreshes of the load report
--- a/lab/faultyrouter/faultyrouter.go
+++ b/lab/faultyrouter/faultyrouter.go
@@ -47,8 +47,8 @@
 
 // Delays that the defects of the same names add.
 const (
-	neverAnswersWait = 2 * time.Second         // beyond the client's patience
-	answersLateWait  = 200 * time.Millisecond  // beyond the client's patience
+	neverAnswersWait = 2 * time.Second         // added to the client's patience
+	answersLateWait  = 200 * time.Millisecond  // added to the client's patience
 	delaysDecodeWait = 2500 * time.Millisecond // between the prefill and the decode attempt
 	afterAnswerWait  = 700 * time.Millisecond  // between the final response and the next request to an engine
 )
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -167,8 +167,8 @@
 	return nil
 }
 
-// UpdateListServer updates the list of a list server, which responds to the waiting polls of all nodes at once. It records the delivery
-// to each node.
+// UpdateListServer updates the list of a list server, which then responds immediately to the waiting polls of all nodes. It records the
+// delivery to each node.
 func (f *Fleet) UpdateListServer(s Snapshot, server *emulator.ConsulServer, nodes []string) {
 	var instances []emulator.Instance
 	for _, e := range s.entries {
--- a/lab/memnet/conn.go
+++ b/lab/memnet/conn.go
@@ -125,7 +125,7 @@
 	return c.in.writerClosed || c.in.reset, c.in.writerClosed && !c.in.reset
 }
 
-// Unread reports whether a read would return at once, with bytes, the end of the stream or a reset.
+// Unread reports whether a read would return immediately, with bytes, the end of the stream or a reset.
 func (c *Conn) Unread() bool {
 	c.in.mu.Lock()
 	defer c.in.mu.Unlock()
--- a/lab/memnet/listener.go
+++ b/lab/memnet/listener.go
@@ -40,7 +40,7 @@
 	return client, nil
 }
 
-// signal wakes one waiting Accept. If none waits, the next Accept that would wait checks the listener again at once.
+// signal wakes one waiting Accept. If none waits, the next Accept that would wait checks the listener again immediately.
 func (l *Listener) signal() {
 	select {
 	case l.acceptReady <- struct{}{}:
--- a/lab/overhead/engine.go
+++ b/lab/overhead/engine.go
@@ -76,7 +76,7 @@
 // Proxy serves a plain httputil.ReverseProxy for the address of a backend. It returns when the listener is closed.
 func Proxy(l net.Listener, backend string) error {
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: backend})
-	proxy.FlushInterval = -1 // flush each write at once
+	proxy.FlushInterval = -1 // flush each write immediately
 	proxy.Transport = &http.Transport{MaxIdleConnsPerHost: proxyIdleConnections}
 	return (&http.Server{Handler: proxy}).Serve(l)
 }
--- a/lab/overhead/overhead.go
+++ b/lab/overhead/overhead.go
@@ -28,7 +28,7 @@
 	Workers            int           // concurrent workers of the closed loop, each with one request at a time
 	OpenLoopRequests   int           // requests of the open loop, which measures latency
 	Rate               float64       // requests per second of the open loop
-	Streams            int           // idle connections, and then streams, that are open at once to measure memory
+	Streams            int           // idle connections, and then streams, that are open at the same time to measure memory
 	BurstStreams       int           // concurrent streams that measure events without intervals
 	BurstEvents        int           // events of each of the BurstStreams
 	SteadyStreams      int           // concurrent streams with one event every 10 ms, as engines generate tokens
--- a/lab/scenario/clients.go
+++ b/lab/scenario/clients.go
@@ -87,7 +87,7 @@
 	return last[1]
 }
 
-// drawByShare draws an item with a probability proportional to its share.
+// drawByShare returns a random item with a probability proportional to its share.
 func drawByShare[T any](rng *rand.Rand, items []T, shareOf func(T) float64) *T {
 	total := 0.0
 	for _, item := range items {
@@ -142,7 +142,7 @@
 	}
 }
 
-// drawTurnTokens counts a request and draws the size of its turn in tokens.
+// drawTurnTokens counts a request and generates the size of its turn in tokens.
 func (r *run) drawTurnTokens(s *session) int {
 	r.mu.Lock()
 	tail, heavy := r.heavyTails[s.class.Name]
@@ -155,7 +155,7 @@
 	return int(min(size, maxTurnTokens))
 }
 
-// systemPrompt draws the system prompt of a session: the hot prefix, a shared prefix, or one of the session's own.
+// systemPrompt returns a random system prompt for a session: the hot prefix, a shared prefix, or one that only this session uses.
 func (r *run) systemPrompt(s *session) string {
 	r.mu.Lock()
 	hotShare, hotSeed := r.hotShare, r.hotSeed
@@ -171,7 +171,7 @@
 	return emulator.PromptText(s.seed*7919, ownPrefixTokens)
 }
 
-// newRequest draws the request of an operation.
+// newRequest generates the request of an operation.
 func (r *run) newRequest(s *session, op string, messages []emulator.Message, responseTokens int) client.Request {
 	promptTokens := 0
 	for _, m := range messages {
@@ -227,7 +227,7 @@
 	}
 }
 
-// pickNode draws a node at random, as a simple load balancer does. A node that is down may be drawn until the balancer has detected its
+// pickNode returns a random node, as a simple load balancer does. A node that is down may be drawn until the balancer has detected its
 // failure.
 func (r *run) pickNode(rng *rand.Rand) *nodeSlot {
 	r.mu.Lock()
--- a/lab/scenario/convert.go
+++ b/lab/scenario/convert.go
@@ -104,7 +104,7 @@
 )
 
 // Convert converts a day file of the bench into a script. rate is the number of sessions per second, and length the length of the scenario
-// in seconds; length 0 keeps the length of the day. What has no counterpart on sockets (prices, shares of tenants) is omitted.
+// in seconds; length 0 keeps the length of the day file. What has no counterpart on sockets (prices, shares of tenants) is omitted.
 func Convert(text []byte, rate, length float64) (*Script, error) {
 	var day benchDay
 	if err := json.Unmarshal(text, &day); err != nil {
@@ -130,7 +130,7 @@
 	return s, s.Check()
 }
 
-// newScript returns the script of a day without its kinds, engines, classes and faults.
+// newScript returns the script of a day file without its kinds, engines, classes and faults.
 func newScript(day *benchDay, rate, length, timeFactor float64) *Script {
 	tier := day.Tiers[0]
 	return &Script{
@@ -181,7 +181,7 @@
 	}
 }
 
-// addEngines adds the engines of a day and returns their ids, in the order of the day file.
+// addEngines adds the engines of a day file and returns their ids, in the order of the file.
 func (s *Script) addEngines(day *benchDay) ([]string, error) {
 	var ids []string
 	counts := map[string]int{}
@@ -214,7 +214,7 @@
 	return "mixed"
 }
 
-// zonesOf returns the zones of a day, or nil if there is only one.
+// zonesOf returns the zones of a day file, or nil if there is only one.
 func zonesOf(day *benchDay) []string {
 	if len(day.Zones) < 2 {
 		return nil
@@ -222,8 +222,8 @@
 	return day.Zones
 }
 
-// downsampleShape reduces the load curve of a day to shapePoints points or more, but fewer than twice as many. The times of the points
-// are shares of the day, and their loads are relative to the mean load.
+// downsampleShape reduces the load curve of a day file to shapePoints points or more, but fewer than twice as many. The times of the points
+// are shares of its duration, and their loads are relative to the mean load.
 func downsampleShape(points [][2]float64) [][2]float64 {
 	if len(points) == 0 {
 		return nil
@@ -274,7 +274,7 @@
 	}
 }
 
-// addFaults adds the faults of a day. ids are the ids of its engines, in the order of the day file.
+// addFaults adds the faults of a day file. ids are the ids of its engines, in the order of the file.
 func (s *Script) addFaults(day *benchDay, ids []string, timeFactor float64) {
 	for _, benchFault := range day.Faults {
 		f := Fault{
--- a/lab/scenario/enginefaults.go
+++ b/lab/scenario/enginefaults.go
@@ -141,8 +141,8 @@
 	return func() { setState("") }
 }
 
-// roleChange restarts engines as another kind, permanently. After the list delay, the list shows two changes at once: a new start and
-// a new role.
+// roleChange restarts engines as another kind, permanently. After the list delay, the list shows two changes at the same time: a new
+// start and a new role.
 func (r *run) roleChange(f Fault) func() {
 	i := slices.IndexFunc(r.script.Kinds, func(k Kind) bool { return k.Name == f.To })
 	for _, e := range r.affectedEngines(f, defaultPart) {
--- a/lab/scenario/lists.go
+++ b/lab/scenario/lists.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// nodeListDelay draws the delay of a node's list file (s): the list delay, varied by up to a quarter in either direction. The extra delay
-// of odd nodes is added if the node's rank is odd.
+// nodeListDelay returns a random delay for a node's list file (s): the list delay, varied by up to a quarter in either direction. The
+// extra delay of odd nodes is added if the node's rank is odd.
 func (r *run) nodeListDelay(slot *nodeSlot, delay float64) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/scenario/nodes.go
+++ b/lab/scenario/nodes.go
@@ -106,7 +106,7 @@
 	return node, started, err
 }
 
-// killNode kills a node at once, and records the time before and after that. If the node is already down, it only sets stoppedAt to the
+// killNode kills a node immediately, and records the time before and after that. If the node is already down, it only sets stoppedAt to the
 // current time.
 func (r *run) killNode(slot *nodeSlot) {
 	r.mu.Lock()
--- a/lab/scenario/script.go
+++ b/lab/scenario/script.go
@@ -122,7 +122,7 @@
 	SlowStartSeconds  float64 `json:"cold_s"`
 }
 
-// Limits holds settings of the nodes.
+// Limits is the object "limits" of a script. It holds settings that all nodes receive.
 type Limits struct {
 	MaxAttempts  int  `json:"max_attempts"`
 	LocalPrefill bool `json:"local_read"`
--- a/lab/simulation/baseline.go
+++ b/lab/simulation/baseline.go
@@ -20,8 +20,8 @@
 	return p.RejectAll || p.RejectThird && q.draws.node < 1.0/3 || q.at >= p.RejectFrom && q.at < p.RejectUntil
 }
 
-// baseline serves the requests of a run with a simple policy and without sockets. Each node prefers engines of its own zone and, among
-// them, the one with the fewest of its own requests in flight; after a failure it uses another engine. The limits of the nodes apply.
+// baseline serves the requests of a run with a simple policy and without sockets. Each node prefers engines in its zone and, among
+// them, the one with the fewest requests of that node in flight; after a failure it uses another engine. The limits of the nodes apply.
 type baseline struct {
 	*fleet
 	scenario *Scenario
--- a/lab/simulation/discovery.go
+++ b/lab/simulation/discovery.go
@@ -266,7 +266,7 @@
 }
 
 const (
-	// discoveryTimeout is the maximum time that a poll waits at a shared discovery (s). It rejects polls that would wait longer.
+	// discoveryTimeout is the maximum time that a poll waits at a shared discovery (s), which rejects polls that would wait longer.
 	discoveryTimeout = 2.0
 	// rejectionCost is the cost of a rejection for a shared discovery, as a multiple of that of a response.
 	rejectionCost = 0.3
--- a/lab/simulation/productrun.go
+++ b/lab/simulation/productrun.go
@@ -18,7 +18,7 @@
 	Ready() bool
 	// Terminate shuts the node down, as SIGTERM does; it returns when the node has ended.
 	Terminate()
-	// Kill ends the node at once, as SIGKILL does.
+	// Kill ends the node immediately, as SIGKILL does.
 	Kill()
 }
 
@@ -26,7 +26,7 @@
 type StartNode func(config []byte, l net.Listener, dial func(ctx context.Context, network, address string) (net.Conn, error)) (Node, error)
 
 const (
-	// warmUpSeconds is how long nodes run before the first request (s). It is longer than any drawn slow-start window (at most 2 s).
+	// warmUpSeconds is how long nodes run before the first request (s). It is longer than any random slow-start window (at most 2 s).
 	warmUpSeconds = 4.0
 	// startDelay is how long a node takes to start (s).
 	startDelay = 0.3
--- a/lab/simulation/scenario.go
+++ b/lab/simulation/scenario.go
@@ -90,7 +90,7 @@
 	return Fault{}, false
 }
 
-// drawnLength is the duration of a drawn run (s).
+// drawnLength is the duration of a run that is drawn from a seed (s).
 const drawnLength = 45
 
 // drawnFaults are the faults to draw from; EngineCrash is listed twice, so that it is drawn twice as often.
--- a/lab/simulation/traffic.go
+++ b/lab/simulation/traffic.go
@@ -17,8 +17,8 @@
 	disconnectShare = 0.01
 	// maxResponseFactor is the maximum length of a response, as a multiple of its class's median.
 	maxResponseFactor = 4
-	// maxTokensFactor is the limit that a client sets for the length of its response, as a multiple of its class's median. A longer
-	// response gets a limit of its own length.
+	// maxTokensFactor is the limit that a client sets for the length of its response, as a multiple of its class's median. For a
+	// longer response, the limit is the length of that response.
 	maxTokensFactor = 3
 	// maxPrefixShare is the maximum fraction of a prompt that is its prefix.
 	maxPrefixShare = 0.9
@@ -43,7 +43,7 @@
 // draws are a request's own random numbers, from 0 to 1, so that its client behaves the same with both policies.
 type draws struct{ node, patience, disconnect, backoff float64 }
 
-// requests draws the requests of the run.
+// requests generates the requests of the run.
 func (s *Scenario) requests() []*request {
 	rng := rand.New(rand.NewPCG(s.Site.Seed, 0xc11e))
 	classShares := make([]float64, len(s.Site.Classes))
@@ -86,7 +86,7 @@
 	return rate, tenantShares
 }
 
-// drawSizes draws the prompt, the response, the session and the prefix of a request.
+// drawSizes generates the prompt, the response, the session and the prefix of a request.
 func (s *Scenario) drawSizes(rng *rand.Rand, q *request) {
 	c := s.Site.Classes[q.class]
 	prompt := c.PromptTokens * math.Exp(c.Spread*rng.NormFloat64())
@@ -104,7 +104,7 @@
 	}
 }
 
-// drawClient draws the behavior of a request's client.
+// drawClient generates the behavior of a request's client.
 func (s *Scenario) drawClient(rng *rand.Rand, q *request) {
 	q.draws = draws{node: rng.Float64(), patience: rng.Float64(), disconnect: rng.Float64(), backoff: rng.Float64()}
 	share := disconnectShare
@@ -116,7 +116,7 @@
 	}
 }
 
-// drawIndex draws an index of weights; the probability of an index is proportional to its weight.
+// drawIndex returns a random index of weights; the probability of an index is proportional to its weight.
 func drawIndex(rng *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// drawRequest draws the request of the next operation.
+// drawRequest generates the request of the next operation.
 func (c *client) drawRequest() platform.Request {
 	c.operations++
 	request := platform.Request{
@@ -149,8 +149,8 @@
 	}
 }
 
-// pickNode draws the node of the next attempt; nil if there is none. If the client has an open connection to a stopping node, it returns
-// that node with probability stoppingNodeShare. Otherwise it draws a node in service.
+// pickNode returns a node for the next attempt; nil if there is none. If the client has an open connection to a stopping node, it returns
+// that node with probability stoppingNodeShare. Otherwise it returns a random node in service.
 func (c *client) pickNode() *Node {
 	if n := c.stoppingNode(); n != nil && c.rng.Float64() < stoppingNodeShare {
 		return n
@@ -158,7 +158,7 @@
 	return c.fleet.pickNode(c.rng)
 }
 
-// stoppingNode returns a stopping node to which the client has an open connection; nil if there is none. It draws no random numbers, so
+// stoppingNode returns a stopping node to which the client has an open connection; nil if there is none. It generates no random numbers, so
 // that stoppingNodeShare does not change the operations of a scenario without stops.
 func (c *client) stoppingNode() *Node {
 	for _, n := range c.fleet.nodes {
--- a/lab/soak/fault.go
+++ b/lab/soak/fault.go
@@ -85,11 +85,11 @@
 	t.pause(0, maxFaultPause)
 }
 
-// injection is a fault that is being injected. Its draw methods add the drawn values to its notes.
+// injection is a fault that is being injected. Its draw methods add the random values to its notes.
 type injection struct {
 	fleet *Fleet
 	rng   *rand.Rand
-	notes []string // the drawn parameters, for the fault's event
+	notes []string // the random parameters, for the fault's event
 }
 
 func (t *injection) note(format string, args ...any) {
@@ -101,14 +101,14 @@
 	time.Sleep(least + time.Duration(t.rng.Float64()*float64(most-least)))
 }
 
-// drawNode draws one node.
+// drawNode returns a random node.
 func (t *injection) drawNode() *Node {
 	n := t.fleet.nodes[t.rng.IntN(len(t.fleet.nodes))]
 	t.note("%s", n.name)
 	return n
 }
 
-// drawNodes draws at least one node and at most the given number of nodes.
+// drawNodes returns random nodes: at least one, and at most the given number.
 func (t *injection) drawNodes(most int) []*Node {
 	nodes := slices.Clone(t.fleet.nodes)
 	t.rng.Shuffle(len(nodes), func(i, k int) { nodes[i], nodes[k] = nodes[k], nodes[i] })
@@ -119,7 +119,7 @@
 	return nodes
 }
 
-// drawEngine draws an engine that is listed as up; "" if there is none.
+// drawEngine returns a random engine that is listed as up; "" if there is none.
 func (t *injection) drawEngine() string {
 	ids := t.fleet.registry.upIDs()
 	if len(ids) == 0 {
@@ -130,7 +130,7 @@
 	return id
 }
 
-// drawReplaceableEngine draws an engine that is listed as up; "" if there is none, or if no other engine of the drawn one's kind is up.
+// drawReplaceableEngine returns a random engine that is listed as up; "" if there is none, or if no other engine of its kind is up.
 func (t *injection) drawReplaceableEngine() string {
 	id := t.drawEngine()
 	if id == "" || !t.fleet.registry.hasPeers(id) {
--- a/lab/soak/fault_client.go
+++ b/lab/soak/fault_client.go
@@ -13,7 +13,8 @@
 // pipeliningClients is the number of clients that pipeline requests concurrently.
 const pipeliningClients = 3
 
-// pipelineRequests makes clients send several requests at once on one connection; some clients disconnect between the responses.
+// pipelineRequests makes clients send several requests on one connection without waiting for responses; some clients disconnect between
+// the responses.
 func pipelineRequests(t *injection) {
 	n := t.drawNode()
 	if !n.isInService() {
@@ -38,7 +39,7 @@
 	badClientLimit = 3 * time.Second
 	// badClientSlack is added to badClientLimit, because a loaded machine may delay the node.
 	badClientSlack = 300 * time.Millisecond
-	// badClientCount is the number of bad clients that connect at once.
+	// badClientCount is the number of bad clients that connect at the same time.
 	badClientCount = 10
 )
 
--- a/lab/soak/fault_engine.go
+++ b/lab/soak/fault_engine.go
@@ -200,7 +200,7 @@
 	}
 }
 
-// drawProxies draws all proxies to one engine, or some proxies of one node.
+// drawProxies returns all proxies to a random engine, or some proxies of a random node.
 func (t *injection) drawProxies() []*Proxy {
 	if t.rng.IntN(2) == 0 {
 		id := t.drawEngine()
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -241,7 +241,7 @@
 	return f.engines[id]
 }
 
-// pickNode draws a node in service; nil if there is none.
+// pickNode returns a random node in service; nil if there is none.
 func (f *Fleet) pickNode(rng *rand.Rand) *Node {
 	var inService []*Node
 	for _, n := range f.nodes {
--- a/lab/soak/pipeline.go
+++ b/lab/soak/pipeline.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// pipelinedRequests is the number of requests that a client sends at once.
+	// pipelinedRequests is the number of requests that a client sends without waiting for a response.
 	pipelinedRequests = 5
 	// pipelinedTimeout is the timeout that each pipelined request states.
 	pipelinedTimeout = 3 * time.Second
 )
 
-// pipeline sends several requests at once on a new connection and reads their responses in order, or disconnects after some of them.
+// pipeline sends several requests on a new connection without waiting for a response. It reads their responses in order, or disconnects
+// after some of them.
 func (c *client) pipeline(n *Node) {
 	conn, err := dial(n)
 	if err != nil {
@@ -43,7 +44,7 @@
 	}
 }
 
-// drawPipelined draws the requests that pipeline sends, and registers their IDs.
+// drawPipelined generates the requests that pipeline sends, and registers their IDs.
 func (c *client) drawPipelined() []platform.Request {
 	requests := make([]platform.Request, pipelinedRequests)
 	for i := range requests {
--- a/lab/soak/scenario_test.go
+++ b/lab/soak/scenario_test.go
@@ -290,7 +290,7 @@
 }
 
 // Guards against states of repeatable requests that are neither used nor released before their limit when several decode engines are cut
-// off at once. Attempts can be written to open connections to these engines, but are not delivered. New connections fail only after the
+// off immediately. Attempts can be written to open connections to these engines, but are not delivered. New connections fail only after the
 // connect timeout, which uses up most of the time within the limit.
 //
 // The failure arose because a written attempt counted as in flight, and each of three mechanisms relied on another one to end it before
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -93,7 +93,7 @@
 }
 
 // The first-token test adds slack to the predicted prefill time. A class whose objective exceeds a prefill by less than this slack
-// is still sent to an idle fleet. Rejecting it cost 55 to 80% of its value on drawn days 149, 167 and 327 (lab/simulation).
+// is still sent to an idle fleet. Rejecting it cost 55 to 80% of its value in the scenarios of seeds 149, 167 and 327 (lab/simulation).
 func TestShortObjectiveIsPrefilledOnAnIdleFleet(t *testing.T) {
 	alone := (1000 + prefillOverhead) * initialPrefillSecondsPerToken
 	for _, c := range []struct {
--- a/scheduler/endpointview.go
+++ b/scheduler/endpointview.go
@@ -101,7 +101,7 @@
 	return ready
 }
 
-// updateMaxReady updates the largest number of engines of each role that were ever ready at once.
+// updateMaxReady updates the largest number of engines of each role that were ever ready at the same time.
 func (s *Scheduler) updateMaxReady() {
 	var ready [roles]int
 	for _, target := range s.engineList {
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// recordAttemptFailure counts a failed attempt against its engine. A failed connection ejects the engine at once. An attempt that timed
+// recordAttemptFailure counts a failed attempt against its engine. A failed connection ejects the engine immediately. An attempt that timed
 // out or was canceled doesn't count if the engine has answered another one since it was sent. It does count if it was overtaken by
 // lostOvertakeCount attempts, because the engine has then lost it.
 func (s *Scheduler) recordAttemptFailure(ended endedAttempt, status Status) {
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -78,7 +78,7 @@
 	}
 	curve := s.curveOf(target)
 	required := curve.terms[0] / (outputObjectiveShare * objective)
-	if required >= 1 { // even a lone stream misses the objective: a late answer is worth more than none
+	if required >= 1 { // even a lone stream misses the objective, but a late response is worth more than none
 		return slowEngineCapacityFactor * (curve.speed(streams) - slowestUsefulSpeed)
 	}
 	return 1 - required/curve.speed(streams)
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -70,7 +70,7 @@
 }
 
 // A client's time must be spent on attempts that can succeed. If a retry could go to the engine that has just failed, an engine that fails
-// at once would get two attempts of a request before it is ejected.
+// immediately would get two attempts of a request before it is ejected.
 func TestRetryGoesToAnotherEngine(t *testing.T) {
 	endpoints := listOf()
 	for i := range 4 {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -30,7 +30,7 @@
 	// Endpoint view.
 	engines          map[string]*engine
 	engineList       []*engine  // in order of ID; decisions iterate over this list, never over the map, to be reproducible
-	maxReady         [roles]int // largest number of engines of each role that were ever ready at once
+	maxReady         [roles]int // largest number of engines of each role that were ever ready at the same time
 	watchActive      bool
 	nextWatchCheckAt float64
 
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -67,7 +67,7 @@
 	Fatal(args ...any)
 }
 
-// shares draws the share of each node in the traffic. They add up to 1.
+// shares generates the share of each node in the traffic. They add up to 1.
 func (l slowStartLoad) shares() []float64 {
 	random := rand.New(rand.NewPCG(l.seed, 1))
 	shares, sum := make([]float64, l.nodes), 0.0
