--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -9,7 +9,7 @@
 
 // reloadTimeout limits the retries of a reload that fails: at the moment of SIGHUP the descriptor table may be full or the file
 // half written. It is no longer than the time after which nodes count as notified of a change at discovery (the platform's page
-// of scenarios, new configurations).
+// of days, new configurations).
 const reloadTimeout = 4 * time.Second
 
 // reloader applies new configurations and retries after a failure. It reads each on a new goroutine, one at a time: a file system
